--- a/mallowvalve/law/core.py
+++ b/mallowvalve/law/core.py
@@ -5,26 +5,30 @@
 from collections.abc import Iterator
 from typing import Any
 
+import msgspec
+
 from mallowvalve.count import Counts
 from mallowvalve.kind import Address, Locality
 from mallowvalve.law import grow
-from mallowvalve.law.cut import cut, cut_settings, dump, load
+from mallowvalve.law.cut import cut, cut_settings, load
+from mallowvalve.law.fleetclock import FleetClock
 from mallowvalve.law.force import Echoes
+from mallowvalve.law.news import News
 from mallowvalve.law.state import (
     SETTINGS, TIES, Change, Enrol, Evacuate, Outcome, Seats, State, Strike, Tick, command, encode, tag_of, tags,
 )
-from mallowvalve.law.waits import Parked, Pending, Read
+from mallowvalve.law.waits import CommitNote, Parked, Pending, Read, Reads
 from mallowvalve.law.wire import Fed, Took, Want, Who
 from mallowvalve.params import Acks
-from mallowvalve.vote.log import CHUNK, CHUNK_BYTES, Log
-from mallowvalve.vote.raft import Raft, Ready, Times
-from mallowvalve.vote.wire import COMMAND, NOOP, Entry, Envelope, Group, Hard, Picture, Voters
+from mallowvalve.vote.log import Log
+from mallowvalve.vote.progress import Ready, Times
+from mallowvalve.vote.raft import Raft
+from mallowvalve.vote.wire import COMMAND, Entry, Envelope, Group, Hard, Picture, Voters
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
 SETTINGS_TAGS, TIES_TAGS = tags(SETTINGS), tags(TIES)
 HOLD_MOST = 1.0
 CURRENT, LAG = 0.5, 16
-MARK = 0.03
 TOLD_PACES = 3
 FEED, GATHER_MOST = 0.0015, 0.15
 
@@ -32,16 +36,15 @@
 class Core:
     __slots__ = (
         "id", "addr", "locality", "rng", "raft", "state", "echoes", "counts", "replies", "decided", "seen",
-        "_pending", "_waiting", "_parked", "_reads", "_led", "_clock_base", "_clock_at", "_brought", "_ticked",
-        "_grown", "_base_index", "_acks", "_news", "_clock_heard", "_clock_term", "_dropped", "_times", "_mark_at", "_seating",
+        "clock",
+        "_pending", "_waiting", "_parked", "_reads", "_led", "_brought", "_ticked",
+        "_grown", "_base_index", "_acks", "_news", "_times", "_note", "_seating",
         "_looked", "_look_at",
     )
 
     def __init__(
-        self, id: str, addr: Address, locality: Locality, rng: random.Random, acks: Acks = Acks(), pace: float = 0.0,
-        election: float = Times().election,
+        self, id: str, addr: Address, locality: Locality, rng: random.Random, acks: Acks = Acks(), times: Times = Times()
     ):
-        """`pace` is the least time between two rounds to the voters, `election` how long a silent leader is waited for (s)."""
         self.id, self.addr, self.locality, self.rng = id, addr, locality, rng
         self.raft: Raft | None = None
         self.state: State | None = None
@@ -53,31 +56,29 @@
         self._pending: dict[int, Pending] = {}
         self._waiting: deque[tuple[int, Pending]] = deque()
         self._parked: dict[Address, Parked] = {}
-        self._reads: list[Read] = []
+        self._reads = Reads()
         self._led = False
-        self._clock_base, self._clock_at = 0, 0.0
         self._brought: tuple[Group, int, State] | None = None
         self._ticked = self._grown = -1e9
         self._seating = 0
         self._looked, self._look_at = (0, 0), -1e9
         self._base_index = 0
-        self._acks, self._times = acks, Times(pace=pace, told=TOLD_PACES * pace, election=election)
-        self._news: deque[Entry] = deque()
-        self._clock_heard = (0, 0.0)
-        self._clock_term = 0
-        self._mark_at: float | None = None
+        self._acks, self._times = acks, msgspec.structs.replace(times, told=TOLD_PACES * times.pace)
+        self._news = News(0)
+        self.clock = FleetClock()
+        self._note = CommitNote()
 
     def start(
-        self, picture: Picture, hard: Hard | None, entries: list[Entry], now: float, ready: State | None = None,
+        self, picture: Picture, hard: Hard | None, entries: list[Entry], now: float, ready: State | None = None
     ) -> None:
         hard = hard if hard is not None and hard.group == picture.group else Hard(picture.group, 0, "")
         self.raft = Raft(self.id, Log(picture, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit)
         self.state = ready or load(picture.state, picture.group.generation)
         self.state.index = picture.index
         self._base_index = picture.index
-        self._news, self._dropped = deque(), self.state.turned
-        self._led, self._mark_at = False, None
-        self._clock_heard, self._clock_term = (self.state.clock, now), 0
+        self._news = News(self.state.turned)
+        self._led, self._note = False, CommitNote()
+        self.clock.restart(self.state.clock, now)
         self._apply(now)
         self.decided = []
 
@@ -102,10 +103,10 @@
 
     def who(self, role: str, seeds: list[Address]) -> Who:
         r = self.raft
-        return Who(
-            role, self.id, self.addr, self.locality, seeds, r is None, r.group if r else None,
-            self.state.index if r else 0, r.log.voters_at(self.state.index) if r else None, self.leader(),
-        )
+        if r is None:
+            return Who(role, self.id, self.addr, self.locality, seeds, True, None, 0, None, None)
+        i = self.state.index
+        return Who(role, self.id, self.addr, self.locality, seeds, False, r.group, i, r.log.voters_at(i), self.leader())
 
     def here(self, w: Who, now: float) -> None:
         if w.role == "law" and (w.group is None or self.raft and w.group == self.raft.group):
@@ -115,13 +116,13 @@
     def wakeup(self, now: float) -> float:
         if self.raft is None:
             return now + 0.1
-        return min(self._mark_at or now + 0.1, now + 0.1, self.raft.wakeup(), self._look_at if self._parked else now + 0.1)
+        return min(self._note.at or now + 0.1, now + 0.1, self.raft.wakeup(), self._look_at if self._parked else now + 0.1)
 
     def tick(self, now: float) -> None:
         if self.raft is None:
             return
         self.raft.tick(now)
-        self._note(now)
+        self.raft.mark = self._note.due(self.state.turned, self.raft.marked, now) or self.raft.mark
         self._settle(now)
 
     def receive(self, e: Envelope, now: float) -> None:
@@ -139,7 +140,7 @@
         if not self.leads:
             self.replies.append((token, Took("leader", leader=self.leader())))
             return
-        index = self.raft.propose(COMMAND, data, self._clock(now))
+        index = self.raft.propose(COMMAND, data, self.clock.read(now))
         if index is None:
             self.replies.append((token, Took("leader")))
             return
@@ -151,7 +152,7 @@
         if not self.leads:
             self.replies.append((token, Took("leader", leader=self.leader())))
             return
-        self._reads.append(Read(token, self.raft.ask_quorum(), self.raft.commit, limit))
+        self._reads.add(Read(token, self.raft.ask_quorum(), self.raft.commit, limit))
 
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
@@ -167,27 +168,18 @@
         old = self._parked.pop(w.addr, None)
         if old is not None:
             self.replies.append((old.token, Fed(self.addr)))
-        self.echoes.heard(w, self.raft.group, self.raft.seq + 1, now)
+        self.echoes.heard(w, self.raft.group, self.raft.rounds.seq + 1, now)
         self._parked[w.addr] = Parked(token, w, now)
         self._look_at = now
 
-    def _note(self, now: float) -> None:
-        """Settings are noted as committed with the next batch, or with one of their own where none comes soon."""
-        if self.state.turned <= self.raft.marked:
-            self._mark_at = None
-        elif self._mark_at is None:
-            self._mark_at = now + MARK
-        elif now >= self._mark_at:
-            self.raft.mark, self._mark_at = True, None
-
     def ready(self, now: float) -> Ready | None:
         return self.raft.ready(now) if self.raft else None
 
     def saved(self, r: Ready, now: float) -> None:
         if r.install is not None:
             self.state = self._loaded_for(r.install)
-            self._news, self._dropped = deque(), self.state.turned
-            self._clock_heard, self._clock_term = (self.state.clock, now), 0
+            self._news = News(self.state.turned)
+            self.clock.restart(self.state.clock, now)
         self.raft.saved(r)
         self._apply(now)
         self._settle(now)
@@ -196,17 +188,20 @@
         """The state as it is now; its pieces are made as they are asked for."""
         if self.raft is None:
             return None
-        i = self.state.index
-        if i < self.raft.log.base:
+        if self.state.index < self.raft.log.base:
             return self.raft.log.picture, iter(self.raft.log.picture.state)
-        return Picture(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), []), cut(self.state)
+        return self._head(), cut(self.state)
 
     def settings(self) -> tuple[Picture, Iterator[bytes]] | None:
         """The settings part of the state as it is now."""
         if self.raft is None or self.state.index < self.raft.log.base:
             return None
+        return self._head(), cut_settings(self.state)
+
+    def _head(self) -> Picture:
+        """A picture of the state as it is now, without its pieces."""
         i = self.state.index
-        return Picture(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), []), cut_settings(self.state)
+        return Picture(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), [])
 
     def base(self) -> Picture | None:
         return self.raft.log.picture if self.raft is not None else None
@@ -225,28 +220,15 @@
 
     def compact(self, p: Picture) -> None:
         self.raft.log.compact(p)
-        while self._news and self._news[0].index <= p.index:
-            self._dropped = self._news.popleft().index
-
-    def _clock(self, now: float) -> int:
-        return self._clock_base + int((now - self._clock_at) * 1000)
-
-    def _clock_since(self, now: float) -> int:
-        """The fleet's clock by what was heard of it: never ahead, since an entry is proposed before it is applied here."""
-        return self._clock_heard[0] + int((now - self._clock_heard[1]) * 1000)
-
-    def _hear_clock(self, e: Entry, now: float) -> None:
-        """Each leader's clock may run behind its predecessor's: what was heard of those says nothing of this one's."""
-        if e.kind != NOOP and (e.term != self._clock_term or e.at > self._clock_since(now)):
-            self._clock_heard, self._clock_term = (e.at, now), e.term
+        self._news.compact(p.index)
 
     def _apply(self, now: float) -> None:
         while self.state.index < self.raft.commit:
             e = self.raft.log.get(self.state.index + 1)
-            self._hear_clock(e, now)
+            self.clock.hear(e, now)
             out = self.state.apply(e.index, e.at, e.data if e.kind == COMMAND else b"")
             if self.state.turned == e.index:
-                self._news.append(e)
+                self._news.add(e)
                 if tag_of(e.data) in TOLD:
                     c = command(e.data)
                     self.decided += [(x, out) for x in (c.steps if isinstance(c, Seats) else [c])]
@@ -266,14 +248,14 @@
             self._led = False
             return
         if self.leads and not self._led:
-            self._led, self._clock_at, self._seating = True, now, 0
-            self._clock_base = max(self.state.clock, self._clock_since(now))
+            self._led, self._seating = True, 0
+            self.clock.lead(self.state.clock, now)
             self.echoes.begin(now)
         if not self._led:
             return
         self.echoes.watch(self.state.params, now)
         self._answer_waiting(now)
-        self._answer_reads(now)
+        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, now)
         self._answer_wants(now)
         self._housekeep(now)
 
@@ -298,17 +280,6 @@
             return False
         return p.waits == "held" or self.echoes.in_force(p.outcome.revision, now)
 
-    def _answer_reads(self, now: float) -> None:
-        keep = []
-        for r in self._reads:
-            if r.need <= self.raft.confirmed and r.index <= self.state.index:
-                self.replies.append((r.token, Took("ok", self.state.revision_at(r.index))))
-            elif now >= r.limit:
-                self.replies.append((r.token, Took("undecided")))
-            else:
-                keep.append(r)
-        self._reads = keep
-
     def _answer_wants(self, now: float) -> None:
         """One that was fed news a moment ago is fed the next with what else comes by then: `FEED` seconds for each echo."""
         news = (self.state.turned, self.state.index if any(p.want.parts == "all" for p in self._parked.values()) else 0)
@@ -325,17 +296,17 @@
                 self._look_at = min(self._look_at, due)
                 continue
             del self._parked[a]
-            sure = self.echoes.sure(a, self.raft.confirmed)
+            sure = self.echoes.sure(a, self.raft.rounds.confirmed)
             entries, upto = [], self.state.index
-            lacking = not same or w.index < (self._dropped if part else self.raft.log.base)
+            lacking = not same or w.index < (self._news.dropped if part else self.raft.log.base)
             if not lacking and part:
-                entries, upto = self._news_since(w.index)
+                entries, upto = self._news.since(w.index, self.state.index)
             elif not lacking:
                 entries = [e for e in self.raft.log.since(w.index) if e.index <= self.state.index]
             self.echoes.fed(a, now, w.index < newest <= upto)
             self.replies.append((p.token, Fed(
                 self.addr, self.raft.group, lacking, entries, upto, self.state.params.revision, sure,
-                self._voters_since(w, lacking), self.state.clock, self._clock(now),
+                self._voters_since(w, lacking), self.state.clock, self.clock.read(now),
             )))
 
     def _voters_since(self, w: Want, lacking: bool) -> Voters | None:
@@ -343,46 +314,27 @@
         told = w.hold > 0 and not lacking and w.index >= self.raft.log.voters_index
         return None if told else self.raft.log.voters_at(self.state.index)
 
-    def _news_since(self, index: int) -> tuple[list[Entry], int]:
-        """What changed the settings part after the index, and how far one is whole with it."""
-        out, size = [], 0
-        for e in self._news:
-            if e.index <= index:
-                continue
-            size += len(e.data)
-            if out and (size > CHUNK_BYTES or len(out) >= CHUNK):
-                return out, out[-1].index
-            out.append(e)
-        return out, self.state.index
-
     def _housekeep(self, now: float) -> None:
         if now - self._ticked > 1.0 and self.state.tie.restless():
             self._ticked = now
-            self.raft.propose(COMMAND, encode(Tick()), self._clock(now))
+            self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
         if now - self._grown < 0.1:
             return
         self._grown = now
         v = grow.next_voters(self.raft, self.seen, now)
-        if v is not None and self.raft.change_voters(v, self._clock(now)) is not None:
+        if v is not None and self.raft.change_voters(v, self.clock.read(now)) is not None:
             self.counts.add("vote_changes")
         if self._seating > self.raft.commit:
             return
         due = self.echoes.roster_step if self._acks.settings == "force" else self.echoes.roster_steps
         step = due(self.state.params, now)
         if step is not None:
-            self._seating = self.raft.propose(COMMAND, encode(step), self._clock(now)) or 0
+            self._seating = self.raft.propose(COMMAND, encode(step), self.clock.read(now)) or 0
 
     def _fail_all(self) -> None:
         for p in [*self._pending.values(), *(p for _, p in self._waiting)]:
             self.replies.append((p.token, Took("undecided")))
-        for r in self._reads:
-            self.replies.append((r.token, Took("leader")))
+        self.replies += self._reads.fail()
         for p in self._parked.values():
             self.replies.append((p.token, Fed(None)))
-        self._pending, self._waiting, self._reads, self._parked = {}, deque(), [], {}
-
-
-def founding(group: Group, voters: Voters, base: State | None) -> Picture:
-    state = State(group.generation) if base is None else base
-    state.generation = group.generation
-    return Picture(group, state.index, 0, voters, dump(state))
+        self._pending, self._waiting, self._parked = {}, deque(), {}
--- a/mallowvalve/law/cut.py
+++ b/mallowvalve/law/cut.py
@@ -15,6 +15,7 @@
 from mallowvalve.tie import plain
 from mallowvalve.tie.state import Event, Held
 from mallowvalve.tree.items import Item
+from mallowvalve.vote.wire import Group, Picture, Voters
 
 PIECE = 1 << 20
 SLICE = 2000
@@ -75,6 +76,12 @@
     return list(cut(s))
 
 
+def founding(group: Group, voters: Voters, base: State | None) -> Picture:
+    state = State(group.generation) if base is None else base
+    state.generation = group.generation
+    return Picture(group, state.index, 0, voters, dump(state))
+
+
 def load(pieces: list[bytes], generation: int | None = None) -> State:
     w = Loader(generation)
     for p in pieces:
--- a/mallowvalve/law/foundtask.py
+++ b/mallowvalve/law/foundtask.py
@@ -14,7 +14,7 @@
 from mallowvalve.count import change
 from mallowvalve.kind import Address
 from mallowvalve.law import store, wire
-from mallowvalve.law.core import founding
+from mallowvalve.law.cut import founding
 from mallowvalve.law.found import Decision, Found, Judge, Start, Wipe, decide, heard_enough, sources
 from mallowvalve.law.pull import BASE, NOW, SETTINGS
 from mallowvalve.law.state import State
--- /dev/null
+++ b/mallowvalve/law/news.py
@@ -0,0 +1,42 @@
+"""The newest entries that changed the settings part of the state, for replicas that hold only that part."""
+
+from __future__ import annotations
+
+from collections import deque
+
+from mallowvalve.vote.log import CHUNK, CHUNK_BYTES
+from mallowvalve.vote.wire import Entry
+
+
+class News:
+    """Entries that changed the settings since the state was loaded, but for those a snapshot has replaced."""
+
+    __slots__ = ("dropped", "_entries")
+
+    def __init__(self, dropped: int) -> None:
+        """`dropped` is the index up to which entries are no longer held."""
+        self.dropped = dropped
+        self._entries: deque[Entry] = deque()
+
+    def __len__(self) -> int:
+        return len(self._entries)
+
+    def add(self, e: Entry) -> None:
+        self._entries.append(e)
+
+    def compact(self, index: int) -> None:
+        """Forgets the entries up to the index."""
+        while self._entries and self._entries[0].index <= index:
+            self.dropped = self._entries.popleft().index
+
+    def since(self, index: int, applied: int) -> tuple[list[Entry], int]:
+        """What changed the settings part after the index, and how far one is whole with it."""
+        out, size = [], 0
+        for e in self._entries:
+            if e.index <= index:
+                continue
+            size += len(e.data)
+            if out and (size > CHUNK_BYTES or len(out) >= CHUNK):
+                return out, out[-1].index
+            out.append(e)
+        return out, applied
--- a/mallowvalve/law/task.py
+++ b/mallowvalve/law/task.py
@@ -24,6 +24,7 @@
 from mallowvalve.tale.log import Tale
 from mallowvalve.tree.build import EMPTY, build
 from mallowvalve.tree.model import Tree
+from mallowvalve.vote.progress import Times
 from mallowvalve.vote.wire import Envelope, Group, Install, Message, Picture, encode, envelope
 
 STORE_AGAIN = 2.0
@@ -38,7 +39,7 @@
     def __init__(self, node: Node, tale: Tale, loaded: store.Loaded):
         self.node, self.tale = node, tale
         p = node.params
-        self.core = Core(tale.identity.id, p.mesh, p.locality, random.Random(node.boot), p.acks, p.pace, p.election)
+        self.core = Core(tale.identity.id, p.mesh, p.locality, random.Random(node.boot), p.acks, Times(pace=p.pace, election=p.election))
         if loaded.picture is not None:
             self.core.start(loaded.picture, loaded.hard, loaded.entries, clock.now())
         self._box: Queue = Queue()
--- a/mallowvalve/law/waits.py
+++ b/mallowvalve/law/waits.py
@@ -6,8 +6,10 @@
 
 import msgspec
 
-from mallowvalve.law.state import Outcome
-from mallowvalve.law.wire import Want
+from mallowvalve.law.state import Outcome, State
+from mallowvalve.law.wire import Took, Want
+
+NOTE_AFTER = 0.03
 
 
 class Pending(msgspec.Struct):
@@ -20,6 +22,26 @@
     need: int = 0
 
 
+class CommitNote:
+    """Settings are noted as committed with the next batch, or with one of their own where none comes soon."""
+
+    __slots__ = ("at",)
+
+    def __init__(self) -> None:
+        self.at: float | None = None
+
+    def due(self, turned: int, marked: int, now: float) -> bool:
+        """Whether a batch of its own is due: the settings turned at an index beyond the one noted last."""
+        if turned <= marked:
+            self.at = None
+        elif self.at is None:
+            self.at = now + NOTE_AFTER
+        elif now >= self.at:
+            self.at = None
+            return True
+        return False
+
+
 class Parked(msgspec.Struct):
     token: Any
     want: Want
@@ -31,3 +53,34 @@
     need: int
     index: int
     limit: float
+
+
+class Reads:
+    """Reads that wait until a quorum has confirmed, after they were asked, that this is still the leader."""
+
+    __slots__ = ("_rows",)
+
+    def __init__(self) -> None:
+        self._rows: list[Read] = []
+
+    def add(self, r: Read) -> None:
+        self._rows.append(r)
+
+    def answer(self, confirmed: int, state: State, now: float) -> list[tuple[Any, Took]]:
+        """Answers to the reads whose round is confirmed and whose index is applied, and to those out of time."""
+        out, keep = [], []
+        for r in self._rows:
+            if r.need <= confirmed and r.index <= state.index:
+                out.append((r.token, Took("ok", state.revision_at(r.index))))
+            elif now >= r.limit:
+                out.append((r.token, Took("undecided")))
+            else:
+                keep.append(r)
+        self._rows = keep
+        return out
+
+    def fail(self) -> list[tuple[Any, Took]]:
+        """Answers all that wait with a want of a leader."""
+        out = [(r.token, Took("leader")) for r in self._rows]
+        self._rows = []
+        return out
--- /dev/null
+++ b/mallowvalve/vote/progress.py
@@ -0,0 +1,39 @@
+"""What the Raft machine is set to, what its leader knows of each member, and what it hands out to be saved and sent."""
+
+from __future__ import annotations
+
+import msgspec
+
+from mallowvalve.vote.wire import Entry, Hard, Message, Picture
+
+
+FOLLOWER, PRE, CANDIDATE, LEADER = "follower", "pre", "candidate", "leader"
+
+
+class Times(msgspec.Struct, frozen=True):
+    """Seconds. `pace` is the least between two rounds of a leader: what comes meanwhile goes along in the next.
+
+    `told` is how long the word that something is decided may wait for a round that goes anyway.
+    """
+
+    beat: float = 0.1
+    pace: float = 0.0
+    told: float = 0.0
+    election: float = 1.0
+    picture_again: float = 2.0
+
+
+class Progress:
+    __slots__ = ("next", "match", "seq", "floor", "heard", "picture_at")
+
+    def __init__(self, next: int, now: float):
+        self.next, self.match, self.seq, self.floor, self.heard, self.picture_at = next, 0, 0, 0, now, -1e9
+
+
+class Ready(msgspec.Struct):
+    hard: Hard | None
+    entries: list[Entry]
+    install: Picture | None
+    early: list[tuple[str, Message]]
+    late: list[tuple[str, Message]]
+    last: int
--- a/mallowvalve/vote/raft.py
+++ b/mallowvalve/vote/raft.py
@@ -1,60 +1,29 @@
 from __future__ import annotations
 
 import random
-from collections import deque
-
-import msgspec
 
 from mallowvalve.count import Counts
 from mallowvalve.vote.log import Log
+from mallowvalve.vote.progress import CANDIDATE, FOLLOWER, LEADER, PRE, Progress, Ready, Times
+from mallowvalve.vote.rounds import Rounds
 from mallowvalve.vote.wire import (
     NOOP, VOTERS, Append, Appended, Ask, Elect, Entry, Group, Hard, Install, Message, Picture, Voice, Voters, encode,
 )
 
 FIRST, DOUBT = 0.3, 0.25
 NEVER = float("inf")
-FOLLOWER, PRE, CANDIDATE, LEADER = "follower", "pre", "candidate", "leader"
-
-
-class Times(msgspec.Struct, frozen=True):
-    """Seconds. `pace` is the least between two rounds of a leader: what comes meanwhile goes along in the next.
-
-    `told` is how long the word that something is decided may wait for a round that goes anyway.
-    """
-
-    beat: float = 0.1
-    pace: float = 0.0
-    told: float = 0.0
-    election: float = 1.0
-    picture_again: float = 2.0
-
-
-class Progress:
-    __slots__ = ("next", "match", "seq", "floor", "heard", "picture_at")
-
-    def __init__(self, next: int, now: float):
-        self.next, self.match, self.seq, self.floor, self.heard, self.picture_at = next, 0, 0, 0, now, -1e9
-
-
-class Ready(msgspec.Struct):
-    hard: Hard | None
-    entries: list[Entry]
-    install: Picture | None
-    early: list[tuple[str, Message]]
-    late: list[tuple[str, Message]]
-    last: int
 
 
 class Raft:
     __slots__ = (
-        "me", "group", "log", "term", "vote", "role", "leader", "commit", "seq", "confirmed", "counts", "times",
-        "rng", "nudge", "halted", "mark", "marked", "_voices", "_progress", "_election_at", "_beat_at", "_heard", "_sent", "_saved",
-        "_hard", "_fresh", "_install", "_early", "_late", "_term_start", "_led_since", "_paced_at", "told",
+        "me", "group", "log", "term", "vote", "role", "leader", "commit", "rounds", "counts", "times",
+        "rng", "nudge", "halted", "mark", "marked", "_voices", "_progress", "_election_at", "_beat_at", "_heard", "_saved",
+        "_hard", "_fresh", "_install", "_early", "_late", "_term_start", "_paced_at", "told",
         "_all_at", "_now",
     )
 
     def __init__(
-        self, me: str, log: Log, term: int, vote: str, rng: random.Random, now: float, times: Times = Times(), commit: int = 0,
+        self, me: str, log: Log, term: int, vote: str, rng: random.Random, now: float, times: Times = Times(), commit: int = 0
     ):
         """`commit` is how far the log was known to be committed when it was last saved."""
         self.me, self.log, self.rng, self.times = me, log, rng, times
@@ -62,19 +31,18 @@
         self.term, self.vote = max(term, log.picture.term), vote
         self.role, self.leader = FOLLOWER, ""
         self.commit = self.marked = max(log.base, min(commit, log.last))
-        self.seq = self.confirmed = self.told = 0
+        self.told, self.rounds = 0, Rounds()
         self.counts = Counts()
         self.nudge = self.halted = self.mark = False
         self._voices: set[str] = set()
         self._progress: dict[str, Progress] = {}
-        self._sent: deque[tuple[int, float]] = deque()
         self._hard = (term, vote)
         self._fresh: list[Entry] = []
         self._install: Picture | None = None
         self._early: list[tuple[str, Message]] = []
         self._late: list[tuple[str, Message]] = []
         self._saved = log.last
-        self._heard = self._beat_at = self._led_since = self._paced_at = -1e9
+        self._heard = self._beat_at = self._paced_at = -1e9
         self._term_start = 0
         self._election_at = now + times.election * (FIRST + (1 - FIRST) * rng.random())
         self._all_at, self._now = -1e9, now
@@ -100,7 +68,7 @@
     def in_touch(self, now: float, span: float) -> bool:
         """Whether a leader spoke to this voter, or a quorum answered this leader, within the span (s)."""
         if self.leads:
-            return now - self._sure_at() <= span
+            return now - self.rounds.confirmed_at() <= span
         return bool(self.leader) and now - self._heard <= span
 
     def progress(self) -> dict[str, Progress]:
@@ -163,7 +131,7 @@
 
     def ask_quorum(self) -> int:
         self.nudge = True
-        return self.seq + 1
+        return self.rounds.seq + 1
 
     def hand_over(self) -> None:
         ahead = [(p.match, i) for i, p in self._progress.items() if i in self.log.voters.voters and i != self.me]
@@ -180,9 +148,7 @@
             hard = None
         else:
             self._hard, self.mark, self.marked = (hard.term, hard.vote), False, hard.commit
-        r = Ready(
-            hard, self._fresh, self._install, self._early, self._late, self.log.last,
-        )
+        r = Ready(hard, self._fresh, self._install, self._early, self._late, self.log.last)
         self._fresh, self._install, self._early, self._late = [], None, [], []
         return r
 
@@ -254,25 +220,21 @@
 
     def _lead(self, now: float) -> None:
         self.role, self.leader = LEADER, self.me
-        self._progress, self._sent = {}, deque([(self.seq, now)])
-        self.confirmed, self._led_since = self.seq, now
+        self._progress = {}
+        self.rounds.begin(now)
         self._term_start = self.log.last + 1
         at = self.log.entries[-1].at if self.log.entries else 0
         self.propose(NOOP, b"", at)
         self.counts.add("vote_led")
 
     def _tick_leader(self, now: float) -> None:
-        if now - self._sure_at() > 2 * self.times.election:
+        if now - self.rounds.confirmed_at() > 2 * self.times.election:
             self._follow(self.term, "", now)
 
-    def _sure_at(self) -> float:
-        return next((t for s, t in reversed(self._sent) if s <= self.confirmed), self._led_since)
-
     def _broadcast(self, now: float) -> None:
         """Learners wait for the word of what is decided, or for the beat; it may be for them alone."""
         vs, all = self.log.voters, now >= self._all_at
-        self.seq += 1
-        self._sent.append((self.seq, now))
+        self.rounds.send(now)
         to = [*vs.learners] if all else []
         if self.nudge or now >= self._beat_at:
             to += vs.voters
@@ -291,10 +253,10 @@
         if p.next <= self.log.base:
             if now - p.picture_at > self.times.picture_again:
                 p.picture_at = now
-                self._early.append((i, Install(self.term, self.log.picture, self.seq)))
+                self._early.append((i, Install(self.term, self.log.picture, self.rounds.seq)))
             return
         es = self.log.since(p.next - 1)
-        m = Append(self.term, p.next - 1, self.log.term(p.next - 1), es, self.commit, self.seq)
+        m = Append(self.term, p.next - 1, self.log.term(p.next - 1), es, self.commit, self.rounds.seq)
         if es:
             p.next = es[-1].index + 1
         self._early.append((i, m))
@@ -345,7 +307,7 @@
 
     def _go_on(self, p: Progress) -> None:
         """Answers to what was sent before this reaction cause no other: else laggards multiply each other's messages."""
-        p.floor = self.seq + 1
+        p.floor = self.rounds.seq + 1
         self.nudge = True
 
     def _on_install(self, src: str, m: Install, now: float) -> None:
@@ -363,20 +325,18 @@
         self._late.append((src, Appended(self.term, True, max(m.picture.index, self.log.base), m.seq)))
 
     def _confirm(self) -> None:
-        vs = self.log.voters
-        seqs = sorted((self.seq if i == self.me else self._seq(i) for i in vs.voters), reverse=True)
-        self.confirmed = max(self.confirmed, seqs[vs.quorum - 1])
-        while len(self._sent) > 1 and self._sent[1][0] <= self.confirmed:
-            self._sent.popleft()
+        self.rounds.confirm(self.log.voters.agreed(lambda i: self.rounds.seq if i == self.me else self._seq(i)))
 
     def _seq(self, i: str) -> int:
         p = self._progress.get(i)
         return p.seq if p else 0
 
+    def _match(self, i: str) -> int:
+        p = self._progress.get(i)
+        return p.match if p else 0
+
     def _advance(self) -> None:
-        vs = self.log.voters
-        ms = [self._saved if i == self.me else self._progress[i].match if i in self._progress else 0 for i in vs.voters]
-        n = sorted(ms, reverse=True)[vs.quorum - 1]
+        n = self.log.voters.agreed(lambda i: self._saved if i == self.me else self._match(i))
         if n <= self.commit or self.log.term(n) != self.term:
             return
         self.commit = self.told = n
--- /dev/null
+++ b/mallowvalve/vote/rounds.py
@@ -0,0 +1,35 @@
+"""A leader's numbered rounds to the voters, and when the newest that a quorum answered was sent."""
+
+from __future__ import annotations
+
+from collections import deque
+
+
+class Rounds:
+    """Times are seconds of the leader's own steady clock, taken when a round was sent, never when it was answered."""
+
+    __slots__ = ("seq", "confirmed", "_sent", "_began_at")
+
+    def __init__(self) -> None:
+        self.seq = self.confirmed = 0
+        self._sent: deque[tuple[int, float]] = deque()
+        self._began_at = -1e9
+
+    def begin(self, now: float) -> None:
+        """A term begins: the votes that won it count as a confirmation of now."""
+        self._sent = deque([(self.seq, now)])
+        self.confirmed, self._began_at = self.seq, now
+
+    def send(self, now: float) -> None:
+        self.seq += 1
+        self._sent.append((self.seq, now))
+
+    def confirm(self, seq: int) -> None:
+        """A quorum has answered the round of this number or a later one."""
+        self.confirmed = max(self.confirmed, seq)
+        while len(self._sent) > 1 and self._sent[1][0] <= self.confirmed:
+            self._sent.popleft()
+
+    def confirmed_at(self) -> float:
+        """When the newest confirmed round was sent (s)."""
+        return next((t for s, t in reversed(self._sent) if s <= self.confirmed), self._began_at)
--- a/mallowvalve/vote/wire.py
+++ b/mallowvalve/vote/wire.py
@@ -1,5 +1,7 @@
 from __future__ import annotations
 
+from collections.abc import Callable
+
 import msgspec
 
 from mallowvalve.kind import Address
@@ -34,6 +36,10 @@
     def quorum(self) -> int:
         return len(self.voters) // 2 + 1
 
+    def agreed(self, number: Callable[[str], int]) -> int:
+        """The highest number that a quorum of the voters has reached, by what `number` says of each."""
+        return sorted(map(number, self.voters), reverse=True)[self.quorum - 1]
+
 
 class Picture(msgspec.Struct, array_like=True, frozen=True):
     group: Group
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -7,7 +7,6 @@
 import random
 import sys
 import time
-import tracemalloc
 from collections.abc import Callable
 from types import SimpleNamespace
 
@@ -21,7 +20,7 @@
 from mallowvalve.beat.roll import Roll, Rolled
 from mallowvalve.bond.detector import Bond
 from mallowvalve.bond.share import batches
-from mallowvalve.bond.wire import VERSION, Head, Ping, Tell
+from mallowvalve.bond.wire import Ping, Tell
 from mallowvalve.bond.wire import decode as bond_decode
 from mallowvalve.bond.wire import encode as bond_encode
 from mallowvalve.claim.ledger import Claim
@@ -31,48 +30,24 @@
 from mallowvalve.flow.steps import Answer, Ask, Exchange, Open
 from mallowvalve.flow.tries import Tries
 from mallowvalve.head import read_head
-from mallowvalve.kind import Address
 from mallowvalve.law import wire
 from mallowvalve.law.beathttp import Beats
 from mallowvalve.law.cut import Loader, cut_settings, load
 from mallowvalve.law.echo import Echo
 from mallowvalve.law.state import Change, Enrol, Evacuate, Seat, State, encode
-from mallowvalve.law.wire import Fed, Want
-from mallowvalve.mesh.frame import Frame, seal
+from mallowvalve.law.wire import Fed
 from mallowvalve.params import check
 from mallowvalve.tie.state import Lock
 from mallowvalve.tree.build import build
 from mallowvalve.tree.items import Amend
-from mallowvalve.vote.wire import COMMAND, Entry, Voters
+from mallowvalve.vote.wire import COMMAND, Entry
+from sim.measure import kept, spent
+from sim.queueing import queue
 from sim.target import (
-    BOOT, GROUP, NODES, ROUTES, SERVICES, TENANTS, UPSTREAMS, Led, addr, at, board, bond, decoded, doc, item, items, record, roll, rolled,
-    sizes, upstream, voters,
+    BOOT, GROUP, NODES, ROUTES, SERVICES, TENANTS, UPSTREAMS, Led, addr, at, board, bond, decoded, doc, item, items, record, roll, sizes, upstream, voters,
 )
 
 
-def kept(make: Callable[[], object]) -> tuple[object, int]:
-    """What `make` makes, and the bytes it keeps; slow, for each allocation is traced."""
-    gc.collect()
-    tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    x = make()
-    gc.collect()
-    n = tracemalloc.get_traced_memory()[0] - before
-    tracemalloc.stop()
-    return x, n
-
-
-def spent(act: Callable[[], object], most: float = 0.3) -> float:
-    """Processor seconds of one `act`: the least of as many turns as fit into `most` seconds."""
-    best, total = 1e9, 0.0
-    while total < most:
-        t = time.process_time()
-        act()
-        one = time.process_time() - t
-        best, total = min(best, one), total + max(one, 1e-6)
-    return best
-
-
 def memory(part: float) -> None:
     """Bytes kept a thing, in the node's own structures; spots are a proxy's own, beside the roll's rows."""
     ups = list(roll(int(UPSTREAMS * part)).rows.values())
@@ -342,29 +317,6 @@
             raise SystemExit(f"a request ended in {e.value}") from None
 
 
-def queue(_: float) -> None:
-    """Time in a node at 236 requests a second (1.3 million over 5,500), Poisson, by work a request and processes."""
-    for work_ms in (3.3, 1.6, 0.8, 0.5, 0.3):
-        row = []
-        for procs in (1, 2, 4):
-            mean, p99 = sojourn(1_300_000 / NODES, work_ms / 1e3, procs)
-            row.append(f"{procs}: {mean * 1e3:.2f}/{p99 * 1e3:.2f}")
-        click.echo(f"queue   {work_ms} ms a request, {236.4 * work_ms / 10:.0f}% of a core; mean/p99 ms by processes  {'  '.join(row)}")
-
-
-def sojourn(rate: float, work: float, procs: int, n: int = 200_000) -> tuple[float, float]:
-    """Mean and 99th of 100 of wait and work; each process has its own share of the arrivals, work has a c2 of 1/4."""
-    rng = random.Random(1)
-    free, now, out = [0.0] * procs, 0.0, []
-    for _ in range(n):
-        now += rng.expovariate(rate)
-        k = rng.randrange(procs)
-        free[k] = max(free[k], now) + rng.gammavariate(4, work / 4)
-        out.append(free[k] - now)
-    out.sort()
-    return sum(out) / n, out[int(n * 0.99)]
-
-
 PARTS = {f.__name__: f for f in (memory, change, tree, picture, leader, log, hear, members, pick, work, queue)}
 
 
--- a/sim/law.py
+++ b/sim/law.py
@@ -6,7 +6,8 @@
 
 from mallowvalve.kind import Address, Locality
 from mallowvalve.law import store, wire
-from mallowvalve.law.core import Core, founding
+from mallowvalve.law.core import Core
+from mallowvalve.law.cut import founding
 from mallowvalve.law.found import Found, Judge, Start, Wipe, decide, heard_enough
 from mallowvalve.law.pieces import read_want
 from mallowvalve.law.pull import BASE, NOW
--- a/sim/target.py
+++ b/sim/target.py
@@ -13,7 +13,8 @@
 from mallowvalve.bond.wire import encode as bond_encode
 from mallowvalve.kind import Address, Locality
 from mallowvalve.law import wire
-from mallowvalve.law.core import Core, founding
+from mallowvalve.law.core import Core
+from mallowvalve.law.cut import founding
 from mallowvalve.law.state import Enrol, Evacuate, Seat, State, Strike, encode
 from mallowvalve.law.wire import Fed, Want
 from mallowvalve.mesh.frame import Frame, seal
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -12,7 +12,8 @@
 from mallowvalve.flow.main import Doors
 from mallowvalve.kind import Address
 from mallowvalve.law import pull, store, wire
-from mallowvalve.law.core import Core, founding
+from mallowvalve.law.core import Core
+from mallowvalve.law.cut import founding
 from mallowvalve.law.cut import load
 from mallowvalve.law.echotask import EchoTask
 from mallowvalve.law.pull import SETTINGS, Puller
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -3,7 +3,8 @@
 import msgspec
 
 from mallowvalve.kind import Address, Locality
-from mallowvalve.law.core import Core, founding
+from mallowvalve.law.core import Core
+from mallowvalve.law.cut import founding
 from mallowvalve.law.cut import dump
 from mallowvalve.law.state import Change, State, Tick, encode
 from mallowvalve.law.wire import Took, Want
@@ -145,7 +146,7 @@
         c.receive(Envelope(G, "b", "a", B, Voice(c.raft.term + pre, pre, True)), at)
         c.saved(c.ready(at), at)
     assert c.raft.leads and not c.leads
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 2, c.raft.seq)), at)
+    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 2, c.raft.rounds.seq)), at)
     c.read("r", 9.0, at)
     c.tick(at)
     assert c.raft.settled and c.state.index == 0 and not c.leads
@@ -190,13 +191,13 @@
     for pre in (True, False):
         c.receive(Envelope(G, "b", "a", B, Voice(c.raft.term + pre, pre, True)), at)
         c.saved(c.ready(at), at)
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 4, c.raft.seq)), at)
+    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 4, c.raft.rounds.seq)), at)
     c.saved(c.ready(at), at)
     assert c.leads
     c.propose(encode(Take("l", "y", 2000)), "early", 20.0, 7.9)
     c.propose(encode(Take("l", "y", 2000)), "late", 20.0, 8.1)
     c.saved(c.ready(8.1), 8.1)
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 6, c.raft.seq)), 8.1)
+    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 6, c.raft.rounds.seq)), 8.1)
     c.saved(c.ready(8.1), 8.1)
     said = {t: msgspec.msgpack.decode(took.body)[0] for t, took in step(c, 8.2) if t in ("early", "late")}
     assert said == {"early": "held", "late": "ok"}
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -9,7 +9,8 @@
 
 from mallowvalve.bond.detector import fresh_record
 from mallowvalve.kind import Address, Locality
-from mallowvalve.law.core import Core, founding
+from mallowvalve.law.core import Core
+from mallowvalve.law.cut import founding
 from mallowvalve.law.foundtask import FoundTask
 from mallowvalve.law.state import Enrol, Evacuate, Seats, State, Strike, Tick, encode
 from mallowvalve.law.wire import Want
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,7 +6,8 @@
 from mallowvalve.beat.roll import Rolled, Upstream
 from mallowvalve.claim.ledger import Claim, Done
 from mallowvalve.kind import Address, Locality
-from mallowvalve.law.core import Core, founding
+from mallowvalve.law.core import Core
+from mallowvalve.law.cut import founding
 from mallowvalve.law.cut import cut, cut_settings, dump, load
 from mallowvalve.law.echo import Echo
 from mallowvalve.law.found import Found, decide
@@ -151,9 +152,9 @@
 
 
 def test_entries_far_behind_are_fed_in_parts_and_after_a_compaction_as_a_picture(monkeypatch):
-    from mallowvalve.law import core
+    from mallowvalve.law import news
 
-    monkeypatch.setattr(core, "CHUNK", 10)
+    monkeypatch.setattr(news, "CHUNK", 10)
     c, e = leading(settings="commit"), echo()
     follow(e, c, 8.0)
     propose(c, 8.0, *[x for n in range(25) for x in (service("s", n + 1), Tick())])
@@ -202,7 +203,7 @@
     for t in range(3):
         follow(e, c, 8.0 + 1.2 * t)
     last = e.clock(10.4)
-    assert abs(last - c._clock(10.4)) <= 1 and e.clock(11.4) == last + 1000
+    assert abs(last - c.clock.read(10.4)) <= 1 and e.clock(11.4) == last + 1000
 
 
 def seated(c: Core, *echoes: Echo) -> float:
