--- a/mallowvalve/aim/main.py
+++ b/mallowvalve/aim/main.py
@@ -8,7 +8,9 @@
 
 
 @click.command()
-@click.option("--at", multiple=True, required=True, callback=addresses, envvar="MALLOWVALVE_AT", help="HOST:PORT of a law's web")
+@click.option(
+    "--at", multiple=True, required=True, callback=addresses, envvar="MALLOWVALVE_AT", help="HOST:PORT of a law's web"
+)
 @click.option("--base", type=int, help="the revision the change was made from; needed for a patch")
 @click.option("--json", "as_json", is_flag=True, help="the whole plan as JSON")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
--- a/mallowvalve/aim/plan.py
+++ b/mallowvalve/aim/plan.py
@@ -21,7 +21,12 @@
 
 
 def plan(old: Tree, new: Tree, upstreams: list[Seen], evacuated: dict[str, int]) -> list[Move]:
-    return [*_services(old, new, upstreams), *_tenants(old, new), *_routes(old, new), *_reach(old, new, upstreams, evacuated)]
+    return [
+        *_services(old, new, upstreams),
+        *_tenants(old, new),
+        *_routes(old, new),
+        *_reach(old, new, upstreams, evacuated),
+    ]
 
 
 def _services(old: Tree, new: Tree, upstreams: list[Seen]) -> list[Move]:
@@ -40,7 +45,11 @@
     for t in sorted(old.cell_of.keys() | new.cell_of.keys()):
         a, b = old.cell_of.get(t), new.cell_of.get(t)
         if a != b:
-            out.append(Move(f"tenants.{t}", "added" if a is None else "removed" if b is None else "moves to another cell", a, b))
+            out.append(
+                Move(
+                    f"tenants.{t}", "added" if a is None else "removed" if b is None else "moves to another cell", a, b
+                )
+            )
         if a is None or b is None:
             continue
         ha, hb = old.homes(t), new.homes(t)
@@ -62,7 +71,14 @@
     for n in sorted(a.keys() | b.keys()):
         place = f"routes.{n}"
         if n not in a or n not in b:
-            out.append(Move(place, "removed" if n in a else "added", n in a and a[n].service or None, n in b and b[n].service or None))
+            out.append(
+                Move(
+                    place,
+                    "removed" if n in a else "added",
+                    n in a and a[n].service or None,
+                    n in b and b[n].service or None,
+                )
+            )
             continue
         for f in ("cell", "service", "kind", "order"):
             if getattr(a[n], f) != getattr(b[n], f):
--- a/mallowvalve/beat/board.py
+++ b/mallowvalve/beat/board.py
@@ -72,7 +72,8 @@
 
     def usable(self, service: str, now: float) -> list[Row]:
         return [
-            r for r in self.rows.values()
+            r
+            for r in self.rows.values()
             if r.beat.service == service and r.beat.state == "ready" and now - r.heard < SILENT
         ]
 
--- a/mallowvalve/beat/hear.py
+++ b/mallowvalve/beat/hear.py
@@ -65,7 +65,12 @@
         if row.state == "leaving":
             return u if u.state == "leaving" and not self.is_acked(u) else None
         same = (u.state, u.service, u.address, u.locality, u.slots) == (
-            row.state, row.service, row.address, row.locality, row.slots)
+            row.state,
+            row.service,
+            row.address,
+            row.locality,
+            row.slots,
+        )
         if not same:
             return u
         if u.cold_until > 0 and clock + u.cold_until > row.cold_until + COLD_MOVED_MS:
--- a/mallowvalve/beat/task.py
+++ b/mallowvalve/beat/task.py
@@ -93,5 +93,11 @@
         if self._known.get(b.name) == now:
             return
         self._known[b.name] = now
-        change(f"upstream_{now[1]}", upstream=b.name, service=b.service, instance=b.instance, incarnation=b.incarnation,
-               address=str(b.address))
+        change(
+            f"upstream_{now[1]}",
+            upstream=b.name,
+            service=b.service,
+            instance=b.instance,
+            incarnation=b.incarnation,
+            address=str(b.address),
+        )
--- a/mallowvalve/bond/detector.py
+++ b/mallowvalve/bond/detector.py
@@ -6,8 +6,25 @@
 
 from mallowvalve.bond.share import Share
 from mallowvalve.bond.wire import (
-    ALIVE, ALL, FAILED, LEAVING, LEFT, SELF, VERSION, Ack, Head, Marks, Message, Ping, PingReq, Record, RelayPing, Sum, Sums,
-    Tell, Want,
+    ALIVE,
+    ALL,
+    FAILED,
+    LEAVING,
+    LEFT,
+    SELF,
+    VERSION,
+    Ack,
+    Head,
+    Marks,
+    Message,
+    Ping,
+    PingReq,
+    Record,
+    RelayPing,
+    Sum,
+    Sums,
+    Tell,
+    Want,
 )
 from mallowvalve.kind import Address
 
@@ -27,13 +44,32 @@
     """
 
     __slots__ = (
-        "seeds", "period", "helpers", "round_trip", "pr", "_start", "_target", "_acked", "_asked", "_turn", "_born",
-        "_join_at", "_joined", "_agrees", "_healed",
+        "seeds",
+        "period",
+        "helpers",
+        "round_trip",
+        "pr",
+        "_start",
+        "_target",
+        "_acked",
+        "_asked",
+        "_turn",
+        "_born",
+        "_join_at",
+        "_joined",
+        "_agrees",
+        "_healed",
     )
 
     def __init__(
-        self, me: Record, fleet: str, seeds: list[Address], rng: random.Random,
-        period: float, helpers: int, round_trip: float,
+        self,
+        me: Record,
+        fleet: str,
+        seeds: list[Address],
+        rng: random.Random,
+        period: float,
+        helpers: int,
+        round_trip: float,
     ):
         super().__init__(me, fleet, rng)
         self.seeds = [s for s in seeds if s != me.addr]
@@ -89,7 +125,9 @@
                 self._send(m.relay, Ack(self._head(), m.origin, m.target, m.pr, m.relay))
             case Ack() if m.relay == self.me.addr:
                 self._send(m.origin, Ack(self._head(), m.origin, m.target, m.pr))
-            case Ack() if m.origin == self.me.addr and m.pr == self.pr and self._target and m.target == self._target.addr:
+            case Ack() if (
+                m.origin == self.me.addr and m.pr == self.pr and self._target and m.target == self._target.addr
+            ):
                 self._acked = True
             case Sum():
                 self._agrees = self._compare(sender, m.total)
--- a/mallowvalve/bond/share.py
+++ b/mallowvalve/bond/share.py
@@ -50,8 +50,20 @@
     """
 
     __slots__ = (
-        "me", "fleet", "rng", "counts", "why", "_view", "_digest", "_seen", "_out", "_untold", "_flush_at",
-        "_told", "_room", "_filled",
+        "me",
+        "fleet",
+        "rng",
+        "counts",
+        "why",
+        "_view",
+        "_digest",
+        "_seen",
+        "_out",
+        "_untold",
+        "_flush_at",
+        "_told",
+        "_room",
+        "_filled",
     )
 
     def __init__(self, me: Record, fleet: str, rng: random.Random):
--- a/mallowvalve/count.py
+++ b/mallowvalve/count.py
@@ -38,7 +38,8 @@
     def about(self, thing: str) -> list[dict]:
         now = time.monotonic()
         return [
-            {"ago_ms": int((now - at) * 1000), "what": what, **fields} for at, what, fields in self._rows
+            {"ago_ms": int((now - at) * 1000), "what": what, **fields}
+            for at, what, fields in self._rows
             if not thing or thing in (what, *map(str, fields.values()))
         ]
 
--- a/mallowvalve/flow/call.py
+++ b/mallowvalve/flow/call.py
@@ -10,10 +10,22 @@
 from mallowvalve.tree.model import Plan, Tree
 from mallowvalve.word.compiler import Request
 
-HOP = frozenset((
-    "connection", "keep-alive", "proxy-connection", "transfer-encoding", "te", "trailer", "upgrade", "host",
-    "content-length", "expect", "mallow-limit", "mallow-again",
-))
+HOP = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "transfer-encoding",
+        "te",
+        "trailer",
+        "upgrade",
+        "host",
+        "content-length",
+        "expect",
+        "mallow-limit",
+        "mallow-again",
+    )
+)
 KEY_BYTES = 200
 Refused = tuple[int, str, str]
 
--- a/mallowvalve/flow/front.py
+++ b/mallowvalve/flow/front.py
@@ -15,8 +15,16 @@
 
 SKIP = HOP
 REASONS = {
-    200: "200 OK", 201: "201 Created", 204: "204 No Content", 304: "304 Not Modified", 400: "400 Bad Request",
-    404: "404 Not Found", 413: "413 Too Large", 500: "500 Error", 502: "502 Bad Gateway", 503: "503 Unavailable",
+    200: "200 OK",
+    201: "201 Created",
+    204: "204 No Content",
+    304: "304 Not Modified",
+    400: "400 Bad Request",
+    404: "404 Not Found",
+    413: "413 Too Large",
+    500: "500 Error",
+    502: "502 Bad Gateway",
+    503: "503 Unavailable",
     504: "504 Timeout",
 }
 
--- a/mallowvalve/flow/host.py
+++ b/mallowvalve/flow/host.py
@@ -106,12 +106,31 @@
 
 class Hosts:
     __slots__ = (
-        "echo", "params", "rng", "now", "on_free", "links", "waiting", "spots", "zones", "_rings", "_roll", "_revision",
-        "_budgets", "_share", "_proxies", "_roster", "_out",
+        "echo",
+        "params",
+        "rng",
+        "now",
+        "on_free",
+        "links",
+        "waiting",
+        "spots",
+        "zones",
+        "_rings",
+        "_roll",
+        "_revision",
+        "_budgets",
+        "_share",
+        "_proxies",
+        "_roster",
+        "_out",
     )
 
     def __init__(
-        self, echo: Echo, params: Params, rng: random.Random, now: Callable[[], float],
+        self,
+        echo: Echo,
+        params: Params,
+        rng: random.Random,
+        now: Callable[[], float],
         on_free: Callable[[str], None] = lambda service: None,
     ):
         self.echo, self.params, self.rng, self.now, self.on_free = echo, params, rng, now, on_free
--- a/mallowvalve/flow/link.py
+++ b/mallowvalve/flow/link.py
@@ -76,7 +76,9 @@
         self.reader = None
         self._note_life(r.said.get("keep-alive", ""))
         keep = r.keep and not r.extra and not r.others
-        return Ok(Answer(r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.said))
+        return Ok(
+            Answer(r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.said)
+        )
 
     def close(self) -> None:
         self.sock.close()
--- a/mallowvalve/flow/main.py
+++ b/mallowvalve/flow/main.py
@@ -73,7 +73,13 @@
     pool = Pool(node.beats.board, echo.echo, params.locality, random.Random(), clock.now)
     repeats = RepeatTask(node.mesh, echo.echo.roster)
     path = Path(
-        echo.echo, pool, repeats, node.counts, clock.now, params.locality, f"{params.mesh}#{node.boot}",
+        echo.echo,
+        pool,
+        repeats,
+        node.counts,
+        clock.now,
+        params.locality,
+        f"{params.mesh}#{node.boot}",
         lambda: uuid.uuid4().hex,
     )
     serve = Serve(path, echo, params.body_bytes)
--- a/mallowvalve/flow/path.py
+++ b/mallowvalve/flow/path.py
@@ -12,7 +12,18 @@
 from mallowvalve.flow.draw import emptied
 from mallowvalve.flow.pool import Lease, Pool
 from mallowvalve.flow.steps import (
-    Answer, Ask, Body, Bounced, Exchange, Insist, Offer, Open, Pause, Reply, Room, Step,
+    Answer,
+    Ask,
+    Body,
+    Bounced,
+    Exchange,
+    Insist,
+    Offer,
+    Open,
+    Pause,
+    Reply,
+    Room,
+    Step,
 )
 from mallowvalve.kind import Locality
 from mallowvalve.law.echo import Echo
@@ -36,8 +47,15 @@
     __slots__ = ("echo", "pool", "repeats", "counts", "now", "locality", "holder", "nonce", "bounces", "_emptied")
 
     def __init__(
-        self, echo: Echo, pool: Pool, repeats, counts: Counts, now: Callable[[], float], locality: Locality,
-        holder: str, nonce: Callable[[], str],
+        self,
+        echo: Echo,
+        pool: Pool,
+        repeats,
+        counts: Counts,
+        now: Callable[[], float],
+        locality: Locality,
+        holder: str,
+        nonce: Callable[[], str],
     ):
         self.echo, self.pool, self.repeats, self.counts, self.now = echo, pool, repeats, counts, now
         self.locality, self.holder, self.nonce = locality, holder, nonce
@@ -263,7 +281,9 @@
         note = self._note(c.plan.route, c.tenant, c.ask.target, status, outcome, why)
         self.counts.add(f"bounced_{outcome}")
         self.counts.add(f"bounced_service_{c.plan.service}")
-        return Reply(status, outcome, [Finding(f"routes.{c.plan.route}", why)], after, self._emptied is not None, note=note)
+        return Reply(
+            status, outcome, [Finding(f"routes.{c.plan.route}", why)], after, self._emptied is not None, note=note
+        )
 
     def _turn_away(self, a: Ask, status: int, place: str, text: str) -> Reply:
         outcome = UNDECIDED if a.headers.get("mallow-key") else NOT_RUN
--- a/mallowvalve/flow/pool.py
+++ b/mallowvalve/flow/pool.py
@@ -46,7 +46,12 @@
     __slots__ = ("board", "echo", "draw", "sessions", "now", "on_free", "waiting", "_budgets")
 
     def __init__(
-        self, board: Board, echo: Echo, near: Locality, rng: random.Random, now: Callable[[], float],
+        self,
+        board: Board,
+        echo: Echo,
+        near: Locality,
+        rng: random.Random,
+        now: Callable[[], float],
         on_free: Callable[[str], None] = lambda service: None,
     ):
         self.board, self.echo, self.now, self.on_free = board, echo, now, on_free
@@ -69,7 +74,11 @@
     def fits(self, row: Row, plan: Plan, tenant: str) -> bool:
         b = row.beat
         r = self.board.rows.get(b.name)
-        if r is None or self.board.status(r, self.now()) != "ready" or (r.beat.incarnation, r.beat.address) != (b.incarnation, b.address):
+        if (
+            r is None
+            or self.board.status(r, self.now()) != "ready"
+            or (r.beat.incarnation, r.beat.address) != (b.incarnation, b.address)
+        ):
             return False
         homes, out = self.echo.tree.homes(tenant), self.echo.state.params.evacuated
         return b.service == plan.service and reachable(b.locality, homes, out)
--- a/mallowvalve/flow/reader.py
+++ b/mallowvalve/flow/reader.py
@@ -84,7 +84,12 @@
             self.status, self.headers, self.said = code, self._fields, said
         elif self.mark not in said:
             self.why = "garbage: an answer without an id"
-        if "content-length" not in said and "transfer-encoding" not in said and code not in (204, 304) and not self.bodiless:
+        if (
+            "content-length" not in said
+            and "transfer-encoding" not in said
+            and code not in (204, 304)
+            and not self.bodiless
+        ):
             self.why = self.why or "garbage: an answer of unknown length"
         if code >= 600:
             self.why = self.why or f"garbage: status {code}"
--- a/mallowvalve/flow/repeats.py
+++ b/mallowvalve/flow/repeats.py
@@ -85,4 +85,3 @@
                 if a != self.mesh.me:
                     self.mesh.cast(a, "failed", body)
             gevent.sleep(FLUSH)
-
--- a/mallowvalve/flow/serve.py
+++ b/mallowvalve/flow/serve.py
@@ -28,11 +28,24 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         now, about = clock.now(), req.get_param("about") or ""
-        web.say(resp, {"bounces": [
-            {"ago_ms": int((now - b.at) * 1000), "route": b.route, "tenant": b.tenant, "target": b.target,
-             "status": b.status, "outcome": b.outcome, "why": b.why}
-            for b in reversed(self.path.bounces) if not about or about in (b.route, b.tenant, b.target, b.outcome)
-        ]})
+        web.say(
+            resp,
+            {
+                "bounces": [
+                    {
+                        "ago_ms": int((now - b.at) * 1000),
+                        "route": b.route,
+                        "tenant": b.tenant,
+                        "target": b.target,
+                        "status": b.status,
+                        "outcome": b.outcome,
+                        "why": b.why,
+                    }
+                    for b in reversed(self.path.bounces)
+                    if not about or about in (b.route, b.tenant, b.target, b.outcome)
+                ]
+            },
+        )
 
 
 class Serve:
--- a/mallowvalve/flow/session.py
+++ b/mallowvalve/flow/session.py
@@ -13,10 +13,21 @@
 from mallowvalve.flow.steps import Answer
 
 WHOLE = 256 << 10
-SKIP = frozenset((
-    "connection", "keep-alive", "transfer-encoding", "te", "trailer", "upgrade", "proxy-connection", "content-length",
-    "mallow-outcome", "server", "date",
-))
+SKIP = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "transfer-encoding",
+        "te",
+        "trailer",
+        "upgrade",
+        "proxy-connection",
+        "content-length",
+        "mallow-outcome",
+        "server",
+        "date",
+    )
+)
 
 
 class Identity(msgspec.Struct):
--- a/mallowvalve/flow/spot.py
+++ b/mallowvalve/flow/spot.py
@@ -39,8 +39,25 @@
     """One upstream as this proxy sees it. Times on the proxy's own clock (s); `load` counts requests of all proxies."""
 
     __slots__ = (
-        "up", "zone", "busy", "base", "base_at", "since", "full_until", "broken_until", "pause", "wrong_until", "mute", "latency",
-        "opening", "cold_until", "cold_end", "cold_next", "cold_k", "cold_at", "_ill",
+        "up",
+        "zone",
+        "busy",
+        "base",
+        "base_at",
+        "since",
+        "full_until",
+        "broken_until",
+        "pause",
+        "wrong_until",
+        "mute",
+        "latency",
+        "opening",
+        "cold_until",
+        "cold_end",
+        "cold_next",
+        "cold_k",
+        "cold_at",
+        "_ill",
         "_ill_at",
     )
 
--- a/mallowvalve/flow/tries.py
+++ b/mallowvalve/flow/tries.py
@@ -14,10 +14,21 @@
 from mallowvalve.params import Params, Terms
 from mallowvalve.tree.items import HostRoute
 
-HOP = frozenset((
-    "connection", "keep-alive", "proxy-connection", "transfer-encoding", "te", "trailer", "upgrade", "content-length",
-    "expect", "proxy-authenticate", "proxy-authorization",
-))
+HOP = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "transfer-encoding",
+        "te",
+        "trailer",
+        "upgrade",
+        "content-length",
+        "expect",
+        "proxy-authenticate",
+        "proxy-authorization",
+    )
+)
 PROMISE = frozenset((408, 421, 429, 503))
 NOT_RUN, UNKNOWN = "not-run", "unknown"
 OPEN, TRIAL = 0.4, 0.2
@@ -58,10 +69,29 @@
     have run, it never ends in a status that promises the opposite.
     """
 
-    __slots__ = ("echo", "hosts", "counts", "now", "params", "rng", "_ask", "_limit", "_not_run", "_seal", "_drop", "until")
+    __slots__ = (
+        "echo",
+        "hosts",
+        "counts",
+        "now",
+        "params",
+        "rng",
+        "_ask",
+        "_limit",
+        "_not_run",
+        "_seal",
+        "_drop",
+        "until",
+    )
 
     def __init__(
-        self, echo: Echo, hosts: Hosts, params: Params, counts: Counts, now: Callable[[], float], rng: random.Random,
+        self,
+        echo: Echo,
+        hosts: Hosts,
+        params: Params,
+        counts: Counts,
+        now: Callable[[], float],
+        rng: random.Random,
     ):
         self.echo, self.hosts, self.params, self.counts, self.now, self.rng = echo, hosts, params, counts, now, rng
         self.until: Callable[[], float | None] = lambda: None
@@ -110,7 +140,9 @@
     def _begin(self, a: Ask, now: float) -> Result[Trip, Reply]:
         state = self.echo.state
         if state is None or not state.items.revision or not (self.params.serve_on or self.echo.admits(now)):
-            return Err(own(503, NOT_RUN, "proxy", "has no settings yet, or they may be out of date", 0.3 + self._jitter()))
+            return Err(
+                own(503, NOT_RUN, "proxy", "has no settings yet, or they may be out of date", 0.3 + self._jitter())
+            )
         if not a.target.startswith("/") or "#" in a.target:
             return Err(own(400, NOT_RUN, "path", "must begin with /"))
         host, path = bare(a.headers.get("host", "")), a.target.partition("?")[0]
@@ -304,7 +336,9 @@
 
     def _no_route(self, now: float) -> Reply:
         if not self.echo.fresh(now):
-            return own(503, NOT_RUN, "path", "no route known here takes this, but newer settings may", 0.3 + self._jitter())
+            return own(
+                503, NOT_RUN, "path", "no route known here takes this, but newer settings may", 0.3 + self._jitter()
+            )
         return own(404, NOT_RUN, "path", "no route takes this request")
 
     def _part(self, t: Trip, place: Place, now: float) -> float:
@@ -348,9 +382,7 @@
         return (head + "\r\n").encode("latin-1") + t.body
 
 
-def own(
-    status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False
-) -> Reply:
+def own(status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False) -> Reply:
     return Reply(status, outcome, [Finding(place, text)], after, close)
 
 
--- a/mallowvalve/head.py
+++ b/mallowvalve/head.py
@@ -115,8 +115,8 @@
                     n = self.buf.find(b"\r\n\r\n", at)
         if n + 4 > most:
             return None
-        head = bytes(self.buf[:n + 2])
-        del self.buf[:n + 4]
+        head = bytes(self.buf[: n + 2])
+        del self.buf[: n + 4]
         return head
 
     def read(self, n: int = -1) -> bytes:
--- a/mallowvalve/law/beathttp.py
+++ b/mallowvalve/law/beathttp.py
@@ -51,7 +51,9 @@
         if not 0 < len(text) <= NAME or not text.isprintable():
             found.append(Finding(place, f"want 1 to {NAME} printable characters"))
     for place, v, least, most in (
-        ("slots", d.slots, 1, SLOTS), ("cold_ms", d.cold_ms, 0, COLD_MS), ("sequence", d.sequence, 0, SEQUENCE),
+        ("slots", d.slots, 1, SLOTS),
+        ("cold_ms", d.cold_ms, 0, COLD_MS),
+        ("sequence", d.sequence, 0, SEQUENCE),
     ):
         if not least <= v <= most:
             found.append(Finding(place, f"want {least} to {most}"))
@@ -62,9 +64,19 @@
         return Err((400, found))
     if loc is None:
         return Err((422, [Finding("zone", f"no zone {d.zone[:NAME]!r}")]))
-    return Ok(Upstream(
-        instance, d.service, addr.ok_value, loc, int(d.slots), d.state, d.sequence, 0, math.ceil(d.cold_ms),
-    ))
+    return Ok(
+        Upstream(
+            instance,
+            d.service,
+            addr.ok_value,
+            loc,
+            int(d.slots),
+            d.state,
+            d.sequence,
+            0,
+            math.ceil(d.cold_ms),
+        )
+    )
 
 
 @lru_cache(4096)
@@ -138,11 +150,26 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         roll = self.roll.roll
-        web.say(resp, {"revision": roll.revision if roll else 0, "upstreams": [
-            {"instance": u.instance, "service": u.service, "address": str(u.address), "locality": str(u.locality),
-             "slots": u.slots, "state": u.state, "sequence": u.sequence, "since": u.since, "cold_until": u.cold_until}
-            for u in (sorted(roll.rows.values(), key=lambda u: (u.service, u.instance)) if roll else [])
-        ]})
+        web.say(
+            resp,
+            {
+                "revision": roll.revision if roll else 0,
+                "upstreams": [
+                    {
+                        "instance": u.instance,
+                        "service": u.service,
+                        "address": str(u.address),
+                        "locality": str(u.locality),
+                        "slots": u.slots,
+                        "state": u.state,
+                        "sequence": u.sequence,
+                        "since": u.since,
+                        "cold_until": u.cold_until,
+                    }
+                    for u in (sorted(roll.rows.values(), key=lambda u: (u.service, u.instance)) if roll else [])
+                ],
+            },
+        )
 
 
 def unsure(resp: falcon.Response) -> None:
--- a/mallowvalve/law/core.py
+++ b/mallowvalve/law/core.py
@@ -15,7 +15,20 @@
 from mallowvalve.law.force import Echoes
 from mallowvalve.law.news import News
 from mallowvalve.law.state import (
-    SETTINGS, TIES, Change, Enrol, Evacuate, Outcome, Seats, State, Strike, Tick, command, encode, tag_of, tags,
+    SETTINGS,
+    TIES,
+    Change,
+    Enrol,
+    Evacuate,
+    Outcome,
+    Seats,
+    State,
+    Strike,
+    Tick,
+    command,
+    encode,
+    tag_of,
+    tags,
 )
 from mallowvalve.law.waits import CommitNote, Parked, Pending, Read, Reads
 from mallowvalve.law.wire import Fed, Took, Want, Who
@@ -35,15 +48,44 @@
 
 class Core:
     __slots__ = (
-        "id", "addr", "locality", "rng", "raft", "state", "echoes", "counts", "replies", "decided", "seen",
+        "id",
+        "addr",
+        "locality",
+        "rng",
+        "raft",
+        "state",
+        "echoes",
+        "counts",
+        "replies",
+        "decided",
+        "seen",
         "clock",
-        "_pending", "_waiting", "_parked", "_reads", "_led", "_brought", "_ticked",
-        "_grown", "_base_index", "_acks", "_news", "_times", "_note", "_seating",
-        "_looked", "_look_at",
+        "_pending",
+        "_waiting",
+        "_parked",
+        "_reads",
+        "_led",
+        "_brought",
+        "_ticked",
+        "_grown",
+        "_base_index",
+        "_acks",
+        "_news",
+        "_times",
+        "_note",
+        "_seating",
+        "_looked",
+        "_look_at",
     )
 
     def __init__(
-        self, id: str, addr: Address, locality: Locality, rng: random.Random, acks: Acks = Acks(), times: Times = Times()
+        self,
+        id: str,
+        addr: Address,
+        locality: Locality,
+        rng: random.Random,
+        acks: Acks = Acks(),
+        times: Times = Times(),
     ):
         self.id, self.addr, self.locality, self.rng = id, addr, locality, rng
         self.raft: Raft | None = None
@@ -116,7 +158,9 @@
     def wakeup(self, now: float) -> float:
         if self.raft is None:
             return now + 0.1
-        return min(self._note.at or now + 0.1, now + 0.1, self.raft.wakeup(), self._look_at if self._parked else now + 0.1)
+        return min(
+            self._note.at or now + 0.1, now + 0.1, self.raft.wakeup(), self._look_at if self._parked else now + 0.1
+        )
 
     def tick(self, now: float) -> None:
         if self.raft is None:
@@ -304,10 +348,23 @@
             elif not lacking:
                 entries = [e for e in self.raft.log.since(w.index) if e.index <= self.state.index]
             self.echoes.fed(a, now, w.index < newest <= upto)
-            self.replies.append((p.token, Fed(
-                self.addr, self.raft.group, lacking, entries, upto, self.state.params.revision, sure,
-                self._voters_since(w, lacking), self.state.clock, self.clock.read(now),
-            )))
+            self.replies.append(
+                (
+                    p.token,
+                    Fed(
+                        self.addr,
+                        self.raft.group,
+                        lacking,
+                        entries,
+                        upto,
+                        self.state.params.revision,
+                        sure,
+                        self._voters_since(w, lacking),
+                        self.state.clock,
+                        self.clock.read(now),
+                    ),
+                )
+            )
 
     def _voters_since(self, w: Want, lacking: bool) -> Voters | None:
         """The voters, where the echo may not know them yet."""
--- a/mallowvalve/law/cut.py
+++ b/mallowvalve/law/cut.py
@@ -35,18 +35,34 @@
 
 HEAD, ROWS, KEPT, ASKS, KEYS, EVENTS, ITEMS, ROLL, PLAIN = range(9)
 _kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
-_part = {k: msgspec.msgpack.Decoder(t).decode for k, t in {
-    HEAD: Head, ROWS: list[tuple[str, Row]], KEPT: list[str], ASKS: list[tuple[str, Asked]],
-    KEYS: list[tuple[str, tuple[str, int]]], EVENTS: list[Event],
-    ITEMS: list[Item], ROLL: list[tuple[str, Upstream]], PLAIN: plain.PlainPicture,
-}.items()}
+_part = {
+    k: msgspec.msgpack.Decoder(t).decode
+    for k, t in {
+        HEAD: Head,
+        ROWS: list[tuple[str, Row]],
+        KEPT: list[str],
+        ASKS: list[tuple[str, Asked]],
+        KEYS: list[tuple[str, tuple[str, int]]],
+        EVENTS: list[Event],
+        ITEMS: list[Item],
+        ROLL: list[tuple[str, Upstream]],
+        PLAIN: plain.PlainPicture,
+    }.items()
+}
 
 
 def cut(s: State) -> Iterator[bytes]:
     """The state as it is now; pieces are made one at a time while it goes on, for only frozen rows are shared."""
     head = Head(
-        s.generation, s.index, s.clock, s.params, s.tie.locks, s.tie.numbers, s.tie.compacted,
-        s.items.revision, s.roll.revision,
+        s.generation,
+        s.index,
+        s.clock,
+        s.params,
+        s.tie.locks,
+        s.tie.numbers,
+        s.tie.compacted,
+        s.items.revision,
+        s.roll.revision,
     )
     ties = s.plain.picture()
     return chain(_begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.parts(ties, SLICE, PIECE)))
@@ -66,8 +82,11 @@
 
 def _rest(s: State) -> Iterator[bytes]:
     parts = (
-        (ROWS, s.ledger.rows.copy().items()), (KEPT, s.ledger.kept.copy()), (ASKS, s.asks.rows.copy().items()),
-        (KEYS, s.tie.keys.copy().items()), (EVENTS, s.tie.events.copy()),
+        (ROWS, s.ledger.rows.copy().items()),
+        (KEPT, s.ledger.kept.copy()),
+        (ASKS, s.asks.rows.copy().items()),
+        (KEYS, s.tie.keys.copy().items()),
+        (EVENTS, s.tie.events.copy()),
     )
     return (encode((kind, part)) for kind, rows in parts for part in slices(rows))
 
@@ -104,7 +123,11 @@
 
 def _large(r) -> int:
     v = r[1] if isinstance(r, tuple) else r
-    body = v[0] if isinstance(v, tuple) else next((b for f in ("body", "value", "doc") if (b := getattr(v, f, None))), None)
+    body = (
+        v[0]
+        if isinstance(v, tuple)
+        else next((b for f in ("body", "value", "doc") if (b := getattr(v, f, None))), None)
+    )
     return len(body) if body else 0
 
 
--- a/mallowvalve/law/echo.py
+++ b/mallowvalve/law/echo.py
@@ -22,13 +22,38 @@
 
 class Echo:
     __slots__ = (
-        "addr", "boot", "role", "locality", "group", "voters", "state", "leader", "counts", "lost_leader",
-        "tree", "understood", "parts", "hold", "_sure", "_answers", "_led", "_on_params", "_doc", "_seen", "_time",
+        "addr",
+        "boot",
+        "role",
+        "locality",
+        "group",
+        "voters",
+        "state",
+        "leader",
+        "counts",
+        "lost_leader",
+        "tree",
+        "understood",
+        "parts",
+        "hold",
+        "_sure",
+        "_answers",
+        "_led",
+        "_on_params",
+        "_doc",
+        "_seen",
+        "_time",
     )
 
     def __init__(
-        self, addr: Address, boot: int, role: str, locality: Locality, on_params: Callable[[Result], None],
-        parts: str = "all", hold: float = HOLD,
+        self,
+        addr: Address,
+        boot: int,
+        role: str,
+        locality: Locality,
+        on_params: Callable[[Result], None],
+        parts: str = "all",
+        hold: float = HOLD,
     ):
         """`parts` is all or settings; `hold` is for how long the leader may keep a want (s)."""
         self.parts, self.hold = parts, hold
@@ -74,7 +99,16 @@
         index = self.state.index if self.state else 0
         hold = self.hold if hold is None else hold
         return Want(
-            self.addr, self.boot, self.role, self.locality, self.group, index, self.revision, now, self.parts, hold,
+            self.addr,
+            self.boot,
+            self.role,
+            self.locality,
+            self.group,
+            index,
+            self.revision,
+            now,
+            self.parts,
+            hold,
         )
 
     def fed(self, f: Fed, now: float) -> None:
--- a/mallowvalve/law/echotask.py
+++ b/mallowvalve/law/echotask.py
@@ -118,14 +118,25 @@
     def _params(self, built: Result[Tree, Findings]) -> None:
         if built.is_ok():
             self.node.counts.add("pictures")
-            return change("settings_in_use", revision=self.echo.revision, evacuated=sorted(self.echo.state.params.evacuated))
+            return change(
+                "settings_in_use", revision=self.echo.revision, evacuated=sorted(self.echo.state.params.evacuated)
+            )
         change("picture_not_understood", revision=self.echo.revision, findings=[str(f) for f in built.err_value])
 
     def _who(self) -> wire.Who:
         p, e = self.node.params, self.echo
         return wire.Who(
-            p.role, "", p.mesh, p.locality, p.seeds, e.state is None, e.group, e.state.index if e.state else 0,
-            e.voters, e.leader, e.parts == "all",
+            p.role,
+            "",
+            p.mesh,
+            p.locality,
+            p.seeds,
+            e.state is None,
+            e.group,
+            e.state.index if e.state else 0,
+            e.voters,
+            e.leader,
+            e.parts == "all",
         )
 
     def _follow(self) -> None:
--- a/mallowvalve/law/foundtask.py
+++ b/mallowvalve/law/foundtask.py
@@ -70,7 +70,10 @@
     def _ask_all(self, calm: bool = False) -> list[wire.Who]:
         """In calm times all laws and a few others: too few to found anew on, enough to hear of a newer group."""
         p = self.law.node.params
-        alive, self._holders = self.law.node.bond.alive(), {a: t for a, t in self._holders.items() if clock.now() - t < HELD}
+        alive, self._holders = (
+            self.law.node.bond.alive(),
+            {a: t for a, t in self._holders.items() if clock.now() - t < HELD},
+        )
         others = {r.addr for r in alive if r.role != "law"} | self._holders.keys()
         if calm and len(others) > FEW:
             others = set(random.sample(sorted(others), FEW))
@@ -96,9 +99,14 @@
             if v.base is not None and (base is None or not heard_enough(base, answers)):
                 return
             group = Group(v.generation, uuid.uuid4().hex[:ID])
-            change("founding", generation=v.generation, voters=[str(a) for a in v.voters.voters.values()],
-                   base=str(v.base.addr) if v.base else None, whole=v.base.whole if v.base else None,
-                   settings=str(v.further.addr) if v.further else None)
+            change(
+                "founding",
+                generation=v.generation,
+                voters=[str(a) for a in v.voters.voters.values()],
+                base=str(v.base.addr) if v.base else None,
+                whole=v.base.whole if v.base else None,
+                settings=str(v.further.addr) if v.further else None,
+            )
             self._begin(founding(group, v.voters, base), None)
         elif isinstance(v, Start):
             r = self.law.puller.pull(v.source.addr, BASE)
@@ -116,7 +124,9 @@
         if not known:
             return Err("nobody who answers holds a state")
         best = max(known, key=lambda w: (w.group.generation, w.index))
-        v = Found(best.group.generation + 1, Voters({self.law.core.id: self.law.node.params.mesh}), *sources(known, best))
+        v = Found(
+            best.group.generation + 1, Voters({self.law.core.id: self.law.node.params.mesh}), *sources(known, best)
+        )
         base = self._fetch_state(v)
         if base is None:
             return Err(f"{v.base.addr} did not hand over its state")
--- a/mallowvalve/law/http.py
+++ b/mallowvalve/law/http.py
@@ -120,7 +120,9 @@
         if s is None:
             return
         regions = self.task.tree().doc.regions
-        known = {z for r in regions.values() for z in r.zones} | {f"{n}/{z}" for n, r in regions.items() for z in r.zones}
+        known = {z for r in regions.values() for z in r.zones} | {
+            f"{n}/{z}" for n, r in regions.items() for z in r.zones
+        }
         if d.zone not in known | set(regions) and d.zone not in s.evacuated:
             return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {d.zone[:200]!r}")])
         self.offer(req, resp, Evacuate(d.zone, d.evacuated, key))
@@ -160,7 +162,10 @@
         r = self.task.founder.found_anew()
         if r.is_err():
             return web.turn_away(req, resp, 409, [Finding("law", r.err_value)])
-        web.say(resp, {"generation": r.ok_value.generation, "from": str(r.ok_value.base.addr), "index": r.ok_value.base.index})
+        web.say(
+            resp,
+            {"generation": r.ok_value.generation, "from": str(r.ok_value.base.addr), "index": r.ok_value.base.index},
+        )
 
 
 class Leader(Api):
@@ -170,12 +175,21 @@
         if r is None:
             return web.say(resp, {"leader": None, "blank": True})
         v = r.log.voters
-        web.say(resp, {
-            "leader": str(c.leader()) if c.leader() else None, "term": r.term, "generation": r.group.generation,
-            "role": r.role, "index": c.state.index, "revision": c.state.revision,
-            "voters": sorted(map(str, v.voters.values())), "learners": sorted(map(str, v.learners.values())),
-            "roster": sorted(c.state.params.roster), "disk": "refuses" if self.task.stalled else "well",
-        })
+        web.say(
+            resp,
+            {
+                "leader": str(c.leader()) if c.leader() else None,
+                "term": r.term,
+                "generation": r.group.generation,
+                "role": r.role,
+                "index": c.state.index,
+                "revision": c.state.revision,
+                "voters": sorted(map(str, v.voters.values())),
+                "learners": sorted(map(str, v.learners.values())),
+                "roster": sorted(c.state.params.roster),
+                "disk": "refuses" if self.task.stalled else "well",
+            },
+        )
 
 
 def add_routes(app: falcon.App, task: LawTask) -> None:
--- a/mallowvalve/law/pull.py
+++ b/mallowvalve/law/pull.py
@@ -38,7 +38,10 @@
     __slots__ = ("mesh", "_base", "_now", "_settings", "_shelf", "_lock")
 
     def __init__(
-        self, mesh: Mesh, now: Callable[[], Made | None], base: Callable[[], Picture | None] = lambda: None,
+        self,
+        mesh: Mesh,
+        now: Callable[[], Made | None],
+        base: Callable[[], Picture | None] = lambda: None,
         settings: Callable[[], Made | None] = lambda: None,
     ):
         self.mesh, self._now, self._base, self._settings = mesh, now, base, settings
@@ -48,7 +51,10 @@
         mesh.on("piece", lambda s, b: encode(self._shelf.cut(read_want(b), clock.now())), quick=True)
 
     def pull(
-        self, to: Address, what: bytes, wanted: Callable[[Label], bool] = lambda l: True,
+        self,
+        to: Address,
+        what: bytes,
+        wanted: Callable[[Label], bool] = lambda l: True,
     ) -> Result[tuple[Picture, State], str]:
         """A settings part is small, and whoever wants it has others to ask: a silent one is soon given up."""
         quick = what == SETTINGS
--- a/mallowvalve/law/rolltask.py
+++ b/mallowvalve/law/rolltask.py
@@ -108,11 +108,19 @@
 
     def _rolled(self, c: Rolled, limit: float) -> bool:
         t = self.task.offer(encode(c), limit, ATTEMPT)
-        self.task.node.counts.add("roll_offered" if t.code == "ok" else "roll_not_taken", len(c.changes) + len(c.forget))
+        self.task.node.counts.add(
+            "roll_offered" if t.code == "ok" else "roll_not_taken", len(c.changes) + len(c.forget)
+        )
         if t.code != "ok":
             return False
         for u in c.changes:
-            change(f"upstream_{u.state}", upstream=u.instance, service=u.service, address=str(u.address), cold_ms=u.cold_until)
+            change(
+                f"upstream_{u.state}",
+                upstream=u.instance,
+                service=u.service,
+                address=str(u.address),
+                cold_ms=u.cold_until,
+            )
         return True
 
     def _run(self) -> None:
--- a/mallowvalve/law/task.py
+++ b/mallowvalve/law/task.py
@@ -32,14 +32,36 @@
 
 class LawTask:
     __slots__ = (
-        "node", "core", "tale", "_box", "_jobs", "stalled", "_role_said", "_tree",
-        "puller", "_saving", "_pulling", "_stored", "disk", "founder", "_waits", "_over", "_hint",
+        "node",
+        "core",
+        "tale",
+        "_box",
+        "_jobs",
+        "stalled",
+        "_role_said",
+        "_tree",
+        "puller",
+        "_saving",
+        "_pulling",
+        "_stored",
+        "disk",
+        "founder",
+        "_waits",
+        "_over",
+        "_hint",
     )
 
     def __init__(self, node: Node, tale: Tale, loaded: store.Loaded):
         self.node, self.tale = node, tale
         p = node.params
-        self.core = Core(tale.identity.id, p.mesh, p.locality, random.Random(node.boot), p.acks, Times(pace=p.pace, election=p.election))
+        self.core = Core(
+            tale.identity.id,
+            p.mesh,
+            p.locality,
+            random.Random(node.boot),
+            p.acks,
+            Times(pace=p.pace, election=p.election),
+        )
         if loaded.picture is not None:
             self.core.start(loaded.picture, loaded.hard, loaded.entries, clock.now())
         self._box: Queue = Queue()
@@ -169,7 +191,12 @@
     def _vote(self, sender: Address, body: bytes) -> None:
         e = envelope(body)
         self.put(lambda now: self.core.receive(e, now))
-        if isinstance(e.body, Install) and not self._pulling and self.core.raft and e.body.picture.index > self.core.raft.commit:
+        if (
+            isinstance(e.body, Install)
+            and not self._pulling
+            and self.core.raft
+            and e.body.picture.index > self.core.raft.commit
+        ):
             self._pulling = True
             gevent.spawn(self._install, e)
 
--- a/mallowvalve/law/tiehttp.py
+++ b/mallowvalve/law/tiehttp.py
@@ -114,9 +114,13 @@
                 break
             since = upto
             gevent.sleep(0.05)
-        web.say(resp, {
-            "revision": upto, "events": [{"revision": e.revision, "name": e.name, "value": e.value} for e in events],
-        })
+        web.say(
+            resp,
+            {
+                "revision": upto,
+                "events": [{"revision": e.revision, "name": e.name, "value": e.value} for e in events],
+            },
+        )
 
 
 def add_routes(app, task) -> None:
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -64,12 +64,28 @@
     """What every daemon has: membership, mesh, upstreams' beats, and its pages; `front` answers beside the pages."""
 
     __slots__ = (
-        "params", "boot", "counts", "faults", "bond", "mesh", "beats", "app", "server", "pages", "stopping", "_stack", "_gauges",
-        "_allowed", "late",
+        "params",
+        "boot",
+        "counts",
+        "faults",
+        "bond",
+        "mesh",
+        "beats",
+        "app",
+        "server",
+        "pages",
+        "stopping",
+        "_stack",
+        "_gauges",
+        "_allowed",
+        "late",
     )
 
     def __init__(
-        self, params: Params, remembered: list[Address] = (), faults: Faults | None = None,
+        self,
+        params: Params,
+        remembered: list[Address] = (),
+        faults: Faults | None = None,
     ):
         self.params = params
         self.boot = random.SystemRandom().getrandbits(62)
@@ -77,16 +93,25 @@
         self.faults = faults or Faults(params.faults, params.name)
         d = params.detector
         me = fresh_record(params.mesh, self.boot, params.role, params.name, params.locality, params.web)
-        self.bond = BondTask(Bond(
-            me, params.fleet, [*params.seeds, *remembered], random.Random(self.boot),
-            d.period or formula.period(d.detect, d.fail),
-            d.helpers or formula.helpers(d.mistake, d.fail, d.loss), d.round_trip,
-        ), self.faults)
+        self.bond = BondTask(
+            Bond(
+                me,
+                params.fleet,
+                [*params.seeds, *remembered],
+                random.Random(self.boot),
+                d.period or formula.period(d.detect, d.fail),
+                d.helpers or formula.helpers(d.mistake, d.fail, d.loss),
+                d.round_trip,
+            ),
+            self.faults,
+        )
         self.mesh = Mesh(params.mesh, params.fleet, self.counts, self.faults)
         self.beats = BeatTask(self.bond, self.mesh)
         self.app = web.Later()
         self.server = web.Server(params.web, self.app, self.counts, params.sessions)
-        self.pages = web.Server(params.pages, self.app, self.counts, PAGES) if params.pages else contextlib.nullcontext()
+        self.pages = (
+            web.Server(params.pages, self.app, self.counts, PAGES) if params.pages else contextlib.nullcontext()
+        )
         self.stopping = Event()
         self._gauges: dict[str, object] = {}
         self._allowed = lambda service: True
@@ -103,7 +128,15 @@
         with self._stack as s:
             reload = Reload(self.params, self.renew, self.counts)
             told = [self.beats] if self.params.beats == "told" else []
-            for part in (self.faults, self.mesh, self.bond, *told, self.pages, *([] if self.late else [self.server]), reload):
+            for part in (
+                self.faults,
+                self.mesh,
+                self.bond,
+                *told,
+                self.pages,
+                *([] if self.late else [self.server]),
+                reload,
+            ):
                 s.enter_context(part)
             for sig in (signal.SIGTERM, signal.SIGINT):
                 gevent.signal_handler(sig, self.stopping.set)
@@ -178,11 +211,24 @@
 
 class Nodes(View):
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        web.say(resp, {"nodes": [
-            {"name": r.name, "role": r.role, "mesh": str(r.addr), "web": str(r.web), "locality": str(r.locality),
-             "status": NAMES[r.state], "ready": r.ready, "incarnation": r.incarnation}
-            for r in sorted(self.node.bond.view(), key=lambda r: r.addr)
-        ]})
+        web.say(
+            resp,
+            {
+                "nodes": [
+                    {
+                        "name": r.name,
+                        "role": r.role,
+                        "mesh": str(r.addr),
+                        "web": str(r.web),
+                        "locality": str(r.locality),
+                        "status": NAMES[r.state],
+                        "ready": r.ready,
+                        "incarnation": r.incarnation,
+                    }
+                    for r in sorted(self.node.bond.view(), key=lambda r: r.addr)
+                ]
+            },
+        )
 
 
 class Changes(View):
@@ -192,11 +238,24 @@
 
 class Upstreams(View):
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        web.say(resp, {"upstreams": [
-            {"service": b.service, "instance": b.instance, "incarnation": b.incarnation, "status": h,
-             "usage": b.usage, "locality": str(b.locality), "address": str(b.address), "silent_ms": int(age * 1000)}
-            for b, h, age in self.node.beats.board.all(clock.now())
-        ]})
+        web.say(
+            resp,
+            {
+                "upstreams": [
+                    {
+                        "service": b.service,
+                        "instance": b.instance,
+                        "incarnation": b.incarnation,
+                        "status": h,
+                        "usage": b.usage,
+                        "locality": str(b.locality),
+                        "address": str(b.address),
+                        "silent_ms": int(age * 1000),
+                    }
+                    for b, h, age in self.node.beats.board.all(clock.now())
+                ]
+            },
+        )
 
 
 class Beats(View):
--- a/mallowvalve/params.py
+++ b/mallowvalve/params.py
@@ -149,7 +149,9 @@
         return Err(found)
     values = {}
     for key, kind, text in (
-        ("locality", Locality, raw.locality), ("mesh", Address, raw.mesh), ("web", Address, raw.web),
+        ("locality", Locality, raw.locality),
+        ("mesh", Address, raw.mesh),
+        ("web", Address, raw.web),
     ):
         values[key] = _text(kind, text, key, found)
     seeds = [_text(Address, s, f"seeds[{i}]", found) for i, s in enumerate(raw.seeds)]
@@ -162,10 +164,19 @@
         values[key] = _text(Address, text, key, found) if text is not None else None
     if not raw.ties_at.startswith("/"):
         found.append(Finding("ties_at", "must begin with /"))
-    for place, v in (("budget.ratio", raw.budget.ratio), ("budget.slack", raw.budget.slack), ("cold.slack", raw.cold.slack)):
+    for place, v in (
+        ("budget.ratio", raw.budget.ratio),
+        ("budget.slack", raw.budget.slack),
+        ("cold.slack", raw.cold.slack),
+    ):
         if v < 0:
             found.append(Finding(place, "must not be negative"))
-    for place, v in (("budget.span", raw.budget.span), ("cold.over", raw.cold.over), ("beat_ms", raw.beat_ms), ("election", raw.election)):
+    for place, v in (
+        ("budget.span", raw.budget.span),
+        ("cold.over", raw.cold.over),
+        ("beat_ms", raw.beat_ms),
+        ("election", raw.election),
+    ):
         if v <= 0:
             found.append(Finding(place, "must be positive"))
     if len(seeds) > 3:
@@ -182,18 +193,42 @@
         if getattr(d, key) <= 0:
             found.append(Finding(f"detector.{key}", "must be positive"))
     if raw.faults is not None and raw.fleet != FLEET:
-        found.append(Finding("faults", f"only for trials: a fleet named {FLEET!r} may have them, this one is {raw.fleet!r}"))
+        found.append(
+            Finding("faults", f"only for trials: a fleet named {FLEET!r} may have them, this one is {raw.fleet!r}")
+        )
     for key in ("sessions", "body_bytes", "polite"):
         if getattr(raw, key) <= 0:
             found.append(Finding(key, "must be positive"))
     if found:
         return Err(found)
-    return Ok(Params(
-        role=role, name=raw.name, fleet=raw.fleet, seeds=seeds, data=Path(raw.data) if raw.data else None,
-        log=raw.log, detector=d, polite=raw.polite, sessions=raw.sessions, body_bytes=raw.body_bytes, faults=raw.faults,
-        zones=raw.zones, serve_on=raw.serve_on, holds=raw.holds, ties_at=raw.ties_at, beats=raw.beats, pace=raw.pace, election=raw.election, beat_ms=raw.beat_ms,
-        budget=raw.budget, cold=raw.cold, acks=raw.acks, terms=raw.terms, **values,
-    ))
+    return Ok(
+        Params(
+            role=role,
+            name=raw.name,
+            fleet=raw.fleet,
+            seeds=seeds,
+            data=Path(raw.data) if raw.data else None,
+            log=raw.log,
+            detector=d,
+            polite=raw.polite,
+            sessions=raw.sessions,
+            body_bytes=raw.body_bytes,
+            faults=raw.faults,
+            zones=raw.zones,
+            serve_on=raw.serve_on,
+            holds=raw.holds,
+            ties_at=raw.ties_at,
+            beats=raw.beats,
+            pace=raw.pace,
+            election=raw.election,
+            beat_ms=raw.beat_ms,
+            budget=raw.budget,
+            cold=raw.cold,
+            acks=raw.acks,
+            terms=raw.terms,
+            **values,
+        )
+    )
 
 
 def _text(kind, text: str, place: str, found: Findings):
--- a/mallowvalve/play/consumer.py
+++ b/mallowvalve/play/consumer.py
@@ -25,8 +25,17 @@
 
 
 class Consumer:
-    def __init__(self, name: str, ways: list[Address], locality: str, shares: list[Share], rate: float, journal, seed: int,
-                 relentless: bool = False):
+    def __init__(
+        self,
+        name: str,
+        ways: list[Address],
+        locality: str,
+        shares: list[Share],
+        rate: float,
+        journal,
+        seed: int,
+        relentless: bool = False,
+    ):
         self.relentless = relentless
         self.name, self.ways, self.locality, self.shares, self.rate = name, ways, locality, shares, rate
         self.journal, self.rng = journal, random.Random(f"{seed}/{name}")
@@ -53,14 +62,32 @@
             status, outcome, body, after = self.go(s, path, id, key, tries)
             seen.append([status, outcome])
             tries += 1
-            if status and status < 500 and status != 404 or not (outcome in ("not-run", "undecided") or key or status == 0 or not s.once):
+            if (
+                status
+                and status < 500
+                and status != 404
+                or not (outcome in ("not-run", "undecided") or key or status == 0 or not s.once)
+            ):
                 break
             gevent.sleep(min(2.0, after or 0.1) if not stop.is_set() and not self.relentless else 0)
         good = seen[-1][0] == 200 and self.is_own(body, id, key, path)
-        self.journal.write(json.dumps({
-            "at": start, "took": time.time() - start, "tenant": s.tenant, "key": key, "id": id, "path": path,
-            "once": s.once, "tries": seen, "whole": good, "ok": seen[-1][0] == 200,
-        }) + "\n")
+        self.journal.write(
+            json.dumps(
+                {
+                    "at": start,
+                    "took": time.time() - start,
+                    "tenant": s.tenant,
+                    "key": key,
+                    "id": id,
+                    "path": path,
+                    "once": s.once,
+                    "tries": seen,
+                    "whole": good,
+                    "ok": seen[-1][0] == 200,
+                }
+            )
+            + "\n"
+        )
 
     def is_own(self, body: bytes, id: str, key: str, path: str) -> bool:
         try:
@@ -117,7 +144,9 @@
             return False
         self.drop(False)
         self.at = self.rng.choice(self.proxies[:3])
-        self.session = HTTPClient(self.at.host, self.at.port, connection_timeout=1.0, network_timeout=5.0, concurrency=1)
+        self.session = HTTPClient(
+            self.at.host, self.at.port, connection_timeout=1.0, network_timeout=5.0, concurrency=1
+        )
         return True
 
     def ask_way(self, now: float) -> None:
@@ -137,8 +166,17 @@
         self.until = now + 0.3
 
 
-def serve(ways: list[Address], localities: list[str], shares: list[Share], consumers: int, rate: float, journal: str, seed: int, seconds: float,
-          relentless: bool = False) -> None:
+def serve(
+    ways: list[Address],
+    localities: list[str],
+    shares: list[Share],
+    consumers: int,
+    rate: float,
+    journal: str,
+    seed: int,
+    seconds: float,
+    relentless: bool = False,
+) -> None:
     stop = Event()
     for sig in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(sig, stop.set)
--- a/mallowvalve/play/upstream.py
+++ b/mallowvalve/play/upstream.py
@@ -18,7 +18,9 @@
 
 
 class Upstream:
-    def __init__(self, service: str, instance: str, at: Address, locality: str, tell: list[Address], journal: str, work: float):
+    def __init__(
+        self, service: str, instance: str, at: Address, locality: str, tell: list[Address], journal: str, work: float
+    ):
         self.service, self.instance, self.at, self.locality = service, instance, at, locality
         self.tell, self.work = tell, work
         self.incarnation = int(time.time() * 1000)
@@ -33,11 +35,18 @@
 
     def beat(self) -> None:
         self.sequence += 1
-        body = json.dumps({
-            "service": self.service, "instance": self.instance, "incarnation": self.incarnation,
-            "sequence": self.sequence, "usage": float(self.busy), "state": self.state, "locality": self.locality,
-            "address": str(self.at),
-        })
+        body = json.dumps(
+            {
+                "service": self.service,
+                "instance": self.instance,
+                "incarnation": self.incarnation,
+                "sequence": self.sequence,
+                "usage": float(self.busy),
+                "state": self.state,
+                "locality": self.locality,
+                "address": str(self.at),
+            }
+        )
         for a in self.rng.sample(self.tell, min(2, len(self.tell))):
             with contextlib.suppress(Exception):
                 c = HTTPClient(a.host, a.port, connection_timeout=1.0, network_timeout=1.0)
@@ -45,25 +54,47 @@
                 c.close()
 
     def status(self, req: falcon.Request, resp: falcon.Response) -> None:
-        web.say(resp, {"service": self.service, "instance": self.instance, "incarnation": self.incarnation, "state": self.state})
+        web.say(
+            resp,
+            {"service": self.service, "instance": self.instance, "incarnation": self.incarnation, "state": self.state},
+        )
 
     def run(self, req: falcon.Request, resp: falcon.Response, **_) -> None:
         self.busy += 1
         try:
             body = req.bounded_stream.read()
             key = req.get_header("Mallow-Key") or ""
-            self.journal.write(json.dumps({
-                "at": time.time(), "service": self.service, "instance": self.instance, "locality": self.locality,
-                "tenant": req.get_header("Mallow-Tenant"), "key": key, "path": req.path, "method": req.method,
-                "echo": req.get_header("Play-Id"), "state": self.state,
-            }) + "\n")
+            self.journal.write(
+                json.dumps(
+                    {
+                        "at": time.time(),
+                        "service": self.service,
+                        "instance": self.instance,
+                        "locality": self.locality,
+                        "tenant": req.get_header("Mallow-Tenant"),
+                        "key": key,
+                        "path": req.path,
+                        "method": req.method,
+                        "echo": req.get_header("Play-Id"),
+                        "state": self.state,
+                    }
+                )
+                + "\n"
+            )
             gevent.sleep(self.work * (0.5 + self.rng.random()))
             if self.fault and self.rng.random() < self.fault_share:
                 return self._misbehave(req, resp)
-            web.say(resp, {
-                "by": self.instance, "service": self.service, "path": req.path, "key": key,
-                "id": req.get_header("Play-Id"), "length": len(body),
-            })
+            web.say(
+                resp,
+                {
+                    "by": self.instance,
+                    "service": self.service,
+                    "path": req.path,
+                    "key": key,
+                    "id": req.get_header("Play-Id"),
+                    "length": len(body),
+                },
+            )
         finally:
             self.busy -= 1
 
@@ -72,7 +103,7 @@
         if self.fault == "garbage":
             s.sendall(b"\x00\x01garbage\r\n\r\n")
         elif self.fault == "half":
-            s.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n{\"by\":")
+            s.sendall(b'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n{"by":')
         elif self.fault == "late":
             gevent.sleep(6.0)
         with contextlib.suppress(OSError):
--- a/mallowvalve/tale/log.py
+++ b/mallowvalve/tale/log.py
@@ -40,7 +40,15 @@
 
 class Tale:
     __slots__ = (
-        "disk", "identity", "picture", "batches", "_segments", "_serial", "_size", "_broken", "segment_bytes",
+        "disk",
+        "identity",
+        "picture",
+        "batches",
+        "_segments",
+        "_serial",
+        "_size",
+        "_broken",
+        "segment_bytes",
         "picture_bytes",
     )
 
--- a/mallowvalve/tie/plain.py
+++ b/mallowvalve/tie/plain.py
@@ -114,7 +114,19 @@
 class Plain:
     """Replicated; `clock` is the fleet clock in ms, which only rises."""
 
-    __slots__ = ("token", "locks", "numbers", "cells", "groups", "writes", "_history", "_bytes", "_kept", "_said", "_swept")
+    __slots__ = (
+        "token",
+        "locks",
+        "numbers",
+        "cells",
+        "groups",
+        "writes",
+        "_history",
+        "_bytes",
+        "_kept",
+        "_said",
+        "_swept",
+    )
 
     def __init__(self):
         self.token = 0
@@ -243,8 +255,13 @@
 
     def picture(self) -> PlainPicture:
         return PlainPicture(
-            self.token, self.locks.copy(), self.numbers.copy(), self.cells.copy(),
-            {n: g.revision for n, g in self.groups.items()}, list(self._history), list(self._kept),
+            self.token,
+            self.locks.copy(),
+            self.numbers.copy(),
+            self.cells.copy(),
+            {n: g.revision for n, g in self.groups.items()},
+            list(self._history),
+            list(self._kept),
         )
 
     def adopt(self, p: PlainPicture) -> None:
--- a/mallowvalve/tree/itemcall.py
+++ b/mallowvalve/tree/itemcall.py
@@ -8,7 +8,19 @@
 from mallowvalve import finding
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.tree.items import (
-    DOCS, KINDS, LIMITS, PARTS, Amend, Doc, HostRoute, Item, Limits, Part, ServiceItem, decode, plain_host,
+    DOCS,
+    KINDS,
+    LIMITS,
+    PARTS,
+    Amend,
+    Doc,
+    HostRoute,
+    Item,
+    Limits,
+    Part,
+    ServiceItem,
+    decode,
+    plain_host,
 )
 
 AIM_OVER_MS = 60_000.0
--- a/mallowvalve/tree/items.py
+++ b/mallowvalve/tree/items.py
@@ -202,7 +202,8 @@
         """An overtaken route changes nothing, but one whose service never was could not have stood at any time."""
         return [
             Finding(f"routes.{r.name}.service", f"no service {s!r}")
-            for s in services_of(r) if s not in given and ("services", s) not in self.rows
+            for s in services_of(r)
+            if s not in given and ("services", s) not in self.rows
         ]
 
     def _whole(self, newest: dict[tuple[str, str], Item], docs: dict[tuple[str, str], Doc]) -> Findings:
@@ -221,7 +222,9 @@
             at = plain_host(r.host), r.prefix
             other = self.hosts.get(at[0], {}).get(r.prefix)
             if at in places or other is not None and other.name not in moved:
-                found.append(Finding(f"routes.{n}.prefix", f"{places.get(at) or other.name!r} has this host and prefix already"))
+                found.append(
+                    Finding(f"routes.{n}.prefix", f"{places.get(at) or other.name!r} has this host and prefix already")
+                )
             places[at] = repr(n)
         for n, r in self.routes.items() if gone else ():
             if n not in moved:
--- a/mallowvalve/vote/raft.py
+++ b/mallowvalve/vote/raft.py
@@ -7,7 +7,21 @@
 from mallowvalve.vote.progress import CANDIDATE, FOLLOWER, LEADER, PRE, Progress, Ready, Times
 from mallowvalve.vote.rounds import Rounds
 from mallowvalve.vote.wire import (
-    NOOP, VOTERS, Append, Appended, Ask, Elect, Entry, Group, Hard, Install, Message, Picture, Voice, Voters, encode,
+    NOOP,
+    VOTERS,
+    Append,
+    Appended,
+    Ask,
+    Elect,
+    Entry,
+    Group,
+    Hard,
+    Install,
+    Message,
+    Picture,
+    Voice,
+    Voters,
+    encode,
 )
 
 FIRST, DOUBT = 0.3, 0.25
@@ -16,14 +30,50 @@
 
 class Raft:
     __slots__ = (
-        "me", "group", "log", "term", "vote", "role", "leader", "commit", "rounds", "counts", "times",
-        "rng", "nudge", "halted", "mark", "marked", "_voices", "_progress", "_election_at", "_beat_at", "_heard", "_saved",
-        "_hard", "_fresh", "_install", "_early", "_late", "_term_start", "_paced_at", "told",
-        "_all_at", "_now",
+        "me",
+        "group",
+        "log",
+        "term",
+        "vote",
+        "role",
+        "leader",
+        "commit",
+        "rounds",
+        "counts",
+        "times",
+        "rng",
+        "nudge",
+        "halted",
+        "mark",
+        "marked",
+        "_voices",
+        "_progress",
+        "_election_at",
+        "_beat_at",
+        "_heard",
+        "_saved",
+        "_hard",
+        "_fresh",
+        "_install",
+        "_early",
+        "_late",
+        "_term_start",
+        "_paced_at",
+        "told",
+        "_all_at",
+        "_now",
     )
 
     def __init__(
-        self, me: str, log: Log, term: int, vote: str, rng: random.Random, now: float, times: Times = Times(), commit: int = 0
+        self,
+        me: str,
+        log: Log,
+        term: int,
+        vote: str,
+        rng: random.Random,
+        now: float,
+        times: Times = Times(),
+        commit: int = 0,
     ):
         """`commit` is how far the log was known to be committed when it was last saved."""
         self.me, self.log, self.rng, self.times = me, log, rng, times
--- a/mallowvalve/way/main.py
+++ b/mallowvalve/way/main.py
@@ -32,18 +32,26 @@
             return web.bounce(resp, 404, web.NOT_RUN, [Finding("tenant", f"no tenant {tenant!r}")])
         out = self.evacuated()
         good = [
-            r for r in self.node.bond.alive("flow")
-            if r.state == ALIVE and r.ready and not emptied(r.locality, out)
+            r for r in self.node.bond.alive("flow") if r.state == ALIVE and r.ready and not emptied(r.locality, out)
         ]
         if not good:
             return web.bounce(resp, 503, web.NOT_RUN, [Finding("proxies", "none is ready")], 1)
         avoid = {a.ok_value for a in map(Address.read, req.get_param_as_list("avoid") or []) if a.is_ok()}
-        good.sort(key=lambda r: (r.web in avoid, r.locality.distance(near.ok_value), hash((r.addr, self.node.boot, req.env.get("REMOTE_PORT")))))
+        good.sort(
+            key=lambda r: (
+                r.web in avoid,
+                r.locality.distance(near.ok_value),
+                hash((r.addr, self.node.boot, req.env.get("REMOTE_PORT"))),
+            )
+        )
         self.node.counts.add("way_answers")
-        web.say(resp, {
-            "life_ms": LIFE_MS,
-            "proxies": [{"web": str(r.web), "locality": str(r.locality), "name": r.name} for r in good[:MOST]],
-        })
+        web.say(
+            resp,
+            {
+                "life_ms": LIFE_MS,
+                "proxies": [{"web": str(r.web), "locality": str(r.locality), "name": r.name} for r in good[:MOST]],
+            },
+        )
 
 
 class Proxies:
@@ -66,7 +74,10 @@
 
 
 def add_routes(
-    app: falcon.App, node: Node, tree: Callable[[], Tree], evacuated: Callable[[], dict[str, int]],
+    app: falcon.App,
+    node: Node,
+    tree: Callable[[], Tree],
+    evacuated: Callable[[], dict[str, int]],
 ) -> None:
     app.add_route("/connect", Connect(node, tree, evacuated))
     app.add_route("/proxies", Proxies(node))
--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -98,11 +98,19 @@
             return self.full_environ()
         h = self.request
         self.wsgi_input = Input(
-            self.rfile, h.length, self.socket if h.said.get("expect", "").lower() == "100-continue" else None, h.chunked,
+            self.rfile,
+            h.length,
+            self.socket if h.said.get("expect", "").lower() == "100-continue" else None,
+            h.chunked,
         )
         return {
-            "REQUEST_METHOD": h.method, "SERVER_PROTOCOL": h.version, "REMOTE_ADDR": self.client_address[0],
-            "wsgi.input": self.wsgi_input, "mallow.target": h.target, "mallow.head": h, "mallow.handler": self,
+            "REQUEST_METHOD": h.method,
+            "SERVER_PROTOCOL": h.version,
+            "REMOTE_ADDR": self.client_address[0],
+            "wsgi.input": self.wsgi_input,
+            "mallow.target": h.target,
+            "mallow.head": h,
+            "mallow.handler": self,
         }
 
     def full_environ(self):
@@ -125,7 +133,9 @@
         """Head and a small body leave in one call."""
         self.headers_sent = True
         self.finalize_headers()
-        head = b"".join((b"HTTP/1.1 ", self.status, b"\r\n", *(b"%s: %s\r\n" % h for h in self.response_headers), b"\r\n"))
+        head = b"".join(
+            (b"HTTP/1.1 ", self.status, b"\r\n", *(b"%s: %s\r\n" % h for h in self.response_headers), b"\r\n")
+        )
         if self.response_use_chunked or len(data) > WHOLE:
             self._sendall(head)
             return self._write(data)
@@ -298,7 +308,10 @@
             return self.made()(env, start)
         status, body = act()
         data = encode(body)
-        start(f"{status} {HTTPStatus(status).phrase}", [("Content-Type", "application/json"), ("Content-Length", str(len(data)))])
+        start(
+            f"{status} {HTTPStatus(status).phrase}",
+            [("Content-Type", "application/json"), ("Content-Length", str(len(data)))],
+        )
         return [data]
 
     def made(self) -> falcon.App:
@@ -314,7 +327,9 @@
 
     app = falcon.App()
     app.resp_options.default_media_type = None
-    app.set_error_serializer(lambda req, resp, e: turn_away(req, resp, e.status_code, [Finding("request", e.title or "")]))
+    app.set_error_serializer(
+        lambda req, resp, e: turn_away(req, resp, e.status_code, [Finding("request", e.title or "")])
+    )
     app.add_error_handler(Exception, _crash)
     return app
 
--- a/mallowvalve/whole/acts.py
+++ b/mallowvalve/whole/acts.py
@@ -172,14 +172,20 @@
         if status not in (502, 503) or "mallow-outcome" not in h or "retry-after" not in h:
             out.append(f"got {status} {h.get('mallow-outcome')} from an emptied pool")
         time.sleep(0.25)
-    print(f"final answers from an emptied pool: median {sorted(took)[20] * 1000:.0f} ms, worst {max(took) * 1000:.0f} ms "
-          "of a limit of 4000 ms", flush=True)
+    print(
+        f"final answers from an emptied pool: median {sorted(took)[20] * 1000:.0f} ms, worst {max(took) * 1000:.0f} ms "
+        "of a limit of 4000 ms",
+        flush=True,
+    )
     if max(took) > 2.0:
         out.append(f"a final answer took {max(took):.1f} s")
     for p in ups:
         f.start(p.name)
     start = time.time()
-    back = until(lambda: call(f.of("flow")[0].web, method, path.replace("{n}", "1"), None, {"Mallow-Tenant": tenant})[0] == 200, 20)
+    back = until(
+        lambda: call(f.of("flow")[0].web, method, path.replace("{n}", "1"), None, {"Mallow-Tenant": tenant})[0] == 200,
+        20,
+    )
     print(f"served again {time.time() - start:.1f} s after the pool's restart", flush=True)
     time.sleep(5)
     return out if back else [*out, "the pool never came back"]
--- a/mallowvalve/whole/cost.py
+++ b/mallowvalve/whole/cost.py
@@ -9,7 +9,14 @@
 
 TICKS = os.sysconf("SC_CLK_TCK")
 SHOWN = (
-    "requests", "mesh_frames", "mesh_bytes", "log_batches", "log_bytes", "log_entries", "bond_sent", "upstream_sessions",
+    "requests",
+    "mesh_frames",
+    "mesh_bytes",
+    "log_batches",
+    "log_bytes",
+    "log_entries",
+    "bond_sent",
+    "upstream_sessions",
 )
 
 
--- a/mallowvalve/whole/fleet.py
+++ b/mallowvalve/whole/fleet.py
@@ -14,6 +14,7 @@
 from mallowvalve.fault import FLEET
 from mallowvalve.whole.ports import HOST, free_ports
 
+
 class Place(msgspec.Struct):
     role: str
     locality: str
@@ -36,7 +37,17 @@
 class Proc:
     __slots__ = ("name", "role", "args", "web", "mesh", "data", "job", "log", "locality", "tell")
 
-    def __init__(self, name: str, role: str, args: list[str], web: int, mesh: int, locality: str, log: Path, data: Path | None = None):
+    def __init__(
+        self,
+        name: str,
+        role: str,
+        args: list[str],
+        web: int,
+        mesh: int,
+        locality: str,
+        log: Path,
+        data: Path | None = None,
+    ):
         self.name, self.role, self.args, self.web, self.mesh = name, role, args, web, mesh
         self.locality, self.log, self.data = locality, log, data
         self.job: subprocess.Popen | None = None
@@ -72,8 +83,25 @@
         data = self.folder / name / "data" if n.role == "law" else None
         (self.folder / name).mkdir(exist_ok=True)
         log = self.folder / name / "log"
-        args = [n.role, "--fleet", FLEET, "--faults", str(self.folder / "faults.json"), "--name", name, "--locality", n.locality, "--mesh", f"{HOST}:{mesh}", "--web", f"{HOST}:{web}",
-                "--log", str(log), "--polite", str(self.polite)]
+        args = [
+            n.role,
+            "--fleet",
+            FLEET,
+            "--faults",
+            str(self.folder / "faults.json"),
+            "--name",
+            name,
+            "--locality",
+            n.locality,
+            "--mesh",
+            f"{HOST}:{mesh}",
+            "--web",
+            f"{HOST}:{web}",
+            "--log",
+            str(log),
+            "--polite",
+            str(self.polite),
+        ]
         args += [x for s in self.seeds for x in ("--seeds", s)]
         args += ["--data", str(data)] if data else []
         p = self.procs[name] = Proc(name, n.role, args, web, mesh, n.locality, log, data)
@@ -81,8 +109,21 @@
 
     def upstream(self, service: str, instance: str, locality: str, port: int, tell: list[str]) -> Proc:
         (self.folder / instance).mkdir(exist_ok=True)
-        args = ["play", "upstream", "--service", service, "--instance", instance, "--at", f"{HOST}:{port}",
-                "--locality", locality, "--journal", str(self.folder / "ran.jsonl"), *tell]
+        args = [
+            "play",
+            "upstream",
+            "--service",
+            service,
+            "--instance",
+            instance,
+            "--at",
+            f"{HOST}:{port}",
+            "--locality",
+            locality,
+            "--journal",
+            str(self.folder / "ran.jsonl"),
+            *tell,
+        ]
         p = self.procs[instance] = Proc(instance, "upstream", args, port, 0, locality, self.folder / instance / "log")
         p.tell = tell
         return p
@@ -93,10 +134,24 @@
         self.start(name)
         return p
 
-    def start_consumers(self, name: str = "consumers", seed: int = 1, rate: float | None = None, relentless: bool = False) -> Proc:
+    def start_consumers(
+        self, name: str = "consumers", seed: int = 1, rate: float | None = None, relentless: bool = False
+    ) -> Proc:
         s = self.shape
-        args = ["play", "consumers", "--shares", json.dumps(s.shares), "--consumers", str(s.consumers), "--rate",
-                str(rate or s.rate), "--journal", str(self.folder / "asked.jsonl"), "--seed", str(seed)]
+        args = [
+            "play",
+            "consumers",
+            "--shares",
+            json.dumps(s.shares),
+            "--consumers",
+            str(s.consumers),
+            "--rate",
+            str(rate or s.rate),
+            "--journal",
+            str(self.folder / "asked.jsonl"),
+            "--seed",
+            str(seed),
+        ]
         args += ["--relentless"] if relentless else []
         args += [x for p in self.of("way") for x in ("--way", f"{HOST}:{p.web}")]
         args += [x for loc in sorted({n.locality for n in s.nodes}) for x in ("--locality", loc)]
--- a/mallowvalve/whole/history.py
+++ b/mallowvalve/whole/history.py
@@ -82,7 +82,9 @@
             continue
         if last is not None and last.value is None and r.value is None:
             continue
-        if any(p.name == r.name and p.value == r.value and p.begun < r.ended for p in maybe) and r.at >= (last.revision if last else 0):
+        if any(p.name == r.name and p.value == r.value and p.begun < r.ended for p in maybe) and r.at >= (
+            last.revision if last else 0
+        ):
             continue
         if r.value is None and any(p.name == r.name and p.value is None for p in maybe):
             continue
@@ -134,6 +136,8 @@
             out.append(f"{who} saw events twice or out of order")
         seen = set(revisions)
         out += [f"{who} missed {r}" for r in puts if revisions[0] < r < revisions[-1] and r not in seen]
-        wrong = [e for e in es if e.revision in puts and (puts[e.revision].name, puts[e.revision].value) != (e.name, e.value)]
+        wrong = [
+            e for e in es if e.revision in puts and (puts[e.revision].name, puts[e.revision].value) != (e.name, e.value)
+        ]
         out += [f"{who} saw {e.value} at {e.revision}, it was {puts[e.revision].value}" for e in wrong]
     return out
--- a/mallowvalve/whole/judge.py
+++ b/mallowvalve/whole/judge.py
@@ -50,7 +50,9 @@
 
 
 def whole_answers(asked: list[dict]) -> list[str]:
-    return [f"request {r['id']} got a success that is not its own whole answer" for r in asked if r["ok"] and not r["whole"]]
+    return [
+        f"request {r['id']} got a success that is not its own whole answer" for r in asked if r["ok"] and not r["whole"]
+    ]
 
 
 def not_run_is_true(asked: list[dict], ran: list[dict]) -> list[str]:
@@ -84,7 +86,9 @@
             docs = known[i] = {o.doc for o in in_force_at(offers, r["at"])}
         whys = [_refused(trees[d], r) for d in docs]
         if all(whys):
-            out.append(f"{r['service']} in {r['locality']} ran {r['method']} {r['path']} for {r['tenant']}: {sorted(set(whys))}")
+            out.append(
+                f"{r['service']} in {r['locality']} ran {r['method']} {r['path']} for {r['tenant']}: {sorted(set(whys))}"
+            )
     return out
 
 
@@ -112,7 +116,9 @@
     """Sessions broken without an answer while only planned stops went on; a refused connection is none."""
     out = [
         f"request {r['id']} lost its session: {t[1]}"
-        for r in asked if start < r["at"] < end for t in r["tries"]
+        for r in asked
+        if start < r["at"] < end
+        for t in r["tries"]
         if t[0] == 0 and t[1] not in ("ConnectionRefusedError", "no proxy")
     ]
     return [f"{len(out)} sessions dropped, first: {out[0]}"] if out else []
@@ -123,7 +129,9 @@
     return worst_share(((r["at"], r["service"], r["echo"]) for r in ran), span)
 
 
-def worst_share(runs: Iterable[tuple[float, str, str]], span: float = 10.0, least: int = 150) -> tuple[float, list[str]]:
+def worst_share(
+    runs: Iterable[tuple[float, str, str]], span: float = 10.0, least: int = 150
+) -> tuple[float, list[str]]:
     by: dict[str, list[tuple[float, bool]]] = defaultdict(list)
     seen: set[str] = set()
     for at, service, id in sorted(runs):
@@ -147,7 +155,9 @@
     took = sorted(r["took"] for r in asked if r["ok"])
     outcomes = Counter(str(t[1]) for r in asked for t in r["tries"] if t[0] != 200)
     return {
-        "asked": len(asked), "ok": sum(r["ok"] for r in asked), "ran": len(ran),
+        "asked": len(asked),
+        "ok": sum(r["ok"] for r in asked),
+        "ran": len(ran),
         "tries": sum(len(r["tries"]) for r in asked),
         "median_ms": round(took[len(took) // 2] * 1000, 1) if took else None,
         "p99_ms": round(took[int(len(took) * 0.99)] * 1000, 1) if took else None,
--- a/mallowvalve/whole/main.py
+++ b/mallowvalve/whole/main.py
@@ -16,7 +16,11 @@
 
 def load_shape(path: str) -> Shape:
     try:
-        data = msgspec.toml.decode(Path(path).read_bytes()) if path.endswith(".toml") else msgspec.json.decode(Path(path).read_bytes())
+        data = (
+            msgspec.toml.decode(Path(path).read_bytes())
+            if path.endswith(".toml")
+            else msgspec.json.decode(Path(path).read_bytes())
+        )
     except (OSError, msgspec.DecodeError) as e:
         click.echo(f"mallowvalve: {path}: {e}", err=True)
         sys.exit(2)
@@ -42,7 +46,8 @@
         want = len(fleet.of("upstream"))
         return all(
             sum(u["status"] == "ready" for u in call(p.web, "GET", "/-/upstreams", limit=2)[1]["upstreams"]) >= want
-            for p in fleet.of("flow") if p.up
+            for p in fleet.of("flow")
+            if p.up
         )
 
     return bool(until(applied, limit) and until(all_ready, limit) and until(all_upstreams, limit))
@@ -52,12 +57,23 @@
 @click.argument("shape")
 @click.option("--folder", help="where logs and data go; a new one if not given")
 @click.option("--seconds", default=0.0, help="stop after this long; 0 runs until interrupted")
-@click.option("--trial", "acts", multiple=True, type=click.Choice(sorted(trial.ACTS)), help="provoke this under load, then judge")
+@click.option(
+    "--trial", "acts", multiple=True, type=click.Choice(sorted(trial.ACTS)), help="provoke this under load, then judge"
+)
 @click.option("--seed", default=1)
 @click.option("--rate", type=float, help="requests a second in a trial; the shape's own if not given")
 @click.option("--coordination", default=40.0, help="coordination calls a second in a trial")
 @click.option("--load/--no-load", default=True, help="stand-in clients")
-def whole(shape: str, folder: str | None, seconds: float, acts: tuple[str, ...], seed: int, rate: float | None, coordination: float, load: bool) -> None:
+def whole(
+    shape: str,
+    folder: str | None,
+    seconds: float,
+    acts: tuple[str, ...],
+    seed: int,
+    rate: float | None,
+    coordination: float,
+    load: bool,
+) -> None:
     """Run a fleet on this machine from one settings file: a development tool."""
     where = Path(folder or tempfile.mkdtemp(prefix="whole-"))
     with Fleet(load_shape(shape), where) as f:
--- a/mallowvalve/whole/mishaps.py
+++ b/mallowvalve/whole/mishaps.py
@@ -141,7 +141,11 @@
         f.start(q.name)
         strangers.append(q)
     time.sleep(5)
-    out = [f"{service} still ran at {r['at'] - gone:.1f} s" for r in f.rows("ran.jsonl") if r["service"] == service and r["at"] > gone + 3.5][:2]
+    out = [
+        f"{service} still ran at {r['at'] - gone:.1f} s"
+        for r in f.rows("ran.jsonl")
+        if r["service"] == service and r["at"] > gone + 3.5
+    ][:2]
     if not any(r["instance"].startswith(f"{other}-moved") for r in f.rows("ran.jsonl")):
         out.append("the addresses were not used for the other service")
     for p, q in zip(old, strangers):
@@ -168,7 +172,11 @@
         at = time.time()
         time.sleep(7)
         rows = [r for r in f.rows("ran.jsonl") if r["tenant"] == tenant and r["at"] > at + 3.5]
-        out += [f"{tenant} ran in {r['locality']}, its homes are {homes}" for r in rows if r["locality"].partition("/")[0] not in homes][:1]
+        out += [
+            f"{tenant} ran in {r['locality']}, its homes are {homes}"
+            for r in rows
+            if r["locality"].partition("/")[0] not in homes
+        ][:1]
         out += [] if rows else [f"{tenant} was not served in {homes}"]
     return out
 
@@ -179,7 +187,11 @@
     was = f.shape.config
     bad = {**was, "routes": {**was["routes"], "x": {"cell": "no", "match": "??", "kind": "read", "service": "no"}}}
     for body, want in (
-        ({"doc": bad}, 422), ({"doc": 3}, 400), ({"doc": was, "base": 1}, 409), (b"{", 400), (b"null", 400),
+        ({"doc": bad}, 422),
+        ({"doc": 3}, 400),
+        ({"doc": was, "base": 1}, 409),
+        (b"{", 400),
+        (b"null", 400),
         ({"doc": {**was, "cells": {}}}, 422),
     ):
         status, data, _ = call(law(), "PUT", "/config", body)
@@ -245,7 +257,9 @@
         new = f.add_node("law", p.locality, f"core{i}-{uuid.uuid4().hex[:4]}")
         mesh = f"{HOST}:{new.mesh}"
         taken = until(lambda: any(mesh in _members(x) for x in f.of("law")), 20)
-        whole = until(lambda: any(len(v) == many and f"{HOST}:{p.mesh}" not in v for v in map(_voters, f.of("law"))), 25)
+        whole = until(
+            lambda: any(len(v) == many and f"{HOST}:{p.mesh}" not in v for v in map(_voters, f.of("law"))), 25
+        )
         if not taken or not whole:
             out.append(f"{new.name} in place of {p.name}: taken {bool(taken)}, {many} voters again {bool(whole)}")
         until(lambda: call(new.web, "GET", "/-/ready", limit=2)[0] == 200, 10)
@@ -270,7 +284,11 @@
         f.stop(p.name, f.polite + 3)
         i = p.args.index("--seeds")
         kept = [x for j, x in enumerate(p.args) if x != "--seeds" and p.args[j - 1] != "--seeds"]
-        p.args = [*kept[:i], *(y for s in (*dead, f"{HOST}:{f.of('flow')[-1].mesh}") for y in ("--seeds", s)), *kept[i:]]
+        p.args = [
+            *kept[:i],
+            *(y for s in (*dead, f"{HOST}:{f.of('flow')[-1].mesh}") for y in ("--seeds", s)),
+            *kept[i:],
+        ]
         f.start(p.name)
         if not until(lambda: call(p.web, "GET", "/-/ready", limit=2)[0] == 200, 20):
             out.append(f"{p.name} is not ready with other seeds")
@@ -294,7 +312,9 @@
         return (p, data) if status == 200 else None
 
     def read(path: str) -> dict:
-        return until(lambda: next((d for s, d, _ in [call(f.operators.law(), "GET", path)] if s == 200), None), 15) or {}
+        return (
+            until(lambda: next((d for s, d, _ in [call(f.operators.law(), "GET", path)] if s == 200), None), 15) or {}
+        )
 
     for i in range(2):
         got = at_law("PUT", "/keys/acked", {"value": f"v{i}"})
@@ -309,7 +329,13 @@
     got = at_law("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
     if got:
         hit(got[0])
-        again = until(lambda: next((s for s, _, _ in [call(f.operators.law(), "POST", "/locks/acked/take", {"holder": "y"})] if s < 500), None), 15)
+        again = until(
+            lambda: next(
+                (s for s, _, _ in [call(f.operators.law(), "POST", "/locks/acked/take", {"holder": "y"})] if s < 500),
+                None,
+            ),
+            15,
+        )
         out += [] if again == 409 else [f"a held lock answered {again}"]
     got = at_law("POST", "/evacuations", {"zone": "ap-b", "evacuated": True})
     if got:
@@ -331,7 +357,11 @@
     hit(p)
     again = call(f.of("flow")[-1].web, share[1], share[2], {"a": 1}, h)
     n = sum(r["key"] == key for r in f.rows("ran.jsonl"))
-    return [] if n == 1 and (again[0] != 200 or again[1] == first[1]) else [f"an answered order ran {n} times, again {again[0]}"]
+    return (
+        []
+        if n == 1 and (again[0] != 200 or again[1] == first[1])
+        else [f"an answered order ran {n} times, again {again[0]}"]
+    )
 
 
 def _after_notice(f: Fleet, hit) -> list[str]:
--- a/mallowvalve/whole/trial.py
+++ b/mallowvalve/whole/trial.py
@@ -8,18 +8,47 @@
 from mallowvalve.whole.operators import Operators
 from mallowvalve.whole.users import Coordinators
 
-ACTS = {a.__name__: a for a in (
-    acts.rolling, acts.upstream_crashes, acts.leaving, acts.kills, acts.evacuation, acts.zone_lost, acts.region_lost,
-    acts.wiped_core, acts.frozen, acts.relentless, acts.faulty, acts.handed_over, acts.cold, acts.emptied,
-    acts.steady, acts.ledger_paired,
-    mishaps.core_split, mishaps.core_cut_off, mishaps.isolated, mishaps.one_way, mishaps.full_disk, mishaps.stalled_disk,
-    mishaps.pool_replaced, mishaps.service_removed, mishaps.homes_moved, mishaps.bad_changes, mishaps.evacuation_raced,
-    mishaps.core_replaced, mishaps.seeds_gone, mishaps.after_acks,
-)}
+ACTS = {
+    a.__name__: a
+    for a in (
+        acts.rolling,
+        acts.upstream_crashes,
+        acts.leaving,
+        acts.kills,
+        acts.evacuation,
+        acts.zone_lost,
+        acts.region_lost,
+        acts.wiped_core,
+        acts.frozen,
+        acts.relentless,
+        acts.faulty,
+        acts.handed_over,
+        acts.cold,
+        acts.emptied,
+        acts.steady,
+        acts.ledger_paired,
+        mishaps.core_split,
+        mishaps.core_cut_off,
+        mishaps.isolated,
+        mishaps.one_way,
+        mishaps.full_disk,
+        mishaps.stalled_disk,
+        mishaps.pool_replaced,
+        mishaps.service_removed,
+        mishaps.homes_moved,
+        mishaps.bad_changes,
+        mishaps.evacuation_raced,
+        mishaps.core_replaced,
+        mishaps.seeds_gone,
+        mishaps.after_acks,
+    )
+}
 PLANNED = ("rolling", "evacuation", "leaving", "pool_replaced", "homes_moved", "bad_changes", "service_removed")
 
 
-def run(f: Fleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0) -> tuple[list[str], dict]:
+def run(
+    f: Fleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
+) -> tuple[list[str], dict]:
     found: list[str] = []
     f.start_consumers(seed=seed, rate=rate)
     time.sleep(3)
@@ -40,9 +69,15 @@
     found += ops.findings() + judge(ops.offers, asked, ran) + history.check(users.history)
     ts = sorted(ops.ack_times)
     more = {
-        "seconds": round(seconds), "changes": len(ops.acked), "changes_failed": ops.failed, "conflicts": ops.refused,
-        "coordination_calls": users.calls, "undecided": users.unsure, "operations": len(users.history.ops),
-        "holds": len(users.history.holds), "events": len(users.history.events),
+        "seconds": round(seconds),
+        "changes": len(ops.acked),
+        "changes_failed": ops.failed,
+        "conflicts": ops.refused,
+        "coordination_calls": users.calls,
+        "undecided": users.unsure,
+        "operations": len(users.history.ops),
+        "holds": len(users.history.holds),
+        "events": len(users.history.events),
         "ack_median_ms": round(ts[len(ts) // 2] * 1000) if ts else None,
         "ack_max_ms": round(ts[-1] * 1000) if ts else None,
     }
--- a/mallowvalve/whole/users.py
+++ b/mallowvalve/whole/users.py
@@ -20,7 +20,17 @@
     def __init__(self, fleet: Fleet, seed: int, rate: float = 40.0):
         self.fleet, self.history = fleet, History([], [], [], [])
         self.calls = self.unsure = 0
-        jobs = [self._keep, self._keep, self._keep, self._lock, self._lock, self._number, self._number, self._watch, self._watch]
+        jobs = [
+            self._keep,
+            self._keep,
+            self._keep,
+            self._lock,
+            self._lock,
+            self._number,
+            self._number,
+            self._watch,
+            self._watch,
+        ]
         self.pause = 6 / rate
         super().__init__([(j, (f"u{i}", random.Random(f"{seed}/{i}"))) for i, j in enumerate(jobs)])
 
@@ -52,7 +62,9 @@
             status, data = self._ask(rng, "GET", f"/keys/{name}")
             if status not in (200, 404):
                 continue
-            said = Op("read", name, who, begun, time.monotonic(), "ok", data["revision"], data["value"], None, data["at"])
+            said = Op(
+                "read", name, who, begun, time.monotonic(), "ok", data["revision"], data["value"], None, data["at"]
+            )
             self.history.ops.append(said)
             base, begun = rng.choice((said.at, said.at, None)), time.monotonic()
             status, data = self._ask(rng, "PUT", f"/keys/{name}", {"value": value, "base": base})
--- a/mallowvalve/will/main.py
+++ b/mallowvalve/will/main.py
@@ -52,7 +52,14 @@
 
 
 @click.group()
-@click.option("--at", multiple=True, required=True, callback=addresses, envvar="MALLOWVALVE_AT", help="HOST:PORT of a law's web, may be given again")
+@click.option(
+    "--at",
+    multiple=True,
+    required=True,
+    callback=addresses,
+    envvar="MALLOWVALVE_AT",
+    help="HOST:PORT of a law's web, may be given again",
+)
 @click.pass_context
 def will(ctx, at) -> None:
     """What operators do: apply, read, evacuate, give back, look."""
@@ -151,7 +158,9 @@
         out.append((c["ago_ms"], f"{name:10} {c['what']}: {more}"))
     status, data, _ = call_at(*at.pair, "GET", f"/-/bounces?about={about}", limit=3.0)
     for b in data["bounces"] if status == 200 and isinstance(data, dict) else []:
-        out.append((b["ago_ms"], f"{name:10} bounced {b['target']} of {b['tenant']}: {b['status']} {b['outcome']}, {b['why']}"))
+        out.append(
+            (b["ago_ms"], f"{name:10} bounced {b['target']} of {b['tenant']}: {b['status']} {b['outcome']}, {b['why']}")
+        )
     return out
 
 
@@ -162,6 +171,7 @@
     ("bounces", "/-/bounces", "On a proxy: the last requests it bounced, and why."),
     ("counts", "/-/counts", "Counters; on a proxy, why requests were bounced."),
 ):
+
     def _command(ctx, _path=path):
         show(ask(ctx, "GET", _path))
 
--- a/mallowvalve/word/compiler.py
+++ b/mallowvalve/word/compiler.py
@@ -31,12 +31,18 @@
     draw: str | None = None
 
     def under(self, lower: Policy) -> Policy:
-        return Policy(**{f: b if (b := getattr(lower, f)) is not None else getattr(self, f) for f in self.__struct_fields__})
+        return Policy(
+            **{f: b if (b := getattr(lower, f)) is not None else getattr(self, f) for f in self.__struct_fields__}
+        )
 
 
 DEFAULT = Policy(limit_ms=5000, ramp_ms=10000, retry=1, queue=64, width=16, keep=16384, draw="near")
 BOUNDS = {
-    "limit_ms": (10, 60000), "ramp_ms": (0, 600000), "retry": (0, 3), "queue": (0, 4096), "width": (1, 1024),
+    "limit_ms": (10, 60000),
+    "ramp_ms": (0, 600000),
+    "retry": (0, 3),
+    "queue": (0, 4096),
+    "width": (1, 1024),
     "keep": (0, 65536),
 }
 
--- a/sim/acks.py
+++ b/sim/acks.py
@@ -52,7 +52,11 @@
                 rows = list(pool.map(one, [(rule, storm, s) for s in range(1, seeds + 1)]))
                 bad = sum(bool(f) for f, _ in rows)
                 mid = {k: statistics.median([x for _, w in rows for x in w[k]]) * 1000 for k in rows[0][1]}
-                parts.append(f"{storm}: " + ", ".join(f"{k} {v:.0f} ms" for k, v in mid.items()) + f", findings in {bad} of {seeds}")
+                parts.append(
+                    f"{storm}: "
+                    + ", ".join(f"{k} {v:.0f} ms" for k, v in mid.items())
+                    + f", findings in {bad} of {seeds}"
+                )
             click.echo(f"{rule}: " + "; ".join(parts))
 
 
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -44,7 +44,27 @@
 from sim.measure import kept, spent
 from sim.queueing import queue
 from sim.target import (
-    BOOT, GROUP, NODES, ROUTES, SERVICES, TENANTS, UPSTREAMS, Led, addr, at, board, bond, decoded, doc, item, items, record, roll, sizes, upstream, voters,
+    BOOT,
+    GROUP,
+    NODES,
+    ROUTES,
+    SERVICES,
+    TENANTS,
+    UPSTREAMS,
+    Led,
+    addr,
+    at,
+    board,
+    bond,
+    decoded,
+    doc,
+    item,
+    items,
+    record,
+    roll,
+    sizes,
+    upstream,
+    voters,
 )
 
 
@@ -52,8 +72,12 @@
     """Bytes kept a thing, in the node's own structures; spots are a proxy's own, beside the roll's rows."""
     ups = list(roll(int(UPSTREAMS * part)).rows.values())
     for what, make, n in (
-        ("services and route items", items, ROUTES), ("roll rows", roll, UPSTREAMS), ("membership", bond, NODES), ("board rows", board, UPSTREAMS),
-        ("spots", lambda m: [Spot(u) for u in ups[:m]], UPSTREAMS), ("seats", seats, NODES),
+        ("services and route items", items, ROUTES),
+        ("roll rows", roll, UPSTREAMS),
+        ("membership", bond, NODES),
+        ("board rows", board, UPSTREAMS),
+        ("spots", lambda m: [Spot(u) for u in ups[:m]], UPSTREAMS),
+        ("seats", seats, NODES),
     ):
         for m in (int(n * part / 10), int(n * part)):
             _, b = kept(lambda: make(m))
@@ -61,7 +85,9 @@
     for r, t in ((int(ROUTES * part), 0), (1000, int(TENANTS * part))):
         d = msgspec.json.encode(doc(r, t, SERVICES))
         _, b = kept(lambda: build(msgspec.json.decode(d)).unwrap())
-        click.echo(f"memory  tree         {r:7} routes, {t} tenants: {b / max(r, t):.0f} B each, {b / 1e6:.1f} MB; document {len(d) / 1e6:.1f} MB")
+        click.echo(
+            f"memory  tree         {r:7} routes, {t} tenants: {b / max(r, t):.0f} B each, {b / 1e6:.1f} MB; document {len(d) / 1e6:.1f} MB"
+        )
 
 
 def seats(n: int) -> dict[str, Seat]:
@@ -105,7 +131,9 @@
             "a seat": lambda i: Enrol(addr(i), BOOT + i, at(i)),
         }
         for what, make in kinds.items():
-            click.echo(f"change  {what:14} over {int(UPSTREAMS * p)} rows, {int(ROUTES * p)} routes: {_take_in(e, make)}")
+            click.echo(
+                f"change  {what:14} over {int(UPSTREAMS * p)} rows, {int(ROUTES * p)} routes: {_take_in(e, make)}"
+            )
 
 
 def _take_in(e: Echo, make) -> str:
@@ -133,8 +161,10 @@
         d = msgspec.json.encode(doc(int(ROUTES * p), int(TENANTS * p), SERVICES))
         n = len(encode(Change(None, d)))
         first, again = (spent(lambda: build(msgspec.json.decode(d)).unwrap(), 0.0001) for _ in range(2))
-        click.echo(f"tree    {int(ROUTES * p):7} routes, {int(TENANTS * p):7} tenants: {n / 1e6:6.2f} MB a change, "
-                   f"built in {first * 1e3:.0f} ms, once more in {again * 1e3:.0f} ms")
+        click.echo(
+            f"tree    {int(ROUTES * p):7} routes, {int(TENANTS * p):7} tenants: {n / 1e6:6.2f} MB a change, "
+            f"built in {first * 1e3:.0f} ms, once more in {again * 1e3:.0f} ms"
+        )
 
 
 def picture(part: float) -> None:
@@ -146,9 +176,11 @@
         steps = [spent(lambda: w.feed(x).unwrap(), 1e-9) for x in pieces]
         out, back = spent(lambda: list(cut_settings(e.state)), 0.01), spent(lambda: load(pieces), 0.01)
         swept = spent(gc.collect, 0.01)
-        click.echo(f"picture {int(ROUTES * p)} routes, {int(UPSTREAMS * p)} rows: {sum(map(len, pieces)) / 1e6:.1f} MB in {len(pieces)} pieces, "
-                   f"out {out * 1e3:.0f} ms, in {back * 1e3:.0f} ms, the longest piece {max(steps) * 1e3:.0f} ms; "
-                   f"the collector's full sweep over such a state {swept * 1e3:.0f} ms")
+        click.echo(
+            f"picture {int(ROUTES * p)} routes, {int(UPSTREAMS * p)} rows: {sum(map(len, pieces)) / 1e6:.1f} MB in {len(pieces)} pieces, "
+            f"out {out * 1e3:.0f} ms, in {back * 1e3:.0f} ms, the longest piece {max(steps) * 1e3:.0f} ms; "
+            f"the collector's full sweep over such a state {swept * 1e3:.0f} ms"
+        )
 
 
 def leader(part: float) -> None:
@@ -167,8 +199,10 @@
             led.sent, t = 0, time.process_time()
             got = led.change(1, led.now + 60) + led.ask(everyone)
             one = time.process_time() - t
-            click.echo(f"leader  {n:5} echoes, {batch:3} wants a turn: at rest {rest * 1e3:7.1f} ms a second, {bytes_ / 1e6:.3f} MB/s; "
-                       f"a change {one * 1e3:7.1f} ms, {led.sent / 1e6:.3f} MB{'' if got else ' (unanswered)'}")
+            click.echo(
+                f"leader  {n:5} echoes, {batch:3} wants a turn: at rest {rest * 1e3:7.1f} ms a second, {bytes_ / 1e6:.3f} MB/s; "
+                f"a change {one * 1e3:7.1f} ms, {led.sent / 1e6:.3f} MB{'' if got else ' (unanswered)'}"
+            )
 
 
 def members(part: float) -> None:
@@ -192,9 +226,11 @@
         bond(n)
         cpu = time.process_time() - t
         news = [len(bond_encode(m)) for _, m in a.ready(False)]
-        click.echo(f"members {n:5} nodes: a period {rest[0]} datagrams, {rest[1]} B; a difference {mend[0] - rest[0]} more, {mend[1] - rest[1]} B"
-                   f"{'' if same else ' (not mended)'}; a full view {len(full)}, {sum(full) / 1e3:.1f} KB, taken in {cpu * 1e3:.0f} ms; "
-                   f"own news {len(news)}, {sum(news) / 1e3:.1f} KB")
+        click.echo(
+            f"members {n:5} nodes: a period {rest[0]} datagrams, {rest[1]} B; a difference {mend[0] - rest[0]} more, {mend[1] - rest[1]} B"
+            f"{'' if same else ' (not mended)'}; a full view {len(full)}, {sum(full) / 1e3:.1f} KB, taken in {cpu * 1e3:.0f} ms; "
+            f"own news {len(news)}, {sum(news) / 1e3:.1f} KB"
+        )
 
 
 def _exchange(a: Bond, b: Bond, now: float) -> tuple[int, int]:
@@ -221,8 +257,10 @@
         told = spent(lambda: lead.told(heard, 1.5), 0.05)
         lead.told([Heard(i, 0) for i in r.rows], 9.0)
         judged = spent(lambda: _judge(lead, r), 0.05)
-        click.echo(f"hear    {n:6} upstreams: {one * 1e6:5.0f} us a beat; a report of {len(heard)} is {len(encode(heard)) / 1e3:.1f} KB, "
-                   f"taken in {told * 1e3:.2f} ms; judged in {judged * 1e3:.1f} ms")
+        click.echo(
+            f"hear    {n:6} upstreams: {one * 1e6:5.0f} us a beat; a report of {len(heard)} is {len(encode(heard)) / 1e3:.1f} KB, "
+            f"taken in {told * 1e3:.2f} ms; judged in {judged * 1e3:.1f} ms"
+        )
 
 
 def _judge(h: Hear, r: Roll) -> None:
@@ -232,13 +270,24 @@
 
 def _call(h: Hear, r: Roll, b: Bond) -> Callable[[], object]:
     """A beat as it comes from the HTTP server to the product's page, of an upstream that is known."""
-    node = SimpleNamespace(params=SimpleNamespace(zones={}), counts=Counts(), bond=SimpleNamespace(alive=b.alive, bond=b))
+    node = SimpleNamespace(
+        params=SimpleNamespace(zones={}), counts=Counts(), bond=SimpleNamespace(alive=b.alive, bond=b)
+    )
     page = Beats(SimpleNamespace(node=node), SimpleNamespace(beat=lambda u: h.beat(u, r, 86_400_000, 1.0) is None))
     app = web.make_app()
     app.add_route("/upstreams/{instance}", page)
     u = upstream(1)
-    body = msgspec.json.encode({"service": u.service, "address": str(u.address), "zone": str(u.locality), "slots": 6,
-                                "state": "ready", "sequence": 1, "cold_ms": 0})
+    body = msgspec.json.encode(
+        {
+            "service": u.service,
+            "address": str(u.address),
+            "zone": str(u.locality),
+            "slots": 6,
+            "state": "ready",
+            "sequence": 1,
+            "cold_ms": 0,
+        }
+    )
 
     def one() -> None:
         env = create_environ("/upstreams/up-000001", method="PUT", body=body)
@@ -265,14 +314,20 @@
         old = spent(lambda: b.usable("service-0001", 1.0), 0.1)
         anew = spent(lambda: h._rebuild(e.state.roll, 0, 1.0), 0.1)
         turns = spent(lambda: (setattr(spot, "cold_at", (-1, -1)), h._turns(spot, item)), 0.1)
-        click.echo(f"pick    {n:6} upstreams, {k} proxies: {one * 1e6:.0f} us a choice ({old * 1e6:.0f} from the board); "
-                   f"a roll change {anew * 1e3:.2f} ms; a roster change {turns * 1e3:.2f} ms for each cold upstream")
+        click.echo(
+            f"pick    {n:6} upstreams, {k} proxies: {one * 1e6:.0f} us a choice ({old * 1e6:.0f} from the board); "
+            f"a roll change {anew * 1e3:.2f} ms; a roster change {turns * 1e3:.2f} ms for each cold upstream"
+        )
 
 
-HEAD = (b"GET /p1001/ HTTP/1.1\r\nHost: h00001.example\r\nUser-Agent: consumer/1.0\r\nAccept: */*\r\nMallow-Ask: 0123456789abcdef\r\n"
-        b"Mallow-Limit: 1500\r\nAccept-Encoding: gzip\r\n")
-ANSWER = (b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\nMallow-Ask: 0123456789abcdef\r\n"
-          b"Mallow-Instance: up-000001\r\nMallow-Usage: 1,0,6\r\n\r\n" + b"x" * 400)
+HEAD = (
+    b"GET /p1001/ HTTP/1.1\r\nHost: h00001.example\r\nUser-Agent: consumer/1.0\r\nAccept: */*\r\nMallow-Ask: 0123456789abcdef\r\n"
+    b"Mallow-Limit: 1500\r\nAccept-Encoding: gzip\r\n"
+)
+ANSWER = (
+    b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\nMallow-Ask: 0123456789abcdef\r\n"
+    b"Mallow-Instance: up-000001\r\nMallow-Usage: 1,0,6\r\n\r\n" + b"x" * 400
+)
 
 
 class Kept:
@@ -297,7 +352,9 @@
         h = Hosts(e, params, random.Random(1), lambda: 1.0)
         tries = Tries(e, h, params, Counts(), lambda: 1.0, random.Random(1))
         one = spent(lambda: _request(tries, head), 0.5)
-        click.echo(f"work    {len(e.state.items.routes)} routes, {len(h.spots)} upstreams: {one * 1e6:.0f} us a request between the sockets")
+        click.echo(
+            f"work    {len(e.state.items.routes)} routes, {len(h.spots)} upstreams: {one * 1e6:.0f} us a request between the sockets"
+        )
 
 
 def _request(tries: Tries, head: bytes) -> None:
--- a/sim/config.py
+++ b/sim/config.py
@@ -16,13 +16,20 @@
     return {
         "services": {s: {} for s in (*SERVICES, f"note-{name}")},
         "regions": {r: {"zones": [f"{r}-a", f"{r}-b"]} for r in REGIONS},
-        "cells": {"all": {
-            "region": "eu", "policy": f"limit 4s; retry 1; ramp {RAMP:.0f}s; width {WIDTH}",
-            "tenants": {"overlay": {}, "runner": {"homes": rng.choice(HOMES)}},
-        }},
+        "cells": {
+            "all": {
+                "region": "eu",
+                "policy": f"limit 4s; retry 1; ramp {RAMP:.0f}s; width {WIDTH}",
+                "tenants": {"overlay": {}, "runner": {"homes": rng.choice(HOMES)}},
+            }
+        },
         "routes": {
-            "rankings": {"cell": "all", "match": 'method GET and path "/rankings/*"', "kind": "read",
-                         "service": rng.choice(("boards", "boards", "boards", "spare"))},
+            "rankings": {
+                "cell": "all",
+                "match": 'method GET and path "/rankings/*"',
+                "kind": "read",
+                "service": rng.choice(("boards", "boards", "boards", "spare")),
+            },
             "submit": {"cell": "all", "match": 'method POST and path "/runs"', "kind": "once", "service": "runs"},
         },
     }
--- a/sim/crowd.py
+++ b/sim/crowd.py
@@ -34,8 +34,13 @@
         super().__init__(crowd.world, me.addr)
         self.crowd = crowd
         self.bond = Bond(
-            me, "mallowvalve", seeds, random.Random(crowd.rng.random()), formula.period(DETECT, ASSUMED),
-            formula.helpers(MISTAKE, ASSUMED, ASSUMED), ROUND_TRIP,
+            me,
+            "mallowvalve",
+            seeds,
+            random.Random(crowd.rng.random()),
+            formula.period(DETECT, ASSUMED),
+            formula.helpers(MISTAKE, ASSUMED, ASSUMED),
+            ROUND_TRIP,
         )
         self.sent = self.bytes = 0
         self._armed = self.now + start
@@ -126,8 +131,10 @@
             rows.append((m.bytes - b, m.sent - s) if life == m.life else (m.bytes, m.sent))
         n = len(rows)
         return {
-            "bytes": sum(b for b, _ in rows) / n / seconds, "datagrams": sum(s for _, s in rows) / n / seconds,
-            "worst": max(b for b, _ in rows) / seconds, "cpu": (self.spent - spent) / 1e9 / n / seconds * 100,
+            "bytes": sum(b for b, _ in rows) / n / seconds,
+            "datagrams": sum(s for _, s in rows) / n / seconds,
+            "worst": max(b for b, _ in rows) / seconds,
+            "cpu": (self.spent - spent) / 1e9 / n / seconds * 100,
             "kinds": {k: round((v - kinds.get(k, 0)) / n / seconds, 1) for k, v in self.kinds.items()},
         }
 
@@ -150,8 +157,10 @@
 
 
 def told(r: dict, what: str) -> str:
-    return (f"  {what}: {r['bytes']:.0f} B/s a node (worst node {r['worst']:.0f}), {r['datagrams']:.2f} datagrams/s, "
-            f"processor {r['cpu']:.4f}% of a core; by kind {r['kinds']}")
+    return (
+        f"  {what}: {r['bytes']:.0f} B/s a node (worst node {r['worst']:.0f}), {r['datagrams']:.2f} datagrams/s, "
+        f"processor {r['cpu']:.4f}% of a core; by kind {r['kinds']}"
+    )
 
 
 def memory(n: int) -> int:
@@ -187,7 +196,9 @@
         first = c.until(lambda: c.knows(v, dead) > 0, 60)
         most = c.until(lambda: c.knows(v, dead) >= 0.95, 30)
         rest = c.until(lambda: c.knows(v, dead) == 1, 60)
-        click.echo(f"  one dies: first declared after {sec(first)}, 95% know {sec(most)} later, all {sec(rest)} after that")
+        click.echo(
+            f"  one dies: first declared after {sec(first)}, 95% know {sec(most)} later, all {sec(rest)} after that"
+        )
         click.echo(told(c.run(10.0), "10 s with one dead"))
         i = n // 3
         m = c.restart(i)
@@ -195,14 +206,18 @@
         most = c.until(lambda: c.knows(a, back) >= 0.95, 30)
         rest = c.until(lambda: c.knows(a, back) == 1, 30)
         full = c.until(lambda: len(m.bond.alive()) == n - 2, 60)
-        click.echo(f"  one restarts: seen alive by 95% after {sec(most)}, by all {sec(rest)} later, its own view whole {sec(full)} after that; it sent {m.bytes} B")
+        click.echo(
+            f"  one restarts: seen alive by 95% after {sec(most)}, by all {sec(rest)} later, its own view whole {sec(full)} after that; it sent {m.bytes} B"
+        )
         if cut:
             heal(c)
         if herd:
             c.herd()
             whole = c.until(lambda: all(len(m.bond.alive()) == n - 1 for m in c.members()), 60)
             most = max(m.bytes for m in c.members())
-            click.echo(f"  all restarted within 0.5 s: every view whole after {sec(whole)}, at most {most} B from a node")
+            click.echo(
+                f"  all restarted within 0.5 s: every view whole after {sec(whole)}, at most {most} B from a node"
+            )
         click.echo(f"  largest datagram {c.largest} B")
 
 
@@ -216,7 +231,9 @@
         start = {m.addr: m.bytes for m in c.members()}
         whole = c.until(lambda: all(len(m.bond.alive()) == len(up) - 1 for m in c.members()), 60)
         spent = max(m.bytes - start[m.addr] for m in c.members())
-        click.echo(f"  {what}: one view lost {lost}; healed everywhere after {sec(whole)}, at most {spent} B from a node")
+        click.echo(
+            f"  {what}: one view lost {lost}; healed everywhere after {sec(whole)}, at most {spent} B from a node"
+        )
 
 
 if __name__ == "__main__":
--- a/sim/echo.py
+++ b/sim/echo.py
@@ -39,10 +39,22 @@
                 answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
             case "who":
                 e = self.echo
-                answer(wire.encode(wire.Who(
-                    self.role, "", self.addr, self.locality, [], e.state is None, e.group,
-                    e.state.index if e.state else 0, e.voters, e.leader,
-                )))
+                answer(
+                    wire.encode(
+                        wire.Who(
+                            self.role,
+                            "",
+                            self.addr,
+                            self.locality,
+                            [],
+                            e.state is None,
+                            e.group,
+                            e.state.index if e.state else 0,
+                            e.voters,
+                            e.leader,
+                        )
+                    )
+                )
 
     def _follow(self) -> None:
         to = self.law()
@@ -56,7 +68,9 @@
         f = wire.fed(data)
         self.echo.fed(f, self.now)
         if f.lacking:
-            return pull(self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.echo.lacks)
+            return pull(
+                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.echo.lacks
+            )
         self.wake(0.05 if f.group is None else 0.001, self._follow)
 
     def _round(self) -> None:
@@ -88,6 +102,7 @@
 
 def pull(node: Node, to: Address, what: bytes, then, wanted=lambda l: True) -> None:
     """Fetches a picture by pieces; then(None) if it does not come."""
+
     def labelled(d: bytes | None) -> None:
         l = read_label(d) if d is not None else None
         if l is None or not wanted(l):
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -56,7 +56,14 @@
         if self.world.up(a):
             return
         if a in self.disks:
-            LawNode(self.world, a, self.place[a], self.seeds, self.disks[a], lambda: [n for n in self.nodes if self.world.up(n)])
+            LawNode(
+                self.world,
+                a,
+                self.place[a],
+                self.seeds,
+                self.disks[a],
+                lambda: [n for n in self.nodes if self.world.up(n)],
+            )
         elif a in self.flows:
             Flow(self.world, a, self.place[a], self.live_laws, self.history, lambda: self.flows)
         else:
--- a/sim/flow.py
+++ b/sim/flow.py
@@ -74,7 +74,13 @@
         self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
         self.pool = Pool(self.board, self.echo, locality, self.rng, lambda: self.now, self._freed)
         self.path = Path(
-            self.echo, self.pool, self.repeats, Counts(), lambda: self.now, locality, f"{addr}#{self.life}",
+            self.echo,
+            self.pool,
+            self.repeats,
+            Counts(),
+            lambda: self.now,
+            locality,
+            f"{addr}#{self.life}",
             lambda: f"{self.rng.getrandbits(64):x}",
         )
         self._rooms: dict[str, list] = {}
@@ -123,10 +129,16 @@
         match s:
             case Body():
                 late = slow > s.end - self.now
-                body = Err((408, "body", "did not arrive")) if late else Ok(mark[0].encode() if mark[1] == "" else mark[1].encode())
+                body = (
+                    Err((408, "body", "did not arrive"))
+                    if late
+                    else Ok(mark[0].encode() if mark[1] == "" else mark[1].encode())
+                )
                 self.wake(min(slow, max(0.0, s.end - self.now)), lambda: go(body))
             case Offer():
-                self.offer(encode(s.command), s.limit, lambda t: go(_verdict(t.body) if t.body else Verdict("undecided")))
+                self.offer(
+                    encode(s.command), s.limit, lambda t: go(_verdict(t.body) if t.body else Verdict("undecided"))
+                )
             case Insist():
                 self._insist(s, self.now + 10.0)
                 go(None)
@@ -183,7 +195,13 @@
         self.board.forget(self.now)
         others = [a for a in self.flows() if a != self.addr]
         if others:
-            self.call(self.rng.choice(others), "digest", encode(self.board.digest()), 1.0, lambda d: d and self._merge(_aged(d)))
+            self.call(
+                self.rng.choice(others),
+                "digest",
+                encode(self.board.digest()),
+                1.0,
+                lambda d: d and self._merge(_aged(d)),
+            )
 
     def _tell_others(self, kind: str, body: bytes) -> None:
         for a in self.flows():
--- a/sim/history.py
+++ b/sim/history.py
@@ -72,17 +72,27 @@
 
     def figures(self) -> dict[str, int]:
         reads = ("answer", "not-run", "undecided", "unknown", "silence")
-        return {k: len(v) for k, v in vars(self).items() if isinstance(v, list)} | {
-            f"reads_{o}": sum(t[3] == o for t in self.reads_told) for o in reads
-        } | {"kept": len(self.coord.ops)} | {
-            f"told_{o}": sum(t[3] == o for t in self.told) for o in ("done", "not-run", "undecided", "unknown", "silence")
-        }
+        return (
+            {k: len(v) for k, v in vars(self).items() if isinstance(v, list)}
+            | {f"reads_{o}": sum(t[3] == o for t in self.reads_told) for o in reads}
+            | {"kept": len(self.coord.ops)}
+            | {
+                f"told_{o}": sum(t[3] == o for t in self.told)
+                for o in ("done", "not-run", "undecided", "unknown", "silence")
+            }
+        )
 
 
 def check(h: History) -> list[str]:
     return [
-        *runs_once(h), *not_run_is_true(h), *in_force(h), *never_slips_back(h), *read_back(h), *one_holder(h),
-        *numbers_rise(h), *watchers_miss_nothing(h),
+        *runs_once(h),
+        *not_run_is_true(h),
+        *in_force(h),
+        *never_slips_back(h),
+        *read_back(h),
+        *one_holder(h),
+        *numbers_rise(h),
+        *watchers_miss_nothing(h),
     ]
 
 
--- a/sim/large.py
+++ b/sim/large.py
@@ -35,7 +35,9 @@
     dig = digest("POST", "/runs", b"{}")
     for i in range(rows):
         k = f"runner\0{i:032x}"
-        s.ledger.rows[k] = Row(dig, DONE, "10.0.0.1:7000#123456789012345678", f"{i:032x}", 0, 200, "application/json", ANSWER + b" " * body)
+        s.ledger.rows[k] = Row(
+            dig, DONE, "10.0.0.1:7000#123456789012345678", f"{i:032x}", 0, 200, "application/json", ANSWER + b" " * body
+        )
         s.ledger.kept[k] = len(ANSWER) + body
     s.ledger._bytes = sum(s.ledger.kept.values())
     return s
@@ -117,8 +119,14 @@
         with Numbers(f) as busy:
             for i in range(1, size // 2 // 65000 + 60):
                 call(f.of("law")[0].web, "PUT", f"/keys/k{i % 10}", {"value": "v" * 65000})
-            timed("pictures taken by the core", lambda: sum(
-                call(p.web, "GET", "/-/counts")[1]["counts"].get("pictures_taken", 0) for p in f.of("law")) > taken + 2, 60)
+            timed(
+                "pictures taken by the core",
+                lambda: (
+                    sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("pictures_taken", 0) for p in f.of("law"))
+                    > taken + 2
+                ),
+                60,
+            )
         click.echo(f"numbers while the log grew and was turned: {busy.n}, worst {busy.worst * 1000:.0f} ms")
         new = f.add_node("law", "us/us-b", "law9")
         lead = max(index(p) for p in f.of("law")[:3])
@@ -130,7 +138,11 @@
             f.wipe(p.name)
         for p in f.of("law"):
             f.start(p.name)
-        timed("control back after the whole core was wiped", lambda: call(f.of("law")[0].web, "GET", "/config")[0] == 200, 60)
+        timed(
+            "control back after the whole core was wiped",
+            lambda: call(f.of("law")[0].web, "GET", "/config")[0] == 200,
+            60,
+        )
         timed("and the key of before", lambda: known(f, rows // 2), 20)
         if f.rows("ran.jsonl"):
             raise SystemExit("a key of before ran again")
--- a/sim/law.py
+++ b/sim/law.py
@@ -23,7 +23,9 @@
 class LawNode(Node):
     role = "law"
 
-    def __init__(self, world: World, addr: Address, locality: Locality, seeds: list[Address], disk: SimDisk, neighbours):
+    def __init__(
+        self, world: World, addr: Address, locality: Locality, seeds: list[Address], disk: SimDisk, neighbours
+    ):
         super().__init__(world, addr)
         self.locality, self.seeds, self.disk, self.neighbours = locality, seeds, disk, neighbours
         self.rng = random.Random(world.rng.random())
@@ -71,7 +73,12 @@
 
     def _vote(self, e: Envelope) -> None:
         self._put(lambda: self.core.receive(e, self.now))
-        if not isinstance(e.body, Install) or self._pulling or self.core.raft is None or e.body.picture.index <= self.core.raft.commit:
+        if (
+            not isinstance(e.body, Install)
+            or self._pulling
+            or self.core.raft is None
+            or e.body.picture.index <= self.core.raft.commit
+        ):
             return
         self._pulling = True
 
@@ -202,8 +209,13 @@
             self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, None))
         elif isinstance(v, Found):
             answers = list(self._answers)
-            pull(self, v.base.addr, NOW, lambda got: got and self._found_anew(v, got[1], answers),
-                 lambda l: (l.group, l.index) >= (v.base.group, v.base.index))
+            pull(
+                self,
+                v.base.addr,
+                NOW,
+                lambda got: got and self._found_anew(v, got[1], answers),
+                lambda l: (l.group, l.index) >= (v.base.group, v.base.index),
+            )
         elif isinstance(v, Start):
             pull(self, v.source.addr, BASE, lambda got: got and self._begin(got[0]))
         elif isinstance(v, Wipe):
--- a/sim/members.py
+++ b/sim/members.py
@@ -23,8 +23,13 @@
         self.rng = random.Random(world.rng.random())
         me = fresh_record(addr, self.rng.getrandbits(60), "flow", str(addr), ZONES[n % 6], addr)
         self.bond = Bond(
-            me, "sim", seeds, self.rng, formula.period(DETECT, ASSUMED),
-            formula.helpers(MISTAKE, ASSUMED, ASSUMED), ROUND_TRIP,
+            me,
+            "sim",
+            seeds,
+            self.rng,
+            formula.period(DETECT, ASSUMED),
+            formula.helpers(MISTAKE, ASSUMED, ASSUMED),
+            ROUND_TRIP,
         )
         self.sent = self.bytes = 0
         self._armed = world.now + self.rng.random() * (self.bond.period if spread else 0.0)
@@ -143,9 +148,13 @@
                 f"max {max(spread):.2f}; {len(rows) - len(good)} undetected"
             )
             q = [quiet_time(s, n, loss, 300.0) for s in range(first, first + max(4, seeds // 20))]
-            click.echo("    " + ", ".join(
-                f"{name} {sum(x[name] for x in q) / (1 if name == 'mistakes' else len(q)):.2f}" for name in q[0]
-            ) + f" in {300 * len(q)} s x {n} nodes; bound of the source {formula.expected_load(n, min(k, n - 2), t, ASSUMED, loss) / n:.2f} a node")
+            click.echo(
+                "    "
+                + ", ".join(
+                    f"{name} {sum(x[name] for x in q) / (1 if name == 'mistakes' else len(q)):.2f}" for name in q[0]
+                )
+                + f" in {300 * len(q)} s x {n} nodes; bound of the source {formula.expected_load(n, min(k, n - 2), t, ASSUMED, loss) / n:.2f} a node"
+            )
     sys.exit(0)
 
 
--- a/sim/pools.py
+++ b/sim/pools.py
@@ -82,7 +82,9 @@
         f.run(6)
         near = [p.instance for p in f.pool("boards")]
         share = cold_share(f.history, new.instance, new.incarnation, new.born, near)
-        assert share is None or share <= 0.7, f"a cold upstream got {share:.2f} of its neighbours' mean in its first 2 s"
+        assert share is None or share <= 0.7, (
+            f"a cold upstream got {share:.2f} of its neighbours' mean in its first 2 s"
+        )
     for u in more:
         u.crash()
 
@@ -165,6 +167,18 @@
         f.run(2)
 
 
-POOLS = {s.__name__: s for s in (
-    leaving, handed_over, faulty, relentless, cold_return, pool_replaced, pool_emptied, evacuation, impatient, all_of_it,
-)}
+POOLS = {
+    s.__name__: s
+    for s in (
+        leaving,
+        handed_over,
+        faulty,
+        relentless,
+        cold_return,
+        pool_replaced,
+        pool_emptied,
+        evacuation,
+        impatient,
+        all_of_it,
+    )
+}
--- a/sim/queueing.py
+++ b/sim/queueing.py
@@ -16,7 +16,9 @@
         for procs in (1, 2, 4):
             mean, p99 = sojourn(1_300_000 / NODES, work_ms / 1e3, procs)
             row.append(f"{procs}: {mean * 1e3:.2f}/{p99 * 1e3:.2f}")
-        click.echo(f"queue   {work_ms} ms a request, {236.4 * work_ms / 10:.0f}% of a core; mean/p99 ms by processes  {'  '.join(row)}")
+        click.echo(
+            f"queue   {work_ms} ms a request, {236.4 * work_ms / 10:.0f}% of a core; mean/p99 ms by processes  {'  '.join(row)}"
+        )
 
 
 def sojourn(rate: float, work: float, procs: int, n: int = 200_000) -> tuple[float, float]:
--- a/sim/run.py
+++ b/sim/run.py
@@ -46,8 +46,10 @@
 
 def line(name: str, c: Counter, worst: int, wrong: int) -> str:
     told = " ".join(f"{o} {c[f'told_{o}']}" for o in ("done", "not-run", "undecided", "unknown"))
-    return (f"{name}: findings in {wrong}; ran {c['ran']}, told {told}; changes {c['changes']}, numbers {c['numbers']}, "
-            f"holds {c['holds']}, watched {c['watched']}; worst back {worst / 1000:.1f} s")
+    return (
+        f"{name}: findings in {wrong}; ran {c['ran']}, told {told}; changes {c['changes']}, numbers {c['numbers']}, "
+        f"holds {c['holds']}, watched {c['watched']}; worst back {worst / 1000:.1f} s"
+    )
 
 
 if __name__ == "__main__":
--- a/sim/serving.py
+++ b/sim/serving.py
@@ -16,7 +16,12 @@
 
 def check(h: History) -> list[str]:
     return [
-        *allowed_and_at_home(h), *evacuated(h), *left(h), *repeats(h)[1], *whole_answers(h), *reads_not_run(h),
+        *allowed_and_at_home(h),
+        *evacuated(h),
+        *left(h),
+        *repeats(h)[1],
+        *whole_answers(h),
+        *reads_not_run(h),
         *coordination(h.coord),
     ]
 
@@ -27,7 +32,9 @@
     for r in h.served:
         docs = in_force_at(h.offers, r.at, IN_FORCE)
         if not any(allows(o.doc, r.tenant, r.target, r.service, r.region) for o in docs):
-            out.append(f"{r.instance} in {r.region} ran {r.target} for {r.tenant} at {r.at:.2f}: allowed by none in force")
+            out.append(
+                f"{r.instance} in {r.region} ran {r.target} for {r.tenant} at {r.at:.2f}: allowed by none in force"
+            )
     return out
 
 
--- a/sim/storms.py
+++ b/sim/storms.py
@@ -224,10 +224,30 @@
 
 
 STORMS: dict[str, Storm] = POOLS | {
-    s.__name__: s for s in (
-        calm, kills, herds, all_at_once, after_acks, rolling, zone_lost, region_lost, replaced, replaced_all,
-        wiped_in_place, splits, core_cut_off, one_way, isolated, freezes, disks, wiped_core, wiped_most,
-        wiped_all_but_one_flow, lossy, mixed,
+    s.__name__: s
+    for s in (
+        calm,
+        kills,
+        herds,
+        all_at_once,
+        after_acks,
+        rolling,
+        zone_lost,
+        region_lost,
+        replaced,
+        replaced_all,
+        wiped_in_place,
+        splits,
+        core_cut_off,
+        one_way,
+        isolated,
+        freezes,
+        disks,
+        wiped_core,
+        wiped_most,
+        wiped_all_but_one_flow,
+        lossy,
+        mixed,
     )
 }
 
@@ -253,7 +273,10 @@
     f.run(8)
     found = check(f.history)
     if keep is not None:
-        keep |= {"numbers": [b - a for a, b, _ in f.history.numbers], "changes": [b - a for a, b, _, _ in f.history.changes]}
+        keep |= {
+            "numbers": [b - a for a, b, _ in f.history.numbers],
+            "changes": [b - a for a, b, _, _ in f.history.changes],
+        }
     if not back or gap > BACK:
         found.append(f"service not back within {BACK} s: {gap:.1f}")
     return found, f.history.figures() | {"back_ms": int(gap * 1000), "sim_s": int(f.world.now)}
--- a/sim/target.py
+++ b/sim/target.py
@@ -41,7 +41,9 @@
 
 
 def upstream(i: int) -> Upstream:
-    return Upstream(f"up-{i:06x}", f"service-{i % SERVICES:04d}", addr(i, 8080), at(i), 6, "ready", 1, 86_400_000, 86_403_000)
+    return Upstream(
+        f"up-{i:06x}", f"service-{i % SERVICES:04d}", addr(i, 8080), at(i), 6, "ready", 1, 86_400_000, 86_403_000
+    )
 
 
 def rolled(i: int) -> Rolled:
@@ -52,9 +54,18 @@
     split = [Part(f"service-{i % SERVICES:04d}", 90.0), Part(f"service-{(i + 1) % SERVICES:04d}", 10.0)]
     one = i % 4
     return HostRoute(
-        name=f"r-{i:07x}", version=version, host=f"h{i % 13_000:05d}.example", prefix=f"/p{i // 13_000}{i % 997:03d}/",
-        kind="try" if one == 0 else "read", limit_ms=1500.0, aim_ms=600.0, priority=1,
-        service=split[0].service if one else None, split=[] if one else split, tries=2, homes=[at(i).region],
+        name=f"r-{i:07x}",
+        version=version,
+        host=f"h{i % 13_000:05d}.example",
+        prefix=f"/p{i // 13_000}{i % 997:03d}/",
+        kind="try" if one == 0 else "read",
+        limit_ms=1500.0,
+        aim_ms=600.0,
+        priority=1,
+        service=split[0].service if one else None,
+        split=[] if one else split,
+        tries=2,
+        homes=[at(i).region],
     )
 
 
@@ -75,21 +86,29 @@
 def doc(routes: int, tenants: int, services: int) -> dict:
     """A tree of this size: twenty routes a cell, tenants spread over the cells."""
     cells = max(1, routes // 20)
-    regions = {f"region-{r:02d}": {"zones": [str(at(z).zone) for z in range(r, ZONES, REGIONS)]} for r in range(REGIONS)}
+    regions = {
+        f"region-{r:02d}": {"zones": [str(at(z).zone) for z in range(r, ZONES, REGIONS)]} for r in range(REGIONS)
+    }
     return {
         "services": {f"service-{s:04d}": {} for s in range(services)},
         "regions": regions,
         "cells": {
             f"cell-{c:05d}": {
-                "region": at(c).region, "regions": [at(c).region],
+                "region": at(c).region,
+                "regions": [at(c).region],
                 "tenants": {f"tenant-{t:06d}": {"homes": [at(c).region]} for t in range(c, tenants, cells)},
-            } for c in range(cells)
+            }
+            for c in range(cells)
         },
         "routes": {
             f"route-{i:06d}": {
-                "cell": f"cell-{i % cells:05d}", "match": f'method GET and path "/p{i:06d}/*"', "kind": "read",
-                "service": f"service-{i % services:04d}", "order": i // cells,
-            } for i in range(routes)
+                "cell": f"cell-{i % cells:05d}",
+                "match": f'method GET and path "/p{i:06d}/*"',
+                "kind": "read",
+                "service": f"service-{i % services:04d}",
+                "order": i // cells,
+            }
+            for i in range(routes)
         },
     }
 
@@ -139,7 +158,9 @@
         "fed more: a strike": more(Strike(addr(9), BOOT)),
         "fed more: an evacuation": more(Evacuate("region-00-a", True, "operator-1/000123")),
         "round, framed": frame("round", wire.encode(wire.Round(addr(1), 123456.789))),
-        "told, framed": frame("round", wire.encode(wire.Told(addr(1), BOOT, 123456.789, GROUP, 20_000_000 << 36, 1_000_000)), True),
+        "told, framed": frame(
+            "round", wire.encode(wire.Told(addr(1), BOOT, 123456.789, GROUP, 20_000_000 << 36, 1_000_000)), True
+        ),
         "tree: a route": _doc_more(routes=1000),
         "tree: a tenant": _doc_more(tenants=1000),
     }
@@ -204,7 +225,9 @@
         s.params.roster = {str(addr(i)): Seat(BOOT + i, at(i)) for i in range(100, 100 + n)}
         self.c.start(founding(GROUP, Voters({"a": addr(1)}), s), None, [], 0.0, s)
         self.batch, self.now, self.sent, self.fed_entries = batch, 5.0, 0, 0
-        self.wants = {i: Want(addr(i), BOOT + i, "flow", at(i), GROUP, 0, 0, 0.0, "settings", 1.0) for i in range(100, 100 + n)}
+        self.wants = {
+            i: Want(addr(i), BOOT + i, "flow", at(i), GROUP, 0, 0, 0.0, "settings", 1.0) for i in range(100, 100 + n)
+        }
         for wait in (0.1, *[0.5] * 6):
             self.step()
             self.now += wait
--- a/sim/upstream.py
+++ b/sim/upstream.py
@@ -15,8 +15,17 @@
 class Upstream(Node):
     """Beats, runs what comes over its sessions, and may lose, garble, halve or delay its answers."""
 
-    def __init__(self, world: World, addr: Address, history: History, service: str, instance: str, locality: Locality,
-                 flows, lose: float):
+    def __init__(
+        self,
+        world: World,
+        addr: Address,
+        history: History,
+        service: str,
+        instance: str,
+        locality: Locality,
+        flows,
+        lose: float,
+    ):
         super().__init__(world, addr)
         self.history, self.service, self.instance, self.locality = history, service, instance, locality
         self.flows, self.lose = flows, lose
@@ -44,8 +53,16 @@
 
     def _tell(self) -> None:
         self.sequence += 1
-        b = Beat(self.service, self.instance, self.incarnation, self.sequence, float(self.busy), self.state,
-                 self.locality, self.addr)
+        b = Beat(
+            self.service,
+            self.instance,
+            self.incarnation,
+            self.sequence,
+            float(self.busy),
+            self.state,
+            self.locality,
+            self.addr,
+        )
         state = self.state
         for a in self.world.rng.sample(self.flows(), min(2, len(self.flows()))):
             self.call(a, "beat", encode(b), 0.5, lambda d: self._heard(state, d))
@@ -62,8 +79,21 @@
         if life != self.life:
             return answer(b"reset")
         self.busy += 1
-        self.history.served.append(Ran(self.now, id, key, n, tenant, target, self.service, self.instance,
-                                       self.incarnation, self.locality.region, self.locality.zone))
+        self.history.served.append(
+            Ran(
+                self.now,
+                id,
+                key,
+                n,
+                tenant,
+                target,
+                self.service,
+                self.instance,
+                self.incarnation,
+                self.locality.region,
+                self.locality.zone,
+            )
+        )
         if key:
             self.history.ran.append((self.now, key, n))
         if self.now - self.born < 2.0:
--- a/sim/users.py
+++ b/sim/users.py
@@ -219,7 +219,9 @@
                 return self.wake(0.1, self._read)
             s = node.core.state
             value, at = s.tie.keys.get(name, (None, 0))
-            self.history.coord.ops.append(Op("read", name, str(self.addr), begun, self.now, "ok", s.revision, value, None, at))
+            self.history.coord.ops.append(
+                Op("read", name, str(self.addr), begun, self.now, "ok", s.revision, value, None, at)
+            )
             self._put(name, self.rng.choice((at, at, None)))
 
         self.call(to, "read", b"", 2.5, took)
--- a/tests/plainplay.py
+++ b/tests/plainplay.py
@@ -113,7 +113,9 @@
         world.at(world.rng.uniform(0, 500), self.next)
 
     def say(self, c, then, again=None) -> None:
-        self.w.call(Told(self.name, self.w.now, c), lambda t: then(t) if t.got < float("inf") else (again or self.rest)())
+        self.w.call(
+            Told(self.name, self.w.now, c), lambda t: then(t) if t.got < float("inf") else (again or self.rest)()
+        )
 
     def rest(self, *_) -> None:
         self.w.at(self.w.now + self.rng.uniform(1, 400), self.next)
@@ -225,7 +227,11 @@
     takes = [t for t in told if isinstance(t.c, Take) and t.code == "ok"]
     for t in takes:
         for o in takes:
-            if o.caller != t.caller and o.c.name == t.c.name and (o.number == t.number or o.got < t.sent and o.number >= t.number):
+            if (
+                o.caller != t.caller
+                and o.c.name == t.c.name
+                and (o.number == t.number or o.got < t.sent and o.number >= t.number)
+            ):
                 broken.add("ONE token")
     return broken
 
@@ -234,7 +240,11 @@
     counts = [t for t in told if isinstance(t.c, Count)]
     for t in counts:
         for o in counts:
-            if o is not t and o.c.name == t.c.name and (o.number == t.number or o.got < t.sent and o.number >= t.number):
+            if (
+                o is not t
+                and o.c.name == t.c.name
+                and (o.number == t.number or o.got < t.sent and o.number >= t.number)
+            ):
                 return {"ORDER number"}
     return set()
 
--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -14,7 +14,12 @@
         "racing": {"region": "eu", "tenants": {"overlay": {}, "runner": {"homes": ["eu"]}}, "policy": "retry 1"},
     },
     "routes": {
-        "rankings": {"cell": "racing", "match": 'method GET and path "/rankings/*"', "kind": "read", "service": "boards"},
+        "rankings": {
+            "cell": "racing",
+            "match": 'method GET and path "/rankings/*"',
+            "kind": "read",
+            "service": "boards",
+        },
         "submit": {"cell": "racing", "match": 'method POST and path "/runs"', "kind": "once", "service": "runs"},
     },
 }
@@ -23,9 +28,14 @@
 
 def small() -> Shape:
     return Shape(
-        nodes=[Place("law", z) for z in ZONES[::2]] + [Place("way", z) for z in ZONES[:2]] + [Place("flow", z) for z in ZONES[::2]],
+        nodes=[Place("law", z) for z in ZONES[::2]]
+        + [Place("way", z) for z in ZONES[:2]]
+        + [Place("flow", z) for z in ZONES[::2]],
         upstreams=[Pool("boards", ["eu/eu-a", "us/us-a"]), Pool("runs", ["eu/eu-a", "eu/eu-b", "us/us-a"])],
-        config=CONFIG, shares=SHARES, rate=40.0, consumers=8,
+        config=CONFIG,
+        shares=SHARES,
+        rate=40.0,
+        consumers=8,
     )
 
 
@@ -45,23 +55,44 @@
         "regions": CONFIG["regions"],
         "cells": {
             "public": {"region": "eu", "tenants": {"overlay": {}}, "policy": "retry 1; limit 4s"},
-            "staff": {"region": "eu", "regions": ["eu", "us"], "tenants": {"moderator": {}, "runner": {"homes": ["eu"]}}},
+            "staff": {
+                "region": "eu",
+                "regions": ["eu", "us"],
+                "tenants": {"moderator": {}, "runner": {"homes": ["eu"]}},
+            },
         },
-        "routes": _routes("public", [
-            ("rankings", "GET", "/rankings/*", "read", "boards"), ("clips", "GET", "/clips/*", "read", "media"),
-        ]) | _routes("staff", [
-            ("verify", "GET", "/verify/*", "read", "runs"), ("award", "POST", "/awards", "once", "awards"),
-            ("submit", "POST", "/runs", "once", "runs"),
-        ]),
+        "routes": _routes(
+            "public",
+            [
+                ("rankings", "GET", "/rankings/*", "read", "boards"),
+                ("clips", "GET", "/clips/*", "read", "media"),
+            ],
+        )
+        | _routes(
+            "staff",
+            [
+                ("verify", "GET", "/verify/*", "read", "runs"),
+                ("award", "POST", "/awards", "once", "awards"),
+                ("submit", "POST", "/runs", "once", "runs"),
+            ],
+        ),
     }
     shares = [
-        ["overlay", "GET", "/rankings/{n}", False, 70], ["overlay", "GET", "/clips/{n}", False, 15],
-        ["moderator", "GET", "/verify/{n}", False, 8], ["moderator", "POST", "/awards", True, 3],
+        ["overlay", "GET", "/rankings/{n}", False, 70],
+        ["overlay", "GET", "/clips/{n}", False, 15],
+        ["moderator", "GET", "/verify/{n}", False, 8],
+        ["moderator", "POST", "/awards", True, 3],
         ["runner", "POST", "/runs", True, 4],
     ]
     return Shape(
-        nodes=[Place("law", z) for z in ZONES] + [Place("way", z) for z in ZONES[::2]] + [Place("flow", z) for z in SERVING[:9]],
-        upstreams=[Pool(s, SERVING) for s in config["services"]], config=config, shares=shares, rate=400.0, consumers=60,
+        nodes=[Place("law", z) for z in ZONES]
+        + [Place("way", z) for z in ZONES[::2]]
+        + [Place("flow", z) for z in SERVING[:9]],
+        upstreams=[Pool(s, SERVING) for s in config["services"]],
+        config=config,
+        shares=shares,
+        rate=400.0,
+        consumers=60,
     )
 
 
@@ -70,22 +101,44 @@
         "services": {s: {} for s in ("stock", "prices", "orders", "catalogue")},
         "regions": CONFIG["regions"],
         "cells": {
-            "shops": {"region": "eu", "tenants": {"counter": {}, "owner": {"homes": ["eu", "us"]}}, "policy": "limit 4s"},
+            "shops": {
+                "region": "eu",
+                "tenants": {"counter": {}, "owner": {"homes": ["eu", "us"]}},
+                "policy": "limit 4s",
+            },
             "dealers": {"region": "us", "tenants": {"sync": {"homes": ["us"]}}, "policy": "limit 4s; queue 16"},
         },
-        "routes": _routes("shops", [
-            ("stock", "GET", "/stock/*", "read", "stock"), ("prices", "GET", "/prices/*", "read", "prices"),
-            ("order", "POST", "/orders", "once", "orders"), ("claim", "POST", "/claims", "once", "orders"),
-        ]) | _routes("dealers", [("catalogue", "GET", "/catalogue/*", "read", "catalogue")]),
+        "routes": _routes(
+            "shops",
+            [
+                ("stock", "GET", "/stock/*", "read", "stock"),
+                ("prices", "GET", "/prices/*", "read", "prices"),
+                ("order", "POST", "/orders", "once", "orders"),
+                ("claim", "POST", "/claims", "once", "orders"),
+            ],
+        )
+        | _routes("dealers", [("catalogue", "GET", "/catalogue/*", "read", "catalogue")]),
     }
     shares = [
-        ["counter", "GET", "/stock/{n}", False, 45], ["counter", "GET", "/prices/{n}", False, 35],
-        ["owner", "POST", "/orders", True, 8], ["owner", "POST", "/claims", True, 2],
+        ["counter", "GET", "/stock/{n}", False, 45],
+        ["counter", "GET", "/prices/{n}", False, 35],
+        ["owner", "POST", "/orders", True, 8],
+        ["owner", "POST", "/claims", True, 2],
         ["sync", "GET", "/catalogue/{n}", False, 10],
     ]
-    pools = [Pool("stock", SERVING + ZONES[:1]), Pool("prices", SERVING + ZONES[1:2]), Pool("orders", SERVING + ZONES[2:4]),
-             Pool("catalogue", SERVING + ZONES[4:5])]
+    pools = [
+        Pool("stock", SERVING + ZONES[:1]),
+        Pool("prices", SERVING + ZONES[1:2]),
+        Pool("orders", SERVING + ZONES[2:4]),
+        Pool("catalogue", SERVING + ZONES[4:5]),
+    ]
     return Shape(
-        nodes=[Place("law", z) for z in ZONES] + [Place("way", z) for z in ZONES[::2]] + [Place("flow", z) for z in SERVING],
-        upstreams=pools, config=config, shares=shares, rate=350.0, consumers=60,
+        nodes=[Place("law", z) for z in ZONES]
+        + [Place("way", z) for z in ZONES[::2]]
+        + [Place("flow", z) for z in SERVING],
+        upstreams=pools,
+        config=config,
+        shares=shares,
+        rate=350.0,
+        consumers=60,
     )
--- a/tests/test_aim.py
+++ b/tests/test_aim.py
@@ -11,7 +11,10 @@
 def moves(change, upstreams=UP, evacuated=None):
     d = copy.deepcopy(CONFIG)
     change(d)
-    return [(m.place, m.what, m.before, m.after) for m in plan(build(CONFIG).unwrap(), build(d).unwrap(), upstreams, evacuated or {})]
+    return [
+        (m.place, m.what, m.before, m.after)
+        for m in plan(build(CONFIG).unwrap(), build(d).unwrap(), upstreams, evacuated or {})
+    ]
 
 
 def test_no_change_moves_nothing():
@@ -41,5 +44,9 @@
         d["routes"]["rankings"]["service"] = "new"
 
     got = {(p, w) for p, w, _, _ in moves(change)}
-    assert {("routes.submit", "removed"), ("services.runs", "removed, 0 upstreams live"), ("services.new", "added"),
-            ("routes.rankings", "service changes")} <= got
+    assert {
+        ("routes.submit", "removed"),
+        ("services.runs", "removed, 0 upstreams live"),
+        ("services.new", "added"),
+        ("routes.rankings", "service changes"),
+    } <= got
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -19,12 +19,15 @@
         return self.s.apply(self.s.index + 1, at, encode(c))
 
 
-@pytest.mark.parametrize("one,other", [
-    (Change(None, b"{}", "k"), Change(None, b'{"services":{}}', "k")),
-    (Evacuate("eu-a", True, "k"), Evacuate("eu-b", True, "k")),
-    (Put("n", "1", None, "k"), Put("n", "2", None, "k")),
-    (Lock("n", "x", 1000, "k"), Lock("n", "y", 1000, "k")),
-])
+@pytest.mark.parametrize(
+    "one,other",
+    [
+        (Change(None, b"{}", "k"), Change(None, b'{"services":{}}', "k")),
+        (Evacuate("eu-a", True, "k"), Evacuate("eu-b", True, "k")),
+        (Put("n", "1", None, "k"), Put("n", "2", None, "k")),
+        (Lock("n", "x", 1000, "k"), Lock("n", "y", 1000, "k")),
+    ],
+)
 def test_a_key_with_another_body_is_a_conflict_and_changes_nothing(one, other):
     m = Machine()
     first = m.do(one)
@@ -79,7 +82,9 @@
             alive = staticmethod(lambda role: [type("R", (), {"addr": "other"})])
 
         class mesh:
-            call = staticmethod(lambda to, kind, body, limit: asked.append((to, kind)) or Ok(wire.encode(Took("ok", 5))))
+            call = staticmethod(
+                lambda to, kind, body, limit: asked.append((to, kind)) or Ok(wire.encode(Took("ok", 5)))
+            )
 
     t = LawTask.__new__(LawTask)
     t._over = False
--- a/tests/test_beathttp.py
+++ b/tests/test_beathttp.py
@@ -19,8 +19,20 @@
 
 US = Locality("us", "us-a")
 PARAMS = Params(
-    role="law", name="l1", fleet="f", locality=EU, mesh=Address("10.1.0.1", 1), web=Address("10.1.0.1", 2), seeds=[],
-    data=None, log=None, detector=None, polite=1.0, sessions=9, body_bytes=9, faults=None,
+    role="law",
+    name="l1",
+    fleet="f",
+    locality=EU,
+    mesh=Address("10.1.0.1", 1),
+    web=Address("10.1.0.1", 2),
+    seeds=[],
+    data=None,
+    log=None,
+    detector=None,
+    polite=1.0,
+    sessions=9,
+    body_bytes=9,
+    faults=None,
     zones={"eu-a": "eu", "eu-b": "eu", "us-a": "us"},
 )
 
@@ -69,8 +81,16 @@
     return t, testing.TestClient(app), task
 
 
-BEAT = {"service": "s", "address": "10.0.0.1:80", "zone": "eu-a", "version": "v1", "slots": 4, "state": "ready",
-        "cold_ms": 0, "sequence": 1}
+BEAT = {
+    "service": "s",
+    "address": "10.0.0.1:80",
+    "zone": "eu-a",
+    "version": "v1",
+    "slots": 4,
+    "state": "ready",
+    "cold_ms": 0,
+    "sequence": 1,
+}
 
 
 def test_a_first_beat_is_offered_a_plain_one_is_not(law):
@@ -122,8 +142,13 @@
     for body, status, places in (
         ({"service": "s", "zone": "eu-a"}, 400, ["address", "slots", "state", "sequence"]),
         (BEAT | {"state": "gone", "slots": "x"}, 400, ["slots", "state"]),
-        (BEAT | {"address": "nobody", "slots": 0, "sequence": -1, "service": ""}, 400, ["service", "slots", "sequence", "address"]),
-        (BEAT | {"zone": "mars"}, 422, ["zone"]), ([], 400, [""]),
+        (
+            BEAT | {"address": "nobody", "slots": 0, "sequence": -1, "service": ""},
+            400,
+            ["service", "slots", "sequence", "address"],
+        ),
+        (BEAT | {"zone": "mars"}, 422, ["zone"]),
+        ([], 400, [""]),
     ):
         r = c.simulate_put("/upstreams/i1", json=body)
         assert (r.status_code, [f["place"] for f in r.json["findings"]]) == (status, places), r.text
--- a/tests/test_bond.py
+++ b/tests/test_bond.py
@@ -51,9 +51,9 @@
     for pr, state in ((2, ALIVE), (1, FAILED)):
         b = bond()
         b.tick(0.0)
-        (t0, _), = of(Ping, b.tick(0.1)) or [(b._target.addr, None)]
+        ((t0, _),) = of(Ping, b.tick(0.1)) or [(b._target.addr, None)]
         b.receive(Ack(head(t0), A, t0, 1), 0.1)
-        (target, _), = of(Ping, b.tick(2.0))
+        ((target, _),) = of(Ping, b.tick(2.0))
         b.tick(2.5)
         sender = next(p for p in (B, C, D) if p != target) if relay else target
         b.receive(Ack(head(sender), A, target, pr), 3.0)
@@ -85,8 +85,11 @@
 def test_records_are_ordered_by_incarnation_then_state():
     b = bond()
     for r, want in (
-        (record(B, inc=3), (3, ALIVE)), (record(B, inc=2, state=FAILED), (3, ALIVE)),
-        (record(B, inc=3, state=FAILED), (3, FAILED)), (record(B, inc=3), (3, FAILED)), (record(B, inc=4), (4, ALIVE)),
+        (record(B, inc=3), (3, ALIVE)),
+        (record(B, inc=2, state=FAILED), (3, ALIVE)),
+        (record(B, inc=3, state=FAILED), (3, FAILED)),
+        (record(B, inc=3), (3, FAILED)),
+        (record(B, inc=4), (4, ALIVE)),
         (record(B, inc=4, state=LEFT), (4, LEFT)),
     ):
         b.receive(Tell(head(C), [r]), 1.0)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,11 +8,27 @@
 from sim.target import Led, bond, sizes
 
 MOST = {
-    "roll row": 100, "route item": 320, "membership record": 110, "ping": 80, "ack": 80, "tell of one": 150,
-    "tell of twelve": 1300, "beat noted, framed": 140, "beat digest entry": 40, "want, framed": 140,
-    "fed idle, framed": 95, "fed more: the core machines": 650, "fed more: one upstream": 125, "fed more: one route": 365, "fed more: a seat": 80,
-    "fed more: a strike": 60, "fed more: an evacuation": 70, "round, framed": 50, "told, framed": 100,
-    "tree: a route": 140, "tree: a tenant": 50,
+    "roll row": 100,
+    "route item": 320,
+    "membership record": 110,
+    "ping": 80,
+    "ack": 80,
+    "tell of one": 150,
+    "tell of twelve": 1300,
+    "beat noted, framed": 140,
+    "beat digest entry": 40,
+    "want, framed": 140,
+    "fed idle, framed": 95,
+    "fed more: the core machines": 650,
+    "fed more: one upstream": 125,
+    "fed more: one route": 365,
+    "fed more: a seat": 80,
+    "fed more: a strike": 60,
+    "fed more: an evacuation": 70,
+    "round, framed": 50,
+    "told, framed": 100,
+    "tree: a route": 140,
+    "tree: a tenant": 50,
 }
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,17 @@
 from mallowvalve.law.wire import Took, Want
 from mallowvalve.tie.plain import Count, Take
 from mallowvalve.vote.wire import (
-    COMMAND, NOOP, Append, Appended, Entry, Envelope, Group, Install, Picture, Voice, Voters,
+    COMMAND,
+    NOOP,
+    Append,
+    Appended,
+    Entry,
+    Envelope,
+    Group,
+    Install,
+    Picture,
+    Voice,
+    Voters,
 )
 
 A, B = Address("10.0.0.1", 1), Address("10.0.0.2", 1)
--- a/tests/test_flow.py
+++ b/tests/test_flow.py
@@ -123,7 +123,9 @@
         yield sum(span) / max(1, len(span) - sum(span))
 
 
-@pytest.mark.parametrize("firsts", [lambda t: 100.0, lambda t: 30.0 if t < 20 else 10.0, lambda t: 100.0 if int(t) % 20 < 10 else 40.0])
+@pytest.mark.parametrize(
+    "firsts", [lambda t: 100.0, lambda t: 30.0 if t < 20 else 10.0, lambda t: 100.0 if int(t) % 20 < 10 else 40.0]
+)
 def test_repeats_stay_under_a_fifth_over_any_ten_seconds_though_traffic_falls(firsts):
     got = list(shares(firsts))
     assert max(got) <= 0.2 and sum(got) / len(got) > 0.1
@@ -139,7 +141,12 @@
     assert not r.is_one(b"a", 0.0)
     r.failed(b"a", 1.0)
     r.failed(b"a", 2.0)
-    assert [r.is_one(b"b", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0)] == [False, True, True, False]
+    assert [r.is_one(b"b", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0)] == [
+        False,
+        True,
+        True,
+        False,
+    ]
     r.failed(b"a", 4.0)
     assert not r.is_one(b"a", 14.0)
 
@@ -147,11 +154,17 @@
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n"
 GOOD = HEAD + b"Content-Length: 2\r\n\r\nok"
 CASES = {
-    "garbage": b"\x00\x01garbage\r\n\r\n", "half": HEAD + b"Content-Length: 9\r\n\r\nhalf",
-    "half chunk": HEAD + b"Transfer-Encoding: chunked\r\n\r\n9\r\nhalf", "no length": HEAD + b"\r\nendless",
-    "two answers": GOOD + GOOD, "trailing": GOOD + b"more", "nothing": b"", "half head": HEAD,
+    "garbage": b"\x00\x01garbage\r\n\r\n",
+    "half": HEAD + b"Content-Length: 9\r\n\r\nhalf",
+    "half chunk": HEAD + b"Transfer-Encoding: chunked\r\n\r\n9\r\nhalf",
+    "no length": HEAD + b"\r\nendless",
+    "two answers": GOOD + GOOD,
+    "trailing": GOOD + b"more",
+    "nothing": b"",
+    "half head": HEAD,
     "two lengths": HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-    "bad length": HEAD + b"Content-Length: two\r\n\r\nok", "status": b"HTTP/1.1 999 No\r\nContent-Length: 2\r\n\r\nok",
+    "bad length": HEAD + b"Content-Length: two\r\n\r\nok",
+    "status": b"HTTP/1.1 999 No\r\nContent-Length: 2\r\n\r\nok",
     "both": HEAD + b"Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n",
 }
 
@@ -171,8 +184,9 @@
     server.start()
     try:
         end = clock.now() + 5
-        r = Session.open(Beat(
-            "s", "i0", 1, 1, 0.0, "ready", EU, Address("127.0.0.1", server.server_port)), "/health", end)
+        r = Session.open(
+            Beat("s", "i0", 1, 1, 0.0, "ready", EU, Address("127.0.0.1", server.server_port)), "/health", end
+        )
         if r.is_err():
             return r
         s = r.ok_value
@@ -194,9 +208,15 @@
     assert exchange(CASES[name]).is_err()
 
 
-@pytest.mark.parametrize("who", [
-    b'{"service":"t","instance":"i0","incarnation":1}', b'{"service":"s","instance":"i1","incarnation":1}',
-    b'{"service":"s","instance":"i0","incarnation":2}', b"[]", b"not json",
-])
+@pytest.mark.parametrize(
+    "who",
+    [
+        b'{"service":"t","instance":"i0","incarnation":1}',
+        b'{"service":"s","instance":"i1","incarnation":1}',
+        b'{"service":"s","instance":"i0","incarnation":2}',
+        b"[]",
+        b"not json",
+    ],
+)
 def test_an_address_handed_to_another_service_gets_nothing(who):
     assert "status" in exchange(GOOD, identity=who).err_value
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -54,7 +54,9 @@
             return wire.encode(Fed(self.leader))
         Event().wait(min(w.hold, 0.05))
         lacking = w.group != G or w.index < self.state.index
-        return wire.encode(Fed(self.addr, G, lacking, [], self.state.index, self.state.params.revision, 0.0, Voters({})))
+        return wire.encode(
+            Fed(self.addr, G, lacking, [], self.state.index, self.state.params.revision, 0.0, Voters({}))
+        )
 
 
 @pytest.fixture
@@ -63,11 +65,21 @@
     laws = [Law(a, n + 1) for n, a in enumerate(others[:3])]
     mesh = Mesh(me, "f", Counts())
     params = SimpleNamespace(
-        mesh=me, role="flow", locality=EU, seeds=[x.addr for x in laws] + others[3:], holds="settings", serve_on=True,
+        mesh=me,
+        role="flow",
+        locality=EU,
+        seeds=[x.addr for x in laws] + others[3:],
+        holds="settings",
+        serve_on=True,
     )
     node = SimpleNamespace(
-        params=params, boot=1, counts=mesh.counts, mesh=mesh, bond=SimpleNamespace(alive=lambda role=None: []),
-        gauge=lambda *a: None, allow=lambda *a: None,
+        params=params,
+        boot=1,
+        counts=mesh.counts,
+        mesh=mesh,
+        bond=SimpleNamespace(alive=lambda role=None: []),
+        gauge=lambda *a: None,
+        allow=lambda *a: None,
     )
     with mesh, laws[0].mesh, laws[1].mesh, laws[2].mesh:
         yield node, laws
--- a/tests/test_found.py
+++ b/tests/test_found.py
@@ -1,4 +1,3 @@
-
 from mallowvalve.kind import Address, Locality
 from mallowvalve.law.found import Found, Judge, Start, Wait, decide, heard_enough
 from mallowvalve.law.foundtask import FoundTask
@@ -14,8 +13,16 @@
 
 def who(id, addr, blank=True, role="law", **more):
     base = dict(
-        role=role, id=id, addr=addr, locality=Locality("eu", "x"), seeds=[A, B, C], blank=blank,
-        group=None if blank else G, index=0, voters=None if blank else OLD, leader=None,
+        role=role,
+        id=id,
+        addr=addr,
+        locality=Locality("eu", "x"),
+        seeds=[A, B, C],
+        blank=blank,
+        group=None if blank else G,
+        index=0,
+        voters=None if blank else OLD,
+        leader=None,
     )
     return Who(**{**base, **more})
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -98,15 +98,23 @@
     for mark in (b"a1", b"a2"):
         status, body, headers = c.send(req(mark=mark)).answer()
         assert (status, body, headers.get_all("x-own")) == (200, b"ok", ["a", "b"])
-        assert headers["mallow-ask"] == mark.decode() and headers["x-seal"] == "1" and headers["keep-alive"] == "timeout=58"
+        assert (
+            headers["mallow-ask"] == mark.decode()
+            and headers["x-seal"] == "1"
+            and headers["keep-alive"] == "timeout=58"
+        )
         assert headers["date"] is None and headers["connection"] is None
     assert b"Mallow-Expect: u0" in up.got[0][0] and b"Mallow-Limit: 4" in up.got[0][0]
     assert len(b.hosts.links._idle["u0"]) == 1
 
 
-@pytest.mark.parametrize("more,body", [
-    (b"Content-Length: 3\r\n", b"abc"), (b"Transfer-Encoding: chunked\r\n", b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"),
-])
+@pytest.mark.parametrize(
+    "more,body",
+    [
+        (b"Content-Length: 3\r\n", b"abc"),
+        (b"Transfer-Encoding: chunked\r\n", b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"),
+    ],
+)
 def test_a_body_is_read_whole_and_goes_with_its_length(set_up, more, body):
     s, up, _ = set_up
     c = Client(s)
@@ -116,22 +124,30 @@
     assert c.send(req()).answer()[0] == 200
 
 
-@pytest.mark.parametrize("data", [
-    req(b"/o/1", b"POST", b"Content-Length: 3\r\nContent-Length: 3\r\n", b"abc"),
-    req(b"/o/1", b"POST", b"Content-Length: 3\r\nContent-Length: 4\r\n", b"abc"),
-    req(b"/o/1", b"POST", b"Content-Length: 3, 3\r\n", b"abc"),
-    req(b"/o/1", b"POST", b"Content-Length: +3\r\n", b"abc"),
-    req(b"/o/1", b"POST", b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", b"0\r\n\r\n"),
-    req(b"/o/1", b"POST", b"Transfer-Encoding: gzip, chunked\r\n", b"0\r\n\r\n"),
-    req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", b"0\r\n\r\n"),
-    req(b"/o/1", b"POST", b"Transfer-Encoding : chunked\r\n", b"0\r\n\r\n"),
-    req(b"/o/1", b"POST", b"X: a\r\n Content-Length: 3\r\n", b"abc"),
-    req(b"/o/1", b"POST", b"X: a\rContent-Length: 3\r\n", b"abc"),
-    req(b"/r/1", more=b"Host: other\r\n"), req(b"/r/a b"), req(b"/r/\x01"), req(b"/r/1", more=b"no colon\r\n"),
-    b"GET /r/1 HTTP/1.1\nHost: h.example\n\n\r\n\r\n", b"nonsense\r\n\r\n", b"GET /r/1 HTTP/2.0\r\n\r\n",
-    req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", b"zz\r\nab\r\n0\r\n\r\n"),
-    req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", b"2\r\nabXX0\r\n\r\n"),
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        req(b"/o/1", b"POST", b"Content-Length: 3\r\nContent-Length: 3\r\n", b"abc"),
+        req(b"/o/1", b"POST", b"Content-Length: 3\r\nContent-Length: 4\r\n", b"abc"),
+        req(b"/o/1", b"POST", b"Content-Length: 3, 3\r\n", b"abc"),
+        req(b"/o/1", b"POST", b"Content-Length: +3\r\n", b"abc"),
+        req(b"/o/1", b"POST", b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", b"0\r\n\r\n"),
+        req(b"/o/1", b"POST", b"Transfer-Encoding: gzip, chunked\r\n", b"0\r\n\r\n"),
+        req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", b"0\r\n\r\n"),
+        req(b"/o/1", b"POST", b"Transfer-Encoding : chunked\r\n", b"0\r\n\r\n"),
+        req(b"/o/1", b"POST", b"X: a\r\n Content-Length: 3\r\n", b"abc"),
+        req(b"/o/1", b"POST", b"X: a\rContent-Length: 3\r\n", b"abc"),
+        req(b"/r/1", more=b"Host: other\r\n"),
+        req(b"/r/a b"),
+        req(b"/r/\x01"),
+        req(b"/r/1", more=b"no colon\r\n"),
+        b"GET /r/1 HTTP/1.1\nHost: h.example\n\n\r\n\r\n",
+        b"nonsense\r\n\r\n",
+        b"GET /r/1 HTTP/2.0\r\n\r\n",
+        req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", b"zz\r\nab\r\n0\r\n\r\n"),
+        req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", b"2\r\nabXX0\r\n\r\n"),
+    ],
+)
 def test_what_could_be_taken_for_two_is_refused_and_the_session_closed(set_up, data):
     s, up, _ = set_up
     c = Client(s)
@@ -194,10 +210,14 @@
     assert c.send(data).answer()[0] == 431 and c.closed() and not up.got
 
 
-@pytest.mark.parametrize("more,body", [
-    (b"Content-Length: 1001\r\n", b""), (b"Content-Length: 90000\r\n", b"x" * 90000),
-    (b"Transfer-Encoding: chunked\r\n", b"3e9\r\n" + b"x" * 1001 + b"\r\n0\r\n\r\n"),
-])
+@pytest.mark.parametrize(
+    "more,body",
+    [
+        (b"Content-Length: 1001\r\n", b""),
+        (b"Content-Length: 90000\r\n", b"x" * 90000),
+        (b"Transfer-Encoding: chunked\r\n", b"3e9\r\n" + b"x" * 1001 + b"\r\n0\r\n\r\n"),
+    ],
+)
 def test_a_body_that_is_too_long(set_up, more, body):
     s, up, _ = set_up
     c = Client(s)
@@ -258,7 +278,9 @@
         Client(s).send(req()).answer()
 
 
-@pytest.mark.parametrize("how", [b"Content-Length: 600000\r\n\r\n%s", b"Transfer-Encoding: chunked\r\n\r\n927c0\r\n%s\r\n0\r\n\r\n"])
+@pytest.mark.parametrize(
+    "how", [b"Content-Length: 600000\r\n\r\n%s", b"Transfer-Encoding: chunked\r\n\r\n927c0\r\n%s\r\n0\r\n\r\n"]
+)
 def test_a_large_answer_comes_whole(set_up, how):
     s, up, b = set_up
     up.how = lambda mark: ANSWER % mark + how % (b"x" * 600_000)
@@ -296,7 +318,12 @@
     up.go.set()
     for x, mark in ((c, "a7"), (kept, "a8")):
         status, body, headers = x.answer()
-        assert (status, body, headers["mallow-ask"], headers["connection"]) == (200, b"ok", mark, "close") and x.closed()
+        assert (status, body, headers["mallow-ask"], headers["connection"]) == (
+            200,
+            b"ok",
+            mark,
+            "close",
+        ) and x.closed()
     stop.join(timeout=10)
     assert stop.successful()
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -114,7 +114,9 @@
 
 class Neighbours:
     def __init__(self, laws, flows):
-        seen = [fresh_record(a, 1, "law", "l", LOC, a) for a in laws] + [fresh_record(a, 1, "flow", "f", LOC, a) for a in flows]
+        seen = [fresh_record(a, 1, "law", "l", LOC, a) for a in laws] + [
+            fresh_record(a, 1, "flow", "f", LOC, a) for a in flows
+        ]
         self.node = SimpleNamespace(params=SimpleNamespace(mesh=A, seeds=[]), bond=SimpleNamespace(alive=lambda: seen))
         self.core = SimpleNamespace(raft=None)
 
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -13,11 +13,20 @@
 
 def clean() -> History:
     return History(
-        [put(1, 2, 10, "a"), read(3, 4, 12, "a", 10), put(4, 5, 20, "b", 10), put(4, 6, 0, "c", 10, "conflict"),
-         Op("number", "n", "u", 6, 7, "ok", 30), Op("take", "l", "u", 7, 8, "ok", 40), read(8, 9, 41, "b", 20),
-         put(9, 12, 0, "maybe", None, "undecided"), read(13, 14, 60, "maybe", 50)],
+        [
+            put(1, 2, 10, "a"),
+            read(3, 4, 12, "a", 10),
+            put(4, 5, 20, "b", 10),
+            put(4, 6, 0, "c", 10, "conflict"),
+            Op("number", "n", "u", 6, 7, "ok", 30),
+            Op("take", "l", "u", 7, 8, "ok", 40),
+            read(8, 9, 41, "b", 20),
+            put(9, 12, 0, "maybe", None, "undecided"),
+            read(13, 14, 60, "maybe", 50),
+        ],
         [Hold("l", "x", 8, 9, 40), Hold("l", "y", 9, 10, 45)],
-        [Event("w", 10, "k", "a"), Event("w", 20, "k", "b"), Event("w", 50, "k", "maybe")], [],
+        [Event("w", 10, "k", "a"), Event("w", 20, "k", "b"), Event("w", 50, "k", "maybe")],
+        [],
     )
 
 
--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -34,8 +34,14 @@
         rel = p.relative_to(ROOT)
         if rel.parts[0] != "mallowvalve" or rel.parts[1] in ("play", "whole"):
             continue
-        found += [str(rel) for n in ast.walk(ast.parse(p.read_text())) if isinstance(n, ast.Attribute) and n.attr == "time"
-                  and isinstance(n.value, ast.Name) and n.value.id == "time"]
+        found += [
+            str(rel)
+            for n in ast.walk(ast.parse(p.read_text()))
+            if isinstance(n, ast.Attribute)
+            and n.attr == "time"
+            and isinstance(n.value, ast.Name)
+            and n.value.id == "time"
+        ]
     assert found == ["mallowvalve/law/foundtask.py"]
 
 
@@ -46,6 +52,12 @@
         if p.name in ("task.py", "disk.py"):
             continue
         for n in ast.walk(ast.parse(p.read_text())):
-            names = [a.name for a in n.names] if isinstance(n, ast.Import) else [n.module] if isinstance(n, ast.ImportFrom) else []
+            names = (
+                [a.name for a in n.names]
+                if isinstance(n, ast.Import)
+                else [n.module]
+                if isinstance(n, ast.ImportFrom)
+                else []
+            )
             bad += [f"{p.name}: {x}" for x in names if x and x.partition(".")[0] in ("gevent", "socket", "time")]
     assert bad == []
--- a/tests/test_itemhttp.py
+++ b/tests/test_itemhttp.py
@@ -75,8 +75,10 @@
     t, c = law
     c.simulate_patch("/items", body=FIRST)
     for body, place in (
-        (b"{", "body"), (call([route("n"), route("m", limit_ms=0)]), "set.routes[1].limit_ms"),
-        (call([route("n"), route("m", service="nobody")]), "routes.m.service"), (call([route("n", prefix="/q/")]), "routes.n.prefix"),
+        (b"{", "body"),
+        (call([route("n"), route("m", limit_ms=0)]), "set.routes[1].limit_ms"),
+        (call([route("n"), route("m", service="nobody")]), "routes.m.service"),
+        (call([route("n", prefix="/q/")]), "routes.n.prefix"),
         (call(drop={"services": [{"name": "s", "version": 8}]}), "services.s"),
     ):
         r = c.simulate_patch("/items", body=body)
@@ -118,7 +120,9 @@
 def test_a_zone_is_evacuated_and_taken_back_as_often_as_one_likes(law):
     t, c = law
     for _ in range(2):
-        assert c.simulate_post("/evacuations/z1").json == {"revision": t.state.params.revision} and t.state.params.evacuated.keys() == {"z1"}
+        assert c.simulate_post("/evacuations/z1").json == {
+            "revision": t.state.params.revision
+        } and t.state.params.evacuated.keys() == {"z1"}
     for _ in range(2):
         assert c.simulate_delete("/evacuations/z1").status_code == 200 and not t.state.params.evacuated
     assert len(t.offered) == 4 and t.state.turned == 3
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -10,7 +10,14 @@
 
 
 def route(name="r", version=1, **more):
-    base = {"name": name, "version": version, "host": "a.example", "prefix": f"/{name}/", "kind": "read", "limit_ms": 1500}
+    base = {
+        "name": name,
+        "version": version,
+        "host": "a.example",
+        "prefix": f"/{name}/",
+        "kind": "read",
+        "limit_ms": 1500,
+    }
     if "split" not in more:
         base["service"] = "s"
     return {**base, "aim_ms": 600, "priority": 2, "tries": 2, "homes": [], **more}
@@ -44,16 +51,35 @@
 
 def compiled(i: Items):
     return (
-        i.rows, i.routes, i.services, i.limits,
-        {h: by for h, by in i.hosts.items()}, {n: i.find(r.host, r.prefix + "x") for n, r in i.routes.items()},
+        i.rows,
+        i.routes,
+        i.services,
+        i.limits,
+        {h: by for h, by in i.hosts.items()},
+        {n: i.find(r.host, r.prefix + "x") for n, r in i.routes.items()},
     )
 
 
 def test_the_longest_prefix_of_the_host_is_found_and_no_half_one():
-    i = items(amend([
-        route("r1", prefix="/"), route("r2", prefix="/a/"), route("r3", prefix="/a/b/c/"), route("o", host="b.example", prefix="/x/"),
-    ], [service()]))
-    for path, want in (("/", "r1"), ("/a", "r1"), ("/a/", "r2"), ("/a/b/c", "r2"), ("/a/b/c/d/e", "r3"), ("/ab/c/", "r1")):
+    i = items(
+        amend(
+            [
+                route("r1", prefix="/"),
+                route("r2", prefix="/a/"),
+                route("r3", prefix="/a/b/c/"),
+                route("o", host="b.example", prefix="/x/"),
+            ],
+            [service()],
+        )
+    )
+    for path, want in (
+        ("/", "r1"),
+        ("/a", "r1"),
+        ("/a/", "r2"),
+        ("/a/b/c", "r2"),
+        ("/a/b/c/d/e", "r3"),
+        ("/ab/c/", "r1"),
+    ):
         assert i.find("a.example", path).name == want, path
     assert i.find("A.Example:8080", "/a/x").name == "r2"
     assert i.find("b.example", "/y") is None and i.find("c.example", "/x/") is None and i.find("b.example", "") is None
@@ -64,10 +90,15 @@
 def test_the_highest_version_holds_in_any_order_and_a_dropped_one_leaves_its_version():
     base = amend([], [service("s"), service("t")])
     steps = [
-        amend([route("r", 3, service="t")]), amend([route("r", 5, prefix="/p5/")]), amend(drop={"routes": [{"name": "r", "version": 7}]}),
-        amend([route("q", 2)]), amend([route("q", 9, service="t")], limits={"version": 4, "idle_ms": 9000}),
-        amend(limits={"version": 2, "idle_ms": 1000}), amend([], [service("u", 8)], drop={"services": [{"name": "u", "version": 9}]}),
-        amend([route("r", 3, service="s")]), amend([], [service("s", 4, sessions=20)]),
+        amend([route("r", 3, service="t")]),
+        amend([route("r", 5, prefix="/p5/")]),
+        amend(drop={"routes": [{"name": "r", "version": 7}]}),
+        amend([route("q", 2)]),
+        amend([route("q", 9, service="t")], limits={"version": 4, "idle_ms": 9000}),
+        amend(limits={"version": 2, "idle_ms": 1000}),
+        amend([], [service("u", 8)], drop={"services": [{"name": "u", "version": 9}]}),
+        amend([route("r", 3, service="s")]),
+        amend([], [service("s", 4, sessions=20)]),
     ]
     want = compiled(items(base, *steps))
     assert want[1].keys() == {"q"} and want[1]["q"].version == 9 and want[3].idle_ms == 9000 and "u" not in want[2]
@@ -83,7 +114,11 @@
 def test_an_equal_or_lower_version_changes_nothing_whatever_it_says():
     i = items(amend([route("r", 5)], [service()]))
     before, n = compiled(i), i.revision
-    for again in (amend([route("r", 5, limit_ms=9)]), amend([route("r", 4, prefix="/z/")]), amend(drop={"routes": [{"name": "r", "version": 5}]})):
+    for again in (
+        amend([route("r", 5, limit_ms=9)]),
+        amend([route("r", 4, prefix="/z/")]),
+        amend(drop={"routes": [{"name": "r", "version": 5}]}),
+    ):
         assert not i.news(again) and i.apply(again, 99) == []
     assert compiled(i) == before and i.revision == n
 
@@ -96,14 +131,32 @@
     assert compiled(i) == before and i.revision == 1
 
 
-@pytest.mark.parametrize("bad, place", [
-    ({"limit_ms": 0}, "limit_ms"), ({"limit_ms": -1}, "limit_ms"), ({"aim_ms": 61500}, "aim_ms"), ({"prefix": "x/"}, "prefix"),
-    ({"prefix": "/x"}, "prefix"), ({"prefix": ""}, "prefix"), ({"name": ""}, "name"), ({"version": "7"}, "version"),
-    ({"kind": "once"}, "kind"), ({"host": 3}, "host"), ({"host": ""}, "host"), ({"service": None}, "service"),
-    ({"split": [{"service": "s", "weight": 0}, {"service": "t", "weight": 0}], "service": None}, "split"),
-    ({"split": [{"service": "s", "weight": 3}, {"service": "t", "weight": -1}], "service": None}, "split[1].weight"),
-    ({"split": [{"service": "s", "weight": "3"}]}, "split[0].weight"), ({"split": [{"service": "s", "weight": 1}]}, "service"), ({"homes": "eu"}, "homes"), ({"limit_ms": None}, "limit_ms"),
-])
+@pytest.mark.parametrize(
+    "bad, place",
+    [
+        ({"limit_ms": 0}, "limit_ms"),
+        ({"limit_ms": -1}, "limit_ms"),
+        ({"aim_ms": 61500}, "aim_ms"),
+        ({"prefix": "x/"}, "prefix"),
+        ({"prefix": "/x"}, "prefix"),
+        ({"prefix": ""}, "prefix"),
+        ({"name": ""}, "name"),
+        ({"version": "7"}, "version"),
+        ({"kind": "once"}, "kind"),
+        ({"host": 3}, "host"),
+        ({"host": ""}, "host"),
+        ({"service": None}, "service"),
+        ({"split": [{"service": "s", "weight": 0}, {"service": "t", "weight": 0}], "service": None}, "split"),
+        (
+            {"split": [{"service": "s", "weight": 3}, {"service": "t", "weight": -1}], "service": None},
+            "split[1].weight",
+        ),
+        ({"split": [{"service": "s", "weight": "3"}]}, "split[0].weight"),
+        ({"split": [{"service": "s", "weight": 1}]}, "service"),
+        ({"homes": "eu"}, "homes"),
+        ({"limit_ms": None}, "limit_ms"),
+    ],
+)
 def test_an_invalid_route_is_found_with_its_place(bad, place):
     r = read(call([route("fine"), {**route("r"), **bad}], [service()]))
     assert places(r) == [f"set.routes[1].{place}"]
@@ -112,24 +165,48 @@
 def test_every_finding_of_a_call_is_told():
     body = {
         "set": {
-            "routes": [{"host": 3, "limit_ms": 0}, 7, route("d", prefix="/x/"), route("e", prefix="/x/", host="A.example:80")],
-            "services": [{"name": "s"}, service(status="health", cold_s=-1)], "limits": {"version": 1, "idle_ms": -1},
+            "routes": [
+                {"host": 3, "limit_ms": 0},
+                7,
+                route("d", prefix="/x/"),
+                route("e", prefix="/x/", host="A.example:80"),
+            ],
+            "services": [{"name": "s"}, service(status="health", cold_s=-1)],
+            "limits": {"version": 1, "idle_ms": -1},
         },
         "drop": {"routes": [{"name": "", "version": 1}]},
     }
     assert places(read(json.dumps(body).encode())) == [
-        "set.routes[0].name", "set.routes[0].version", "set.routes[0].host", "set.routes[0].prefix", "set.routes[0].kind",
-        "set.routes[1]", "set.services[0].version", "set.services[1].status", "set.services[1].cold_s", "set.limits.idle_ms",
-        "drop.routes[0].name", "set.routes.e.prefix",
+        "set.routes[0].name",
+        "set.routes[0].version",
+        "set.routes[0].host",
+        "set.routes[0].prefix",
+        "set.routes[0].kind",
+        "set.routes[1]",
+        "set.services[0].version",
+        "set.services[1].status",
+        "set.services[1].cold_s",
+        "set.limits.idle_ms",
+        "drop.routes[0].name",
+        "set.routes.e.prefix",
     ]
 
 
-@pytest.mark.parametrize("body, place", [
-    (b"{", "body"), (b"", "body"), (b"[]", "body"), (b'{"set":{"routes":{}}}', "set.routes"), (b'{"put":{}}', "body"),
-    (b'{"set":{"tenants":[{"name":"t"}]}}', "set.tenants[0].version"), (b'{"drop":{"routes":[{"name":"a"}]}}', "drop.routes[0].version"), (b'{"set":"\xff"}', "body"),
-    (b'{"set":{"routes":[' + b"[" * 9000 + b"]" * 9000 + b"]}}", "body"),
-    (b'{"set":{"routes":[{"name":"r","version":1e999}]}}', "set.routes[0]"),
-])
+@pytest.mark.parametrize(
+    "body, place",
+    [
+        (b"{", "body"),
+        (b"", "body"),
+        (b"[]", "body"),
+        (b'{"set":{"routes":{}}}', "set.routes"),
+        (b'{"put":{}}', "body"),
+        (b'{"set":{"tenants":[{"name":"t"}]}}', "set.tenants[0].version"),
+        (b'{"drop":{"routes":[{"name":"a"}]}}', "drop.routes[0].version"),
+        (b'{"set":"\xff"}', "body"),
+        (b'{"set":{"routes":[' + b"[" * 9000 + b"]" * 9000 + b"]}}", "body"),
+        (b'{"set":{"routes":[{"name":"r","version":1e999}]}}', "set.routes[0]"),
+    ],
+)
 def test_what_cannot_be_read_whole_is_refused_whole(body, place):
     assert places(read(body)) == [place]
 
@@ -138,17 +215,30 @@
     i = items(amend([route("r", 3, prefix="/x/"), route("q", 3, service="t")], [service("s", 3), service("t", 3)]))
     for bad, place in (
         (amend([route("n", service="nobody")]), "routes.n.service"),
-        (amend([route("n", split=[{"service": "s", "weight": 1}, {"service": "nobody", "weight": 1}])]), "routes.n.service"),
+        (
+            amend([route("n", split=[{"service": "s", "weight": 1}, {"service": "nobody", "weight": 1}])]),
+            "routes.n.service",
+        ),
         (amend([route("n", prefix="/x/", host="A.EXAMPLE")]), "routes.n.prefix"),
         (amend(drop={"services": [{"name": "t", "version": 4}]}), "services.t"),
-        (amend([route("n", service="t")], drop={"services": [{"name": "t", "version": 4}], "routes": [{"name": "q", "version": 4}]}), "routes.n.service"),
+        (
+            amend(
+                [route("n", service="t")],
+                drop={"services": [{"name": "t", "version": 4}], "routes": [{"name": "q", "version": 4}]},
+            ),
+            "routes.n.service",
+        ),
         (amend([route("r", 2, service="nobody")]), "routes.r.service"),
     ):
         assert [f.place for f in i.check(bad)] == [place] and [f.place for f in i.apply(bad, 50)] == [place]
     for good in (
-        amend([route("n", prefix="/x/"), route("r", 4, prefix="/y/")]), amend([route("n", 2, prefix="/y/"), route("r", 5, prefix="/x/")]),
-        amend(drop={"services": [{"name": "t", "version": 3}]}), amend([route("q", 4)], drop={"services": [{"name": "t", "version": 4}]}),
-        amend([route("q", 3, service="t")]), amend([route("r", 1, prefix="/q/")]), amend([route("z", service="new")], [service("new")]),
+        amend([route("n", prefix="/x/"), route("r", 4, prefix="/y/")]),
+        amend([route("n", 2, prefix="/y/"), route("r", 5, prefix="/x/")]),
+        amend(drop={"services": [{"name": "t", "version": 3}]}),
+        amend([route("q", 4)], drop={"services": [{"name": "t", "version": 4}]}),
+        amend([route("q", 3, service="t")]),
+        amend([route("r", 1, prefix="/q/")]),
+        amend([route("z", service="new")], [service("new")]),
     ):
         assert i.apply(good, 60) == []
     assert i.find("a.example", "/x/1").name == "r" and i.find("a.example", "/y/1").name == "n" and "t" not in i.services
@@ -156,8 +246,12 @@
 
 def test_racing_calls_that_cannot_stand_together_never_do():
     calls = [
-        amend([route("a", 2, prefix="/p/")]), amend([route("b", 2, prefix="/p/")]), amend([route("c", 2, service="t")]),
-        amend(drop={"services": [{"name": "t", "version": 5}]}), amend([], [service("t", 7)]), amend([route("a", 3, prefix="/o/", service="t")]),
+        amend([route("a", 2, prefix="/p/")]),
+        amend([route("b", 2, prefix="/p/")]),
+        amend([route("c", 2, service="t")]),
+        amend(drop={"services": [{"name": "t", "version": 5}]}),
+        amend([], [service("t", 7)]),
+        amend([route("a", 3, prefix="/o/", service="t")]),
     ]
     for order in itertools.permutations(calls):
         i = items(amend([], [service("s"), service("t")]))
@@ -170,7 +264,10 @@
 
 
 def test_what_was_sent_is_given_back_with_its_unknown_fields_and_kinds_of_numbers():
-    sent = [route("r", 7, limit_ms=1500.0, protocol="h1", tls=False, extra={"a": [1, 1.0, None], "big": 2**70}), route("é", 8)]
+    sent = [
+        route("r", 7, limit_ms=1500.0, protocol="h1", tls=False, extra={"a": [1, 1.0, None], "big": 2**70}),
+        route("é", 8),
+    ]
     svc, limits = [service(cold_s=3.0, cold_per_s=11, tls=False)], {"version": 7, "header_ms": 3000, "x": 0.1}
     i = items(amend(sent, svc, limits))
     text = msgspec.json.encode({k: i.standing(k) for k in ("routes", "services", "limits")}).decode()
@@ -189,7 +286,10 @@
 
 
 def test_rows_adopted_part_by_part_make_the_same_items():
-    i = items(amend([route("r", 5), route("q", 2)], [service()], {"version": 3}), amend(drop={"routes": [{"name": "q", "version": 4}]}))
+    i = items(
+        amend([route("r", 5), route("q", 2)], [service()], {"version": 3}),
+        amend(drop={"routes": [{"name": "q", "version": 4}]}),
+    )
     j, rows = Items(), list(i.rows.values())
     for row in rows:
         j.adopt([msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=Item)])
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -7,8 +7,17 @@
 
 
 def ran(key="k", id="i", at=1.0, **more):
-    base = {"at": at, "service": "runs", "instance": "u", "locality": "eu/eu-a", "tenant": "runner", "key": key,
-            "path": "/runs", "method": "POST", "echo": id}
+    base = {
+        "at": at,
+        "service": "runs",
+        "instance": "u",
+        "locality": "eu/eu-a",
+        "tenant": "runner",
+        "key": key,
+        "path": "/runs",
+        "method": "POST",
+        "echo": id,
+    }
     return {**base, **more}
 
 
@@ -28,29 +37,36 @@
         assert bool(judge([copy.copy(o) for o in offers], [], [ran(at=at)])) == bad
     assert judge([copy.copy(o) for o in offers[:2]], [], [ran(at=9.6)])
     later = [*offers, Offered(20.0, 21.0, 4, moved)]
-    assert judge([copy.copy(o) for o in later], [], [ran(at=25.0)]) and not judge([copy.copy(o) for o in later], [], [ran(at=24.0)])
+    assert judge([copy.copy(o) for o in later], [], [ran(at=25.0)]) and not judge(
+        [copy.copy(o) for o in later], [], [ran(at=24.0)]
+    )
 
 
 def test_clean_journals_have_no_findings():
     assert judge(in_force(), [asked()], [ran()]) == []
 
 
-@pytest.mark.parametrize("text,a,r", [
-    ("ran 2 times", [asked()], [ran(), ran(at=2.0)]),
-    ("not its own whole answer", [asked(whole=False)], [ran()]),
-    ("told done, ran 0 times", [asked()], []),
-    ("told not-run at last", [asked(tries=((503, "undecided"), (503, "not-run")), ok=False)], [ran()]),
-    ("told not-run, ran 1", [asked(key="", tries=((503, "not-run"),), ok=False)], [ran(key="")]),
-    ("no configuration allows it", [], [ran(service="boards")]),
-    ("no configuration allows it", [], [ran(tenant="nobody")]),
-    ("its homes are", [], [ran(locality="us/us-a")]),
-])
+@pytest.mark.parametrize(
+    "text,a,r",
+    [
+        ("ran 2 times", [asked()], [ran(), ran(at=2.0)]),
+        ("not its own whole answer", [asked(whole=False)], [ran()]),
+        ("told done, ran 0 times", [asked()], []),
+        ("told not-run at last", [asked(tries=((503, "undecided"), (503, "not-run")), ok=False)], [ran()]),
+        ("told not-run, ran 1", [asked(key="", tries=((503, "not-run"),), ok=False)], [ran(key="")]),
+        ("no configuration allows it", [], [ran(service="boards")]),
+        ("no configuration allows it", [], [ran(tenant="nobody")]),
+        ("its homes are", [], [ran(locality="us/us-a")]),
+    ],
+)
 def test_each_breach_is_found(text, a, r):
     assert any(text in f for f in judge(in_force(), a, r))
 
 
 def test_breaches_of_planned_acts_are_found():
-    assert after_evacuation("eu-a", 0.0, 10.0, [ran(at=4.9)]) == [] != after_evacuation("eu-a", 0.0, 10.0, [ran(at=5.1)])
+    assert (
+        after_evacuation("eu-a", 0.0, 10.0, [ran(at=4.9)]) == [] != after_evacuation("eu-a", 0.0, 10.0, [ran(at=5.1)])
+    )
     assert after_leaving("u", 0.0, [ran(at=3.4)]) == [] != after_leaving("u", 0.0, [ran(at=3.6)])
     refused = asked(tries=((0, "ConnectionRefusedError"), (200, None)))
     broken = asked(tries=((0, "HTTPParseError"), (200, None)))
--- a/tests/test_kind.py
+++ b/tests/test_kind.py
@@ -9,7 +9,9 @@
     assert (rs[2].generation, rs[2].index) == (1, 2**36 - 1)
 
 
-@pytest.mark.parametrize("text", ["", "1.2.3.4", "1.2.3:80", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3.400:1", "host:1", "1.2.3.4:x"])
+@pytest.mark.parametrize(
+    "text", ["", "1.2.3.4", "1.2.3:80", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3.400:1", "host:1", "1.2.3.4:x"]
+)
 def test_bad_addresses(text):
     assert Address.read(text).is_err()
 
--- a/tests/test_lawhttp.py
+++ b/tests/test_lawhttp.py
@@ -69,10 +69,14 @@
     k = {"Mallow-Key": "k"}
     t.says = Took("leader")
     for r in (
-        c.simulate_put("/config", json={"doc": DOC}, headers=k), c.simulate_post("/numbers/n", headers=k),
-        c.simulate_put("/config", body=b"{", headers=k), c.simulate_put("/config", json={"doc": {"x": 1}}, headers=k),
-        c.simulate_put("/keys/n", json={"value": 3}, headers=k), c.simulate_post("/nowhere", headers=k),
-        c.simulate_delete("/config", headers=k), c.simulate_post("/locks/l/fly", json={"holder": "x"}, headers=k),
+        c.simulate_put("/config", json={"doc": DOC}, headers=k),
+        c.simulate_post("/numbers/n", headers=k),
+        c.simulate_put("/config", body=b"{", headers=k),
+        c.simulate_put("/config", json={"doc": {"x": 1}}, headers=k),
+        c.simulate_put("/keys/n", json={"value": 3}, headers=k),
+        c.simulate_post("/nowhere", headers=k),
+        c.simulate_delete("/config", headers=k),
+        c.simulate_post("/locks/l/fly", json={"holder": "x"}, headers=k),
     ):
         assert r.status_code >= 400 and r.headers["mallow-outcome"] == "undecided", (r.status, r.text)
     assert c.simulate_put("/config", json={"doc": DOC}).headers["mallow-outcome"] == "not-run"
@@ -119,14 +123,16 @@
     t, c = law
     long = "x" * 201
     for r, place in (
-        (c.simulate_put(f"/keys/{long}", json={"value": "1"}), "name"), (c.simulate_post(f"/numbers/{long}"), "name"),
+        (c.simulate_put(f"/keys/{long}", json={"value": "1"}), "name"),
+        (c.simulate_post(f"/numbers/{long}"), "name"),
         (c.simulate_put("/keys/n", json={"value": "v" * 65537}), "value"),
         (c.simulate_post("/locks/l/take", json={"holder": long}), "holder, ttl_ms"),
         (c.simulate_post("/locks/l/take", json={"holder": "x", "ttl_ms": 1}), "holder, ttl_ms"),
         (c.simulate_put("/config", json={"doc": DOC}, headers={"Mallow-Key": long}), "Mallow-Key"),
         (c.simulate_post("/evacuations", json={"zone": 3, "evacuated": "yes"}), "zone"),
         (c.simulate_post("/strikes", json={"proxy": "nobody"}), "proxy"),
-        (c.simulate_post("/plan", json={"patch": []}), "base"), (c.simulate_post("/plan", json={}), "doc, patch"),
+        (c.simulate_post("/plan", json={"patch": []}), "base"),
+        (c.simulate_post("/plan", json={}), "doc, patch"),
         (c.simulate_patch("/config", json={"patch": [3], "base": 0}), "patch[0]"),
     ):
         assert 400 <= r.status_code < 500 and r.json["findings"][0]["place"] == place, (r.text, place)
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -21,7 +21,9 @@
 
 @pytest.mark.parametrize("role", ["flow", "law", "way"])
 def test_a_daemon_loads_no_tool_and_no_grammar(role):
-    out = subprocess.run([sys.executable, "-c", LOOK.format(role=role)], capture_output=True, text=True, check=True).stdout
+    out = subprocess.run(
+        [sys.executable, "-c", LOOK.format(role=role)], capture_output=True, text=True, check=True
+    ).stdout
     loaded = set(out.split())
     assert f"mallowvalve.{role}.main" in loaded and NOT_THERE & loaded == set()
 
@@ -32,12 +34,16 @@
 
 
 def test_a_proxy_starts_and_says_whether_it_is_ready_without_the_pages_library():
-    out = subprocess.run([sys.executable, "-c", LOOK.format(role="flow")], capture_output=True, text=True, check=True).stdout
+    out = subprocess.run(
+        [sys.executable, "-c", LOOK.format(role="flow")], capture_output=True, text=True, check=True
+    ).stdout
     assert {"falcon", "asyncio"} & set(out.split()) == set()
     app, said = Later(), []
     app.plain["/-/ready"] = lambda: (503, {"ready": False})
     app.add_route("/x", object())
-    body = app({"REQUEST_METHOD": "GET", "PATH_INFO": "/-/ready"}, lambda status, headers: said.append((status, dict(headers))))
+    body = app(
+        {"REQUEST_METHOD": "GET", "PATH_INFO": "/-/ready"}, lambda status, headers: said.append((status, dict(headers)))
+    )
     assert body == [b'{"ready":false}'] and said[0][0] == "503 Service Unavailable"
     assert said[0][1] == {"Content-Type": "application/json", "Content-Length": "15"}
 
@@ -48,5 +54,7 @@
     app.add_route("/before", view)
     client = TestClient(app.made())
     app.add_route("/after", view)
-    assert client.simulate_get("/before").json == {"at": "/before"} and client.simulate_get("/after").json == {"at": "/after"}
+    assert client.simulate_get("/before").json == {"at": "/before"} and client.simulate_get("/after").json == {
+        "at": "/after"
+    }
     assert client.simulate_get("/none").status_code == 404
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -22,20 +22,26 @@
     y.rows, y.kept, y._bytes = s.ledger.rows, s.ledger.kept, s.ledger._bytes
 
 
-@pytest.mark.parametrize("commands,states", [
-    ([A, A], ["granted", "granted"]),
-    ([A, B], ["granted", "open"]),
-    ([A, Done("k", "n1", 200, "t", b"x"), B], ["granted", "done", "done"]),
-    ([A, Release("k", "n1"), B, Release("k", "n1")], ["granted", "released", "granted", "gone"]),
-    ([A, Release("k", "n1"), A], ["granted", "released", "released"]),
-    ([A, Forfeit("k", "n1"), B], ["granted", "lost", "lost"]),
-    ([A, Lose("p1"), B, Release("k", "n1")], ["granted", "ok", "lost", "lost"]),
-    ([A, Lose("p1"), Done("k", "n1", 200, "t", b"x"), B], ["granted", "ok", "done", "done"]),
-    ([A, Done("k", "n1", 200, "t", b"x"), Release("k", "n1"), Forfeit("k", "n1")], ["granted", "done", "done", "done"]),
-    ([A, Claim("k", "other", "p2", "n2")], ["granted", "conflict"]),
-    ([A, Release("k", "n2"), Done("k", "n2", 200, "t", b"")], ["granted", "gone", "gone"]),
-    ([A, Release("k", "n1"), Claim("k", "other", "p2", "n2")], ["granted", "released", "conflict"]),
-])
+@pytest.mark.parametrize(
+    "commands,states",
+    [
+        ([A, A], ["granted", "granted"]),
+        ([A, B], ["granted", "open"]),
+        ([A, Done("k", "n1", 200, "t", b"x"), B], ["granted", "done", "done"]),
+        ([A, Release("k", "n1"), B, Release("k", "n1")], ["granted", "released", "granted", "gone"]),
+        ([A, Release("k", "n1"), A], ["granted", "released", "released"]),
+        ([A, Forfeit("k", "n1"), B], ["granted", "lost", "lost"]),
+        ([A, Lose("p1"), B, Release("k", "n1")], ["granted", "ok", "lost", "lost"]),
+        ([A, Lose("p1"), Done("k", "n1", 200, "t", b"x"), B], ["granted", "ok", "done", "done"]),
+        (
+            [A, Done("k", "n1", 200, "t", b"x"), Release("k", "n1"), Forfeit("k", "n1")],
+            ["granted", "done", "done", "done"],
+        ),
+        ([A, Claim("k", "other", "p2", "n2")], ["granted", "conflict"]),
+        ([A, Release("k", "n2"), Done("k", "n2", 200, "t", b"")], ["granted", "gone", "gone"]),
+        ([A, Release("k", "n1"), Claim("k", "other", "p2", "n2")], ["granted", "released", "conflict"]),
+    ],
+)
 def test_traces(commands, states):
     assert play(*commands)[1] == states
 
@@ -101,9 +107,15 @@
         rng, x, open_by, ran = random.Random(seed), Ledger(), set(), set()
         for i in range(40):
             n = f"n{rng.randrange(5)}"
-            c = rng.choice([
-                Claim("k", "d", f"p{n}", n), Done("k", n, 200, "", b""), Release("k", n), Forfeit("k", n), Lose(f"p{n}"),
-            ])
+            c = rng.choice(
+                [
+                    Claim("k", "d", f"p{n}", n),
+                    Done("k", n, 200, "", b""),
+                    Release("k", n),
+                    Forfeit("k", n),
+                    Lose(f"p{n}"),
+                ]
+            )
             if isinstance(c, Release) and n in ran:
                 continue
             v = x.apply(c, i).state
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -51,12 +51,16 @@
         assert results[-1].unwrap() == b"here"
 
 
-@pytest.mark.parametrize("data,count", [
-    (b"GET / HTTP/1.1\r\n\r\n", "mesh_oversize"), (b"\x00\x00\x00\x03abc", "mesh_garbage"),
-    (seal(Hello(VERSION, "other", Address("1.1.1.1", 1))), "mesh_foreign"),
-    (seal(Hello(VERSION + 1, "f", Address("1.1.1.1", 1))), "mesh_foreign"),
-    (seal(Hello(VERSION, "f", Address("1.1.1.1", 1))) + b"\x00\x00\x00\x02\xc1\xc1", "mesh_garbage"),
-])
+@pytest.mark.parametrize(
+    "data,count",
+    [
+        (b"GET / HTTP/1.1\r\n\r\n", "mesh_oversize"),
+        (b"\x00\x00\x00\x03abc", "mesh_garbage"),
+        (seal(Hello(VERSION, "other", Address("1.1.1.1", 1))), "mesh_foreign"),
+        (seal(Hello(VERSION + 1, "f", Address("1.1.1.1", 1))), "mesh_foreign"),
+        (seal(Hello(VERSION, "f", Address("1.1.1.1", 1))) + b"\x00\x00\x00\x02\xc1\xc1", "mesh_garbage"),
+    ],
+)
 def test_garbage_and_foreign_frames_are_counted_and_dropped(two, data, count):
     _, y = two
     with socket.create_connection(y.me.pair, timeout=5) as s:
@@ -76,7 +80,11 @@
 
 
 def test_frames_cut_anywhere_come_out_whole():
-    data = seal(Hello(VERSION, "f", Address("1.1.1.1", 1))) + seal(Frame("a", 1, False, b"x" * 100)) + seal(Frame("b", 2, True, b""))
+    data = (
+        seal(Hello(VERSION, "f", Address("1.1.1.1", 1)))
+        + seal(Frame("a", 1, False, b"x" * 100))
+        + seal(Frame("b", 2, True, b""))
+    )
     for step in (1, 3, 50):
         c, out = Cutter("f"), []
         for i in range(0, len(data), step):
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -29,7 +29,12 @@
 
 
 def test_the_pages_show_commands():
-    assert len(commands()) > 25 and {p for p, _ in commands()} >= {"agreement", "configuration", "draining", "upstreams"}
+    assert len(commands()) > 25 and {p for p, _ in commands()} >= {
+        "agreement",
+        "configuration",
+        "draining",
+        "upstreams",
+    }
 
 
 @pytest.mark.parametrize("page,line", commands())
--- a/tests/test_params.py
+++ b/tests/test_params.py
@@ -50,6 +50,18 @@
         s.bind(("127.0.0.1", 0))
         s.listen()
         taken = f"127.0.0.1:{s.getsockname()[1]}"
-        args = ["way", "--name", "a", "--locality", "eu/a", "--mesh", taken, "--web", "127.0.0.1:1", "--log", "/dev/null"]
+        args = [
+            "way",
+            "--name",
+            "a",
+            "--locality",
+            "eu/a",
+            "--mesh",
+            taken,
+            "--web",
+            "127.0.0.1:1",
+            "--log",
+            "/dev/null",
+        ]
         r = CliRunner().invoke(main, args)
     assert r.exit_code == 2 and "start:" in r.stderr
--- a/tests/test_partfleet.py
+++ b/tests/test_partfleet.py
@@ -14,7 +14,10 @@
 def fleet(tmp_path):
     shape = Shape([Place("law", z) for z in ZONES] + [Place("flow", z) for z in ZONES], [], {})
     f = Fleet(shape, tmp_path / "fleet")
-    for role, text in (("law", '[acks]\nsettings = "held"\nties = "commit"\n[zones]\neu-a = "eu"\n'), ("flow", 'serve_on = true\nholds = "settings"\n')):
+    for role, text in (
+        ("law", '[acks]\nsettings = "held"\nties = "commit"\n[zones]\neu-a = "eu"\n'),
+        ("flow", 'serve_on = true\nholds = "settings"\n'),
+    ):
         at = tmp_path / f"{role}.toml"
         at.write_text(text)
         for p in f.of(role):
@@ -58,5 +61,7 @@
         fleet.start(p.name)
     assert until(lambda: call(laws[0].web, "GET", "/items")[0] == 200, 30)
     got = call(laws[0].web, "GET", "/items")[1]
-    assert len(got["routes"]) == 370 and next(r for r in got["routes"] if r["name"] == "r0") == json.loads(json.dumps(route("r0", 8)))
+    assert len(got["routes"]) == 370 and next(r for r in got["routes"] if r["name"] == "r0") == json.loads(
+        json.dumps(route("r0", 8))
+    )
     assert until(lambda: amend(laws[0], [route("r0", 9)])[0] == 200, 20)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -84,7 +84,14 @@
 
 
 def test_a_tag_is_read_off_without_decoding():
-    for c in (*OTHERS, service("s", 1), Evacuate("z", True), Change(None, b"{}", "k"), Lock("l", "h", 9, "a"), Write("x" * 300, "y")):
+    for c in (
+        *OTHERS,
+        service("s", 1),
+        Evacuate("z", True),
+        Change(None, b"{}", "k"),
+        Lock("l", "h", 9, "a"),
+        Write("x" * 300, "y"),
+    ):
         assert tag_of(encode(c)).decode() == type(c).__struct_config__.tag
     assert tag_of(b"") == b"" and not tags(SETTINGS) & tags(TIES)
 
@@ -93,11 +100,18 @@
     c, rng, now = leading(settings="commit"), random.Random(3), 8.0
     whole, part = echo(1, "all"), echo(2)
     for n in range(200):
-        some = rng.choices([
-            service(f"s{rng.randrange(5)}", rng.randrange(50), n), Evacuate(rng.choice("xyz"), rng.random() < 0.5), *OTHERS,
-            rolled(rng.randrange(6), n, rng.choice(("ready", "ready", "silent", "leaving", "gone"))), rolled(0, 0),
-            Change(None, msgspec.json.encode({"services": {f"t{n}": {}}}), f"key{n % 9}"), Put(f"k{n}", "v", None, f"a{n % 7}"),
-        ], k=3)
+        some = rng.choices(
+            [
+                service(f"s{rng.randrange(5)}", rng.randrange(50), n),
+                Evacuate(rng.choice("xyz"), rng.random() < 0.5),
+                *OTHERS,
+                rolled(rng.randrange(6), n, rng.choice(("ready", "ready", "silent", "leaving", "gone"))),
+                rolled(0, 0),
+                Change(None, msgspec.json.encode({"services": {f"t{n}": {}}}), f"key{n % 9}"),
+                Put(f"k{n}", "v", None, f"a{n % 7}"),
+            ],
+            k=3,
+        )
         propose(c, now, *some)
         for e in rng.sample([whole, part], rng.randrange(3)):
             before = e.state.index if e.state else 0
@@ -265,7 +279,9 @@
     doc = {"name": "r", "version": 1, "host": "h", "prefix": "/", "kind": "read", "limit_ms": 9, "service": "s"}
     propose(c, 8.0, service("x", 1), Amend([Item("routes", "r", 1, msgspec.json.encode(doc))]))
     out = step(c, 8.0)
-    assert out["Amend1"].code == "invalid" and msgspec.msgpack.decode(out["Amend1"].body)[0]["place"] == "routes.r.service"
+    assert (
+        out["Amend1"].code == "invalid" and msgspec.msgpack.decode(out["Amend1"].body)[0]["place"] == "routes.r.service"
+    )
     assert not c.state.items.routes and c.state.items.services
 
 
@@ -288,7 +304,16 @@
 
 def filled() -> State:
     s = State(3)
-    for n, c in enumerate((*OTHERS, service("s", 2), Evacuate("z", True), Take("l", "h", 900.0), Write("g.k", "v"), Put("k", "w", None, "x"))):
+    for n, c in enumerate(
+        (
+            *OTHERS,
+            service("s", 2),
+            Evacuate("z", True),
+            Take("l", "h", 900.0),
+            Write("g.k", "v"),
+            Put("k", "w", None, "x"),
+        )
+    ):
         s.apply(n + 1, 10 * n, encode(c))
     return s
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -94,8 +94,12 @@
     "tenant removed": edit(lambda d: d["cells"]["c"].update(tenants={"x": {}})),
     "route removed": edit(lambda d: d["routes"].clear()),
     "route to another service": edit(lambda d: [r.update(service="other") for r in d["routes"].values()]),
-    "another kind": edit(lambda d: [r.update(kind={"read": "once", "once": "read"}[r["kind"]]) for r in d["routes"].values()]),
-    "homes elsewhere": edit(lambda d: d["cells"]["c"].update(tenants={"t": {"homes": ["us"]}, "home": {"homes": ["us"]}})),
+    "another kind": edit(
+        lambda d: [r.update(kind={"read": "once", "once": "read"}[r["kind"]]) for r in d["routes"].values()]
+    ),
+    "homes elsewhere": edit(
+        lambda d: d["cells"]["c"].update(tenants={"t": {"homes": ["us"]}, "home": {"homes": ["us"]}})
+    ),
     "zone evacuated": evacuate,
     "upstream leaving": lambda p: p.b.upstream(0, state="leaving", sequence=2),
     "another life of the upstream": lambda p: p.b.upstream(0, incarnation=2, port=101, state="leaving"),
@@ -171,15 +175,18 @@
     assert (r.outcome, r.retry_after, p.count(Exchange), p.count(Insist)) == ("unknown", None, 1, 1)
 
 
-@pytest.mark.parametrize("headers,target,length,body,status", [
-    ({"mallow-tenant": "t", "mallow-key": "k"}, "/nowhere", 0, Ok(b""), 404),
-    ({"mallow-tenant": "none", "mallow-key": "k"}, "/o", 0, Ok(b""), 404),
-    ({"mallow-tenant": "t", "mallow-key": "k"}, "/o", 0, Err((408, "body", "late")), 408),
-    ({"mallow-tenant": "t", "mallow-key": "k"}, "/o", 5, Ok(b"four"), 400),
-    ({"mallow-tenant": "t", "mallow-key": "k" * 201}, "/o", 0, Ok(b""), 400),
-    ({"mallow-tenant": "t", "mallow-key": "k", "mallow-limit": "9" * 5000}, "/o", 0, Ok(b""), 400),
-    ({"mallow-tenant": "t", "mallow-key": "k", "content-type": "application/json"}, "/o", 1, Ok(b"{"), 400),
-])
+@pytest.mark.parametrize(
+    "headers,target,length,body,status",
+    [
+        ({"mallow-tenant": "t", "mallow-key": "k"}, "/nowhere", 0, Ok(b""), 404),
+        ({"mallow-tenant": "none", "mallow-key": "k"}, "/o", 0, Ok(b""), 404),
+        ({"mallow-tenant": "t", "mallow-key": "k"}, "/o", 0, Err((408, "body", "late")), 408),
+        ({"mallow-tenant": "t", "mallow-key": "k"}, "/o", 5, Ok(b"four"), 400),
+        ({"mallow-tenant": "t", "mallow-key": "k" * 201}, "/o", 0, Ok(b""), 400),
+        ({"mallow-tenant": "t", "mallow-key": "k", "mallow-limit": "9" * 5000}, "/o", 0, Ok(b""), 400),
+        ({"mallow-tenant": "t", "mallow-key": "k", "content-type": "application/json"}, "/o", 1, Ok(b"{"), 400),
+    ],
+)
 def test_a_bounce_before_the_ledger_never_says_not_run_of_a_key(headers, target, length, body, status):
     p = Played()
     p.say["body"] = body
