--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -26,7 +26,12 @@
     s, rng = State(3), random.Random(seed)
     for i in range(n):
         k = f"k{rng.randrange(10**9)}"
-        for c in (Claim(k, "d", "p", k), Done(k, k, 200, "t", body), Put(f"n{i % 50}", "v" * 50, None, k), Next("n", k)):
+        for c in (
+            Claim(k, "d", "p", k),
+            Done(k, k, 200, "t", body),
+            Put(f"n{i % 50}", "v" * 50, None, k),
+            Next("n", k),
+        ):
             s.apply(s.index + 1, i, encode(c))
     s.apply(s.index + 1, n, encode(Lock("l", "x", 9000, "a")))
     return s
@@ -37,12 +42,21 @@
 
 
 def same(a, b):
-    return all((
-        a.revision == b.revision, a.ledger.rows == b.ledger.rows, list(a.ledger.kept) == list(b.ledger.kept),
-        a.ledger._bytes == b.ledger._bytes, a.tie.keys == b.tie.keys, a.tie.events == b.tie.events,
-        a.tie.locks == b.tie.locks, a.tie.numbers == b.tie.numbers, a.asks.rows == b.asks.rows,
-        a.params == b.params, a.clock == b.clock,
-    ))
+    return all(
+        (
+            a.revision == b.revision,
+            a.ledger.rows == b.ledger.rows,
+            list(a.ledger.kept) == list(b.ledger.kept),
+            a.ledger._bytes == b.ledger._bytes,
+            a.tie.keys == b.tie.keys,
+            a.tie.events == b.tie.events,
+            a.tie.locks == b.tie.locks,
+            a.tie.numbers == b.tie.numbers,
+            a.asks.rows == b.asks.rows,
+            a.params == b.params,
+            a.clock == b.clock,
+        )
+    )
 
 
 @pytest.fixture(autouse=True)
@@ -80,7 +94,13 @@
     torn = msgspec.structs.replace(good[0], data=good[0].data[:-1])
     garbage = Piece(G, label.index, 0, crc32(b"\xff"), b"\xff")
     g = Gather(label)
-    for bad, why in ((other, "piece of 4/"), (later, "want 3/"), (good[1], "piece 1, want 0"), (torn, "damaged"), (garbage, "not understood")):
+    for bad, why in (
+        (other, "piece of 4/"),
+        (later, "want 3/"),
+        (good[1], "piece 1, want 0"),
+        (torn, "damaged"),
+        (garbage, "not understood"),
+    ):
         r = g.take(bad)
         assert r.is_err() and why in r.err_value and g.want().n == 0
     assert g.take(good[0]).is_ok() and "want 1" in g.take(good[0]).err_value
@@ -112,7 +132,9 @@
     monkeypatch.setattr(cut, "SLICE", 2000)
     x, y = meshes
     s = filled(5, b"y" * 60_000)
-    s.ledger.rows |= {f"big{i}": msgspec.structs.replace(next(iter(s.ledger.rows.values())), body=b"z" * 60_000) for i in range(1200)}
+    s.ledger.rows |= {
+        f"big{i}": msgspec.structs.replace(next(iter(s.ledger.rows.values())), body=b"z" * 60_000) for i in range(1200)
+    }
     p = Picture(G, s.index, 1, Voters({}), [])
     Puller(x, lambda: (p, cut.cut(s)))
     got = Puller(y, lambda: None).pull(x.me, NOW)
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -5,7 +5,19 @@
 
 from mallowvalve.law.state import State, Tick, encode
 from mallowvalve.tie.plain import (
-    HISTORY_MS, SLACK_MS, Count, Extend, Free, Plain, PlainPicture, Put, Take, Word, Write, group_of, parts,
+    HISTORY_MS,
+    SLACK_MS,
+    Count,
+    Extend,
+    Free,
+    Plain,
+    PlainPicture,
+    Put,
+    Take,
+    Word,
+    Write,
+    group_of,
+    parts,
 )
 
 OK = "ok"
@@ -156,7 +168,12 @@
 def test_replicas_that_swept_at_different_times_agree_on_every_put(gap):
     """One swept just before, one was made from a picture, one had ticks all along."""
     a, b, c = Plain(), Plain(), Plain()
-    lines = [(500, Write("g.a", "old")), (500, Write("g.a", "new")), (500 + gap - 200, Count("n")), (500 + gap, Write("g.a", "old"))]
+    lines = [
+        (500, Write("g.a", "old")),
+        (500, Write("g.a", "new")),
+        (500 + gap - 200, Count("n")),
+        (500 + gap, Write("g.a", "old")),
+    ]
     for at, line in lines:
         c.lapse(at)
         b, was = Plain(), b
@@ -170,10 +187,18 @@
     for i in range(n):
         at += r.choice((0, 1, 20, 400, 3000))
         name, holder = f"g{r.randrange(2)}.{r.randrange(3)}", f"h{r.randrange(3)}"
-        yield at, r.choice((
-            Take(name, holder, r.choice((50, 900))), Extend(name, holder, r.randrange(1, 9), 300),
-            Free(name, holder, r.randrange(1, 9)), Count(name), Write(name, f"v{r.randrange(i + 1)}", r.choice((0, 0, 1, 5))),
-        ))
+        yield (
+            at,
+            r.choice(
+                (
+                    Take(name, holder, r.choice((50, 900))),
+                    Extend(name, holder, r.randrange(1, 9), 300),
+                    Free(name, holder, r.randrange(1, 9)),
+                    Count(name),
+                    Write(name, f"v{r.randrange(i + 1)}", r.choice((0, 0, 1, 5))),
+                )
+            ),
+        )
 
 
 def same(a: Plain, b: Plain, clock: int) -> bool:
--- a/tests/test_plainhttp.py
+++ b/tests/test_plainhttp.py
@@ -61,7 +61,10 @@
 
 def test_numbers_need_no_body(law):
     _, c = law
-    assert [c.simulate_post("/api/numbers/n", json={}).json, c.simulate_post("/api/numbers/n").json] == [{"value": 1}, {"value": 2}]
+    assert [c.simulate_post("/api/numbers/n", json={}).json, c.simulate_post("/api/numbers/n").json] == [
+        {"value": 1},
+        {"value": 2},
+    ]
 
 
 def test_a_cell_is_put_on_its_base_and_read(law):
@@ -79,29 +82,47 @@
     t, c = law
     t.says = Took(code)
     for r in (
-        c.simulate_post("/api/locks/l", json=HELD), c.simulate_put("/api/locks/l", json={**HELD, "token": 1}),
-        c.simulate_delete("/api/locks/l", json={"holder": "a", "token": 1}), c.simulate_post("/api/numbers/n"),
+        c.simulate_post("/api/locks/l", json=HELD),
+        c.simulate_put("/api/locks/l", json={**HELD, "token": 1}),
+        c.simulate_delete("/api/locks/l", json={"holder": "a", "token": 1}),
+        c.simulate_post("/api/numbers/n"),
         c.simulate_put("/api/cells/g.a", json={"value": "x"}),
     ):
         assert r.status_code == status and r.headers["retry-after"] == "1"
 
 
-@pytest.mark.parametrize("path, body, place", [
-    ("locks/l", {"holder": "a"}, "hold_ms"), ("locks/l", {**HELD, "hold_ms": 0}, "hold_ms"),
-    ("locks/l", {**HELD, "holder": ""}, "holder"), ("locks/l", {**HELD, "holder": "x" * 201}, "holder"),
-    ("locks/l", {**HELD, "hold_ms": "3"}, "hold_ms"), ("locks/" + "l" * 201, HELD, "name"), ("locks/%00", HELD, "name"),
-    ("numbers/" + "n" * 201, {}, "name"), ("locks/l", [], ""), ("locks/l", {**HELD, "odd": 1}, "odd"),
-])
+@pytest.mark.parametrize(
+    "path, body, place",
+    [
+        ("locks/l", {"holder": "a"}, "hold_ms"),
+        ("locks/l", {**HELD, "hold_ms": 0}, "hold_ms"),
+        ("locks/l", {**HELD, "holder": ""}, "holder"),
+        ("locks/l", {**HELD, "holder": "x" * 201}, "holder"),
+        ("locks/l", {**HELD, "hold_ms": "3"}, "hold_ms"),
+        ("locks/" + "l" * 201, HELD, "name"),
+        ("locks/%00", HELD, "name"),
+        ("numbers/" + "n" * 201, {}, "name"),
+        ("locks/l", [], ""),
+        ("locks/l", {**HELD, "odd": 1}, "odd"),
+    ],
+)
 def test_wrong_bodies_and_names_are_told_where(law, path, body, place):
     t, c = law
     r = c.simulate_post("/api/" + path, json=body)
     assert r.status_code == 400 and r.json["findings"][0]["place"] == place and t.state.index == 0
 
 
-@pytest.mark.parametrize("body, place", [
-    ({"value": "x", "base": -1}, "base"), ({"value": "x", "base": 1 << 63}, "base"), ({"value": None}, "value"),
-    ({"value": "x" * 65537}, "value"), ({"value": "\u00e4" * 40000}, "value"), ({}, "value"),
-])
+@pytest.mark.parametrize(
+    "body, place",
+    [
+        ({"value": "x", "base": -1}, "base"),
+        ({"value": "x", "base": 1 << 63}, "base"),
+        ({"value": None}, "value"),
+        ({"value": "x" * 65537}, "value"),
+        ({"value": "\u00e4" * 40000}, "value"),
+        ({}, "value"),
+    ],
+)
 def test_wrong_values_are_told_where(law, body, place):
     t, c = law
     r = c.simulate_put("/api/cells/g.a", json=body)
@@ -133,9 +154,13 @@
         t.do(Write(f"g.{i}", str(i)))
     t.do(Write("other.a", "x"))
     assert c.simulate_get("/api/watch/g.?after=0&wait_ms=9000").json == {"events": [], "revision": 3}
-    assert c.simulate_get("/api/watch/g.?after=1&wait_ms=9000").json == {"revision": 3, "events": [
-        {"name": "g.1", "value": "1", "revision": 2}, {"name": "g.2", "value": "2", "revision": 3},
-    ]}
+    assert c.simulate_get("/api/watch/g.?after=1&wait_ms=9000").json == {
+        "revision": 3,
+        "events": [
+            {"name": "g.1", "value": "1", "revision": 2},
+            {"name": "g.2", "value": "2", "revision": 3},
+        ],
+    }
     assert c.simulate_get("/api/watch/g.?after=3&wait_ms=1").json == {"events": [], "revision": 3}
     assert c.simulate_get("/api/watch/g.?after=3").json == {"events": [], "revision": 3}
 
--- a/tests/test_plainplay.py
+++ b/tests/test_plainplay.py
@@ -99,11 +99,19 @@
         return got and (got[0][1:], got[1])
 
 
-@pytest.mark.parametrize("make, rules", [
-    (AnyFree, {"ONE two holders"}), (SameToken, {"ONE two holders"}), (Early, {"ONE two holders"}), (ByLock, {"ONE token"}),
-    (Forgetful, {"MIXED another revision", "REFUSED"}), (Baseless, {"ORDER base"}), (Stuck, {"ORDER number"}),
-    (Skipping, {"ORDER watch"}),
-])
+@pytest.mark.parametrize(
+    "make, rules",
+    [
+        (AnyFree, {"ONE two holders"}),
+        (SameToken, {"ONE two holders"}),
+        (Early, {"ONE two holders"}),
+        (ByLock, {"ONE token"}),
+        (Forgetful, {"MIXED another revision", "REFUSED"}),
+        (Baseless, {"ORDER base"}),
+        (Stuck, {"ORDER number"}),
+        (Skipping, {"ORDER watch"}),
+    ],
+)
 def test_a_planted_breach_is_found(make, rules):
     found = set()
     for seed in range(200):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -39,7 +39,8 @@
     for text, want in (
         ("{{a.b}} {{a.c.1}} {{a.c}} {{none}}{{nothing.at.all}}", "x 2.5 1,2.5,true "),
         ("{{a.b|json}} {{none|json}} {{a.c|json}}", '"x" null [1, 2.5, true]'),
-        ("{{#t}}{{@}}={{.|json}}{{,}}{{/t}}", 'k="v",l="w"'), ("{{#a.c}}{{@}}:{{.}}{{,}}{{/a.c}}", "0:1,1:2.5,2:true"),
+        ("{{#t}}{{@}}={{.|json}}{{,}}{{/t}}", 'k="v",l="w"'),
+        ("{{#a.c}}{{@}}:{{.}}{{,}}{{/a.c}}", "0:1,1:2.5,2:true"),
         ("{{#a}}{{/a}}{{#a.b}}once{{/a.b}}{{#no}}x{{/no}}{{^no}}y{{/no}}{{^none}}z{{/none}}{{^a}}q{{/a}}", "onceyz"),
     ):
         assert fill(text, s) == want, text
@@ -96,7 +97,11 @@
 
 
 def test_the_deploy_file_names_programs_and_files_that_exist():
-    assert sorted(DEPLOY["roles"]) == ROLES and (ROOT / "requirements.txt").exists() and "requirements.txt" in DEPLOY["build"]
+    assert (
+        sorted(DEPLOY["roles"]) == ROLES
+        and (ROOT / "requirements.txt").exists()
+        and "requirements.txt" in DEPLOY["build"]
+    )
     serves = []
     for role, r in DEPLOY["roles"].items():
         program, *args = shlex.split(r["run"])
@@ -121,5 +126,9 @@
         for p in sorted((ROOT / d).rglob("*")):
             if p.suffix in (".py", ".lark"):
                 text = p.read_text().lower()
-                found += [f"{p.relative_to(ROOT)}: {w}" for w in words if re.search(rf"(?<![\w-]){re.escape(w.lower())}(?![\w-])", text)]
+                found += [
+                    f"{p.relative_to(ROOT)}: {w}"
+                    for w in words
+                    if re.search(rf"(?<![\w-]){re.escape(w.lower())}(?![\w-])", text)
+                ]
     assert found == []
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -10,7 +10,10 @@
 
 def test_two_processes_never_plan_the_same_ports_and_none_an_outgoing_connection_may_get():
     mine = free_ports(40)
-    jobs = [subprocess.Popen([sys.executable, "-c", ASK], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True) for _ in range(3)]
+    jobs = [
+        subprocess.Popen([sys.executable, "-c", ASK], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+        for _ in range(3)
+    ]
     theirs = [json.loads(j.stdout.readline()) for j in jobs]
     for j in jobs:
         j.communicate("\n")
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -59,7 +59,9 @@
 
 def test_headers_are_the_upstreams_own(serve):
     s, answers, pool = serve
-    answers.append(b"HTTP/1.1 203 Fine\r\nContent-Length: 2\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nX-Own: 1\r\n\r\nok")
+    answers.append(
+        b"HTTP/1.1 203 Fine\r\nContent-Length: 2\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\nX-Own: 1\r\n\r\nok"
+    )
     status, headers, body = ask(s)
     assert (status, body, headers["x-own"], headers["content-type"]) == (203, b"ok", "1", None)
     assert headers.get_all("set-cookie") == ["a=1", "b=2"] and pool.draw.busy == {}
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -72,11 +72,14 @@
 def test_votes_go_to_one_candidate_a_term_and_only_to_logs_as_new():
     r = raft(entries=[entry(1, 1), entry(2, 2)], term=2)
     for src, m, ok in (
-        ("n1", Ask(3, False, 1, 2), False), ("n2", Ask(3, False, 9, 1), False), ("n3", Ask(3, False, 2, 2), True),
-        ("n4", Ask(3, False, 5, 2), False), ("n3", Ask(3, False, 2, 2), True),
+        ("n1", Ask(3, False, 1, 2), False),
+        ("n2", Ask(3, False, 9, 1), False),
+        ("n3", Ask(3, False, 2, 2), True),
+        ("n4", Ask(3, False, 5, 2), False),
+        ("n3", Ask(3, False, 2, 2), True),
     ):
         r.receive(src, m, 5.0)
-        (to, v), = r.ready(5.0).late
+        ((to, v),) = r.ready(5.0).late
         assert (to, v.granted) == (src, ok)
 
 
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -21,14 +21,19 @@
     assert r.done and bytes(r.body) == b"ok" and r.extra and not r.why
 
 
-@pytest.mark.parametrize("parts,why", [
-    ([HEAD % b"a1" + b"o", b""], "broken"), ([b""], "broken"), ([b"\x00\x01nonsense"], "garbage"),
-    ([b"HTTP/1.1 200 OK\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\nok"], "garbage"),
-    ([b"HTTP/1.1 200 OK\r\nMallow-Ask: a1\r\n\r\nok", b""], "garbage"),
-    ([b"HTTP/1.1 200 OK\r\nMallow-Ask: a1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"], "garbage"),
-    ([b"HTTP/1.1 200 OK\r\nMallow-Ask: a1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", b""], "broken"),
-    ([HEAD % b"a0" + b"no", b""], "broken"),
-])
+@pytest.mark.parametrize(
+    "parts,why",
+    [
+        ([HEAD % b"a1" + b"o", b""], "broken"),
+        ([b""], "broken"),
+        ([b"\x00\x01nonsense"], "garbage"),
+        ([b"HTTP/1.1 200 OK\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\nok"], "garbage"),
+        ([b"HTTP/1.1 200 OK\r\nMallow-Ask: a1\r\n\r\nok", b""], "garbage"),
+        ([b"HTTP/1.1 200 OK\r\nMallow-Ask: a1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok"], "garbage"),
+        ([b"HTTP/1.1 200 OK\r\nMallow-Ask: a1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", b""], "broken"),
+        ([HEAD % b"a0" + b"no", b""], "broken"),
+    ],
+)
 def test_what_is_no_whole_answer(parts, why):
     r = read(*parts)
     assert not r.done and r.why.startswith(why)
@@ -36,7 +41,7 @@
 
 def test_an_answer_in_single_bytes_and_one_after_an_interim_one():
     data = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD % b"a1" + b"ok"
-    r = read(*[data[i:i + 1] for i in range(len(data))])
+    r = read(*[data[i : i + 1] for i in range(len(data))])
     assert r.done and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep
     r = read(HEAD % b"a1", method="HEAD")
     assert r.done and r.length() == 2 and not r.body
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -15,7 +15,12 @@
 
 
 def leader(f):
-    return until(lambda: next((p for p in f.of("law") if p.up and call(p.web, "GET", "/leader")[1].get("role") == "leader"), None), 20)
+    return until(
+        lambda: next(
+            (p for p in f.of("law") if p.up and call(p.web, "GET", "/leader")[1].get("role") == "leader"), None
+        ),
+        20,
+    )
 
 
 def test_most_core_machines_gone_for_good_need_an_operators_word(fleet):
@@ -38,12 +43,20 @@
     assert call(flow, "POST", "/runs", {"n": 1}, key)[1] == first[1]
     assert sum(r["key"] == "before" for r in fleet.rows("ran.jsonl")) == 1
     survivor = fleet.of("law")[2]
-    assert until(lambda: call(survivor.web, "GET", "/leader")[1].get("generation") == call(new.web, "GET", "/leader")[1]["generation"], 30)
+    assert until(
+        lambda: (
+            call(survivor.web, "GET", "/leader")[1].get("generation")
+            == call(new.web, "GET", "/leader")[1]["generation"]
+        ),
+        30,
+    )
 
 
 def test_a_wiped_core_comes_back_with_all_that_was_acknowledged(fleet):
     law = fleet.of("law")[0].web
-    rev = call(law, "PUT", "/config", {"doc": {**CONFIG, "services": {**CONFIG["services"], "late": {}}}})[1]["revision"]
+    rev = call(law, "PUT", "/config", {"doc": {**CONFIG, "services": {**CONFIG["services"], "late": {}}}})[1][
+        "revision"
+    ]
     lock = call(law, "POST", "/locks/l/take", {"holder": "x", "ttl_ms": 600000})[1]["number"]
     for p in fleet.of("law"):
         fleet.kill(p.name)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -44,7 +44,9 @@
 
 
 def test_equal_settings_change_nothing_and_seeds_alone_are_taken():
-    p = params.check("flow", {"name": "a", "locality": "eu/a", "mesh": "127.0.0.1:1", "web": "127.0.0.1:2", "seeds": ["127.0.0.1:3"]}).unwrap()
+    p = params.check(
+        "flow", {"name": "a", "locality": "eu/a", "mesh": "127.0.0.1:1", "web": "127.0.0.1:2", "seeds": ["127.0.0.1:3"]}
+    ).unwrap()
     assert changes(p, msgspec.structs.replace(p, path="x", flags={"fleet": "f"})) == reload.Changes({}, [])
     new = msgspec.structs.replace(p, seeds=[Address("127.0.0.1", 4)], polite=9.0, serve_on=True)
     c = changes(p, new)
--- a/tests/test_roll.py
+++ b/tests/test_roll.py
@@ -75,8 +75,11 @@
 
 
 def test_only_silent_and_leaving_ones_are_forgotten_and_may_come_again():
-    r = rolled((0, [up("a"), up("b", at="10.0.0.2:80"), up("c", at="10.0.0.3:80")]), (1, up("a", state="silent")),
-               (2, up("c", state="leaving", at="10.0.0.3:80")))
+    r = rolled(
+        (0, [up("a"), up("b", at="10.0.0.2:80"), up("c", at="10.0.0.3:80")]),
+        (1, up("a", state="silent")),
+        (2, up("c", state="leaving", at="10.0.0.3:80")),
+    )
     r.apply(Rolled([], "", ["a", "b", "c", "never"]), 3)
     assert states(r) == {"b": "ready"}
     r.apply(Rolled([up("a", seq=9)]), 4)
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -47,15 +47,28 @@
     bad = {
         "services": {"s": {"status": "x"}},
         "regions": {"eu": {"zones": ["a"], "policy": "limit 1h"}, "us": {"zones": ["a"]}, "ap": {"zones": []}},
-        "cells": {"c": {"region": "mars", "regions": ["eu"], "tenants": {"t": {"homes": ["us"]}}, "policy": "retry 9"},
-                  "d": {"region": "eu", "tenants": {"t": {}}}},
-        "routes": {"r": {"cell": "x", "match": "path 5", "kind": "read", "service": "none", "policy": "retry 1; retry 2"}},
+        "cells": {
+            "c": {"region": "mars", "regions": ["eu"], "tenants": {"t": {"homes": ["us"]}}, "policy": "retry 9"},
+            "d": {"region": "eu", "tenants": {"t": {}}},
+        },
+        "routes": {
+            "r": {"cell": "x", "match": "path 5", "kind": "read", "service": "none", "policy": "retry 1; retry 2"}
+        },
     }
     places = [str(f.place) for f in build(bad).err_value]
     for want in (
-        "services.s.status", "regions.eu.policy@1:8", "regions.us.zones[0]", "regions.ap.zones", "cells.c.region",
-        "cells.c.tenants.t.homes[0]", "cells.c.policy", "cells.d.tenants.t", "routes.r.match@1:6", "routes.r.service",
-        "routes.r.cell", "routes.r.policy",
+        "services.s.status",
+        "regions.eu.policy@1:8",
+        "regions.us.zones[0]",
+        "regions.ap.zones",
+        "cells.c.region",
+        "cells.c.tenants.t.homes[0]",
+        "cells.c.policy",
+        "cells.d.tenants.t",
+        "routes.r.match@1:6",
+        "routes.r.service",
+        "routes.r.cell",
+        "routes.r.policy",
     ):
         assert want in places, want
 
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -20,9 +20,16 @@
     assert "x-own" not in text and "connection" not in text.lower() and p.sent()[0].ask == "a1"
 
 
-@pytest.mark.parametrize("a,status", [
-    (ask("/none/1"), 404), (ask("/r"), 404), (ask("*"), 400), (ask(mallow_limit="x"), 400), (ask(mallow_limit="-1"), 400),
-])
+@pytest.mark.parametrize(
+    "a,status",
+    [
+        (ask("/none/1"), 404),
+        (ask("/r"), 404),
+        (ask("*"), 400),
+        (ask(mallow_limit="x"), 400),
+        (ask(mallow_limit="-1"), 400),
+    ],
+)
 def test_what_no_route_takes(a, status):
     p = Played()
     assert p.run(a).status == status and not p.steps
@@ -83,9 +90,9 @@
     assert (r.status, r.answer.body) == (500, b"no")
 
 
-@pytest.mark.parametrize("first", [
-    Err("broken: reset"), Err("garbage: x"), answer(500), answer(503), Err("limit"), answer(200, x_seal="")
-])
+@pytest.mark.parametrize(
+    "first", [Err("broken: reset"), Err("garbage: x"), answer(500), answer(503), Err("limit"), answer(200, x_seal="")]
+)
 def test_a_read_is_sent_to_another_upstream(first):
     if not isinstance(first, Err) and first.status == 200:
         del first.said["x-seal"]
@@ -111,7 +118,9 @@
     p = Played()
     p.opens = [Err("unreachable")] * 9
     r = p.run(TRY)
-    assert (r.status, r.outcome, len(p.sent())) == (503, "not-run", 0) and sum(isinstance(s, Open) for s in p.steps) == 3
+    assert (r.status, r.outcome, len(p.sent())) == (503, "not-run", 0) and sum(
+        isinstance(s, Open) for s in p.steps
+    ) == 3
 
 
 def test_a_broken_upstream_is_left_alone_for_a_while():
@@ -129,20 +138,34 @@
 
 CHANGES = {
     "route dropped": (lambda p: (p.b.drop("o"), p.b.drop("r")), 404),
-    "route to another service": (lambda p: (
-        p.b.service("other"), p.b.route("o", "/o/", "try", service="other"), p.b.route("r", "/r/", "read", service="other"),
-    ), 503),
-    "homes elsewhere": (lambda p: (
-        p.b.route("o", "/o/", "try", service="s", homes=["us"]), p.b.route("r", "/r/", "read", service="s", homes=["us"]),
-    ), 503),
+    "route to another service": (
+        lambda p: (
+            p.b.service("other"),
+            p.b.route("o", "/o/", "try", service="other"),
+            p.b.route("r", "/r/", "read", service="other"),
+        ),
+        503,
+    ),
+    "homes elsewhere": (
+        lambda p: (
+            p.b.route("o", "/o/", "try", service="s", homes=["us"]),
+            p.b.route("r", "/r/", "read", service="s", homes=["us"]),
+        ),
+        503,
+    ),
     "zone evacuated": (lambda p: p.b.evacuate("eu-a"), 503),
     "upstreams leaving": (lambda p: [p.b.upstream(f"u{i}", port=100 + i, state="leaving") for i in range(2)], 503),
     "upstreams gone": (lambda p: (p.b.state.roll.rows.clear(), setattr(p.b.state.roll, "revision", 99)), 503),
     "address of another now": (lambda p: [p.b.upstream(f"u{i}", "other", port=100 + i) for i in range(2)], 503),
     "limit over": (lambda p: setattr(p, "t", 1.0), 503),
-    "a shorter limit": (lambda p: (
-        setattr(p, "t", 0.3), p.b.route("o", "/o/", "try", service="s", limit_ms=200.0), p.b.route("r", "/r/", "read", service="s", limit_ms=200.0),
-    ), 503),
+    "a shorter limit": (
+        lambda p: (
+            setattr(p, "t", 0.3),
+            p.b.route("o", "/o/", "try", service="s", limit_ms=200.0),
+            p.b.route("r", "/r/", "read", service="s", limit_ms=200.0),
+        ),
+        503,
+    ),
 }
 
 
@@ -203,7 +226,9 @@
     gen = p.b.tries.carry(READ)
     assert isinstance(gen.send(None), Room)
     p.b.hosts.spots["u0"].busy = 2
-    assert isinstance(gen.send(True), Open) and isinstance(gen.send(p.reply(Open(p.b.hosts.spots["u0"].up, "", 1.0))), Exchange)
+    assert isinstance(gen.send(True), Open) and isinstance(
+        gen.send(p.reply(Open(p.b.hosts.spots["u0"].up, "", 1.0))), Exchange
+    )
     gen.close()
     assert p.b.hosts.spots["u0"].busy == 2
 
--- a/tests/test_way.py
+++ b/tests/test_way.py
@@ -33,7 +33,15 @@
 
 
 def test_none_that_is_unready_stopping_or_failed_or_no_proxy():
-    rows = [at(1, A), at(2, A), at(3, A, LEAVING), at(4, A, FAILED), at(5, A, LEFT), at(6, A, ready=False), at(7, A, role="law")]
+    rows = [
+        at(1, A),
+        at(2, A),
+        at(3, A, LEAVING),
+        at(4, A, FAILED),
+        at(5, A, LEFT),
+        at(6, A, ready=False),
+        at(7, A, role="law"),
+    ]
     assert sorted(numbers(proxies(rows, A))) == [1, 2]
     assert proxies(rows[2:], A) == []
 
@@ -74,7 +82,12 @@
     assert c.simulate_get("/proxies?name=h").status_code == 503
     n.rows = [at(1, A), at(2, A), at(3, C), at(4, C)]
     assert c.simulate_get("/proxies?name=h&region=us&zone=us-a").json["life_s"] == 2
-    for query, want in (("region=us&zone=us-a", [3, 4]), ("zone=us-a", [3, 4]), ("name=h", [1, 2]), ("region=eu", [1, 2])):
+    for query, want in (
+        ("region=us&zone=us-a", [3, 4]),
+        ("zone=us-a", [3, 4]),
+        ("name=h", [1, 2]),
+        ("region=eu", [1, 2]),
+    ):
         got = c.simulate_get("/proxies?" + query).json["proxies"]
         assert sorted(got) == [f"10.0.0.{k}:80" for k in want], query
     n.rows[2] = at(3, C, LEAVING)
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -46,11 +46,15 @@
     port, before = fleet.of("flow")[0].web, len(fleet.rows("ran.jsonl"))
     ok = {"Mallow-Tenant": "runner", "Mallow-Key": "k9"}
     cases = [
-        ("POST", "/nowhere", {}, ok, 404), ("POST", "/runs", {}, {"Mallow-Key": "k"}, 400),
+        ("POST", "/nowhere", {}, ok, 404),
+        ("POST", "/runs", {}, {"Mallow-Key": "k"}, 400),
         ("POST", "/runs", {}, {"Mallow-Tenant": "none", "Mallow-Key": "k"}, 404),
-        ("POST", "/runs", {}, {"Mallow-Tenant": "runner"}, 400), ("POST", "/runs", "{broken", ok, 400),
-        ("POST", "/runs", {}, {**ok, "Mallow-Limit": "soon"}, 400), ("POST", "/runs/../runs", {}, ok, 400),
-        ("POST", "/runs", "x" * (1 << 20) + "xx", ok, 413), ("GET", "/rankings%2f1", None, ok, 400),
+        ("POST", "/runs", {}, {"Mallow-Tenant": "runner"}, 400),
+        ("POST", "/runs", "{broken", ok, 400),
+        ("POST", "/runs", {}, {**ok, "Mallow-Limit": "soon"}, 400),
+        ("POST", "/runs/../runs", {}, ok, 400),
+        ("POST", "/runs", "x" * (1 << 20) + "xx", ok, 413),
+        ("GET", "/rankings%2f1", None, ok, 400),
     ]
     for method, path, body, headers, want in cases:
         status, data, h = call(port, method, path, body, headers)
@@ -101,7 +105,8 @@
     assert status == 200 and {m["place"] for m in got["moves"]} == {"routes.rankings", "routes.submit"}
     assert call(port, "GET", "/config")[1]["revision"] == base
     for bad, want in (
-        ({"patch": patch, "base": base - 1}, 409), ({"patch": patch}, 400),
+        ({"patch": patch, "base": base - 1}, 409),
+        ({"patch": patch}, 400),
         ({"patch": [{"op": "remove", "path": "/nowhere/x"}], "base": base}, 422),
         ({"patch": [{"op": "replace", "path": "", "value": 3}], "base": base}, 422),
         ({"patch": [{"op": "replace", "path": "/regions/eu/policy", "value": "limit 9h"}], "base": base}, 422),
@@ -164,7 +169,9 @@
     assert call(law, "PUT", "/config", {"doc": {**was, "routes": {**was["routes"], "submit": patient}}})[0] == 200
     moved = {**was, "routes": {**was["routes"], "submit": {**patient, "service": "boards"}}}
     with socket.create_connection(("127.0.0.1", flow), timeout=30) as s:
-        s.sendall(b"POST /runs HTTP/1.1\r\nHost: x\r\nMallow-Tenant: runner\r\nMallow-Key: slow\r\nContent-Length: 2\r\n\r\n{")
+        s.sendall(
+            b"POST /runs HTTP/1.1\r\nHost: x\r\nMallow-Tenant: runner\r\nMallow-Key: slow\r\nContent-Length: 2\r\n\r\n{"
+        )
         assert call(law, "PUT", "/config", {"doc": moved})[0] == 200
         s.sendall(b"}")
         r = http.client.HTTPResponse(s)
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -20,8 +20,14 @@
 HERE, NEXT, FAR = Locality("eu", "eu-a"), Locality("eu", "eu-b"), Locality("us", "us-a")
 ME = Address("10.0.0.1", 1)
 RAW = {
-    "name": "f", "locality": "eu/eu-a", "mesh": str(ME), "web": "10.0.0.1:2", "serve_on": True,
-    "terms": {"seal": "X-Seal"}, "budget": {"ratio": 0.2, "span": 10.0, "slack": 20.0}, "cold": {"over": 1.5, "slack": 5.0},
+    "name": "f",
+    "locality": "eu/eu-a",
+    "mesh": str(ME),
+    "web": "10.0.0.1:2",
+    "serve_on": True,
+    "terms": {"seal": "X-Seal"},
+    "budget": {"ratio": 0.2, "span": 10.0, "slack": 20.0},
+    "cold": {"over": 1.5, "slack": 5.0},
 }
 
 
@@ -60,7 +66,14 @@
 
     def route(self, name: str, prefix: str, kind: str, **more) -> None:
         hosts = self.state.items.hosts
-        r = HostRoute(**{"limit_ms": 1000.0, "aim_ms": 400.0, **more}, name=name, version=1, host="h.example", prefix=prefix, kind=kind)
+        r = HostRoute(
+            **{"limit_ms": 1000.0, "aim_ms": 400.0, **more},
+            name=name,
+            version=1,
+            host="h.example",
+            prefix=prefix,
+            kind=kind,
+        )
         hosts["h.example"] = [x for x in hosts.get("h.example", []) if x.name != name] + [r]
 
     def drop(self, name: str) -> None:
@@ -70,7 +83,16 @@
     def service(self, name: str, **more) -> None:
         self.state.items.services[name] = ServiceItem(name=name, version=1, **more)
 
-    def upstream(self, name: str = "u0", service: str = "s", at: Locality = HERE, port: int = 100, slots: int = 6, state: str = "ready", cold: int = 0):
+    def upstream(
+        self,
+        name: str = "u0",
+        service: str = "s",
+        at: Locality = HERE,
+        port: int = 100,
+        slots: int = 6,
+        state: str = "ready",
+        cold: int = 0,
+    ):
         u = Upstream(name, service, Address("127.0.0.1", port), at, slots, state, 0, 0, cold)
         self.state.roll.rows[name] = u
         self.state.roll.revision += 1
