--- a/mallowvalve/__main__.py
+++ b/mallowvalve/__main__.py
@@ -1,7 +1,7 @@
 import signal
 import sys
 
-if sys.argv[1:2] in (["flow"], ["law"], ["way"]):
+if sys.argv[1:2] in (["proxy"], ["control"], ["directory"]):
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from mallowvalve.cli import main  # noqa: E402
--- a/mallowvalve/will/main.py
+++ b/mallowvalve/admin/main.py
@@ -7,8 +7,8 @@
 
 import click
 
-from mallowvalve.kind import Address
-from mallowvalve.will.call import call_at
+from mallowvalve.admin.call import call_at
+from mallowvalve.types import Address
 
 
 def addresses(_ctx, _param, values) -> list[Address]:
@@ -58,15 +58,15 @@
     required=True,
     callback=addresses,
     envvar="MALLOWVALVE_AT",
-    help="HOST:PORT of a law's web, may be given again",
+    help="HOST:PORT of a control process's web, may be given again",
 )
 @click.pass_context
-def will(ctx, at) -> None:
+def admin(ctx, at) -> None:
     """What operators do: apply, read, evacuate, give back, look."""
     ctx.obj = {"at": at}
 
 
-@will.command()
+@admin.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--base", type=int, help="the revision this change was made from")
 @click.pass_context
@@ -75,7 +75,7 @@
     show(ask(ctx, "PUT", "/config", {"doc": read_json(file), "base": base}))
 
 
-@will.command()
+@admin.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--base", type=int, required=True, help="the revision the patch was planned on")
 @click.pass_context
@@ -84,14 +84,14 @@
     show(ask(ctx, "PATCH", "/config", {"patch": read_json(file), "base": base}))
 
 
-@will.command()
+@admin.command()
 @click.pass_context
 def read(ctx) -> None:
     """Show the settings tree and its revision."""
     show(ask(ctx, "GET", "/config"))
 
 
-@will.command()
+@admin.command()
 @click.argument("zone")
 @click.pass_context
 def evacuate(ctx, zone) -> None:
@@ -99,7 +99,7 @@
     show(ask(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": True}))
 
 
-@will.command("give-back")
+@admin.command("give-back")
 @click.argument("zone")
 @click.pass_context
 def give_back(ctx, zone) -> None:
@@ -107,11 +107,11 @@
     show(ask(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": False}))
 
 
-@will.command()
+@admin.command()
 @click.argument("proxy")
 @click.pass_context
 def strike(ctx, proxy) -> None:
-    """Take PROXY (its mesh address, as `leader` lists it) off the roster.
+    """Take PROXY (its transport address, as `leader` lists it) off the roster.
 
     Dead proxies go by themselves after 15 s while most others confirm. Strike by hand only when more than half are
     gone for good: one that lives on unseen may serve by old settings.
@@ -119,11 +119,11 @@
     show(ask(ctx, "POST", "/strikes", {"proxy": proxy}))
 
 
-@will.command("found-anew")
+@admin.command("found-anew")
 @click.option("--accept", required=True, help="the sentence that names the risk")
 @click.pass_context
 def found_anew(ctx, accept) -> None:
-    """Found a new generation at a blank law when most voters are gone for good and no proof of it can be had.
+    """Found a new generation at a blank control process when most voters are gone for good and no proof of it can be had.
 
     Changes acknowledged by voters that cannot be reached may be lost: the state is the highest that any reachable
     core, proxy or directory holds. Voters of the old generation that come back rejoin empty.
@@ -131,14 +131,14 @@
     show(ask(ctx, "POST", "/found-anew", {"accept": accept}))
 
 
-@will.command()
+@admin.command()
 @click.argument("thing")
 @click.option("--most", default=40, help="lines to show")
 @click.pass_context
 def explain(ctx, thing, most) -> None:
     """What the whole fleet decided about THING, when and why, the latest last.
 
-    THING is a node's name or mesh address, an upstream's instance, service or address, a revision, a change's key, a
+    THING is a node's name or transport address, an upstream's instance, service or address, a revision, a change's key, a
     zone, a tenant, a route or a request's target. Every node that the asked ones know is asked.
     """
     nodes = {n["web"] for n in ask(ctx, "GET", "/-/nodes")["nodes"] if n["status"] in ("alive", "leaving")}
@@ -156,10 +156,13 @@
     for c in data["changes"] if status == 200 else []:
         more = ", ".join(f"{k} {v}" for k, v in c.items() if k not in ("ago_ms", "what") and v not in ("", None))
         out.append((c["ago_ms"], f"{name:10} {c['what']}: {more}"))
-    status, data, _ = call_at(*at.pair, "GET", f"/-/bounces?about={about}", limit=3.0)
-    for b in data["bounces"] if status == 200 and isinstance(data, dict) else []:
+    status, data, _ = call_at(*at.pair, "GET", f"/-/rejections?about={about}", limit=3.0)
+    for b in data["rejections"] if status == 200 and isinstance(data, dict) else []:
         out.append(
-            (b["ago_ms"], f"{name:10} bounced {b['target']} of {b['tenant']}: {b['status']} {b['outcome']}, {b['why']}")
+            (
+                b["ago_ms"],
+                f"{name:10} rejected {b['target']} of {b['tenant']}: {b['status']} {b['outcome']}, {b['why']}",
+            )
         )
     return out
 
@@ -168,11 +171,11 @@
     ("leader", "/leader", "Who leads, who votes, which proxies are rostered."),
     ("nodes", "/-/nodes", "Status of the project's own nodes, as the asked node sees them."),
     ("upstreams", "/-/upstreams", "Status of the upstreams."),
-    ("bounces", "/-/bounces", "On a proxy: the last requests it bounced, and why."),
-    ("counts", "/-/counts", "Counters; on a proxy, why requests were bounced."),
+    ("rejections", "/-/rejections", "On a proxy: the last requests it rejected, and why."),
+    ("counts", "/-/counts", "Counters; on a proxy, why requests were rejected."),
 ):
 
     def _command(ctx, _path=path):
         show(ask(ctx, "GET", _path))
 
-    will.command(name, help=text)(click.pass_context(_command))
+    admin.command(name, help=text)(click.pass_context(_command))
--- a/mallowvalve/cli.py
+++ b/mallowvalve/cli.py
@@ -7,10 +7,10 @@
 import click
 import msgspec
 
-from mallowvalve import __version__, count, params
+from mallowvalve import __version__, metrics, settings
 from mallowvalve.finding import Findings
 
-TOOLS = ("aim", "play", "whole", "will")
+TOOLS = ("planner", "standins", "localfleet", "admin")
 
 
 def fail(found: Findings) -> None:
@@ -38,13 +38,13 @@
 
 
 def daemon(role: str, about: str) -> None:
-    @click.option("--params", "path", help="settings file (TOML)")
+    @click.option("--settings", "path", help="settings file (TOML)")
     @click.option("--name", help="this process's name")
     @click.option("--fleet", help="the fleet it belongs to")
     @click.option("--locality", help="REGION/ZONE")
-    @click.option("--mesh", help="HOST:PORT towards its neighbours, TCP and UDP")
+    @click.option("--transport", help="HOST:PORT towards its peers, TCP and UDP")
     @click.option("--web", help="HOST:PORT towards callers and operators, HTTP")
-    @click.option("--seeds", multiple=True, help="HOST:PORT of another process's mesh; three at most")
+    @click.option("--seeds", multiple=True, help="HOST:PORT of another process's transport; three at most")
     @click.option("--data", help="folder for files that must last")
     @click.option("--log", help="log file; standard error if not given")
     @click.option("--polite", type=float, help="seconds a polite stop may take")
@@ -53,28 +53,28 @@
     def command(path, check, **flags):
         flags["seeds"] = list(flags["seeds"])
         flags = {k: v for k, v in flags.items() if v not in (None, [])}
-        r = params.load(role, path, flags)
+        r = settings.load(role, path, flags)
         if r.is_err():
             fail(r.err_value)
         if check:
             click.echo("settings are well")
             return
         try:
-            count.log_to(r.ok_value.log)
+            metrics.log_to(r.ok_value.log)
             run = import_module(f"mallowvalve.{role}.main").run
             gc.freeze()
             out = run(msgspec.structs.replace(r.ok_value, path=path, flags=flags))
         except OSError as e:
-            fail([params.Finding("start", str(e))])
+            fail([settings.Finding("start", str(e))])
         if out is not None and out.is_err():
             fail(out.err_value)
 
     main.command(role, help=about)(command)
 
 
-daemon("way", "Directory: tells clients which proxies to use.")
-daemon("flow", "Proxy: carries sessions to upstreams.")
-daemon("law", "Control plane: replicated settings, ledger and coordination.")
+daemon("directory", "Directory: tells clients which proxies to use.")
+daemon("proxy", "Proxy: carries connections to upstreams.")
+daemon("control", "Control plane: replicated settings, ledger and coordination.")
 
 if __name__ == "__main__":
     main()
--- a/mallowvalve/tree/build.py
+++ b/mallowvalve/configuration/build.py
@@ -3,10 +3,10 @@
 from result import Err, Ok, Result
 
 from mallowvalve import finding
+from mallowvalve.configuration.model import Cell, Doc, Plan, Tree
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.tree.model import Cell, Doc, Plan, Tree
-from mallowvalve.word import compiler
-from mallowvalve.word.compiler import DEFAULT, Policy
+from mallowvalve.routing import compiler
+from mallowvalve.routing.compiler import DEFAULT, Policy
 
 EMPTY = Tree(Doc(), {}, {})
 NAME_BYTES = 128
--- a/mallowvalve/tree/itemcall.py
+++ b/mallowvalve/configuration/item_request.py
@@ -6,8 +6,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve import finding
-from mallowvalve.finding import Finding, Findings
-from mallowvalve.tree.items import (
+from mallowvalve.configuration.items import (
     DOCS,
     KINDS,
     LIMITS,
@@ -22,6 +21,7 @@
     decode,
     plain_host,
 )
+from mallowvalve.finding import Finding, Findings
 
 AIM_OVER_MS = 60_000.0
 NAME_BYTES = 1024
@@ -176,7 +176,7 @@
 def _service_found(s: ServiceItem, place: str, found: Findings) -> None:
     if not s.status.startswith("/"):
         found.append(Finding(f"{place}.status", "must begin with /"))
-    _not_negative(s, ("sessions", "cold_s", "cold_per_s"), place, found)
+    _not_negative(s, ("connections", "cold_s", "cold_per_s"), place, found)
 
 
 def _limits_found(l: Limits, place: str, found: Findings) -> None:
--- a/mallowvalve/tree/items.py
+++ b/mallowvalve/configuration/items.py
@@ -34,7 +34,7 @@
 
 
 class ServiceItem(msgspec.Struct, frozen=True, kw_only=True):
-    """`status` is the path of its health answer, `sessions` what an upstream takes of all callers together.
+    """`status` is the path of its health answer, `connections` what an upstream takes of all callers together.
 
     For `cold_s` seconds from its start an upstream is cold, and takes `cold_per_s` requests a second.
     """
@@ -42,7 +42,7 @@
     name: str
     version: int
     status: str = "/health"
-    sessions: int = 0
+    connections: int = 0
     cold_s: float = 0.0
     cold_per_s: float = 0.0
 
@@ -140,7 +140,7 @@
         return [*KINDS, *sorted(held - KINDS.keys())]
 
     def adopt(self, rows: list[Item]) -> None:
-        """Takes in rows of a picture as they are."""
+        """Takes in rows of a snapshot as they are."""
         for i in rows:
             self._put(i, decode(i).ok() if i.doc is not None and i.kind in KINDS else None)
 
--- a/mallowvalve/tree/model.py
+++ b/mallowvalve/configuration/model.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from mallowvalve.word.compiler import Match, Policy, Request
+from mallowvalve.routing.compiler import Match, Policy, Request
 
 
 class Service(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
     cell_of: dict[str, str]
     plans: dict[str, list[Plan]]
 
-    def draw(self, tenant: str, req: Request) -> Plan | None:
+    def choose(self, tenant: str, req: Request) -> Plan | None:
         for p in self.plans.get(self.cell_of[tenant], []):
             if p.match(req):
                 return p
--- a/mallowvalve/law/force.py
+++ b/mallowvalve/control/acknowledgement.py
@@ -5,11 +5,11 @@
 
 import msgspec
 
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law.echo import WINDOW
-from mallowvalve.law.state import Enrol, Params, Seats, Strike
-from mallowvalve.law.wire import Want
-from mallowvalve.vote.wire import Group
+from mallowvalve.control.replica import WINDOW
+from mallowvalve.control.state import Enrol, Seats, Settings, Strike
+from mallowvalve.control.wire import Want
+from mallowvalve.raft.messages import Group
+from mallowvalve.types import Address, Locality
 
 SLACK = 0.1
 REACHED = 1.5
@@ -39,13 +39,13 @@
         return now - self.at < REACHED and (self.fed_at is None or now - self.fed_at < PROMPT)
 
 
-class Echoes:
-    __slots__ = ("locality", "heard_of", "_params", "_majority_at", "_calm", "_group", "_struck", "_began", "_pruned")
+class Replicas:
+    __slots__ = ("locality", "heard_of", "_settings", "_majority_at", "_calm", "_group", "_struck", "_began", "_pruned")
 
     def __init__(self, locality: Locality):
         self.locality = locality
         self.heard_of: dict[Address, Heard] = {}
-        self._params = Params()
+        self._settings = Settings()
         self._majority_at: dict[int, float] = {}
         self._calm = 0.0
         self._began = -1e9
@@ -83,9 +83,9 @@
         return max((s for n, s in h.asks if n <= confirmed), default=-1.0) if h else -1.0
 
     def held_elsewhere(self, index: int, now: float, settings: bool = False) -> bool:
-        """Whether the echoes in touch hold it; of what is not settings, only those that hold all are asked.
+        """Whether the replicas in touch hold it; of what is not settings, only those that hold all are asked.
 
-        A new leader gives the echoes time to find it: settings it took before would be held nowhere else.
+        A new leader gives the replicas time to find it: settings it took before would be held nowhere else.
         """
         those = [h for h in self.heard_of.values() if h.counts(settings)]
         if any(h.prompt(now) for h in those if not h.holds(self._group, index)):
@@ -96,11 +96,11 @@
             return copies >= COPIES
         return copies >= min(COPIES, len(near))
 
-    def watch(self, s: Params, now: float) -> None:
-        if s.revision != self._params.revision:
-            for a in self._params.roster.keys() - s.roster.keys():
+    def watch(self, s: Settings, now: float) -> None:
+        if s.revision != self._settings.revision:
+            for a in self._settings.roster.keys() - s.roster.keys():
                 self._struck[a] = now + WINDOW + SLACK
-            self._params = msgspec.structs.replace(s, roster=dict(s.roster))
+            self._settings = msgspec.structs.replace(s, roster=dict(s.roster))
         self._struck = {a: t for a, t in self._struck.items() if t > now}
         if now - self._pruned >= PRUNE:
             self._pruned = now
@@ -113,7 +113,7 @@
             del self._majority_at[next(iter(self._majority_at))]
 
     def in_force(self, revision: int, now: float) -> bool:
-        s = self._params
+        s = self._settings
         if revision > s.revision:
             return False
         since = min((t for r, t in self._majority_at.items() if r >= revision), default=None)
@@ -124,20 +124,20 @@
         calm = now >= self._calm and not any(t > now for t in self._struck.values())
         return calm and len(self._holders(revision)) == len(s.roster)
 
-    def roster_step(self, s: Params, now: float) -> Enrol | Strike | None:
+    def roster_step(self, s: Settings, now: float) -> Enrol | Strike | None:
         """One seat at a time, each in force before the next: majorities of one roster and the next overlap."""
         if not self.in_force(s.revision, now):
             return None
         return next(self._steps(s, now), None)
 
-    def roster_steps(self, s: Params, now: float) -> Seats | None:
+    def roster_steps(self, s: Settings, now: float) -> Seats | None:
         """All that is due at once, for fleets where nothing rests on majorities of the roster."""
         steps = list(islice(self._steps(s, now), STEPS))
         return Seats(steps) if steps else None
 
-    def _steps(self, s: Params, now: float) -> Iterator[Enrol | Strike]:
+    def _steps(self, s: Settings, now: float) -> Iterator[Enrol | Strike]:
         for a, h in sorted(self.heard_of.items()):
-            if h.want.role != "flow" or now - h.at > REACHED:
+            if h.want.role != "proxy" or now - h.at > REACHED:
                 continue
             seat = s.roster.get(h.name)
             if seat is None or seat.boot != h.want.boot:
@@ -153,7 +153,7 @@
     def _holders(self, revision: int) -> list[Address]:
         out = []
         for a, h in self.heard_of.items():
-            seat = self._params.roster.get(h.name)
+            seat = self._settings.roster.get(h.name)
             if seat is None:
                 continue
             former_life_over = seat.boot != h.want.boot
--- a/mallowvalve/law/api.py
+++ b/mallowvalve/control/api.py
@@ -5,10 +5,10 @@
 import falcon
 
 from mallowvalve import web
+from mallowvalve.control.state import Change, Evacuate, Settings, Strike, encode
+from mallowvalve.control.task import ControlTask
+from mallowvalve.control.wire import Took
 from mallowvalve.finding import Finding
-from mallowvalve.law.state import Change, Evacuate, Params, Strike, encode
-from mallowvalve.law.task import LawTask
-from mallowvalve.law.wire import Took
 
 KEY_BYTES = 200
 LIMIT, ATTEMPT = 8.0, 3.0
@@ -17,20 +17,20 @@
 class Api:
     """What the operators' and the coordination pages share."""
 
-    def __init__(self, task: LawTask):
+    def __init__(self, task: ControlTask):
         self.task = task
 
-    def confirm(self, req: falcon.Request, resp: falcon.Response) -> Params | None:
+    def confirm(self, req: falcon.Request, resp: falcon.Response) -> Settings | None:
         t = self.task.read(2.0)
         if t.code == "ok":
-            return self.task.core.state.params
-        self.bounce(req, resp, t)
+            return self.task.core.state.settings
+        self.reject(req, resp, t)
         return None
 
     def offer(self, req: falcon.Request, resp: falcon.Response, c: Change | Evacuate | Strike) -> None:
         t = self.task.offer(encode(c), LIMIT, ATTEMPT)
         if t.code != "ok":
-            return self.bounce(req, resp, t)
+            return self.reject(req, resp, t)
         web.say(resp, {"revision": t.revision, "in_force": True})
 
     def key(self, req: falcon.Request, resp: falcon.Response) -> str | None:
@@ -47,22 +47,22 @@
         web.turn_away(req, resp, 400, [Finding("name", f"want 1 to {KEY_BYTES} printable characters")])
         return False
 
-    def bounce(self, req: falcon.Request, resp: falcon.Response, t: Took) -> None:
+    def reject(self, req: falcon.Request, resp: falcon.Response, t: Took) -> None:
         match t.code:
             case "leader" | "replaced":
-                web.turn_away(req, resp, 503, [Finding("law", "no leader here just now")], 1)
+                web.turn_away(req, resp, 503, [Finding("control", "no leader here just now")], 1)
                 if t.leader is not None:
                     resp.set_header("Mallow-Leader", self.web_of(t.leader))
             case "reused":
-                web.bounce(resp, 409, web.UNDECIDED, [Finding("Mallow-Key", "was used for another command")])
+                web.reject(resp, 409, web.UNDECIDED, [Finding("Mallow-Key", "was used for another command")])
             case "conflict":
-                web.bounce(resp, 409, web.NOT_RUN, [Finding("base", f"the revision is {t.revision} now")])
+                web.reject(resp, 409, web.NOT_RUN, [Finding("base", f"the revision is {t.revision} now")])
             case "gone":
-                web.bounce(resp, 409, web.NOT_RUN, [Finding("state", "changed meanwhile: look and say it again")])
+                web.reject(resp, 409, web.NOT_RUN, [Finding("state", "changed meanwhile: look and say it again")])
             case _:
-                found = [Finding("law", "not confirmed in time; safe to repeat with the same key")]
-                web.bounce(resp, 504, web.UNDECIDED, found, 1)
+                found = [Finding("control", "not confirmed in time; safe to repeat with the same key")]
+                web.reject(resp, 504, web.UNDECIDED, found, 1)
 
-    def web_of(self, mesh) -> str:
-        r = next((r for r in self.task.node.bond.view() if r.addr == mesh), None)
+    def web_of(self, transport) -> str:
+        r = next((r for r in self.task.node.membership.view() if r.addr == transport), None)
         return str(r.web) if r else ""
--- a/mallowvalve/law/found.py
+++ b/mallowvalve/control/bootstrap.py
@@ -2,11 +2,10 @@
 
 import msgspec
 
-from mallowvalve.kind import Address
-from mallowvalve.law.state import State
-from mallowvalve.law.wire import Who
-from mallowvalve.vote.wire import Voters
-
+from mallowvalve.control.state import State
+from mallowvalve.control.wire import Who
+from mallowvalve.raft.messages import Voters
+from mallowvalve.types import Address
 
 HOLD, HOLD_FOUND = 0.5, 2.0
 
@@ -63,7 +62,7 @@
         return Wait("newest")
     if me.group is not None and best.group.generation == me.group.generation:
         strangers = [w for w in known if w.group.generation == me.group.generation and w.group != me.group]
-        if strangers and unborn and any(w.role == "law" and w.leader for w in strangers):
+        if strangers and unborn and any(w.role == "control" and w.leader for w in strangers):
             return Wipe()
         return Wait("member") if me.id in best.voters.voters else _renew(me, answers, known, best)
     return _join(me, known, best) or (_renew(me, answers, known, best) if me.blank else Wait("behind"))
@@ -76,7 +75,7 @@
     silent = [a for a in _circle(me) if a not in by]
     if silent:
         return Wait(f"silent seed {silent[0]}")
-    core = sorted((by[a] for a in _circle(me) if by[a].role == "law"), key=lambda w: w.addr)
+    core = sorted((by[a] for a in _circle(me) if by[a].role == "control"), key=lambda w: w.addr)
     odd = [w for w in core if not w.blank or set(_circle(w)) != set(_circle(me))]
     if odd:
         return Wait(f"seed {odd[0].addr} lists other seeds or is not blank")
@@ -92,7 +91,7 @@
 
 
 def _join(me: Who, known: list[Who], best: Who) -> Decision | None:
-    homes = [w for w in known if w.group == best.group and w.role == "law"]
+    homes = [w for w in known if w.group == best.group and w.role == "control"]
     for w in homes:
         if w.voters.address(me.id) is not None:
             return Start(w)
@@ -102,8 +101,8 @@
 
 
 def _renew(me: Who, answers: list[Who], known: list[Who], best: Who) -> Decision:
-    law = [w for w in [*answers, me] if w.role == "law"]
-    alive, at = {w.id for w in law}, {w.addr: w for w in law}
+    control = [w for w in [*answers, me] if w.role == "control"]
+    alive, at = {w.id for w in control}, {w.addr: w for w in control}
     last = best.voters.voters
     lost = {i: at[a] for i, a in last.items() if i not in alive and a in at}
     if 2 * len(lost) <= len(last):
@@ -122,6 +121,6 @@
 
 
 def heard_enough(base: State, answers: list[Who]) -> bool:
-    roster = base.params.roster
+    roster = base.settings.roster
     heard = {str(w.addr) for w in answers}
     return not roster or 2 * len(heard & roster.keys()) > len(roster)
--- a/mallowvalve/law/foundtask.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -11,14 +11,14 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.count import change
-from mallowvalve.kind import Address
-from mallowvalve.law import store, wire
-from mallowvalve.law.cut import founding
-from mallowvalve.law.found import Decision, Found, Judge, Start, Wipe, decide, heard_enough, sources
-from mallowvalve.law.pull import BASE, NOW, SETTINGS
-from mallowvalve.law.state import State
-from mallowvalve.vote.wire import Group, Hard, Picture, Voters
+from mallowvalve.control import store, wire
+from mallowvalve.control.bootstrap import Decision, Found, Judge, Start, Wipe, decide, heard_enough, sources
+from mallowvalve.control.snapshot import founding
+from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS
+from mallowvalve.control.state import State
+from mallowvalve.metrics import change
+from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
+from mallowvalve.types import Address
 
 FOUND_EVERY, BLANK_EVERY = 0.5, 0.15
 HERE = 1.0
@@ -37,30 +37,30 @@
 class FoundTask:
     """Asks around, and founds, joins or wipes this core machine as `found.decide` says."""
 
-    __slots__ = ("law", "_judge", "_holders")
+    __slots__ = ("control", "_judge", "_holders")
 
-    def __init__(self, law):
-        self.law, self._judge = law, Judge()
+    def __init__(self, control):
+        self.control, self._judge = control, Judge()
         self._holders: dict[Address, float] = {}
 
     def run(self) -> None:
         for turn in itertools.count():
-            if self.law.core.leader() is not None and turn % CALM:
+            if self.control.core.leader() is not None and turn % CALM:
                 self._say_here()
                 gevent.sleep(HERE)
                 continue
-            calm = self.law.core.leader() is not None
+            calm = self.control.core.leader() is not None
             answers, v = self._look(calm)
             if calm and isinstance(v, Found):
                 answers, v = self._look(False)
             self._act(self._judge.hear(v, clock.now()), answers)
             self._say_here()
             joins = any(w.group is not None for w in answers)
-            gevent.sleep(HERE if self.law.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
+            gevent.sleep(HERE if self.control.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
 
     def _look(self, calm: bool) -> tuple[list[wire.Who], Decision]:
         answers = self._ask_all(calm)
-        return answers, decide(self.law.who(), answers, first_generation(), self.law.core.unborn)
+        return answers, decide(self.control.who(), answers, first_generation(), self.control.core.unborn)
 
     def heard(self, w: wire.Want) -> None:
         """Who asks for what comes after its state holds one: a blank core must not found without having asked it."""
@@ -68,24 +68,24 @@
             self._holders[w.addr] = clock.now()
 
     def _ask_all(self, calm: bool = False) -> list[wire.Who]:
-        """In calm times all laws and a few others: too few to found anew on, enough to hear of a newer group."""
-        p = self.law.node.params
+        """In calm times all control processes and a few others: too few to found anew on, enough to hear of a newer group."""
+        p = self.control.node.settings
         alive, self._holders = (
-            self.law.node.bond.alive(),
+            self.control.node.membership.alive(),
             {a: t for a, t in self._holders.items() if clock.now() - t < HELD},
         )
-        others = {r.addr for r in alive if r.role != "law"} | self._holders.keys()
+        others = {r.addr for r in alive if r.role != "control"} | self._holders.keys()
         if calm and len(others) > FEW:
             others = set(random.sample(sorted(others), FEW))
-        to = {r.addr for r in alive if r.role == "law"} | set(p.seeds) | others
-        if self.law.core.raft is not None:
-            to |= set(self.law.core.raft.log.voters.voters.values())
-        best = [w for w in self._ask(to - {p.mesh})]
+        to = {r.addr for r in alive if r.role == "control"} | set(p.seeds) | others
+        if self.control.core.raft is not None:
+            to |= set(self.control.core.raft.log.voters.voters.values())
+        best = [w for w in self._ask(to - {p.transport})]
         known = {a for w in best if w.voters for a in w.voters.voters.values()}
-        return best + self._ask(known - to - {p.mesh})
+        return best + self._ask(known - to - {p.transport})
 
     def _ask(self, to: set[Address]) -> list[wire.Who]:
-        jobs = [gevent.spawn(self.law.node.mesh.call, a, "who", b"", 0.8) for a in sorted(to)]
+        jobs = [gevent.spawn(self.control.node.transport.call, a, "who", b"", 0.8) for a in sorted(to)]
         gevent.joinall(jobs)
         out = []
         for j in jobs:
@@ -109,7 +109,7 @@
             )
             self._begin(founding(group, v.voters, base), None)
         elif isinstance(v, Start):
-            r = self.law.puller.pull(v.source.addr, BASE)
+            r = self.control.puller.pull(v.source.addr, BASE)
             if r.is_ok():
                 self._begin(*r.ok_value)
         elif isinstance(v, Wipe):
@@ -117,15 +117,17 @@
 
     def found_anew(self) -> Result[Found, str]:
         """An operator's word in place of proof that the old voters are gone for good."""
-        if self.law.core.raft is not None:
-            return Err("this law belongs to a group: ask one that is blank")
+        if self.control.core.raft is not None:
+            return Err("this control process belongs to a group: ask one that is blank")
         answers = self._ask_all()
         known = [w for w in answers if w.group is not None and w.voters is not None]
         if not known:
             return Err("nobody who answers holds a state")
         best = max(known, key=lambda w: (w.group.generation, w.index))
         v = Found(
-            best.group.generation + 1, Voters({self.law.core.id: self.law.node.params.mesh}), *sources(known, best)
+            best.group.generation + 1,
+            Voters({self.control.core.id: self.control.node.settings.transport}),
+            *sources(known, best),
         )
         base = self._fetch_state(v)
         if base is None:
@@ -146,22 +148,22 @@
         if w is None:
             return None
         what = NOW if w.whole else SETTINGS
-        r = self.law.puller.pull(w.addr, what, lambda l: (l.group, l.index) >= (w.group, w.index))
+        r = self.control.puller.pull(w.addr, what, lambda l: (l.group, l.index) >= (w.group, w.index))
         return r.ok_value[1] if r.is_ok() else None
 
-    def _begin(self, p: Picture, s: State | None) -> None:
+    def _begin(self, p: Snapshot, s: State | None) -> None:
         done = AsyncResult()
 
         def act(now: float) -> None:
-            mine = self.law.core.raft
+            mine = self.control.core.raft
             if mine is not None and mine.group.generation >= p.group.generation:
                 return done.set(False)
-            with self.law.disk:
-                self.law.persist(lambda: store.turn(self.law.tale, p, store.head(Hard(p.group, 0, ""), [])))
-            self.law.core.start(p, None, [], now, s)
+            with self.control.disk:
+                self.control.persist(lambda: store.turn(self.control.disk_log, p, store.head(Hard(p.group, 0, ""), [])))
+            self.control.core.start(p, None, [], now, s)
             done.set(True)
 
-        self.law.put(act)
+        self.control.put(act)
         if done.get():
             change("joined", generation=p.group.generation, index=p.index)
 
@@ -170,19 +172,19 @@
 
         def act(now: float) -> None:
             new = uuid.uuid4().hex[:ID]
-            with self.law.disk:
-                self.law.persist(lambda: self.law.tale.wipe(new))
-            self.law.core.stop(new)
+            with self.control.disk:
+                self.control.persist(lambda: self.control.disk_log.wipe(new))
+            self.control.core.stop(new)
             done.set(True)
 
-        self.law.put(act)
+        self.control.put(act)
         done.get()
         change("wiped_to_rejoin")
 
     def _say_here(self) -> None:
-        body = wire.encode(msgspec.structs.replace(self.law.who(), seeds=[], voters=None))
-        leader = self.law.core.leader()
-        for a in [leader] if leader is not None else [r.addr for r in self.law.node.bond.alive("law")]:
-            if a != self.law.node.params.mesh:
-                self.law.node.mesh.cast(a, "here", body)
-        self.law.put(lambda now: self.law.core.here(self.law.who(), now))
+        body = wire.encode(msgspec.structs.replace(self.control.who(), seeds=[], voters=None))
+        leader = self.control.core.leader()
+        for a in [leader] if leader is not None else [r.addr for r in self.control.node.membership.alive("control")]:
+            if a != self.control.node.settings.transport:
+                self.control.node.transport.cast(a, "here", body)
+        self.control.put(lambda now: self.control.core.here(self.control.who(), now))
--- a/mallowvalve/law/core.py
+++ b/mallowvalve/control/core.py
@@ -7,16 +7,12 @@
 
 import msgspec
 
-from mallowvalve.count import Counts
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law import grow
-from mallowvalve.law.cut import cut, cut_settings, load
-from mallowvalve.law.fleetclock import FleetClock
-from mallowvalve.law.force import Echoes
-from mallowvalve.law.news import News
-from mallowvalve.law.state import (
-    SETTINGS,
-    TIES,
+from mallowvalve.control import reconfiguration
+from mallowvalve.control.acknowledgement import Replicas
+from mallowvalve.control.fleet_clock import FleetClock
+from mallowvalve.control.news import News
+from mallowvalve.control.snapshot import cut, cut_settings, load
+from mallowvalve.control.state import (
     Change,
     Enrol,
     Evacuate,
@@ -30,16 +26,17 @@
     tag_of,
     tags,
 )
-from mallowvalve.law.waits import CommitNote, Parked, Pending, Read, Reads
-from mallowvalve.law.wire import Fed, Took, Want, Who
-from mallowvalve.params import Acks
-from mallowvalve.vote.log import Log
-from mallowvalve.vote.progress import Ready, Times
-from mallowvalve.vote.raft import Raft
-from mallowvalve.vote.wire import COMMAND, Entry, Envelope, Group, Hard, Picture, Voters
+from mallowvalve.control.waiting import CommitNote, Parked, Pending, Read, Reads, turns_settings, waits_for
+from mallowvalve.control.wire import Fed, Took, Want, Who
+from mallowvalve.metrics import Counts
+from mallowvalve.raft.log import Log
+from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Group, Hard, Snapshot, Voters
+from mallowvalve.raft.progress import Ready, Times
+from mallowvalve.raft.raft import Raft
+from mallowvalve.settings import Acks
+from mallowvalve.types import Address, Locality
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
-SETTINGS_TAGS, TIES_TAGS = tags(SETTINGS), tags(TIES)
 HOLD_MOST = 1.0
 CURRENT, LAG = 0.5, 16
 TOLD_PACES = 3
@@ -54,7 +51,7 @@
         "rng",
         "raft",
         "state",
-        "echoes",
+        "replicas",
         "counts",
         "replies",
         "decided",
@@ -93,8 +90,8 @@
         self.counts = Counts()
         self.decided: list[tuple[Any, Outcome]] = []
         self.replies: list[tuple[Any, Took | Fed]] = []
-        self.seen: dict[str, grow.Seen] = {}
-        self.echoes = Echoes(locality)
+        self.seen: dict[str, reconfiguration.Seen] = {}
+        self.replicas = Replicas(locality)
         self._pending: dict[int, Pending] = {}
         self._waiting: deque[tuple[int, Pending]] = deque()
         self._parked: dict[Address, Parked] = {}
@@ -111,13 +108,13 @@
         self._note = CommitNote()
 
     def start(
-        self, picture: Picture, hard: Hard | None, entries: list[Entry], now: float, ready: State | None = None
+        self, snapshot: Snapshot, hard: Hard | None, entries: list[Entry], now: float, ready: State | None = None
     ) -> None:
-        hard = hard if hard is not None and hard.group == picture.group else Hard(picture.group, 0, "")
-        self.raft = Raft(self.id, Log(picture, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit)
-        self.state = ready or load(picture.state, picture.group.generation)
-        self.state.index = picture.index
-        self._base_index = picture.index
+        hard = hard if hard is not None and hard.group == snapshot.group else Hard(snapshot.group, 0, "")
+        self.raft = Raft(self.id, Log(snapshot, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit)
+        self.state = ready or load(snapshot.state, snapshot.group.generation)
+        self.state.index = snapshot.index
+        self._base_index = snapshot.index
         self._news = News(self.state.turned)
         self._led, self._note = False, CommitNote()
         self.clock.restart(self.state.clock, now)
@@ -151,15 +148,15 @@
         return Who(role, self.id, self.addr, self.locality, seeds, False, r.group, i, r.log.voters_at(i), self.leader())
 
     def here(self, w: Who, now: float) -> None:
-        if w.role == "law" and (w.group is None or self.raft and w.group == self.raft.group):
-            self.seen[w.id] = grow.Seen(w.addr, w.locality, now)
-            self.seen = {i: s for i, s in self.seen.items() if now - s.at < 2 * grow.FORGOTTEN}
+        if w.role == "control" and (w.group is None or self.raft and w.group == self.raft.group):
+            self.seen[w.id] = reconfiguration.Seen(w.addr, w.locality, now)
+            self.seen = {i: s for i, s in self.seen.items() if now - s.at < 2 * reconfiguration.FORGOTTEN}
 
-    def wakeup(self, now: float) -> float:
+    def timer(self, now: float) -> float:
         if self.raft is None:
             return now + 0.1
         return min(
-            self._note.at or now + 0.1, now + 0.1, self.raft.wakeup(), self._look_at if self._parked else now + 0.1
+            self._note.at or now + 0.1, now + 0.1, self.raft.timer(), self._look_at if self._parked else now + 0.1
         )
 
     def tick(self, now: float) -> None:
@@ -171,12 +168,12 @@
 
     def receive(self, e: Envelope, now: float) -> None:
         if self.raft is None or e.group != self.raft.group or e.to != self.id:
-            self.counts.add("vote_foreign")
+            self.counts.add("raft_foreign")
             return
         self.raft.receive(e.sender, e.body, now)
 
     def gone(self, a: Address, now: float) -> None:
-        """A neighbour's last session here ended."""
+        """A peer's last connection here ended."""
         if self.raft is not None and a == self.leader():
             self.raft.doubt(now)
 
@@ -188,9 +185,7 @@
         if index is None:
             self.replies.append((token, Took("leader")))
             return
-        tag = tag_of(data)
-        waits = self._acks.settings if tag in SETTINGS_TAGS else self._acks.ties if tag in TIES_TAGS else "held"
-        self._pending[index] = Pending(token, self.raft.term, limit, tag in SETTINGS_TAGS, waits)
+        self._pending[index] = Pending(token, self.raft.term, limit, turns_settings(data), waits_for(data, self._acks))
 
     def read(self, token: Any, limit: float, now: float) -> None:
         if not self.leads:
@@ -212,7 +207,7 @@
         old = self._parked.pop(w.addr, None)
         if old is not None:
             self.replies.append((old.token, Fed(self.addr)))
-        self.echoes.heard(w, self.raft.group, self.raft.rounds.seq + 1, now)
+        self.replicas.heard(w, self.raft.group, self.raft.rounds.seq + 1, now)
         self._parked[w.addr] = Parked(token, w, now)
         self._look_at = now
 
@@ -228,33 +223,33 @@
         self._apply(now)
         self._settle(now)
 
-    def picture(self) -> tuple[Picture, Iterator[bytes]] | None:
+    def snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
         """The state as it is now; its pieces are made as they are asked for."""
         if self.raft is None:
             return None
         if self.state.index < self.raft.log.base:
-            return self.raft.log.picture, iter(self.raft.log.picture.state)
+            return self.raft.log.snapshot, iter(self.raft.log.snapshot.state)
         return self._head(), cut(self.state)
 
-    def settings(self) -> tuple[Picture, Iterator[bytes]] | None:
+    def settings(self) -> tuple[Snapshot, Iterator[bytes]] | None:
         """The settings part of the state as it is now."""
         if self.raft is None or self.state.index < self.raft.log.base:
             return None
         return self._head(), cut_settings(self.state)
 
-    def _head(self) -> Picture:
-        """A picture of the state as it is now, without its pieces."""
+    def _head(self) -> Snapshot:
+        """A snapshot of the state as it is now, without its pieces."""
         i = self.state.index
-        return Picture(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), [])
+        return Snapshot(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), [])
 
-    def base(self) -> Picture | None:
-        return self.raft.log.picture if self.raft is not None else None
+    def base(self) -> Snapshot | None:
+        return self.raft.log.snapshot if self.raft is not None else None
 
-    def bring(self, p: Picture, s: State) -> None:
-        """A state built beside the machine from the pieces of a picture that is about to be installed."""
+    def bring(self, p: Snapshot, s: State) -> None:
+        """A state built beside the machine from the pieces of a snapshot that is about to be installed."""
         self._brought = (p.group, p.index, s)
 
-    def _loaded_for(self, p: Picture) -> State:
+    def _loaded_for(self, p: Snapshot) -> State:
         group, index, s = self._brought or (None, 0, None)
         self._brought = None
         if (group, index) != (p.group, p.index):
@@ -262,7 +257,7 @@
         s.index = p.index
         return s
 
-    def compact(self, p: Picture) -> None:
+    def compact(self, p: Snapshot) -> None:
         self.raft.log.compact(p)
         self._news.compact(p.index)
 
@@ -294,10 +289,10 @@
         if self.leads and not self._led:
             self._led, self._seating = True, 0
             self.clock.lead(self.state.clock, now)
-            self.echoes.begin(now)
+            self.replicas.begin(now)
         if not self._led:
             return
-        self.echoes.watch(self.state.params, now)
+        self.replicas.watch(self.state.settings, now)
         self._answer_waiting(now)
         self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, now)
         self._answer_wants(now)
@@ -320,34 +315,34 @@
     def _acknowledged(self, p: Pending, now: float) -> bool:
         if p.waits == "commit" or p.outcome.code == "invalid":
             return True
-        if not self.echoes.held_elsewhere(p.need, now, p.settings):
+        if not self.replicas.held_elsewhere(p.need, now, p.settings):
             return False
-        return p.waits == "held" or self.echoes.in_force(p.outcome.revision, now)
+        return p.waits == "held" or self.replicas.in_force(p.outcome.revision, now)
 
     def _answer_wants(self, now: float) -> None:
-        """One that was fed news a moment ago is fed the next with what else comes by then: `FEED` seconds for each echo."""
+        """One that was fed news a moment ago is fed the next with what else comes by then: `FEED` seconds for each replica."""
         news = (self.state.turned, self.state.index if any(p.want.parts == "all" for p in self._parked.values()) else 0)
         if news == self._looked and now < self._look_at:
             return
         self._looked, self._look_at = news, now + HOLD_MOST
-        gather = min(GATHER_MOST, FEED * len(self.echoes.heard_of))
+        gather = min(GATHER_MOST, FEED * len(self.replicas.heard_of))
         for a, p in list(self._parked.items()):
             w, part = p.want, p.want.parts == "settings"
             same = w.group == self.raft.group
             newest = self.state.turned if part else self.state.index
-            due = p.at + min(w.hold, HOLD_MOST) if w.index >= newest else self.echoes.told_at(a) + gather
+            due = p.at + min(w.hold, HOLD_MOST) if w.index >= newest else self.replicas.told_at(a) + gather
             if same and now < due:
                 self._look_at = min(self._look_at, due)
                 continue
             del self._parked[a]
-            sure = self.echoes.sure(a, self.raft.rounds.confirmed)
+            sure = self.replicas.sure(a, self.raft.rounds.confirmed)
             entries, upto = [], self.state.index
             lacking = not same or w.index < (self._news.dropped if part else self.raft.log.base)
             if not lacking and part:
                 entries, upto = self._news.since(w.index, self.state.index)
             elif not lacking:
                 entries = [e for e in self.raft.log.since(w.index) if e.index <= self.state.index]
-            self.echoes.fed(a, now, w.index < newest <= upto)
+            self.replicas.fed(a, now, w.index < newest <= upto)
             self.replies.append(
                 (
                     p.token,
@@ -357,7 +352,7 @@
                         lacking,
                         entries,
                         upto,
-                        self.state.params.revision,
+                        self.state.settings.revision,
                         sure,
                         self._voters_since(w, lacking),
                         self.state.clock,
@@ -367,24 +362,24 @@
             )
 
     def _voters_since(self, w: Want, lacking: bool) -> Voters | None:
-        """The voters, where the echo may not know them yet."""
+        """The voters, where the replica may not know them yet."""
         told = w.hold > 0 and not lacking and w.index >= self.raft.log.voters_index
         return None if told else self.raft.log.voters_at(self.state.index)
 
     def _housekeep(self, now: float) -> None:
-        if now - self._ticked > 1.0 and self.state.tie.restless():
+        if now - self._ticked > 1.0 and self.state.coordination.restless():
             self._ticked = now
             self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
         if now - self._grown < 0.1:
             return
         self._grown = now
-        v = grow.next_voters(self.raft, self.seen, now)
+        v = reconfiguration.next_voters(self.raft, self.seen, now)
         if v is not None and self.raft.change_voters(v, self.clock.read(now)) is not None:
-            self.counts.add("vote_changes")
+            self.counts.add("raft_changes")
         if self._seating > self.raft.commit:
             return
-        due = self.echoes.roster_step if self._acks.settings == "force" else self.echoes.roster_steps
-        step = due(self.state.params, now)
+        due = self.replicas.roster_step if self._acks.settings == "force" else self.replicas.roster_steps
+        step = due(self.state.settings, now)
         if step is not None:
             self._seating = self.raft.propose(COMMAND, encode(step), self.clock.read(now)) or 0
 
--- a/mallowvalve/law/fleetclock.py
+++ b/mallowvalve/control/fleet_clock.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from mallowvalve.vote.wire import NOOP, Entry
+from mallowvalve.raft.messages import NOOP, Entry
 
 
 class FleetClock:
--- a/mallowvalve/law/tiehttp.py
+++ b/mallowvalve/control/http_coordination.py
@@ -4,12 +4,12 @@
 import msgspec
 
 from mallowvalve import clock, web
+from mallowvalve.control.api import Api
+from mallowvalve.control.replica_task import ATTEMPT
+from mallowvalve.control.state import encode
+from mallowvalve.control.wire import Took
+from mallowvalve.coordination.state import Lock, Next, Put, Renew, Said, Unlock
 from mallowvalve.finding import Finding
-from mallowvalve.law.api import Api
-from mallowvalve.law.echotask import ATTEMPT
-from mallowvalve.law.state import encode
-from mallowvalve.law.wire import Took
-from mallowvalve.tie.state import Lock, Next, Put, Renew, Said, Unlock
 
 LIMIT = 3.0
 WATCH_MOST = 25.0
@@ -18,7 +18,7 @@
 _said = msgspec.msgpack.Decoder(Said).decode
 
 
-class TieDoc(msgspec.Struct):
+class CoordinationDoc(msgspec.Struct):
     holder: str = ""
     ttl_ms: int = 10000
     token: int = 0
@@ -26,11 +26,11 @@
     base: int | None = None
 
 
-class Tie(Api):
+class Coordination(Api):
     def run(self, req, resp, c) -> None:
         t = self.task.offer(encode(c), LIMIT, ATTEMPT)
         if not t.body:
-            return self.bounce(req, resp, t)
+            return self.reject(req, resp, t)
         s = _said(t.body)
         body = {"code": s.code, "revision": t.revision}
         if s.code == "held":
@@ -41,9 +41,9 @@
         web.say(resp, body, STATUS[s.code])
 
 
-class Locks(Tie):
+class Locks(Coordination):
     def on_post(self, req, resp, name: str, act: str) -> None:
-        d = web.read_as(TieDoc, req, resp)
+        d = web.read_as(CoordinationDoc, req, resp)
         key = self.key(req, resp) if d is not None and self.named(req, resp, name) else None
         if key is None:
             return
@@ -61,24 +61,24 @@
                 web.turn_away(req, resp, 404, [Finding("path", "want take, renew or free")])
 
 
-class Numbers(Tie):
+class Numbers(Coordination):
     def on_post(self, req, resp, name: str) -> None:
         key = self.key(req, resp) if self.named(req, resp, name) else None
         if key is not None:
             self.run(req, resp, Next(name, key))
 
 
-class Keys(Tie):
+class Keys(Coordination):
     def on_get(self, req, resp, name: str) -> None:
         if self.confirm(req, resp) is None:
             return
         st = self.task.core.state
-        had = st.tie.keys.get(name)
+        had = st.coordination.keys.get(name)
         body = {"name": name, "value": had[0] if had else None, "at": had[1] if had else 0, "revision": st.revision}
         web.say(resp, body, 200 if had else 404)
 
     def on_put(self, req, resp, name: str) -> None:
-        d = web.read_as(TieDoc, req, resp, 1 << 20)
+        d = web.read_as(CoordinationDoc, req, resp, 1 << 20)
         if d is None:
             return
         if d.value is None or len(d.value) > VALUE_MOST:
@@ -104,11 +104,11 @@
         while True:
             st = self.task.core.state
             if st is None:
-                return self.bounce(req, resp, Took("leader"))
-            events = st.tie.since(since, prefix)
+                return self.reject(req, resp, Took("leader"))
+            events = st.coordination.since(since, prefix)
             if events is None:
-                found = [Finding("since", f"compacted up to {st.tie.compacted}")]
-                return web.bounce(resp, 410, web.NOT_RUN, found)
+                found = [Finding("since", f"compacted up to {st.coordination.compacted}")]
+                return web.reject(resp, 410, web.NOT_RUN, found)
             upto = max(since, st.revision)
             if events or clock.now() >= end or self.task.node.stopping.is_set():
                 break
--- a/mallowvalve/law/itemhttp.py
+++ b/mallowvalve/control/http_items.py
@@ -5,11 +5,11 @@
 import msgspec
 
 from mallowvalve import web
+from mallowvalve.configuration.item_request import read
+from mallowvalve.configuration.items import LIMITS, Amend, Items
+from mallowvalve.control.api import ATTEMPT, LIMIT, Api
+from mallowvalve.control.state import Evacuate, encode
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.law.api import ATTEMPT, LIMIT, Api
-from mallowvalve.law.state import Evacuate, encode
-from mallowvalve.tree.itemcall import read
-from mallowvalve.tree.items import LIMITS, Amend, Items
 
 CALL_BYTES = 8 << 20
 _findings = msgspec.msgpack.Decoder(Findings).decode
@@ -21,7 +21,7 @@
         if t.code == "invalid":
             return web.turn_away(req, resp, 400, _findings(t.body))
         if t.code != "ok":
-            return self.bounce(req, resp, t)
+            return self.reject(req, resp, t)
         web.say(resp, {"revision": t.revision})
 
 
@@ -65,7 +65,7 @@
         self.turn(req, resp, zone, False)
 
     def turn(self, req, resp, zone: str, on: bool) -> None:
-        if zone not in self.task.node.params.zones:
+        if zone not in self.task.node.settings.zones:
             s = self.confirm(req, resp)
             if s is None:
                 return
--- a/mallowvalve/law/http.py
+++ b/mallowvalve/control/http_operators.py
@@ -8,14 +8,14 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
-from mallowvalve.aim.plan import Seen, plan
+from mallowvalve.control import http_coordination, http_items
+from mallowvalve.control.api import Api
+from mallowvalve.control.state import Change, Evacuate, Settings, Strike, encode, key_of
+from mallowvalve.control.task import ControlTask
+from mallowvalve.control.wire import Took
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.kind import Address
-from mallowvalve.law import itemhttp, tiehttp
-from mallowvalve.law.api import Api
-from mallowvalve.law.state import Change, Evacuate, Params, Strike, encode, key_of
-from mallowvalve.law.task import LawTask
-from mallowvalve.law.wire import Took
+from mallowvalve.planner.plan import Seen, plan
+from mallowvalve.types import Address
 
 CONFIG_BYTES = 8 << 20
 
@@ -36,7 +36,7 @@
     base: int | None = None
 
 
-def patched(s: Params, patch: list[dict]) -> Result[dict, Findings]:
+def patched(s: Settings, patch: list[dict]) -> Result[dict, Findings]:
     try:
         doc = jsonpatch.apply_patch(msgspec.json.decode(s.doc), patch)
     except (jsonpatch.JsonPatchException, jsonpatch.JsonPointerException, TypeError, KeyError) as e:
@@ -68,7 +68,7 @@
         if self.task.core.state.asks.look(key_of(c), digest) is not None:
             return self.offer(req, resp, c)
         if d.base != s.doc_revision:
-            return self.bounce(req, resp, Took("conflict", s.doc_revision))
+            return self.reject(req, resp, Took("conflict", s.doc_revision))
         doc = patched(s, d.patch)
         if doc.is_err():
             return web.turn_away(req, resp, 422, doc.err_value)
@@ -96,12 +96,12 @@
         if s is None:
             return
         if d.base not in (None, s.doc_revision):
-            return self.bounce(req, resp, Took("conflict", s.doc_revision))
+            return self.reject(req, resp, Took("conflict", s.doc_revision))
         doc = Ok(d.doc) if d.patch is None else patched(s, d.patch)
         new = doc.and_then(self.task.check)
         if new.is_err():
             return web.turn_away(req, resp, 422, new.err_value)
-        board = self.task.node.beats.board.all(clock.now())
+        board = self.task.node.heartbeats.board.all(clock.now())
         seen = [Seen(b.service, b.instance, b.locality) for b, status, _ in board if status == "ready"]
         moves = plan(self.task.tree(), new.ok_value, seen, s.evacuated)
         web.say(resp, {"base": s.doc_revision, "moves": moves, "doc": doc.ok_value})
@@ -161,7 +161,7 @@
             return web.turn_away(req, resp, 400, [Finding("accept", f"must say: {RISK}")])
         r = self.task.founder.found_anew()
         if r.is_err():
-            return web.turn_away(req, resp, 409, [Finding("law", r.err_value)])
+            return web.turn_away(req, resp, 409, [Finding("control", r.err_value)])
         web.say(
             resp,
             {"generation": r.ok_value.generation, "from": str(r.ok_value.base.addr), "index": r.ok_value.base.index},
@@ -186,18 +186,18 @@
                 "revision": c.state.revision,
                 "voters": sorted(map(str, v.voters.values())),
                 "learners": sorted(map(str, v.learners.values())),
-                "roster": sorted(c.state.params.roster),
+                "roster": sorted(c.state.settings.roster),
                 "disk": "refuses" if self.task.stalled else "well",
             },
         )
 
 
-def add_routes(app: falcon.App, task: LawTask) -> None:
+def add_routes(app: falcon.App, task: ControlTask) -> None:
     app.add_route("/config", Config(task))
     app.add_route("/plan", Plans(task))
     app.add_route("/evacuations", Evacuations(task))
     app.add_route("/leader", Leader(task))
     app.add_route("/strikes", Strikes(task))
     app.add_route("/found-anew", FoundAnew(task))
-    itemhttp.add_routes(app, task)
-    tiehttp.add_routes(app, task)
+    http_items.add_routes(app, task)
+    http_coordination.add_routes(app, task)
--- a/mallowvalve/law/plainhttp.py
+++ b/mallowvalve/control/http_plain.py
@@ -7,11 +7,11 @@
 from gevent.event import Event
 
 from mallowvalve import clock, web
+from mallowvalve.control.state import State, encode
+from mallowvalve.control.task import ControlTask
+from mallowvalve.control.wire import Took
+from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Put, Take, Word, Write, group_of
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.law.state import State, encode
-from mallowvalve.law.task import LawTask
-from mallowvalve.law.wire import Took
-from mallowvalve.tie.plain import Count, Extend, Free, Plain, Put, Take, Word, Write, group_of
 
 LIMIT, ATTEMPT = 0.85, 0.6
 PAUSE, LOOK = 0.04, 0.01
@@ -64,7 +64,7 @@
 
 
 class Page:
-    def __init__(self, task: LawTask):
+    def __init__(self, task: ControlTask):
         self.task = task
 
     def read_as(self, kind: type, req, resp, name: str):
@@ -72,12 +72,12 @@
         if d is None:
             return None
         found = check(name, d)
-        return web.bounce(resp, 400, web.NOT_RUN, found) if found else d
+        return web.reject(resp, 400, web.NOT_RUN, found) if found else d
 
     def run(self, resp, c: Take | Extend | Free | Count | Write) -> Word | None:
         """What was said to the command, or None once the trouble was answered; may offer it more than once."""
         t = self.task.offer(encode(c), LIMIT, ATTEMPT)
-        return _word(t.body) if t.code == "ok" else self.bounce(resp, t)
+        return _word(t.body) if t.code == "ok" else self.reject(resp, t)
 
     def confirm(self, resp) -> Plain | None:
         """The state with all that was acknowledged before this call, or None once the trouble was answered."""
@@ -88,13 +88,13 @@
             if t.code == "ok" and s is not None:
                 return s.plain
             gevent.sleep(min(PAUSE, max(0.0, end - clock.now())))
-        return self.bounce(resp, t)
+        return self.reject(resp, t)
 
-    def bounce(self, resp, t: Took) -> None:
+    def reject(self, resp, t: Took) -> None:
         """503 only where the offer came back as never taken: whatever may still take effect is a 504."""
         if t.code in ("leader", "replaced"):
-            return web.bounce(resp, 503, web.NOT_RUN, [Finding("law", "no leader just now")], 1)
-        web.bounce(resp, 504, web.UNDECIDED, [Finding("law", "not confirmed in time: say it again")], 1)
+            return web.reject(resp, 503, web.NOT_RUN, [Finding("control", "no leader just now")], 1)
+        web.reject(resp, 504, web.UNDECIDED, [Finding("control", "not confirmed in time: say it again")], 1)
 
 
 class Locks(Page):
@@ -124,7 +124,7 @@
     def on_post(self, req, resp, name: str) -> None:
         found = check(name)
         if found:
-            return web.bounce(resp, 400, web.NOT_RUN, found)
+            return web.reject(resp, 400, web.NOT_RUN, found)
         w = self.run(resp, Count(name))
         if w is not None:
             web.say(resp, {"value": w.number})
@@ -134,7 +134,7 @@
     def on_get(self, req, resp, name: str) -> None:
         found = check(name)
         if found:
-            return web.bounce(resp, 400, web.NOT_RUN, found)
+            return web.reject(resp, 400, web.NOT_RUN, found)
         plain = self.confirm(resp)
         if plain is None:
             return
@@ -155,13 +155,13 @@
 
     __slots__ = ("_task", "_waits", "_job")
 
-    def __init__(self, task: LawTask):
+    def __init__(self, task: ControlTask):
         self._task = task
         self._waits: dict[Event, tuple[str, int]] = {}
         self._job = None
 
     def wait(self, group: str, after: int, limit: float) -> None:
-        """Returns when the group is above `after`, at the limit (s), or when the law stops."""
+        """Returns when the group is above `after`, at the limit (s), or when the control process stops."""
         rung = Event()
         self._waits[rung] = group, after
         if self._job is None:
@@ -191,7 +191,7 @@
 
 
 class Watch(Page):
-    def __init__(self, task: LawTask):
+    def __init__(self, task: ControlTask):
         super().__init__(task)
         self.bell = Bell(task)
 
@@ -202,7 +202,7 @@
         if not found and group_of(name) != name:
             found = [Finding("name", "want a group: up to and including the first dot")]
         if found:
-            return web.bounce(resp, 400, web.NOT_RUN, found)
+            return web.reject(resp, 400, web.NOT_RUN, found)
         plain = self._plain(resp, after)
         if plain is None:
             return
@@ -224,12 +224,12 @@
                 return web.say(resp, {"code": "compacted"}, 410)
             if got[0] or clock.now() >= end or self.task.node.stopping.is_set():
                 if got[1] < after:
-                    return web.bounce(resp, 503, web.NOT_RUN, [Finding("after", f"held here up to {got[1]} only")], 0.2)
+                    return web.reject(resp, 503, web.NOT_RUN, [Finding("after", f"held here up to {got[1]} only")], 0.2)
                 return web.say(resp, {"events": list(map(event, got[0])), "revision": got[1]})
             self.bell.wait(group, after, end - clock.now())
             s: State | None = self.task.core.state
             if s is None:
-                return self.bounce(resp, Took("leader"))
+                return self.reject(resp, Took("leader"))
             plain = s.plain
 
 
@@ -237,8 +237,8 @@
     return {"name": p.name, "value": p.value, "revision": p.revision}
 
 
-def add_routes(app, task: LawTask, at: str) -> None:
-    """`at` is the path prefix, such as /ties."""
+def add_routes(app, task: ControlTask, at: str) -> None:
+    """`at` is the path prefix, such as /coordination."""
     at = at.rstrip("/")
     app.add_route(at + "/locks/{name}", Locks(task))
     app.add_route(at + "/numbers/{name}", Numbers(task))
--- a/mallowvalve/law/beathttp.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams' own calls: their beats, and their leaving."""
+"""Upstreams' own calls: their heartbeats, and their leaving."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from result import Err, Ok, Result
 
 from mallowvalve import finding, web
-from mallowvalve.beat.roll import Upstream
-from mallowvalve.bond.wire import ALIVE, Record
 from mallowvalve.finding import Finding, Findings, parse_json
-from mallowvalve.kind import Address, Locality
+from mallowvalve.membership.wire import ALIVE, Record
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.registry import Upstream
 
 BODY_BYTES = 16384
 NAME, COLD_MS, SLOTS, SEQUENCE = 200, 3_600_000, 1_000_000, 1 << 62
@@ -24,7 +24,7 @@
 address_of = lru_cache(4096)(Address.read)
 
 
-class BeatDoc(msgspec.Struct):
+class HeartbeatDoc(msgspec.Struct):
     """Times in ms; `cold_ms` is how much longer it stays cold."""
 
     service: str
@@ -36,12 +36,12 @@
     cold_ms: float = 0.0
 
 
-decode = msgspec.json.Decoder(BeatDoc).decode
-KNOWN = {f.name for f in fields(BeatDoc)}
+decode = msgspec.json.Decoder(HeartbeatDoc).decode
+KNOWN = {f.name for f in fields(HeartbeatDoc)}
 
 
 def read(instance: str, body: bytes, zones: dict[str, str]) -> Result[Upstream, tuple[int, Findings]]:
-    """A beat as a row to be; else the status and every finding. Fields that nobody knows are passed over."""
+    """A heartbeat as a row to be; else the status and every finding. Fields that nobody knows are passed over."""
     try:
         d = decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
@@ -97,63 +97,63 @@
         return doc.err_value
     if isinstance(doc.ok_value, dict):
         doc = Ok({k: v for k, v in doc.ok_value.items() if k in KNOWN})
-    r = finding.read(BeatDoc, doc.ok_value)
+    r = finding.read(HeartbeatDoc, doc.ok_value)
     return r.err_value if r.is_err() else [Finding("body", "not understood")]
 
 
-def beat_at(laws: list[Record], me: Record, at: Locality, instance: str) -> Address | None:
-    """Where else this upstream had better beat: a law in its own zone, or else in its region; None where it is."""
-    laws = [r for r in laws if r.state == ALIVE and r.ready and r.addr != me.addr]
+def heartbeat_at(controls: list[Record], me: Record, at: Locality, instance: str) -> Address | None:
+    """Where else this upstream had better heartbeat: a control process in its own zone, or else in its region; None where it is."""
+    controls = [r for r in controls if r.state == ALIVE and r.ready and r.addr != me.addr]
     for d in (0, 1):
         if me.locality.distance(at) == d:
             return None
-        near = [r for r in laws if r.locality.distance(at) == d]
+        near = [r for r in controls if r.locality.distance(at) == d]
         if near:
             return max(near, key=lambda r: (crc32(f"{instance} {r.web}".encode()), r.web)).web
     return None
 
 
-class Beats:
-    def __init__(self, task, roll):
-        self.task, self.roll = task, roll
+class Heartbeats:
+    def __init__(self, task, registry):
+        self.task, self.registry = task, registry
 
     def on_put(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
         node = self.task.node
         body = web.body_of(req, BODY_BYTES)
         if body is None:
-            return web.bounce(resp, 413, web.NOT_RUN, [Finding("body", f"larger than {BODY_BYTES} bytes")])
-        r = read(instance, body, node.params.zones)
+            return web.reject(resp, 413, web.NOT_RUN, [Finding("body", f"larger than {BODY_BYTES} bytes")])
+        r = read(instance, body, node.settings.zones)
         if r.is_err():
-            node.counts.add("beat_refused")
+            node.counts.add("heartbeat_refused")
             status, found = r.err_value
-            return web.bounce(resp, status, web.NOT_RUN, found)
+            return web.reject(resp, status, web.NOT_RUN, found)
         u = r.ok_value
-        if not self.roll.beat(u):
+        if not self.registry.heartbeat(u):
             return unsure(resp)
-        bond = node.bond
-        to = beat_at(bond.alive("law"), bond.bond.me, u.locality, instance)
-        web.say(resp, {} if to is None else {"beat_at": str(to)})
+        membership = node.membership
+        to = heartbeat_at(membership.alive("control"), membership.membership.me, u.locality, instance)
+        web.say(resp, {} if to is None else {"heartbeat_at": str(to)})
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
         if not 0 < len(instance) <= NAME or not instance.isprintable():
-            return web.bounce(resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {NAME} printable characters")])
-        if not self.roll.gone(Upstream(instance, "", NOWHERE, Locality("", ""), 0, "gone")):
+            return web.reject(resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {NAME} printable characters")])
+        if not self.registry.gone(Upstream(instance, "", NOWHERE, Locality("", ""), 0, "gone")):
             return unsure(resp)
         web.say(resp, {})
 
 
 class All:
-    """The roll as this node has it."""
+    """The registry as this node has it."""
 
-    def __init__(self, task, roll):
-        self.task, self.roll = task, roll
+    def __init__(self, task, registry):
+        self.task, self.registry = task, registry
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        roll = self.roll.roll
+        registry = self.registry.registry
         web.say(
             resp,
             {
-                "revision": roll.revision if roll else 0,
+                "revision": registry.revision if registry else 0,
                 "upstreams": [
                     {
                         "instance": u.instance,
@@ -166,16 +166,16 @@
                         "since": u.since,
                         "cold_until": u.cold_until,
                     }
-                    for u in (sorted(roll.rows.values(), key=lambda u: (u.service, u.instance)) if roll else [])
+                    for u in (sorted(registry.rows.values(), key=lambda u: (u.service, u.instance)) if registry else [])
                 ],
             },
         )
 
 
 def unsure(resp: falcon.Response) -> None:
-    web.bounce(resp, 503, web.UNDECIDED, [Finding("law", "not confirmed in time; safe to repeat")], 1)
+    web.reject(resp, 503, web.UNDECIDED, [Finding("control", "not confirmed in time; safe to repeat")], 1)
 
 
-def add_routes(app: falcon.App, task, roll) -> None:
-    app.add_route("/upstreams", All(task, roll))
-    app.add_route("/upstreams/{instance}", Beats(task, roll))
+def add_routes(app: falcon.App, task, registry) -> None:
+    app.add_route("/upstreams", All(task, registry))
+    app.add_route("/upstreams/{instance}", Heartbeats(task, registry))
--- a/mallowvalve/law/news.py
+++ b/mallowvalve/control/news.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from mallowvalve.vote.log import CHUNK, CHUNK_BYTES
-from mallowvalve.vote.wire import Entry
+from mallowvalve.raft.log import CHUNK, CHUNK_BYTES
+from mallowvalve.raft.messages import Entry
 
 
 class News:
--- a/mallowvalve/law/grow.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from mallowvalve.kind import Address, Locality
-from mallowvalve.vote.raft import Raft
-from mallowvalve.vote.wire import Voters
+from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.raft import Raft
+from mallowvalve.types import Address, Locality
 
 MOST = 5
 GONE = 5.0
--- a/mallowvalve/law/rolltask.py
+++ b/mallowvalve/control/registry_task.py
@@ -6,11 +6,11 @@
 from gevent.queue import Empty, Queue
 
 from mallowvalve import clock
-from mallowvalve.beat.hear import Hear, Heard
-from mallowvalve.beat.roll import Roll, Rolled, Upstream
-from mallowvalve.count import change, vital
-from mallowvalve.kind import Address
-from mallowvalve.law.state import encode
+from mallowvalve.control.state import encode
+from mallowvalve.metrics import change, vital
+from mallowvalve.types import Address
+from mallowvalve.upstreams.liveness import Heard, Liveness
+from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
 GATHER, BATCH = 0.02, 512
 LIMIT, ATTEMPT = 0.9, 0.45
@@ -20,22 +20,22 @@
 _heard = msgspec.msgpack.Decoder(list[Heard]).decode
 
 
-class RollTask:
-    """Hears upstreams at a law: offers what changes, tells the leader whom it heard, and judges silence if it leads."""
+class RegistryTask:
+    """Hears upstreams at a control process: offers what changes, tells the leader whom it heard, and judges silence if it leads."""
 
-    __slots__ = ("task", "hear", "_box", "_jobs", "_judging", "_touched", "_told", "_reported")
+    __slots__ = ("task", "liveness", "_box", "_jobs", "_judging", "_touched", "_told", "_reported")
 
     def __init__(self, task):
         self.task = task
-        self.hear = Hear(task.node.params.beat_ms / 1000)
+        self.liveness = Liveness(task.node.settings.heartbeat_ms / 1000)
         self._box: Queue = Queue()
         self._judging = None
         self._touched = clock.now()
         self._told: Address | None = None
         self._reported = 0.0
-        task.node.mesh.on("heard", self._on_heard, quick=True)
+        task.node.transport.on("heard", self._on_heard, quick=True)
 
-    def __enter__(self) -> RollTask:
+    def __enter__(self) -> RegistryTask:
         self._touched = clock.now()
         self._jobs = [vital(gevent.spawn(self._collect)), vital(gevent.spawn(self._run))]
         return self
@@ -44,20 +44,20 @@
         gevent.killall(self._jobs)
 
     @property
-    def roll(self) -> Roll | None:
+    def registry(self) -> Registry | None:
         s = self.task.core.state
-        return s.roll if s is not None else None
+        return s.registry if s is not None else None
 
-    def beat(self, u: Upstream) -> bool:
-        """Whether the beat is acknowledged: a plain one by what is known here, a change once it is in force."""
+    def heartbeat(self, u: Upstream) -> bool:
+        """Whether the heartbeat is acknowledged: a plain one by what is known here, a change once it is in force."""
         now, s = clock.now(), self.task.core.state
         if s is None:
             return False
-        c = self.hear.beat(u, s.roll, self.hear.clock(s.clock, now), now)
+        c = self.liveness.heartbeat(u, s.registry, self.liveness.clock(s.clock, now), now)
         if c is None:
             return self.in_touch(now)
-        if c.instance not in s.roll.rows and s.roll.full(c.service):
-            self.task.node.counts.add("roll_full")
+        if c.instance not in s.registry.rows and s.registry.full(c.service):
+            self.task.node.counts.add("registry_full")
             return False
         return self._notice(c) if c.state == "leaving" else self.offer(c)
 
@@ -66,15 +66,15 @@
         s = self.task.core.state
         if s is None:
             return False
-        row = s.roll.rows.get(u.instance)
-        if row is not None and row.state == "gone" and self.hear.is_acked(row):
+        row = s.registry.rows.get(u.instance)
+        if row is not None and row.state == "gone" and self.liveness.is_acked(row):
             return self.in_touch(clock.now())
         return self._notice(u)
 
     def _notice(self, u: Upstream) -> bool:
         if not self.offer(u):
             return False
-        self.hear.acked(u)
+        self.liveness.acked(u)
         return True
 
     def offer(self, u: Upstream) -> bool:
@@ -87,7 +87,7 @@
             return False
 
     def in_touch(self, now: float) -> bool:
-        """Whether a leader took this law's report just now; upstreams of one cut off had better call another."""
+        """Whether a leader took this control process's report just now; upstreams of one cut off had better call another."""
         return self.task.core.leads or now - self._touched < OUT
 
     def _collect(self) -> None:
@@ -102,14 +102,14 @@
             gevent.spawn(self._offer, batch)
 
     def _offer(self, batch: list[tuple[Upstream, AsyncResult]]) -> None:
-        ok = self._rolled(Rolled([u for u, _ in batch]), LIMIT - GATHER)
+        ok = self._registered(Registered([u for u, _ in batch]), LIMIT - GATHER)
         for _, w in batch:
             w.set(ok)
 
-    def _rolled(self, c: Rolled, limit: float) -> bool:
+    def _registered(self, c: Registered, limit: float) -> bool:
         t = self.task.offer(encode(c), limit, ATTEMPT)
         self.task.node.counts.add(
-            "roll_offered" if t.code == "ok" else "roll_not_taken", len(c.changes) + len(c.forget)
+            "registry_offered" if t.code == "ok" else "registry_not_taken", len(c.changes) + len(c.forget)
         )
         if t.code != "ok":
             return False
@@ -129,29 +129,29 @@
             now, s = clock.now(), self.task.core.state
             if s is None:
                 continue
-            self.hear.clock(s.clock, now)
+            self.liveness.clock(s.clock, now)
             if self.task.core.leads:
                 self._touched = now
-                self._judge(s.roll, now)
+                self._judge(s.registry, now)
                 continue
-            self.hear.follow()
+            self.liveness.follow()
             if now - self._reported >= REPORT:
-                self._report(s.roll, now)
+                self._report(s.registry, now)
 
-    def _judge(self, roll: Roll, now: float) -> None:
-        self.hear.prune(roll, now)
-        c = self.hear.judge(roll, now)
+    def _judge(self, registry: Registry, now: float) -> None:
+        self.liveness.prune(registry, now)
+        c = self.liveness.judge(registry, now)
         if c is not None and (self._judging is None or self._judging.ready()):
-            self._judging = gevent.spawn(self._rolled, c, LIMIT)
+            self._judging = gevent.spawn(self._registered, c, LIMIT)
 
-    def _report(self, roll: Roll, now: float) -> None:
-        self.hear.prune(roll, now)
+    def _report(self, registry: Registry, now: float) -> None:
+        self.liveness.prune(registry, now)
         to = self.task.core.leader()
         if to is None:
             return
-        since = self._reported if to == self._told else now - self.hear.silent
-        body = encode(self.hear.report(since, now))
-        r = self.task.node.mesh.call(to, "heard", body, REPORT)
+        since = self._reported if to == self._told else now - self.liveness.silent
+        body = encode(self.liveness.report(since, now))
+        r = self.task.node.transport.call(to, "heard", body, REPORT)
         if r.is_ok() and r.ok_value == TAKEN:
             self._told, self._reported, self._touched = to, now, clock.now()
             return
@@ -161,5 +161,5 @@
         heard = _heard(body)
         if not self.task.core.leads:
             return b""
-        self.hear.told(heard, clock.now())
+        self.liveness.told(heard, clock.now())
         return TAKEN
--- a/mallowvalve/law/echo.py
+++ b/mallowvalve/control/replica.py
@@ -5,22 +5,22 @@
 import msgspec
 from result import Ok, Result
 
-from mallowvalve.count import Counts
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law.cut import cut, cut_settings
-from mallowvalve.law.pieces import Label, label
-from mallowvalve.law.state import State
-from mallowvalve.law.wire import Fed, Round, Told, Want
-from mallowvalve.tree.build import EMPTY, build
-from mallowvalve.tree.model import Tree
-from mallowvalve.vote.wire import Group, Picture, Voters
+from mallowvalve.configuration.build import EMPTY, build
+from mallowvalve.configuration.model import Tree
+from mallowvalve.control.snapshot import cut, cut_settings
+from mallowvalve.control.snapshot_transfer import Label, label
+from mallowvalve.control.state import State
+from mallowvalve.control.wire import Fed, Round, Told, Want
+from mallowvalve.metrics import Counts
+from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.types import Address, Locality
 
 WINDOW = 2.0
 HOLD = 0.5
 QUIET = 1.2
 
 
-class Echo:
+class Replica:
     __slots__ = (
         "addr",
         "boot",
@@ -39,7 +39,7 @@
         "_sure",
         "_answers",
         "_led",
-        "_on_params",
+        "_on_settings",
         "_doc",
         "_seen",
         "_time",
@@ -51,7 +51,7 @@
         boot: int,
         role: str,
         locality: Locality,
-        on_params: Callable[[Result], None],
+        on_settings: Callable[[Result], None],
         parts: str = "all",
         hold: float = HOLD,
     ):
@@ -66,7 +66,7 @@
         self.counts = Counts()
         self._sure = self._led = -1e9
         self._answers: dict[float, set[Address]] = {}
-        self._on_params = on_params
+        self._on_settings = on_settings
         self.tree: Tree = EMPTY
         self.understood = True
         self._doc: bytes | None = None
@@ -75,16 +75,16 @@
 
     @property
     def revision(self) -> int:
-        return self.state.params.revision if self.state else 0
+        return self.state.settings.revision if self.state else 0
 
     def fresh(self, now: float) -> bool:
         return self.state is not None and now - self._sure <= WINDOW
 
     def admits(self, now: float) -> bool:
-        """Fresh, seated under this life, and with a tree that is the newest picture's own."""
+        """Fresh, seated under this life, and with a tree that is the newest snapshot's own."""
         if not self.fresh(now) or not self.understood:
             return False
-        seat = self.state.params.roster.get(str(self.addr))
+        seat = self.state.settings.roster.get(str(self.addr))
         return seat is not None and seat.boot == self.boot
 
     def quiet(self, now: float) -> bool:
@@ -134,7 +134,7 @@
         return Round(self.addr, now)
 
     def roster(self) -> list[Address]:
-        return [Address.read(a).ok_value for a in self.state.params.roster] if self.state else []
+        return [Address.read(a).ok_value for a in self.state.settings.roster] if self.state else []
 
     def tell(self, r: Round) -> Told:
         return Told(self.addr, self.boot, r.stamp, self.group, self.revision, self.state.index if self.state else 0)
@@ -146,7 +146,7 @@
             return True
         if t.group != self.group or t.stamp not in self._answers:
             return False
-        seat = self.state.params.roster.get(str(t.sender))
+        seat = self.state.settings.roster.get(str(t.sender))
         if seat is not None and seat.boot == t.boot:
             self._answers[t.stamp].add(t.sender)
             self._count(t.stamp)
@@ -157,14 +157,14 @@
         return self.group is not None and g.generation < self.group.generation
 
     def lacks(self, l: Label) -> bool:
-        """Whether a picture under this label is worth fetching; never one of an older generation or index."""
+        """Whether a snapshot under this label is worth fetching; never one of an older generation or index."""
         if self.group is None or l.group.generation != self.group.generation:
             newer = self.group is None or l.group.generation > self.group.generation
-            self.counts.add("echo_older_refused", not newer)
+            self.counts.add("replica_older_refused", not newer)
             return newer
         return l.index > self.state.index or l.group != self.group and l.index == self.state.index
 
-    def adopt(self, p: Picture, s: State) -> None:
+    def adopt(self, p: Snapshot, s: State) -> None:
         if not self.lacks(label(p)):
             return
         before = self.revision if self.group == p.group else -1
@@ -172,17 +172,17 @@
         if self.revision != before:
             self._renew()
 
-    def picture(self) -> tuple[Picture, Iterator[bytes]] | None:
+    def snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
         """What is held; its pieces are made as they are asked for."""
         if self.state is None or self.parts != "all":
             return None
-        return Picture(self.group, self.state.index, 0, self.voters, []), cut(self.state)
+        return Snapshot(self.group, self.state.index, 0, self.voters, []), cut(self.state)
 
-    def settings(self) -> tuple[Picture, Iterator[bytes]] | None:
+    def settings(self) -> tuple[Snapshot, Iterator[bytes]] | None:
         """The settings part of what is held."""
         if self.state is None:
             return None
-        return Picture(self.group, self.state.index, 0, self.voters, []), cut_settings(self.state)
+        return Snapshot(self.group, self.state.index, 0, self.voters, []), cut_settings(self.state)
 
     def _newer(self, t: Told) -> bool:
         if t.group != self.group:
@@ -190,7 +190,7 @@
         return t.revision > self.revision
 
     def _count(self, stamp: float) -> None:
-        roster = self.state.params.roster
+        roster = self.state.settings.roster
         if str(self.addr) not in roster:
             return
         if len(self._answers[stamp]) > len(roster) // 2:
@@ -208,7 +208,7 @@
             self._renew()
 
     def _renew(self) -> None:
-        p = self.state.params
+        p = self.state.settings
         new = p.doc != self._doc
         if new:
             self._doc = p.doc
@@ -220,4 +220,4 @@
         if new or seen != self._seen:
             self._seen = seen
             if new or self.understood:
-                self._on_params(r if new else Ok(self.tree))
+                self._on_settings(r if new else Ok(self.tree))
--- a/mallowvalve/law/echotask.py
+++ b/mallowvalve/control/replica_task.py
@@ -9,18 +9,18 @@
 from result import Result
 
 from mallowvalve import clock
-from mallowvalve.count import change, vital
+from mallowvalve.configuration.build import build
+from mallowvalve.configuration.model import Tree
+from mallowvalve.control import wire
+from mallowvalve.control.replica import HOLD, Replica
+from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS, Puller
+from mallowvalve.control.snapshot_transfer import Label
+from mallowvalve.control.state import Change, command
 from mallowvalve.finding import Findings
-from mallowvalve.kind import Address
-from mallowvalve.law import wire
-from mallowvalve.law.echo import HOLD, Echo
-from mallowvalve.law.pull import BASE, NOW, SETTINGS, Puller
-from mallowvalve.law.pieces import Label
-from mallowvalve.law.state import Change, command
+from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
-from mallowvalve.tree.build import build
-from mallowvalve.tree.model import Tree
-from mallowvalve.vote.wire import COMMAND, Entry
+from mallowvalve.raft.messages import COMMAND, Entry
+from mallowvalve.types import Address
 
 ROUND = 0.3
 ROUND_MOST = 3
@@ -35,32 +35,32 @@
 AGAIN = ("leader", "replaced", "undecided")
 
 
-class EchoTask:
-    __slots__ = ("node", "echo", "puller", "_jobs", "_rng", "_fetching", "_met", "_shunned", "_sought", "held")
+class ReplicaTask:
+    __slots__ = ("node", "replica", "puller", "_jobs", "_rng", "_fetching", "_met", "_shunned", "_sought", "held")
 
     def __init__(self, node: Node):
         self.node = node
-        p = node.params
+        p = node.settings
         hold = HOLD_ON if p.serve_on else HOLD
-        self.echo = Echo(p.mesh, node.boot, p.role, p.locality, self._params, p.holds, hold)
+        self.replica = Replica(p.transport, node.boot, p.role, p.locality, self._settings, p.holds, hold)
         self._rng = random.Random()
         self._fetching = False
-        self.puller = Puller(node.mesh, self.echo.picture, settings=self.echo.settings)
+        self.puller = Puller(node.transport, self.replica.snapshot, settings=self.replica.settings)
         self._met: Address | None = None
         self._shunned: dict[Address, float] = {}
         self._sought = -1e9
         self.held = Event()
-        on = node.mesh.on
-        on("round", lambda s, b: wire.encode(self.echo.tell(wire.round_(b))), quick=True)
+        on = node.transport.on
+        on("round", lambda s, b: wire.encode(self.replica.tell(wire.round_(b))), quick=True)
         on("who", lambda s, b: wire.encode(self._who()), quick=True)
-        node.gauge("revision", lambda: self.echo.revision)
-        node.gauge("held_index", lambda: self.echo.state.index if self.echo.state else 0)
-        node.gauge("fresh", lambda: self.echo.fresh(clock.now()))
+        node.gauge("revision", lambda: self.replica.revision)
+        node.gauge("held_index", lambda: self.replica.state.index if self.replica.state else 0)
+        node.gauge("fresh", lambda: self.replica.fresh(clock.now()))
         node.allow(lambda service: service in self.tree.doc.services)
 
-    def __enter__(self) -> EchoTask:
+    def __enter__(self) -> ReplicaTask:
         self._jobs = [vital(gevent.spawn(self._follow)), vital(gevent.spawn(self._rounds))]
-        if self.node.params.serve_on:
+        if self.node.settings.serve_on:
             self._jobs.append(vital(gevent.spawn(self._begin)))
         return self
 
@@ -69,20 +69,20 @@
 
     @property
     def tree(self) -> Tree:
-        return self.echo.tree
+        return self.replica.tree
 
     def admits(self) -> bool:
-        return self.echo.admits(clock.now())
+        return self.replica.admits(clock.now())
 
-    def law(self) -> Address | None:
-        if self.echo.leader is not None:
-            return self.echo.leader
-        return next(iter(self._laws()), None)
+    def control(self) -> Address | None:
+        if self.replica.leader is not None:
+            return self.replica.leader
+        return next(iter(self._controls()), None)
 
-    def _laws(self) -> list[Address]:
-        """The laws to ask, those just found silent last; seeds too, for the membership may know nobody yet."""
-        alive = [r.addr for r in self.node.bond.alive("law")]
-        seeds = [a for a in self.node.params.seeds if a not in alive]
+    def _controls(self) -> list[Address]:
+        """The control processes to ask, those just found silent last; seeds too, for the membership may know nobody yet."""
+        alive = [r.addr for r in self.node.membership.alive("control")]
+        seeds = [a for a in self.node.settings.seeds if a not in alive]
         for some in (alive, seeds):
             self._rng.shuffle(some)
         now = clock.now()
@@ -92,12 +92,12 @@
         """Offers a command that may be given more than once, in short attempts: a dead leader's machine answers nothing."""
         end = clock.now() + limit
         while (left := end - clock.now()) > 0:
-            to = self.law()
+            to = self.control()
             if to is None:
                 gevent.sleep(min(0.05, left))
                 continue
             left = min(left, ATTEMPT)
-            r = self.node.mesh.call(to, "offer", wire.encode(wire.Offer(command, left)), left)
+            r = self.node.transport.call(to, "offer", wire.encode(wire.Offer(command, left)), left)
             if r.is_err():
                 self._forget(to)
                 gevent.sleep(min(0.05, left))
@@ -105,30 +105,32 @@
             t = wire.took(r.ok_value)
             if t.code not in AGAIN:
                 return t
-            self.echo.leader = t.leader
+            self.replica.leader = t.leader
             gevent.sleep(min(0.05, left))
         return wire.Took("undecided")
 
     def _forget(self, a: Address) -> None:
-        if self.echo.leader == a:
-            self.echo.leader = None
+        if self.replica.leader == a:
+            self.replica.leader = None
         now = clock.now()
         self._shunned = {x: t for x, t in self._shunned.items() if t > now} | {a: now + SHUN}
 
-    def _params(self, built: Result[Tree, Findings]) -> None:
+    def _settings(self, built: Result[Tree, Findings]) -> None:
         if built.is_ok():
-            self.node.counts.add("pictures")
+            self.node.counts.add("snapshots")
             return change(
-                "settings_in_use", revision=self.echo.revision, evacuated=sorted(self.echo.state.params.evacuated)
+                "settings_in_use",
+                revision=self.replica.revision,
+                evacuated=sorted(self.replica.state.settings.evacuated),
             )
-        change("picture_not_understood", revision=self.echo.revision, findings=[str(f) for f in built.err_value])
+        change("snapshot_not_understood", revision=self.replica.revision, findings=[str(f) for f in built.err_value])
 
     def _who(self) -> wire.Who:
-        p, e = self.node.params, self.echo
+        p, e = self.node.settings, self.replica
         return wire.Who(
             p.role,
             "",
-            p.mesh,
+            p.transport,
             p.locality,
             p.seeds,
             e.state is None,
@@ -141,11 +143,11 @@
 
     def _follow(self) -> None:
         while True:
-            to = self.echo.leader
+            to = self.replica.leader
             if to is None:
                 self._seek()
                 continue
-            hold = self.echo.hold if to == self._met else 0.0
+            hold = self.replica.hold if to == self._met else 0.0
             f = self._want(to, hold, hold + OVER)
             if f is None:
                 self._forget(to)
@@ -155,23 +157,23 @@
                 gevent.sleep(0.05 if f.leader in (None, to) else 0.01)
 
     def _want(self, to: Address, hold: float, limit: float) -> wire.Fed | None:
-        r = self.node.mesh.call(to, "want", wire.encode(self.echo.want(clock.now(), hold)), limit)
+        r = self.node.transport.call(to, "want", wire.encode(self.replica.want(clock.now(), hold)), limit)
         return wire.fed(r.ok_value) if r.is_ok() else None
 
     def _take(self, of: Address, f: wire.Fed) -> None:
         warm(large_docs(f.entries))
-        self.echo.fed(f, clock.now())
+        self.replica.fed(f, clock.now())
         self._note()
         if f.group is None:
             return
         self._met = of
-        if f.lacking and not self._fetch(of, SETTINGS if self.echo.parts == "settings" else BASE):
+        if f.lacking and not self._fetch(of, SETTINGS if self.replica.parts == "settings" else BASE):
             gevent.sleep(0.05)
 
     def _seek(self) -> None:
-        """Asks a few laws at once who leads; the first that leads or names a leader that is not silent ends it."""
+        """Asks a few control processes at once who leads; the first that leads or names a leader that is not silent ends it."""
         box: Queue = Queue()
-        asked = self._laws()[:SEEK_MOST]
+        asked = self._controls()[:SEEK_MOST]
         for a in asked:
             gevent.spawn(lambda a=a: box.put((a, self._want(a, 0.0, SEEK))))
         for _ in asked:
@@ -181,12 +183,12 @@
                 break
             if f is None:
                 self._forget(a)
-            elif f.group is not None and not self.echo.outgrown(f.group):
+            elif f.group is not None and not self.replica.outgrown(f.group):
                 return self._take(a, f)
             elif f.leader is not None and self._shunned.get(f.leader, -1e9) < clock.now():
-                self.echo.leader = f.leader
+                self.replica.leader = f.leader
                 return
-        if self.node.params.serve_on:
+        if self.node.settings.serve_on:
             self._fetch_anywhere()
         gevent.sleep(0.1)
 
@@ -203,7 +205,7 @@
             pause = min(2 * pause, ANYWHERE)
 
     def _fetch_anywhere(self) -> None:
-        """The newest settings that a law or a neighbour holds, while nobody leads; never older ones than are held."""
+        """The newest settings that a control process or a peer holds, while nobody leads; never older ones than are held."""
         now = clock.now()
         if now - self._sought < ANYWHERE:
             return
@@ -212,17 +214,17 @@
 
     def _take_newest(self, wait: float | None) -> None:
         """Of all that answer, or of those that do within `wait` (s) once somebody who holds settings has."""
-        flows = [r.addr for r in self.node.bond.alive("flow") if r.addr != self.echo.addr]
-        to = [*self._laws()[: 2 * SEEK_MOST], *self._rng.sample(flows, min(len(flows), SEEK_MOST))]
+        proxies = [r.addr for r in self.node.membership.alive("proxy") if r.addr != self.replica.addr]
+        to = [*self._controls()[: 2 * SEEK_MOST], *self._rng.sample(proxies, min(len(proxies), SEEK_MOST))]
         known = self._known(to, wait)
         for w in sorted(known, key=lambda w: (w.group.generation, w.index), reverse=True):
-            if self.echo.lacks(Label(w.group, w.index, 0, w.voters, 0)) and self._fetch(w.addr, self._now):
+            if self.replica.lacks(Label(w.group, w.index, 0, w.voters, 0)) and self._fetch(w.addr, self._now):
                 return
 
     def _known(self, to: list[Address], wait: float | None) -> list[wire.Who]:
         box: Queue = Queue()
         for a in to:
-            gevent.spawn(lambda a=a: box.put(self.node.mesh.call(a, "who", b"", FIRST_LIMIT)))
+            gevent.spawn(lambda a=a: box.put(self.node.transport.call(a, "who", b"", FIRST_LIMIT)))
         known: list[wire.Who] = []
         end = clock.now() + FIRST_LIMIT + 0.1
         for _ in to:
@@ -239,21 +241,21 @@
         return known
 
     def _note(self) -> None:
-        s = self.echo.state
+        s = self.replica.state
         if s is not None and s.items.revision:
             self.held.set()
 
     @property
     def _now(self) -> bytes:
-        return SETTINGS if self.echo.parts == "settings" else NOW
+        return SETTINGS if self.replica.parts == "settings" else NOW
 
     def _fetch(self, a: Address, what: bytes) -> bool:
-        r = self.puller.pull(a, what, self.echo.lacks)
+        r = self.puller.pull(a, what, self.replica.lacks)
         if r.is_err():
             return False
         p, s = r.ok_value
-        warm([s.params.doc] if len(s.params.doc) > LARGE else [])
-        self.echo.adopt(p, s)
+        warm([s.settings.doc] if len(s.settings.doc) > LARGE else [])
+        self.replica.adopt(p, s)
         self._note()
         return True
 
@@ -261,21 +263,21 @@
         while True:
             gevent.sleep(ROUND)
             now = clock.now()
-            if not self.echo.quiet(now):
+            if not self.replica.quiet(now):
                 continue
-            m = self.echo.round(now)
+            m = self.replica.round(now)
             if m is None:
                 continue
             body = wire.encode(m)
-            others = [a for a in self.echo.roster() if a != self.echo.addr]
-            if self.node.params.serve_on:
+            others = [a for a in self.replica.roster() if a != self.replica.addr]
+            if self.node.settings.serve_on:
                 others = self._rng.sample(others, min(len(others), ROUND_MOST))
             for a in others:
                 gevent.spawn(self._ask, a, body)
 
     def _ask(self, a: Address, body: bytes) -> None:
-        r = self.node.mesh.call(a, "round", body, 1.0)
-        if r.is_err() or not self.echo.told(wire.told(r.ok_value)):
+        r = self.node.transport.call(a, "round", body, 1.0)
+        if r.is_err() or not self.replica.told(wire.told(r.ok_value)):
             return
         if self._fetching:
             return
--- a/mallowvalve/law/cut.py
+++ b/mallowvalve/control/snapshot.py
@@ -8,14 +8,14 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve.claim.asks import Asked
-from mallowvalve.claim.ledger import Row
-from mallowvalve.beat.roll import Upstream
-from mallowvalve.law.state import Params, State, encode
-from mallowvalve.tie import plain
-from mallowvalve.tie.state import Event, Held
-from mallowvalve.tree.items import Item
-from mallowvalve.vote.wire import Group, Picture, Voters
+from mallowvalve.configuration.items import Item
+from mallowvalve.control.state import Settings, State, encode
+from mallowvalve.coordination import plain
+from mallowvalve.coordination.state import Event, Held
+from mallowvalve.ledger.asks import Asked
+from mallowvalve.ledger.ledger import Row
+from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.upstreams.registry import Upstream
 
 PIECE = 1 << 20
 SLICE = 2000
@@ -25,15 +25,15 @@
     generation: int
     index: int
     clock: int
-    params: Params
+    settings: Settings
     locks: dict[str, Held]
     numbers: dict[str, int]
     compacted: int
     items_revision: int = 0
-    roll_revision: int = 0
+    registry_revision: int = 0
 
 
-HEAD, ROWS, KEPT, ASKS, KEYS, EVENTS, ITEMS, ROLL, PLAIN = range(9)
+HEAD, ROWS, KEPT, ASKS, KEYS, EVENTS, ITEMS, REGISTRY, PLAIN = range(9)
 _kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
 _part = {
     k: msgspec.msgpack.Decoder(t).decode
@@ -45,8 +45,8 @@
         KEYS: list[tuple[str, tuple[str, int]]],
         EVENTS: list[Event],
         ITEMS: list[Item],
-        ROLL: list[tuple[str, Upstream]],
-        PLAIN: plain.PlainPicture,
+        REGISTRY: list[tuple[str, Upstream]],
+        PLAIN: plain.PlainSnapshot,
     }.items()
 }
 
@@ -57,26 +57,26 @@
         s.generation,
         s.index,
         s.clock,
-        s.params,
-        s.tie.locks,
-        s.tie.numbers,
-        s.tie.compacted,
+        s.settings,
+        s.coordination.locks,
+        s.coordination.numbers,
+        s.coordination.compacted,
         s.items.revision,
-        s.roll.revision,
+        s.registry.revision,
     )
-    ties = s.plain.picture()
-    return chain(_begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.parts(ties, SLICE, PIECE)))
+    coordination = s.plain.snapshot()
+    return chain(_begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.parts(coordination, SLICE, PIECE)))
 
 
 def cut_settings(s: State) -> Iterator[bytes]:
-    """The settings part alone: params, items and roll."""
-    head = Head(s.generation, s.index, s.clock, s.params, {}, {}, 0, s.items.revision, s.roll.revision)
+    """The settings part alone: settings, items and registry."""
+    head = Head(s.generation, s.index, s.clock, s.settings, {}, {}, 0, s.items.revision, s.registry.revision)
     return _begun(head, s)
 
 
 def _begun(head: Head, s: State) -> Iterator[bytes]:
     first = encode((HEAD, head))
-    parts = ((ITEMS, s.items.rows.copy().values()), (ROLL, s.roll.rows.copy().items()))
+    parts = ((ITEMS, s.items.rows.copy().values()), (REGISTRY, s.registry.rows.copy().items()))
     return chain([first], (encode((kind, part)) for kind, rows in parts for part in slices(rows)))
 
 
@@ -85,8 +85,8 @@
         (ROWS, s.ledger.rows.copy().items()),
         (KEPT, s.ledger.kept.copy()),
         (ASKS, s.asks.rows.copy().items()),
-        (KEYS, s.tie.keys.copy().items()),
-        (EVENTS, s.tie.events.copy()),
+        (KEYS, s.coordination.keys.copy().items()),
+        (EVENTS, s.coordination.events.copy()),
     )
     return (encode((kind, part)) for kind, rows in parts for part in slices(rows))
 
@@ -95,10 +95,10 @@
     return list(cut(s))
 
 
-def founding(group: Group, voters: Voters, base: State | None) -> Picture:
+def founding(group: Group, voters: Voters, base: State | None) -> Snapshot:
     state = State(group.generation) if base is None else base
     state.generation = group.generation
-    return Picture(group, state.index, 0, voters, dump(state))
+    return Snapshot(group, state.index, 0, voters, dump(state))
 
 
 def load(pieces: list[bytes], generation: int | None = None) -> State:
@@ -154,13 +154,13 @@
         elif kind == ASKS:
             s.asks.rows.update(part)
         elif kind == KEYS:
-            s.tie.keys.update(part)
+            s.coordination.keys.update(part)
         elif kind == EVENTS:
-            s.tie.events.extend(part)
+            s.coordination.events.extend(part)
         elif kind == ITEMS:
             s.items.adopt(part)
-        elif kind == ROLL:
-            s.roll.rows.update(part)
+        elif kind == REGISTRY:
+            s.registry.rows.update(part)
         elif kind == PLAIN:
             s.plain.adopt(part)
         elif not s.ledger.keep_again(part):
@@ -174,7 +174,7 @@
         if self._state is not None:
             return Err("a second head")
         s = self._state = State(h.generation if self._generation is None else self._generation)
-        s.index, s.clock, s.params = h.index, h.clock, h.params
-        s.tie.locks, s.tie.numbers, s.tie.compacted = h.locks, h.numbers, h.compacted
-        s.items.revision, s.roll.revision = h.items_revision, h.roll_revision
+        s.index, s.clock, s.settings = h.index, h.clock, h.settings
+        s.coordination.locks, s.coordination.numbers, s.coordination.compacted = h.locks, h.numbers, h.compacted
+        s.items.revision, s.registry.revision = h.items_revision, h.registry_revision
         return Ok(None)
--- a/mallowvalve/law/pull.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -9,21 +9,21 @@
 from result import Err, Result
 
 from mallowvalve import clock
-from mallowvalve.kind import Address
-from mallowvalve.law.pieces import Gather, Label, Piece, Shelf, label, read_label, read_piece, read_want
-from mallowvalve.law.state import State, encode
-from mallowvalve.mesh.task import Mesh
-from mallowvalve.vote.wire import Picture
+from mallowvalve.control.snapshot_transfer import Gather, Label, Piece, Shelf, label, read_label, read_piece, read_want
+from mallowvalve.control.state import State, encode
+from mallowvalve.raft.messages import Snapshot
+from mallowvalve.transport.task import Transport
+from mallowvalve.types import Address
 
 BASE, NOW, SETTINGS = b"base", b"now", b"settings"
 LABEL_LIMIT, PIECE_LIMIT = 10.0, 2.0
 QUICK_LABEL, QUICK_PIECE, QUICK_TRIES = 2.0, 0.8, 2
 WHOLE = 512 << 10
 read_whole = msgspec.msgpack.Decoder(tuple[Label | None, list[bytes]]).decode
-Made = tuple[Picture, Iterator[bytes]]
+Made = tuple[Snapshot, Iterator[bytes]]
 
 
-def fill(p: Picture, pieces: Iterator[bytes]) -> Picture:
+def fill(p: Snapshot, pieces: Iterator[bytes]) -> Snapshot:
     """Makes the pieces one after the other, letting others run between."""
     out = []
     for x in pieces:
@@ -33,36 +33,36 @@
 
 
 class Puller:
-    """Hands out this node's pictures by pieces, and fetches others'."""
+    """Hands out this node's snapshots by pieces, and fetches others'."""
 
-    __slots__ = ("mesh", "_base", "_now", "_settings", "_shelf", "_lock")
+    __slots__ = ("transport", "_base", "_now", "_settings", "_shelf", "_lock")
 
     def __init__(
         self,
-        mesh: Mesh,
+        transport: Transport,
         now: Callable[[], Made | None],
-        base: Callable[[], Picture | None] = lambda: None,
+        base: Callable[[], Snapshot | None] = lambda: None,
         settings: Callable[[], Made | None] = lambda: None,
     ):
-        self.mesh, self._now, self._base, self._settings = mesh, now, base, settings
+        self.transport, self._now, self._base, self._settings = transport, now, base, settings
         self._shelf, self._lock = Shelf(), RLock()
-        mesh.on("label", lambda s, b: encode(self._label(b)))
-        mesh.on("whole", lambda s, b: encode(self._whole(b)))
-        mesh.on("piece", lambda s, b: encode(self._shelf.cut(read_want(b), clock.now())), quick=True)
+        transport.on("label", lambda s, b: encode(self._label(b)))
+        transport.on("whole", lambda s, b: encode(self._whole(b)))
+        transport.on("piece", lambda s, b: encode(self._shelf.cut(read_want(b), clock.now())), quick=True)
 
     def pull(
         self,
         to: Address,
         what: bytes,
         wanted: Callable[[Label], bool] = lambda l: True,
-    ) -> Result[tuple[Picture, State], str]:
+    ) -> Result[tuple[Snapshot, State], str]:
         """A settings part is small, and whoever wants it has others to ask: a silent one is soon given up."""
         quick = what == SETTINGS
         if quick:
-            r = self.mesh.call(to, "whole", what, QUICK_LABEL)
+            r = self.transport.call(to, "whole", what, QUICK_LABEL)
             l, had = read_whole(r.ok_value) if r.is_ok() else (None, [])
         else:
-            r = self.mesh.call(to, "label", what, LABEL_LIMIT)
+            r = self.transport.call(to, "label", what, LABEL_LIMIT)
             l, had = read_label(r.ok_value) if r.is_ok() else None, []
         if l is None or not wanted(l):
             return Err("has none that is wanted")
@@ -73,14 +73,14 @@
             why = self._piece(to, g, encode(w), QUICK_PIECE if quick else PIECE_LIMIT)
             if why is None:
                 continue
-            self.mesh.counts.add("piece_refused")
+            self.transport.counts.add("piece_refused")
             failed += 1
             if g.lost() or quick and failed >= QUICK_TRIES:
                 return Err(why)
         return g.done()
 
     def _piece(self, to: Address, g: Gather, want: bytes, limit: float) -> str | None:
-        r = self.mesh.call(to, "piece", want, limit)
+        r = self.transport.call(to, "piece", want, limit)
         if r.is_err():
             gevent.sleep(0.1)
             return r.err_value
@@ -88,17 +88,17 @@
         return g.take(p).err() if p is not None else "no longer handed out"
 
     def _label(self, what: bytes) -> Label | None:
-        p = self._picture(what)
+        p = self._snapshot(what)
         return label(p, what == SETTINGS) if p is not None else None
 
     def _whole(self, what: bytes) -> tuple[Label | None, list[bytes]]:
         """The label, and the pieces along with it where they are small: one question instead of some."""
-        p = self._picture(what)
+        p = self._snapshot(what)
         if p is None:
             return None, []
         return label(p, what == SETTINGS), p.state if sum(map(len, p.state)) <= WHOLE else []
 
-    def _picture(self, what: bytes) -> Picture | None:
+    def _snapshot(self, what: bytes) -> Snapshot | None:
         with self._lock:
             part = what == SETTINGS
             p = self._base() if what == BASE else self._made(part)
@@ -106,7 +106,7 @@
                 self._shelf.put(p, clock.now(), part)
             return p
 
-    def _made(self, part: bool) -> Picture | None:
+    def _made(self, part: bool) -> Snapshot | None:
         made = self._settings() if part else self._now()
         if made is None:
             return None
--- a/mallowvalve/law/pieces.py
+++ b/mallowvalve/control/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""A picture on its way: numbered, checksummed pieces, bound to the state they were cut from."""
+"""A snapshot on its way: numbered, checksummed pieces, bound to the state they were cut from."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve.law.cut import Loader
-from mallowvalve.law.state import State
-from mallowvalve.vote.wire import Group, Picture, Voters
+from mallowvalve.control.snapshot import Loader
+from mallowvalve.control.state import State
+from mallowvalve.raft.messages import Group, Snapshot, Voters
 
 KEPT = 2
 IDLE = 30.0
@@ -42,20 +42,20 @@
     settings: bool = False
 
 
-def label(p: Picture, settings: bool = False) -> Label:
+def label(p: Snapshot, settings: bool = False) -> Label:
     return Label(p.group, p.index, p.term, p.voters, len(p.state), settings)
 
 
 class Shelf:
-    """The pictures a node hands out; few, and not for long after the last piece was asked for."""
+    """The snapshots a node hands out; few, and not for long after the last piece was asked for."""
 
     __slots__ = ("_kept", "_cut")
 
     def __init__(self):
-        self._kept: dict[tuple[Group, int, bool], tuple[Picture, float]] = {}
+        self._kept: dict[tuple[Group, int, bool], tuple[Snapshot, float]] = {}
         self._cut: dict[tuple[Group, int, bool], float] = {}
 
-    def put(self, p: Picture, now: float, settings: bool = False) -> Label:
+    def put(self, p: Snapshot, now: float, settings: bool = False) -> Label:
         self.forget(now)
         self._kept.pop((p.group, p.index, settings), None)
         while len(self._kept) >= KEPT:
@@ -64,10 +64,10 @@
         self._cut = {k: self._cut.get(k, now) for k in self._kept}
         return label(p, settings)
 
-    def newest(self, group: Group, index: int, now: float, settings: bool = False) -> Picture | None:
+    def newest(self, group: Group, index: int, now: float, settings: bool = False) -> Snapshot | None:
         """One cut from this group no further back than the index; of settings, one cut moments ago will do too.
 
-        Whoever joins follows the log from there on; a new picture for each would push out those on their way.
+        Whoever joins follows the log from there on; a new snapshot for each would push out those on their way.
         """
         for (g, i, part), (p, _) in reversed(self._kept.items()):
             if g == group and part == settings and (i >= index or settings and now - self._cut[g, i, part] < YOUNG):
@@ -122,7 +122,7 @@
         self._failed = 0
         return Ok(None)
 
-    def done(self) -> Result[tuple[Picture, State], str]:
+    def done(self) -> Result[tuple[Snapshot, State], str]:
         if self.want() is not None:
             return Err(f"{len(self.pieces)} of {self.label.count} pieces")
         l, s = self.label, self._loader.done()
@@ -130,7 +130,7 @@
             return s
         if s.ok_value.index != l.index:
             return Err(f"a state of index {s.ok_value.index}, labelled {l.index}")
-        return Ok((Picture(l.group, l.index, l.term, l.voters, self.pieces), s.ok_value))
+        return Ok((Snapshot(l.group, l.index, l.term, l.voters, self.pieces), s.ok_value))
 
 
 read_label, read_want, read_piece = (msgspec.msgpack.Decoder(k).decode for k in (Label | None, Want, Piece | None))
--- a/mallowvalve/law/state.py
+++ b/mallowvalve/control/state.py
@@ -4,13 +4,13 @@
 
 import msgspec
 
-from mallowvalve.claim.asks import Asked, Asks
-from mallowvalve.claim.ledger import Claim, Done, Forfeit, Ledger, Lose, Release
-from mallowvalve.beat.roll import Roll, Rolled
-from mallowvalve.kind import Address, Locality, Revision
-from mallowvalve.tie.plain import Count, Extend, Free, Plain, Take, Write
-from mallowvalve.tie.state import Lock, Next, Put, Renew, Said, Tie, Unlock
-from mallowvalve.tree.items import Amend, Items
+from mallowvalve.configuration.items import Amend, Items
+from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Take, Write
+from mallowvalve.coordination.state import Coordination, Lock, Next, Put, Renew, Said, Unlock
+from mallowvalve.ledger.asks import Asked, Asks
+from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Ledger, Lose, Release
+from mallowvalve.types import Address, Locality, Revision
+from mallowvalve.upstreams.registry import Registered, Registry
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True, tag="change"):
@@ -49,11 +49,11 @@
 
 
 Ledgered = Claim | Done | Release | Forfeit | Lose
-Tied = Lock | Renew | Unlock | Next | Put
+Coordinated = Lock | Renew | Unlock | Next | Put
 Plainly = Take | Extend | Free | Count | Write
-Command = Change | Evacuate | Enrol | Strike | Seats | Tick | Ledgered | Tied | Plainly | Amend | Rolled
-SETTINGS = (Change, Evacuate, Enrol, Strike, Seats, Amend, Rolled)
-TIES = (Lock, Renew, Unlock, Next, Put, Take, Extend, Free, Count, Write)
+Command = Change | Evacuate | Enrol | Strike | Seats | Tick | Ledgered | Coordinated | Plainly | Amend | Registered
+SETTINGS = (Change, Evacuate, Enrol, Strike, Seats, Amend, Registered)
+COORDINATION = (Lock, Renew, Unlock, Next, Put, Take, Extend, Free, Count, Write)
 encode = msgspec.msgpack.Encoder().encode
 command = msgspec.msgpack.Decoder(Command).decode
 
@@ -78,7 +78,7 @@
     locality: Locality
 
 
-class Params(msgspec.Struct, array_like=True):
+class Settings(msgspec.Struct, array_like=True):
     doc: bytes = b"{}"
     doc_revision: int = 0
     evacuated: dict[str, int] = {}
@@ -105,12 +105,23 @@
 
 
 class State:
-    __slots__ = ("generation", "index", "clock", "params", "ledger", "tie", "asks", "items", "roll", "plain")
+    __slots__ = (
+        "generation",
+        "index",
+        "clock",
+        "settings",
+        "ledger",
+        "coordination",
+        "asks",
+        "items",
+        "registry",
+        "plain",
+    )
 
     def __init__(self, generation: int):
         self.generation, self.index, self.clock = generation, 0, 0
-        self.params, self.ledger, self.tie, self.asks = Params(), Ledger(), Tie(), Asks()
-        self.items, self.roll, self.plain = Items(), Roll(), Plain()
+        self.settings, self.ledger, self.coordination, self.asks = Settings(), Ledger(), Coordination(), Asks()
+        self.items, self.registry, self.plain = Items(), Registry(), Plain()
 
     @property
     def revision(self) -> int:
@@ -121,12 +132,12 @@
 
     @property
     def turned(self) -> int:
-        """The index of the last entry that changed the settings part: params, items or roll."""
-        return Revision(self.params.revision).index
+        """The index of the last entry that changed the settings part: settings, items or registry."""
+        return Revision(self.settings.revision).index
 
     def graft(self, other: State) -> None:
         """Takes over the settings part of a state that went on further."""
-        self.params, self.items, self.roll = other.params, other.items, other.roll
+        self.settings, self.items, self.registry = other.settings, other.items, other.registry
         self.index, self.clock = max(self.index, other.index), max(self.clock, other.clock)
 
     def apply(self, index: int, at: int, data: bytes) -> Outcome:
@@ -148,7 +159,11 @@
         return out
 
     def _again(self, c: Command, said: Outcome) -> Outcome:
-        if said.code != "ok" or not isinstance(c, Lock | Renew) or self.tie.holds(c.name, c.holder, number_of(said)):
+        if (
+            said.code != "ok"
+            or not isinstance(c, Lock | Renew)
+            or self.coordination.holds(c.name, c.holder, number_of(said))
+        ):
             return said
         return Outcome("lost", said.revision, encode(Said("lost")))
 
@@ -165,25 +180,25 @@
             case Seats():
                 for step in c.steps:
                     self._do(step)
-                return Outcome("ok", self.params.revision)
+                return Outcome("ok", self.settings.revision)
             case Amend():
                 return self._amend(c)
-            case Rolled():
-                return self._rolled(c)
+            case Registered():
+                return self._registered(c)
             case Take() | Extend() | Free() | Count() | Write():
                 return Outcome("ok", self.revision, encode(self.plain.apply(c, self.clock)))
             case Tick():
-                self.tie.lapse(self.clock)
+                self.coordination.lapse(self.clock)
                 self.plain.lapse(self.clock)
                 return Outcome("ok", self.revision)
             case Claim() | Done() | Release() | Forfeit() | Lose():
                 v = self.ledger.apply(c, self.clock, self.revision)
                 return Outcome(v.state, self.revision, encode(v))
-        said = self.tie.apply(c, self.revision, self.clock)
+        said = self.coordination.apply(c, self.revision, self.clock)
         return Outcome(said.code, self.revision, encode(said))
 
     def _change(self, c: Change) -> Outcome:
-        s = self.params
+        s = self.settings
         if not c.doc:
             return Outcome("gone", s.doc_revision)
         if c.base is not None and c.base != s.doc_revision:
@@ -194,20 +209,20 @@
     def _amend(self, c: Amend) -> Outcome:
         found = self.items.apply(c, self.revision)
         if found:
-            return Outcome("invalid", self.params.revision, encode(found))
+            return Outcome("invalid", self.settings.revision, encode(found))
         if self.items.revision == self.revision:
-            self.params.revision = self.revision
-        return Outcome("ok", self.params.revision)
+            self.settings.revision = self.revision
+        return Outcome("ok", self.settings.revision)
 
-    def _rolled(self, c: Rolled) -> Outcome:
-        before = self.roll.revision
-        self.roll.apply(c, self.clock)
-        if self.roll.revision != before:
-            self.params.revision = self.revision
-        return Outcome("ok", self.params.revision)
+    def _registered(self, c: Registered) -> Outcome:
+        before = self.registry.revision
+        self.registry.apply(c, self.clock)
+        if self.registry.revision != before:
+            self.settings.revision = self.revision
+        return Outcome("ok", self.settings.revision)
 
     def _evacuate(self, c: Evacuate) -> Outcome:
-        s = self.params
+        s = self.settings
         if c.on == (c.zone in s.evacuated):
             return Outcome("ok", s.revision)
         if c.on:
@@ -215,24 +230,24 @@
         return self._set(lambda s: s.evacuated.pop(c.zone))
 
     def _enrol(self, c: Enrol) -> Outcome:
-        if self.params.roster.get(str(c.addr)) == Seat(c.boot, c.locality):
-            return Outcome("ok", self.params.revision)
+        if self.settings.roster.get(str(c.addr)) == Seat(c.boot, c.locality):
+            return Outcome("ok", self.settings.revision)
         self._bury(str(c.addr))
         return self._set(lambda s: s.roster.__setitem__(str(c.addr), Seat(c.boot, c.locality)))
 
     def _strike(self, c: Strike) -> Outcome:
-        seat = self.params.roster.get(str(c.addr))
+        seat = self.settings.roster.get(str(c.addr))
         if seat is None or seat.boot != c.boot:
-            return Outcome("gone", self.params.revision)
+            return Outcome("gone", self.settings.revision)
         self._bury(str(c.addr))
         return self._set(lambda s: s.roster.pop(str(c.addr)))
 
     def _bury(self, addr: str) -> None:
-        seat = self.params.roster.get(addr)
+        seat = self.settings.roster.get(addr)
         if seat is not None:
             self.ledger.apply(Lose(f"{addr}#{seat.boot}"), self.clock)
 
     def _set(self, act) -> Outcome:
-        act(self.params)
-        self.params.revision = self.revision
+        act(self.settings)
+        self.settings.revision = self.revision
         return Outcome("ok", self.revision)
--- a/mallowvalve/law/store.py
+++ b/mallowvalve/control/store.py
@@ -5,9 +5,9 @@
 from result import Err, Ok, Result
 
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.tale.log import Tale
-from mallowvalve.vote.raft import Ready
-from mallowvalve.vote.wire import Entry, Hard, Picture, encode, picture_of
+from mallowvalve.raft.messages import Entry, Hard, Snapshot, encode, snapshot_of
+from mallowvalve.raft.raft import Ready
+from mallowvalve.storage.log import DiskLog
 
 _hard = msgspec.msgpack.Decoder(Hard).decode
 _entry = msgspec.msgpack.Decoder(Entry).decode
@@ -15,25 +15,25 @@
 
 
 class Loaded(msgspec.Struct):
-    picture: Picture | None
+    snapshot: Snapshot | None
     hard: Hard | None
     entries: list[Entry]
 
 
-def load(tale: Tale) -> Result[Loaded, Findings]:
-    if tale.picture is None:
-        return Err([Finding("log", "entries without a picture")]) if tale.batches else Ok(Loaded(None, None, []))
+def load(disk_log: DiskLog) -> Result[Loaded, Findings]:
+    if disk_log.snapshot is None:
+        return Err([Finding("log", "entries without a snapshot")]) if disk_log.batches else Ok(Loaded(None, None, []))
     try:
-        return Ok(_replay(picture_in(tale.picture), tale))
+        return Ok(_replay(snapshot_in(disk_log.snapshot), disk_log))
     except (msgspec.DecodeError, ValueError, IndexError) as e:
         return Err([Finding("log", f"not understood: {e}")])
 
 
-def _replay(p: Picture, tale: Tale) -> Loaded:
+def _replay(p: Snapshot, disk_log: DiskLog) -> Loaded:
     hard: Hard | None = None
     entries: list[Entry] = []
     base, group = -1, None
-    for batch in tale.batches:
+    for batch in disk_log.batches:
         for item in batch:
             if item[:1] == HARD:
                 h = _hard(item[1:])
@@ -53,7 +53,7 @@
     return Loaded(p, hard, _tail(p, entries))
 
 
-def _tail(p: Picture, entries: list[Entry]) -> list[Entry]:
+def _tail(p: Snapshot, entries: list[Entry]) -> list[Entry]:
     at = next((i for i, e in enumerate(entries) if e.index == p.index), None)
     if at is not None and entries[at].term != p.term:
         return []
@@ -70,26 +70,26 @@
     return [HARD + encode(hard)] + [ENTRY + encode(e) for e in tail]
 
 
-def parts(p: Picture) -> list[bytes]:
+def parts(p: Snapshot) -> list[bytes]:
     return [encode(replace(p, state=[])), *p.state]
 
 
-def picture_in(parts: list[bytes]) -> Picture:
-    return replace(picture_of(parts[0]), state=parts[1:])
+def snapshot_in(parts: list[bytes]) -> Snapshot:
+    return replace(snapshot_of(parts[0]), state=parts[1:])
 
 
-def save(tale: Tale, r: Ready, hard: Hard, stored: str | None = None) -> None:
-    """Saves a step; an installed picture may have been stored beside the log before."""
+def save(disk_log: DiskLog, r: Ready, hard: Hard, stored: str | None = None) -> None:
+    """Saves a step; an installed snapshot may have been stored beside the log before."""
     if r.install is not None:
-        turn(tale, r.install, head(hard, r.entries), stored)
+        turn(disk_log, r.install, head(hard, r.entries), stored)
         return
     batch = items(r)
     if batch:
-        tale.save(batch)
+        disk_log.save(batch)
 
 
-def turn(tale: Tale, p: Picture, first: list[bytes], stored: str | None = None) -> None:
-    whole, name = parts(p), stored or tale.reserve()
+def turn(disk_log: DiskLog, p: Snapshot, first: list[bytes], stored: str | None = None) -> None:
+    whole, name = parts(p), stored or disk_log.reserve()
     if stored is None:
-        tale.put(name, whole)
-    tale.turn(name, whole, first)
+        disk_log.put(name, whole)
+    disk_log.turn(name, whole, first)
--- a/mallowvalve/law/task.py
+++ b/mallowvalve/control/task.py
@@ -11,30 +11,30 @@
 from result import Result
 
 from mallowvalve import clock
-from mallowvalve.count import change, vital
+from mallowvalve.configuration.build import EMPTY, build
+from mallowvalve.configuration.model import Tree
+from mallowvalve.control import store, wire
+from mallowvalve.control.bootstrap_task import FoundTask
+from mallowvalve.control.core import Core
+from mallowvalve.control.replica_task import AGAIN
+from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
+from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
-from mallowvalve.kind import Address
-from mallowvalve.law import store, wire
-from mallowvalve.law.core import Core
-from mallowvalve.law.echotask import AGAIN
-from mallowvalve.law.foundtask import FoundTask
-from mallowvalve.law.pull import BASE, Puller, fill
-from mallowvalve.law.state import State
+from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
-from mallowvalve.tale.log import Tale
-from mallowvalve.tree.build import EMPTY, build
-from mallowvalve.tree.model import Tree
-from mallowvalve.vote.progress import Times
-from mallowvalve.vote.wire import Envelope, Group, Install, Message, Picture, encode, envelope
+from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, encode, envelope
+from mallowvalve.raft.progress import Times
+from mallowvalve.storage.log import DiskLog
+from mallowvalve.types import Address
 
 STORE_AGAIN = 2.0
 
 
-class LawTask:
+class ControlTask:
     __slots__ = (
         "node",
         "core",
-        "tale",
+        "disk_log",
         "_box",
         "_jobs",
         "stalled",
@@ -51,24 +51,24 @@
         "_hint",
     )
 
-    def __init__(self, node: Node, tale: Tale, loaded: store.Loaded):
-        self.node, self.tale = node, tale
-        p = node.params
+    def __init__(self, node: Node, disk_log: DiskLog, loaded: store.Loaded):
+        self.node, self.disk_log = node, disk_log
+        p = node.settings
         self.core = Core(
-            tale.identity.id,
-            p.mesh,
+            disk_log.identity.id,
+            p.transport,
             p.locality,
             random.Random(node.boot),
             p.acks,
             Times(pace=p.pace, election=p.election),
         )
-        if loaded.picture is not None:
-            self.core.start(loaded.picture, loaded.hard, loaded.entries, clock.now())
+        if loaded.snapshot is not None:
+            self.core.start(loaded.snapshot, loaded.hard, loaded.entries, clock.now())
         self._box: Queue = Queue()
         self.stalled = False
         self._role_said = ""
         self._tree: tuple[int, Tree] = (0, EMPTY)
-        self.puller = Puller(node.mesh, self.core.picture, self.core.base, self.core.settings)
+        self.puller = Puller(node.transport, self.core.snapshot, self.core.base, self.core.settings)
         self._saving = self._pulling = False
         self._stored: dict[tuple[Group, int], str] = {}
         self.disk = RLock()
@@ -76,16 +76,16 @@
         self._over = False
         self._hint: Address | None = None
         self.founder = FoundTask(self)
-        node.mesh.gone = lambda a: self.put(lambda now: self.core.gone(a, now))
-        on = node.mesh.on
-        on("vote", self._vote, quick=True)
+        node.transport.gone = lambda a: self.put(lambda now: self.core.gone(a, now))
+        on = node.transport.on
+        on("raft", self._vote, quick=True)
         on("want", lambda s, b: wire.encode(self._want(wire.want(b))))
         on("offer", lambda s, b: wire.encode(self._offer(wire.offer(b))))
         on("read", lambda s, b: wire.encode(self._read(2.0)))
         on("who", lambda s, b: wire.encode(self.who()), quick=True)
         on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), quick=True)
 
-    def __enter__(self) -> LawTask:
+    def __enter__(self) -> ControlTask:
         self._jobs = [vital(gevent.spawn(self._run)), vital(gevent.spawn(self.founder.run))]
         return self
 
@@ -100,9 +100,9 @@
         s = self.core.state
         if s is None:
             return EMPTY
-        if self._tree[0] != s.params.doc_revision or self._tree[0] == 0:
-            doc = msgspec.json.decode(s.params.doc)
-            self._tree = (s.params.doc_revision, build(doc).unwrap())
+        if self._tree[0] != s.settings.doc_revision or self._tree[0] == 0:
+            doc = msgspec.json.decode(s.settings.doc)
+            self._tree = (s.settings.doc_revision, build(doc).unwrap())
         return self._tree[1]
 
     def check(self, doc: dict) -> Result[Tree, Findings]:
@@ -120,14 +120,14 @@
         return wire.Took("undecided") if maybe and t.code in AGAIN else t
 
     def _offer_once(self, command: bytes, limit: float) -> wire.Took:
-        """A law that is blank or whose disk refuses holds no command back: another one is asked."""
+        """A control process that is blank or whose disk refuses holds no command back: another one is asked."""
         other = self._other() if self.core.raft is None or self.stalled else None
         own = other is None and not self.stalled
         t = self._offer(wire.Offer(command, limit)) if own else wire.Took("leader", leader=other)
-        if t.code != "leader" or t.leader is None or t.leader == self.node.params.mesh:
+        if t.code != "leader" or t.leader is None or t.leader == self.node.settings.transport:
             return t
         to, self._hint = t.leader, None
-        r = self.node.mesh.call(to, "offer", wire.encode(wire.Offer(command, limit)), limit)
+        r = self.node.transport.call(to, "offer", wire.encode(wire.Offer(command, limit)), limit)
         if r.is_err():
             return wire.Took("undecided")
         t = wire.took(r.ok_value)
@@ -135,17 +135,17 @@
         return t
 
     def _other(self) -> Address | None:
-        laws = [r.addr for r in self.node.bond.alive("law")]
-        return self._hint if self._hint in laws else random.choice(laws) if laws else None
+        controls = [r.addr for r in self.node.membership.alive("control")]
+        return self._hint if self._hint in controls else random.choice(controls) if controls else None
 
     def read(self, limit: float) -> wire.Took:
         if self.stalled:
             return wire.Took("leader", leader=self._other())
         end = clock.now() + limit
         t = self._read(limit)
-        if t.code != "leader" or t.leader is None or t.leader == self.node.params.mesh:
+        if t.code != "leader" or t.leader is None or t.leader == self.node.settings.transport:
             return t
-        r = self.node.mesh.call(t.leader, "read", b"", limit)
+        r = self.node.transport.call(t.leader, "read", b"", limit)
         if r.is_err():
             return wire.Took("undecided")
         t = wire.took(r.ok_value)
@@ -195,52 +195,52 @@
             isinstance(e.body, Install)
             and not self._pulling
             and self.core.raft
-            and e.body.picture.index > self.core.raft.commit
+            and e.body.snapshot.index > self.core.raft.commit
         ):
             self._pulling = True
             gevent.spawn(self._install, e)
 
     def _install(self, e: Envelope) -> None:
-        """Fetches an announced picture by pieces, stores it beside the log, and only then shows it to the machine."""
+        """Fetches an announced snapshot by pieces, stores it beside the log, and only then shows it to the machine."""
         try:
-            r = self.puller.pull(e.address, BASE, lambda l: l.group == e.group and l.index >= e.body.picture.index)
+            r = self.puller.pull(e.address, BASE, lambda l: l.group == e.group and l.index >= e.body.snapshot.index)
             if r.is_err():
-                return self.node.counts.add("pictures_not_fetched")
+                return self.node.counts.add("snapshots_not_fetched")
             p, s = r.ok_value
             name = self._store(p)
             if name is None:
                 return
-            m = msgspec.structs.replace(e.body, picture=p)
+            m = msgspec.structs.replace(e.body, snapshot=p)
             self.put(lambda now: self._show(msgspec.structs.replace(e, body=m), s, name, now))
         finally:
             self._pulling = False
 
     def _show(self, e: Envelope, s: State, name: str, now: float) -> None:
         raft = self.core.raft
-        if raft is None or raft.group != e.group or e.body.picture.index <= raft.commit or e.body.term < raft.term:
-            return self.persist(lambda: self.tale.drop(name))
-        self._stored = {(e.group, e.body.picture.index): name}
-        self.core.bring(e.body.picture, s)
+        if raft is None or raft.group != e.group or e.body.snapshot.index <= raft.commit or e.body.term < raft.term:
+            return self.persist(lambda: self.disk_log.drop(name))
+        self._stored = {(e.group, e.body.snapshot.index): name}
+        self.core.bring(e.body.snapshot, s)
         self.core.receive(e, now)
 
-    def _store(self, p: Picture) -> str | None:
-        """Writes a picture beside the log; a disk without room for it is not yet one without room for the log."""
+    def _store(self, p: Snapshot) -> str | None:
+        """Writes a snapshot beside the log; a disk without room for it is not yet one without room for the log."""
         with self.disk:
-            name = self.tale.reserve()
+            name = self.disk_log.reserve()
             try:
-                gevent.get_hub().threadpool.apply(self.tale.put, (name, store.parts(p)))
+                gevent.get_hub().threadpool.apply(self.disk_log.put, (name, store.parts(p)))
                 return name
             except OSError as e:
-                self.node.counts.add("pictures_not_stored")
-                return change("picture_not_stored", error=str(e), bytes=sum(map(len, p.state)))
+                self.node.counts.add("snapshots_not_stored")
+                return change("snapshot_not_stored", error=str(e), bytes=sum(map(len, p.state)))
 
     def who(self) -> wire.Who:
-        return self.core.who("law", self.node.params.seeds)
+        return self.core.who("control", self.node.settings.seeds)
 
     def _run(self) -> None:
         while True:
             now = clock.now()
-            for act in self._take(max(0.001, self.core.wakeup(now) - now)):
+            for act in self._take(max(0.001, self.core.timer(now) - now)):
                 act(clock.now())
             self.core.tick(clock.now())
             self._flush()
@@ -266,12 +266,12 @@
                 self.node.counts.add("log_entries", len(r.entries))
                 self.node.counts.add("log_bytes", sum(len(e.data) for e in r.entries))
             stored = self._stored.pop((group, r.install.index), None) if r.install is not None else None
-            self.persist(lambda: store.save(self.tale, r, self.core.raft.hard(), stored))
+            self.persist(lambda: store.save(self.disk_log, r, self.core.raft.hard(), stored))
             self._send(group, r.late)
             self.core.saved(r, clock.now())
-            if self.tale.full() and not self._saving:
+            if self.disk_log.full() and not self._saving:
                 self._saving = True
-                gevent.spawn(self._compact, *self.core.picture())
+                gevent.spawn(self._compact, *self.core.snapshot())
         replies, self.core.replies = self.core.replies, []
         for w, body in replies:
             w.set(body)
@@ -295,8 +295,8 @@
                 self.node.counts.add("disk_errors")
                 gevent.sleep(0.5)
 
-    def _compact(self, p: Picture, pieces: Iterator[bytes]) -> None:
-        """Makes and stores a picture while the machine goes on; the log turns to it once it is safe."""
+    def _compact(self, p: Snapshot, pieces: Iterator[bytes]) -> None:
+        """Makes and stores a snapshot while the machine goes on; the log turns to it once it is safe."""
         p = fill(p, pieces)
         name = self._store(p)
         if name is None:
@@ -305,15 +305,15 @@
             return
         self.put(lambda now: self._turn(p, name))
 
-    def _turn(self, p: Picture, name: str) -> None:
+    def _turn(self, p: Snapshot, name: str) -> None:
         raft, self._saving = self.core.raft, False
         if raft is None or raft.group != p.group or p.index <= raft.log.base:
-            return self.persist(lambda: self.tale.drop(name))
+            return self.persist(lambda: self.disk_log.drop(name))
         tail = [e for e in raft.log.entries if e.index > p.index]
         first = store.head(raft.hard(), tail)
-        self.persist(lambda: store.turn(self.tale, p, first, name))
+        self.persist(lambda: store.turn(self.disk_log, p, first, name))
         self.core.compact(p)
-        self.node.counts.add("pictures_taken")
+        self.node.counts.add("snapshots_taken")
 
     def _send(self, group: Group, out: list) -> None:
         raft = self.core.raft
@@ -323,7 +323,9 @@
             s = self.core.seen.get(to)
             a = a or (s.addr if s else None)
             if a is not None:
-                self.node.mesh.cast(a, "vote", encode(Envelope(group, self.core.id, to, self.node.params.mesh, m)))
+                self.node.transport.cast(
+                    a, "raft", encode(Envelope(group, self.core.id, to, self.node.settings.transport, m))
+                )
 
     def _log(self) -> None:
         decided, self.core.decided = self.core.decided, []
@@ -335,11 +337,11 @@
         if role == self._role_said or role == "pre":
             return
         self._role_said = role
-        change("vote_role", role=role, term=r.term if r else 0, generation=r.group.generation if r else 0)
+        change("raft_role", role=role, term=r.term if r else 0, generation=r.group.generation if r else 0)
 
 
 def announced(m: Message) -> Message:
-    """A picture is only named in a message; its pieces are fetched."""
+    """A snapshot is only named in a message; its pieces are fetched."""
     if not isinstance(m, Install):
         return m
-    return msgspec.structs.replace(m, picture=msgspec.structs.replace(m.picture, state=[]))
+    return msgspec.structs.replace(m, snapshot=msgspec.structs.replace(m.snapshot, state=[]))
--- a/mallowvalve/law/waits.py
+++ b/mallowvalve/control/waiting.py
@@ -1,4 +1,4 @@
-"""What waits at a leader: commands for their acknowledgement, reads for a quorum, echoes for news."""
+"""What waits at a leader: commands for their acknowledgement, reads for a quorum, replicas for news."""
 
 from __future__ import annotations
 
@@ -6,10 +6,24 @@
 
 import msgspec
 
-from mallowvalve.law.state import Outcome, State
-from mallowvalve.law.wire import Took, Want
+from mallowvalve.control.state import COORDINATION, SETTINGS, Outcome, State, tag_of, tags
+from mallowvalve.control.wire import Took, Want
+from mallowvalve.settings import Acks
 
 NOTE_AFTER = 0.03
+SETTINGS_TAGS, COORDINATION_TAGS = tags(SETTINGS), tags(COORDINATION)
+
+
+def turns_settings(data: bytes) -> bool:
+    """Whether an encoded command belongs to the settings part of the state."""
+    return tag_of(data) in SETTINGS_TAGS
+
+
+def waits_for(data: bytes, acks: Acks) -> str:
+    """What the acknowledgement of an encoded command waits for: `commit`, `held` or `force`."""
+    if turns_settings(data):
+        return acks.settings
+    return acks.coordination if tag_of(data) in COORDINATION_TAGS else "held"
 
 
 class Pending(msgspec.Struct):
--- a/mallowvalve/law/wire.py
+++ b/mallowvalve/control/wire.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from mallowvalve.kind import Address, Locality
-from mallowvalve.vote.wire import Entry, Group, Voters
+from mallowvalve.raft.messages import Entry, Group, Voters
+from mallowvalve.types import Address, Locality
 
 
 class Who(msgspec.Struct, array_like=True, frozen=True):
--- a/mallowvalve/tie/plain.py
+++ b/mallowvalve/coordination/plain.py
@@ -78,7 +78,7 @@
     revision: int
 
 
-class PlainPicture(msgspec.Struct, frozen=True, array_like=True):
+class PlainSnapshot(msgspec.Struct, frozen=True, array_like=True):
     token: int = 0
     locks: dict[str, Hold] = {}
     numbers: dict[str, int] = {}
@@ -253,8 +253,8 @@
             self._bytes -= len(p.value)
             self.groups[group_of(p.name)].events.popleft()
 
-    def picture(self) -> PlainPicture:
-        return PlainPicture(
+    def snapshot(self) -> PlainSnapshot:
+        return PlainSnapshot(
             self.token,
             self.locks.copy(),
             self.numbers.copy(),
@@ -264,8 +264,8 @@
             list(self._kept),
         )
 
-    def adopt(self, p: PlainPicture) -> None:
-        """Takes a picture in, or one part after the other."""
+    def adopt(self, p: PlainSnapshot) -> None:
+        """Takes a snapshot in, or one part after the other."""
         self.token = max(self.token, p.token)
         self.locks.update(p.locks)
         self.numbers.update(p.numbers)
@@ -283,15 +283,15 @@
     return clock + math.ceil(hold_ms) + SLACK_MS
 
 
-def parts(p: PlainPicture, rows: int = 2000, size: int = 1 << 20) -> Iterator[PlainPicture]:
-    """A picture in parts of about so many rows and characters, to be adopted in this order."""
-    yield PlainPicture(p.token)
+def parts(p: PlainSnapshot, rows: int = 2000, size: int = 1 << 20) -> Iterator[PlainSnapshot]:
+    """A snapshot in parts of about so many rows and characters, to be adopted in this order."""
+    yield PlainSnapshot(p.token)
     for field in ("locks", "numbers", "cells", "revisions"):
         for some in _slices(getattr(p, field).items(), rows, size):
-            yield PlainPicture(**{field: dict(some)})
+            yield PlainSnapshot(**{field: dict(some)})
     for field in ("history", "kept"):
         for some in _slices(getattr(p, field), rows, size):
-            yield PlainPicture(**{field: some})
+            yield PlainSnapshot(**{field: some})
 
 
 def _slices(items: Iterable, rows: int, size: int) -> Iterator[list]:
--- a/mallowvalve/tie/state.py
+++ b/mallowvalve/coordination/state.py
@@ -61,7 +61,7 @@
     value: str | None
 
 
-class Tie:
+class Coordination:
     __slots__ = ("locks", "numbers", "keys", "events", "compacted")
 
     def __init__(self):
--- a/mallowvalve/fault.py
+++ b/mallowvalve/fault.py
@@ -1,4 +1,4 @@
-"""Failures put in at the process's own edges, for trials: cuts of the mesh, full and stalled disks."""
+"""Failures put in at the process's own edges, for trials: cuts of the transport, full and stalled disks."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 import gevent
 import msgspec
 
-from mallowvalve.count import change
-from mallowvalve.kind import Address
+from mallowvalve.metrics import change
+from mallowvalve.types import Address
 
-FLEET = "whole"
+FLEET = "localfleet"
 LOOK = 0.05
 
 
--- a/mallowvalve/head.py
+++ b/mallowvalve/http_head.py
@@ -1,4 +1,4 @@
-"""The head of a request, read off a client's session within bounds, and strictly."""
+"""The head of a request, read off a client's connection within bounds, and strictly."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
             self.buf += data
 
     def head(self, most: int, seconds: float) -> bytes | None:
-        """The head without its last empty line, b"" when the session ended in it, None when it is too long.
+        """The head without its last empty line, b"" when the connection ended in it, None when it is too long.
 
         Raises TimeoutError when it takes longer than `seconds`.
         """
--- a/mallowvalve/claim/ledger.py
+++ b/mallowvalve/ledger/ledger.py
@@ -146,7 +146,7 @@
             self._drop(key)
 
     def keep_again(self, keys: list[str]) -> bool:
-        """Answers kept by a picture, in its order; false where a row lacks its answer."""
+        """Answers kept by a snapshot, in its order; false where a row lacks its answer."""
         for k in keys:
             r = self.rows.get(k)
             if r is None or not r.body:
--- a/mallowvalve/whole/acts.py
+++ b/mallowvalve/localfleet/acts.py
@@ -4,15 +4,15 @@
 import time
 from collections.abc import Callable
 
-from mallowvalve.whole.call import call
-from mallowvalve.whole.cost import Cost
-from mallowvalve.whole.fleet import Fleet, until
-from mallowvalve.whole.judge import after_evacuation, after_leaving, repeat_share
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.cost import Cost
+from mallowvalve.localfleet.fleet import Fleet, until
+from mallowvalve.localfleet.judge import after_evacuation, after_leaving, repeat_share
 
 
 def rolling(f: Fleet) -> list[str]:
     out = []
-    for p in f.of("law") + f.of("way") + f.of("flow"):
+    for p in f.of("control") + f.of("directory") + f.of("proxy"):
         if f.stop(p.name, f.polite + 3) != 0:
             out.append(f"{p.name} did not stop politely")
         f.start(p.name)
@@ -43,7 +43,7 @@
 
 def kills(f: Fleet) -> list[str]:
     rng = random.Random(7)
-    for role in ("flow", "law", "way", "flow", "law"):
+    for role in ("proxy", "control", "directory", "proxy", "control"):
         p = rng.choice(f.of(role))
         f.kill(p.name)
         time.sleep(3)
@@ -53,14 +53,14 @@
 
 
 def evacuation(f: Fleet) -> list[str]:
-    zone, law = "eu-a", f.of("law")[0]
-    status, data, _ = call(law.web, "POST", "/evacuations", {"zone": zone, "evacuated": True})
+    zone, control = "eu-a", f.of("control")[0]
+    status, data, _ = call(control.web, "POST", "/evacuations", {"zone": zone, "evacuated": True})
     start = time.time()
     if status != 200:
         return [f"evacuation not acknowledged: {data}"]
     time.sleep(9)
     end = time.time()
-    status, data, _ = call(law.web, "POST", "/evacuations", {"zone": zone, "evacuated": False})
+    status, data, _ = call(control.web, "POST", "/evacuations", {"zone": zone, "evacuated": False})
     time.sleep(4)
     rows = f.rows("ran.jsonl")
     out = after_evacuation(zone, start, end, rows)
@@ -92,19 +92,19 @@
 
 
 def wiped_core(f: Fleet) -> list[str]:
-    for p in f.of("law"):
+    for p in f.of("control"):
         f.kill(p.name)
         f.wipe(p.name)
-    for p in f.of("law"):
+    for p in f.of("control"):
         f.start(p.name)
     start = time.time()
-    back = until(lambda: any(call(p.web, "GET", "/config", limit=3)[0] == 200 for p in f.of("law")), 30)
+    back = until(lambda: any(call(p.web, "GET", "/config", limit=3)[0] == 200 for p in f.of("control")), 30)
     gap = time.time() - start
     return [] if back and gap < 15 else [f"control not back within 15 s: {gap:.1f}"]
 
 
 def frozen(f: Fleet) -> list[str]:
-    for p in (f.of("flow")[0], f.of("law")[0], f.of("flow")[1]):
+    for p in (f.of("proxy")[0], f.of("control")[0], f.of("proxy")[1]):
         f.freeze(p.name)
         time.sleep(4)
         f.thaw(p.name)
@@ -117,7 +117,7 @@
     ups = [p for p in f.of("upstream")]
     for p in ups:
         call(p.web, "POST", "/-/faults", {"fault": "garbage", "share": 0.6})
-    f.start_consumers("hasty", seed=99, rate=f.shape.rate / 2, relentless=True)
+    f.start_clients("hasty", seed=99, rate=f.shape.rate / 2, relentless=True)
     time.sleep(20)
     for p in ups:
         call(p.web, "POST", "/-/faults", {"fault": "", "share": 0})
@@ -167,7 +167,7 @@
     for i in range(40):
         t = time.time()
         headers = {"Mallow-Tenant": tenant, "Mallow-Limit": "4000"}
-        status, _, h = call(f.of("flow")[i % 3].web, method, path.replace("{n}", "1"), None, headers)
+        status, _, h = call(f.of("proxy")[i % 3].web, method, path.replace("{n}", "1"), None, headers)
         took.append(time.time() - t)
         if status not in (502, 503) or "mallow-outcome" not in h or "retry-after" not in h:
             out.append(f"got {status} {h.get('mallow-outcome')} from an emptied pool")
@@ -183,7 +183,7 @@
         f.start(p.name)
     start = time.time()
     back = until(
-        lambda: call(f.of("flow")[0].web, method, path.replace("{n}", "1"), None, {"Mallow-Tenant": tenant})[0] == 200,
+        lambda: call(f.of("proxy")[0].web, method, path.replace("{n}", "1"), None, {"Mallow-Tenant": tenant})[0] == 200,
         20,
     )
     print(f"served again {time.time() - start:.1f} s after the pool's restart", flush=True)
@@ -192,7 +192,7 @@
 
 
 def cold(f: Fleet) -> list[str]:
-    """One upstream returns cold; what it gets at first is set against its neighbours of the same zone."""
+    """One upstream returns cold; what it gets at first is set against its peers of the same zone."""
     p = f.of("upstream")[0]
     f.kill(p.name)
     time.sleep(1)
@@ -201,11 +201,11 @@
     start = time.time()
     time.sleep(14)
     rows = [r for r in f.rows("ran.jsonl") if r["at"] > start and r["service"] == p.args[3]]
-    neighbours = {u.name for u in f.of("upstream") if u.args[3] == p.args[3]}
+    peers = {u.name for u in f.of("upstream") if u.args[3] == p.args[3]}
     shares = []
     for lo, hi in ((0, 2), (2, 5), (5, 9), (9, 14)):
         part = [r["instance"] for r in rows if lo <= r["at"] - start < hi]
-        mean = len(part) / max(1, len(neighbours))
+        mean = len(part) / max(1, len(peers))
         shares.append(round(part.count(p.name) / mean, 2) if mean else 0.0)
     print(f"cold upstream's work over the mean of its pool, 0-2, 2-5, 5-9, 9-14 s: {shares}", flush=True)
     return [] if shares[0] <= 0.5 else [f"a cold upstream got {shares[0]} of the mean in its first 2 s"]
--- a/mallowvalve/whole/call.py
+++ b/mallowvalve/localfleet/call.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from mallowvalve.will.call import call_at
+from mallowvalve.admin.call import call_at
 
 HOST = "127.0.0.1"
 
--- a/mallowvalve/whole/cost.py
+++ b/mallowvalve/localfleet/cost.py
@@ -4,19 +4,19 @@
 import time
 from collections import Counter
 
-from mallowvalve.whole.call import call
-from mallowvalve.whole.fleet import Fleet, Proc
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.fleet import Fleet, Proc
 
 TICKS = os.sysconf("SC_CLK_TCK")
 SHOWN = (
     "requests",
-    "mesh_frames",
-    "mesh_bytes",
+    "transport_frames",
+    "transport_bytes",
     "log_batches",
     "log_bytes",
     "log_entries",
-    "bond_sent",
-    "upstream_sessions",
+    "membership_sent",
+    "upstream_connections",
 )
 
 
@@ -25,27 +25,27 @@
 
     def __init__(self, f: Fleet):
         self.f, self.at = f, time.time()
-        self.before = {p.name: _picture(p) for r in ("flow", "law", "way") for p in f.of(r)}
+        self.before = {p.name: _snapshot(p) for r in ("proxy", "control", "directory") for p in f.of(r)}
 
     def lines(self) -> list[str]:
         seconds = time.time() - self.at
         asked = [r for r in self.f.rows("asked.jsonl") if r["at"] > self.at]
         n = max(1, len(asked))
         out = [f"{len(asked) / seconds:.0f} requests a second for {seconds:.0f} s; each request's share, by role:"]
-        for role in ("flow", "law", "way"):
+        for role in ("proxy", "control", "directory"):
             total: Counter = Counter()
             for p in self.f.of(role):
-                now, was = _picture(p), self.before[p.name]
+                now, was = _snapshot(p), self.before[p.name]
                 total.update({k: now.get(k, 0) - was.get(k, 0) for k in SHOWN + ("cpu",)})
             parts = [f"{k} {total[k] / n:.2f}" for k in SHOWN if total[k]]
             out.append(f"  {role} x{len(self.f.of(role))}: {total['cpu'] / n * 1000:.2f} ms CPU, " + ", ".join(parts))
         return out
 
 
-def _picture(p: Proc) -> dict[str, float]:
+def _snapshot(p: Proc) -> dict[str, float]:
     status, data, _ = call(p.web, "GET", "/-/counts")
     counts = Counter(data["counts"]) if status == 200 else Counter()
-    counts["bond_sent"] = sum(v for k, v in counts.items() if k.startswith("bond_sent_"))
+    counts["membership_sent"] = sum(v for k, v in counts.items() if k.startswith("membership_sent_"))
     with open(f"/proc/{p.job.pid}/stat") as s:
         fields = s.read().rpartition(")")[2].split()
     return dict(counts) | {"cpu": (int(fields[11]) + int(fields[12])) / TICKS}
--- a/mallowvalve/whole/fleet.py
+++ b/mallowvalve/localfleet/fleet.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from mallowvalve.fault import FLEET
-from mallowvalve.whole.ports import HOST, free_ports
+from mallowvalve.localfleet.ports import HOST, free_ports
 
 
 class Place(msgspec.Struct):
@@ -31,11 +31,11 @@
     config: dict
     shares: list[list] = []
     rate: float = 50.0
-    consumers: int = 20
+    clients: int = 20
 
 
 class Proc:
-    __slots__ = ("name", "role", "args", "web", "mesh", "data", "job", "log", "locality", "tell")
+    __slots__ = ("name", "role", "args", "web", "transport", "data", "job", "log", "locality", "tell")
 
     def __init__(
         self,
@@ -43,12 +43,12 @@
         role: str,
         args: list[str],
         web: int,
-        mesh: int,
+        transport: int,
         locality: str,
         log: Path,
         data: Path | None = None,
     ):
-        self.name, self.role, self.args, self.web, self.mesh = name, role, args, web, mesh
+        self.name, self.role, self.args, self.web, self.transport = name, role, args, web, transport
         self.locality, self.log, self.data = locality, log, data
         self.job: subprocess.Popen | None = None
         self.tell: list[str] = []
@@ -70,17 +70,17 @@
     def _plan(self) -> None:
         ports = iter(free_ports(2 * len(self.shape.nodes) + sum(len(p.localities) for p in self.shape.upstreams)))
         spots = [(n, f"{n.role}{i}", next(ports), next(ports)) for i, n in enumerate(self.shape.nodes)]
-        self.seeds = [f"{HOST}:{m}" for n, _, _, m in spots if n.role == "law"][:3]
-        for n, name, web, mesh in spots:
-            self._node(n, name, web, mesh)
+        self.seeds = [f"{HOST}:{m}" for n, _, _, m in spots if n.role == "control"][:3]
+        for n, name, web, transport in spots:
+            self._node(n, name, web, transport)
         nodes = list(self.procs.values())
-        tell = [x for p in nodes if p.role != "law" for x in ("--tell", f"{HOST}:{p.web}")]
+        tell = [x for p in nodes if p.role != "control" for x in ("--tell", f"{HOST}:{p.web}")]
         for p in self.shape.upstreams:
             for i, loc in enumerate(p.localities):
                 self.upstream(p.service, f"{p.service}-{i}", loc, next(ports), tell)
 
-    def _node(self, n: Place, name: str, web: int, mesh: int) -> Proc:
-        data = self.folder / name / "data" if n.role == "law" else None
+    def _node(self, n: Place, name: str, web: int, transport: int) -> Proc:
+        data = self.folder / name / "data" if n.role == "control" else None
         (self.folder / name).mkdir(exist_ok=True)
         log = self.folder / name / "log"
         args = [
@@ -93,8 +93,8 @@
             name,
             "--locality",
             n.locality,
-            "--mesh",
-            f"{HOST}:{mesh}",
+            "--transport",
+            f"{HOST}:{transport}",
             "--web",
             f"{HOST}:{web}",
             "--log",
@@ -104,13 +104,13 @@
         ]
         args += [x for s in self.seeds for x in ("--seeds", s)]
         args += ["--data", str(data)] if data else []
-        p = self.procs[name] = Proc(name, n.role, args, web, mesh, n.locality, log, data)
+        p = self.procs[name] = Proc(name, n.role, args, web, transport, n.locality, log, data)
         return p
 
     def upstream(self, service: str, instance: str, locality: str, port: int, tell: list[str]) -> Proc:
         (self.folder / instance).mkdir(exist_ok=True)
         args = [
-            "play",
+            "standins",
             "upstream",
             "--service",
             service,
@@ -129,22 +129,22 @@
         return p
 
     def add_node(self, role: str, locality: str, name: str) -> Proc:
-        web, mesh = free_ports(2)
-        p = self._node(Place(role, locality), name, web, mesh)
+        web, transport = free_ports(2)
+        p = self._node(Place(role, locality), name, web, transport)
         self.start(name)
         return p
 
-    def start_consumers(
-        self, name: str = "consumers", seed: int = 1, rate: float | None = None, relentless: bool = False
+    def start_clients(
+        self, name: str = "clients", seed: int = 1, rate: float | None = None, relentless: bool = False
     ) -> Proc:
         s = self.shape
         args = [
-            "play",
-            "consumers",
+            "standins",
+            "clients",
             "--shares",
             json.dumps(s.shares),
-            "--consumers",
-            str(s.consumers),
+            "--clients",
+            str(s.clients),
             "--rate",
             str(rate or s.rate),
             "--journal",
@@ -153,9 +153,9 @@
             str(seed),
         ]
         args += ["--relentless"] if relentless else []
-        args += [x for p in self.of("way") for x in ("--way", f"{HOST}:{p.web}")]
+        args += [x for p in self.of("directory") for x in ("--directory", f"{HOST}:{p.web}")]
         args += [x for loc in sorted({n.locality for n in s.nodes}) for x in ("--locality", loc)]
-        self.procs[name] = Proc(name, "consumers", args, 0, 0, "", self.folder / f"{name}.log")
+        self.procs[name] = Proc(name, "clients", args, 0, 0, "", self.folder / f"{name}.log")
         return self.start(name)
 
     def of(self, role: str) -> list[Proc]:
@@ -200,9 +200,9 @@
         shutil.rmtree(self.procs[name].data, ignore_errors=True)
 
     def cut(self, pairs: list[tuple[Proc, Proc]], one_way: bool = False) -> None:
-        """Cuts the mesh from each first to each second, and back unless it is one way."""
+        """Cuts the transport from each first to each second, and back unless it is one way."""
         both = pairs if one_way else pairs + [(b, a) for a, b in pairs]
-        self.wish["cuts"] = [(f"{HOST}:{a.mesh}", f"{HOST}:{b.mesh}") for a, b in both]
+        self.wish["cuts"] = [(f"{HOST}:{a.transport}", f"{HOST}:{b.transport}") for a, b in both]
         self._wish()
 
     def split(self, left: list[Proc], right: list[Proc], one_way: bool = False) -> None:
--- a/mallowvalve/whole/judge.py
+++ b/mallowvalve/localfleet/judge.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from mallowvalve.tree.build import build
-from mallowvalve.tree.model import Tree
-from mallowvalve.word.compiler import Request
+from mallowvalve.configuration.build import build
+from mallowvalve.configuration.model import Tree
+from mallowvalve.routing.compiler import Request
 
 IN_FORCE = 3.5
 LEFT = 3.5
@@ -58,7 +58,7 @@
 def not_run_is_true(asked: list[dict], ran: list[dict]) -> list[str]:
     runs = defaultdict(int)
     for r in ran:
-        runs[r["key"] or r["echo"]] += 1
+        runs[r["key"] or r["replica"]] += 1
     out = []
     for r in asked:
         n = runs.get(r["key"] or r["id"], 0)
@@ -93,7 +93,7 @@
 
 
 def _refused(t: Tree, r: dict) -> str | None:
-    plan = t.draw(r["tenant"], Request(r["method"], r["path"], {})) if r["tenant"] in t.cell_of else None
+    plan = t.choose(r["tenant"], Request(r["method"], r["path"], {})) if r["tenant"] in t.cell_of else None
     if plan is None or plan.service != r["service"]:
         return "no configuration allows it"
     homes = t.homes(r["tenant"])
@@ -113,20 +113,20 @@
 
 
 def dropped(start: float, end: float, asked: list[dict]) -> list[str]:
-    """Sessions broken without an answer while only planned stops went on; a refused connection is none."""
+    """Connections broken without an answer while only planned stops went on; a refused connection is none."""
     out = [
-        f"request {r['id']} lost its session: {t[1]}"
+        f"request {r['id']} lost its connection: {t[1]}"
         for r in asked
         if start < r["at"] < end
         for t in r["tries"]
         if t[0] == 0 and t[1] not in ("ConnectionRefusedError", "no proxy")
     ]
-    return [f"{len(out)} sessions dropped, first: {out[0]}"] if out else []
+    return [f"{len(out)} connections dropped, first: {out[0]}"] if out else []
 
 
 def repeat_share(ran: list[dict], span: float = 10.0) -> tuple[float, list[str]]:
     """The largest share of repeated work over first work that a service saw in any span of 10 s."""
-    return worst_share(((r["at"], r["service"], r["echo"]) for r in ran), span)
+    return worst_share(((r["at"], r["service"], r["replica"]) for r in ran), span)
 
 
 def worst_share(
--- a/mallowvalve/whole/main.py
+++ b/mallowvalve/localfleet/main.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from mallowvalve import finding
-from mallowvalve.whole import trial
-from mallowvalve.whole.call import call
-from mallowvalve.whole.fleet import Fleet, Shape, until
+from mallowvalve.localfleet import trial
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.fleet import Fleet, Shape, until
 
 
 def load_shape(path: str) -> Shape:
@@ -35,18 +35,18 @@
 def settle(fleet: Fleet, limit: float = 40.0) -> bool:
     def applied() -> bool:
         return any(
-            call(p.web, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200 for p in fleet.of("law") if p.up
+            call(p.web, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200 for p in fleet.of("control") if p.up
         )
 
     def all_ready() -> bool:
-        ps = [p for r in ("law", "flow", "way") for p in fleet.of(r) if p.up]
+        ps = [p for r in ("control", "proxy", "directory") for p in fleet.of(r) if p.up]
         return all(call(p.web, "GET", "/-/ready", limit=2)[0] == 200 for p in ps)
 
     def all_upstreams() -> bool:
         want = len(fleet.of("upstream"))
         return all(
             sum(u["status"] == "ready" for u in call(p.web, "GET", "/-/upstreams", limit=2)[1]["upstreams"]) >= want
-            for p in fleet.of("flow")
+            for p in fleet.of("proxy")
             if p.up
         )
 
@@ -64,7 +64,7 @@
 @click.option("--rate", type=float, help="requests a second in a trial; the shape's own if not given")
 @click.option("--coordination", default=40.0, help="coordination calls a second in a trial")
 @click.option("--load/--no-load", default=True, help="stand-in clients")
-def whole(
+def localfleet(
     shape: str,
     folder: str | None,
     seconds: float,
@@ -89,7 +89,7 @@
             click.echo(msgspec.json.encode(fig).decode())
             sys.exit(1 if found else 0)
         if load and f.shape.shares:
-            f.start_consumers()
+            f.start_clients()
         end = time.monotonic() + (seconds or 1e9)
         try:
             while time.monotonic() < end:
--- a/mallowvalve/whole/mishaps.py
+++ b/mallowvalve/localfleet/mishaps.py
@@ -7,19 +7,19 @@
 import time
 import uuid
 
-from mallowvalve.whole.call import call
-from mallowvalve.whole.fleet import Fleet, Proc, until
-from mallowvalve.whole.judge import after_evacuation, after_leaving
-from mallowvalve.whole.ports import HOST, free_ports
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.fleet import Fleet, Proc, until
+from mallowvalve.localfleet.judge import after_evacuation, after_leaving
+from mallowvalve.localfleet.ports import HOST, free_ports
 
 
 def _nodes(f: Fleet) -> list[Proc]:
-    return [p for r in ("law", "way", "flow") for p in f.of(r)]
+    return [p for r in ("control", "directory", "proxy") for p in f.of(r)]
 
 
 def _leader(f: Fleet) -> Proc | None:
     def lead() -> Proc | None:
-        return next((p for p in f.of("law") if p.up and _role(p) == "leader"), None)
+        return next((p for p in f.of("control") if p.up and _role(p) == "leader"), None)
 
     return until(lead, 15)
 
@@ -42,8 +42,8 @@
 def core_split(f: Fleet) -> list[str]:
     """The leader and as many as stay a minority on one side, everybody else on the other."""
     lead = _leader(f)
-    laws = [lead, *(p for p in f.of("law") if p is not lead)]
-    left = laws[: max(1, (min(5, len(laws)) - 1) // 2)]
+    controls = [lead, *(p for p in f.of("control") if p is not lead)]
+    left = controls[: max(1, (min(5, len(controls)) - 1) // 2)]
     f.split(left, [p for p in _nodes(f) if p not in left])
     time.sleep(4)
     new = _leader(f) if _role(lead) != "leader" else None
@@ -56,7 +56,7 @@
 
 def core_cut_off(f: Fleet) -> list[str]:
     """Proxies and directories that see each other serve reads on without any core machine."""
-    f.split(f.of("law"), f.of("way") + f.of("flow"))
+    f.split(f.of("control"), f.of("directory") + f.of("proxy"))
     time.sleep(3)
     out = _goes_on(f, 4, "the core was cut off")
     f.heal()
@@ -66,7 +66,7 @@
 
 def isolated(f: Fleet) -> list[str]:
     """A proxy alone stops admitting; its clients are told to come back."""
-    p, share = f.of("flow")[0], next(s for s in f.shape.shares if not s[3])
+    p, share = f.of("proxy")[0], next(s for s in f.shape.shares if not s[3])
     f.split([p], [x for x in _nodes(f) if x is not p])
     time.sleep(2.6)
     status, _, h = call(p.web, share[1], share[2].replace("{n}", "1"), None, {"Mallow-Tenant": share[0]})
@@ -78,7 +78,7 @@
 
 
 def one_way(f: Fleet) -> list[str]:
-    for p in (_leader(f), f.of("flow")[1], f.of("way")[0]):
+    for p in (_leader(f), f.of("proxy")[1], f.of("directory")[0]):
         f.split([p], [x for x in _nodes(f) if x is not p], one_way=True)
         time.sleep(4)
         f.heal()
@@ -183,7 +183,7 @@
 
 def bad_changes(f: Fleet) -> list[str]:
     """Invalid, ill-typed, stale and large configurations beside the two operators that race."""
-    out, law = [], f.operators.law
+    out, control = [], f.operators.control
     was = f.shape.config
     bad = {**was, "routes": {**was["routes"], "x": {"cell": "no", "match": "??", "kind": "read", "service": "no"}}}
     for body, want in (
@@ -194,10 +194,10 @@
         (b"null", 400),
         ({"doc": {**was, "cells": {}}}, 422),
     ):
-        status, data, _ = call(law(), "PUT", "/config", body)
+        status, data, _ = call(control(), "PUT", "/config", body)
         if status != want or not data["findings"]:
             out.append(f"a bad change got {status}, want {want}")
-    status, data, _ = call(law(), "POST", "/evacuations", {"zone": 4, "evacuated": "yes"})
+    status, data, _ = call(control(), "POST", "/evacuations", {"zone": 4, "evacuated": "yes"})
     if status != 400 or len(data["findings"]) != 2:
         out.append(f"an ill-typed evacuation got {status}")
     large = copy.deepcopy(was)
@@ -215,7 +215,7 @@
     """Repeated under one key until it is acknowledged; the time of that."""
     key = {"Mallow-Key": uuid.uuid4().hex}
     body = {"zone": zone, "evacuated": on}
-    ok = until(lambda: call(f.operators.law(), "POST", "/evacuations", body, key, 10)[0] == 200, 25)
+    ok = until(lambda: call(f.operators.control(), "POST", "/evacuations", body, key, 10)[0] == 200, 25)
     return time.time() if ok else None
 
 
@@ -230,7 +230,7 @@
         if at is None:
             return [*out, "the evacuation was not acknowledged"]
         if act == "rolling":
-            for p in f.of("flow")[:3]:
+            for p in f.of("proxy")[:3]:
                 f.stop(p.name, f.polite + 3)
                 f.start(p.name)
                 time.sleep(1)
@@ -250,15 +250,15 @@
 def core_replaced(f: Fleet) -> list[str]:
     """Every core machine is replaced by an empty one at a new address, one after the other, while clients run."""
     out, many = [], len(_voters(_leader(f)))
-    for i, p in enumerate(list(f.of("law"))):
+    for i, p in enumerate(list(f.of("control"))):
         f.kill(p.name)
         del f.procs[p.name]
-        f.seeds = [f"{HOST}:{x.mesh}" for x in (*f.of("law")[-1:], *f.of("flow")[:2])]
-        new = f.add_node("law", p.locality, f"core{i}-{uuid.uuid4().hex[:4]}")
-        mesh = f"{HOST}:{new.mesh}"
-        taken = until(lambda: any(mesh in _members(x) for x in f.of("law")), 20)
+        f.seeds = [f"{HOST}:{x.transport}" for x in (*f.of("control")[-1:], *f.of("proxy")[:2])]
+        new = f.add_node("control", p.locality, f"core{i}-{uuid.uuid4().hex[:4]}")
+        transport = f"{HOST}:{new.transport}"
+        taken = until(lambda: any(transport in _members(x) for x in f.of("control")), 20)
         whole = until(
-            lambda: any(len(v) == many and f"{HOST}:{p.mesh}" not in v for v in map(_voters, f.of("law"))), 25
+            lambda: any(len(v) == many and f"{HOST}:{p.transport}" not in v for v in map(_voters, f.of("control"))), 25
         )
         if not taken or not whole:
             out.append(f"{new.name} in place of {p.name}: taken {bool(taken)}, {many} voters again {bool(whole)}")
@@ -279,14 +279,14 @@
 def seeds_gone(f: Fleet) -> list[str]:
     """After the first start, nodes come back with seeds that are down, wrong, or only a proxy."""
     out, dead = [], [f"{HOST}:{x}" for x in free_ports(2)]
-    for p in (f.of("flow")[0], f.of("way")[0], f.of("law")[0]):
+    for p in (f.of("proxy")[0], f.of("directory")[0], f.of("control")[0]):
         was = list(p.args)
         f.stop(p.name, f.polite + 3)
         i = p.args.index("--seeds")
         kept = [x for j, x in enumerate(p.args) if x != "--seeds" and p.args[j - 1] != "--seeds"]
         p.args = [
             *kept[:i],
-            *(y for s in (*dead, f"{HOST}:{f.of('flow')[-1].mesh}") for y in ("--seeds", s)),
+            *(y for s in (*dead, f"{HOST}:{f.of('proxy')[-1].transport}") for y in ("--seeds", s)),
             *kept[i:],
         ]
         f.start(p.name)
@@ -306,38 +306,43 @@
         f.start(p.name)
         until(lambda: call(p.web, "GET", "/-/ready", limit=2)[0] == 200, 15)
 
-    def at_law(method: str, path: str, body) -> tuple[Proc, dict] | None:
-        p = rng.choice(f.of("law"))
+    def at_control(method: str, path: str, body) -> tuple[Proc, dict] | None:
+        p = rng.choice(f.of("control"))
         status, data, _ = call(p.web, method, path, body, {"Mallow-Key": uuid.uuid4().hex}, 10)
         return (p, data) if status == 200 else None
 
     def read(path: str) -> dict:
         return (
-            until(lambda: next((d for s, d, _ in [call(f.operators.law(), "GET", path)] if s == 200), None), 15) or {}
+            until(lambda: next((d for s, d, _ in [call(f.operators.control(), "GET", path)] if s == 200), None), 15)
+            or {}
         )
 
     for i in range(2):
-        got = at_law("PUT", "/keys/acked", {"value": f"v{i}"})
+        got = at_control("PUT", "/keys/acked", {"value": f"v{i}"})
         if got:
             hit(got[0])
             out += [] if read("/keys/acked").get("value") == f"v{i}" else ["an acknowledged key is missing"]
-        got = at_law("POST", "/numbers/acked", {})
+        got = at_control("POST", "/numbers/acked", {})
         if got:
             hit(got[0])
-            again = until(lambda: at_law("POST", "/numbers/acked", {}), 15)
+            again = until(lambda: at_control("POST", "/numbers/acked", {}), 15)
             out += [] if again and again[1]["number"] > got[1]["number"] else ["a number fell or came again"]
-    got = at_law("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
+    got = at_control("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
     if got:
         hit(got[0])
         again = until(
             lambda: next(
-                (s for s, _, _ in [call(f.operators.law(), "POST", "/locks/acked/take", {"holder": "y"})] if s < 500),
+                (
+                    s
+                    for s, _, _ in [call(f.operators.control(), "POST", "/locks/acked/take", {"holder": "y"})]
+                    if s < 500
+                ),
                 None,
             ),
             15,
         )
         out += [] if again == 409 else [f"a held lock answered {again}"]
-    got = at_law("POST", "/evacuations", {"zone": "ap-b", "evacuated": True})
+    got = at_control("POST", "/evacuations", {"zone": "ap-b", "evacuated": True})
     if got:
         hit(got[0])
         out += [] if "ap-b" in read("/config").get("evacuated", []) else ["an acknowledged evacuation is missing"]
@@ -350,12 +355,12 @@
     share = next(s for s in f.shape.shares if s[3])
     key = uuid.uuid4().hex
     h = {"Mallow-Tenant": share[0], "Mallow-Key": key}
-    p = rng.choice(f.of("flow"))
+    p = rng.choice(f.of("proxy"))
     first = call(p.web, share[1], share[2], {"a": 1}, h)
     if first[0] != 200:
         return []
     hit(p)
-    again = call(f.of("flow")[-1].web, share[1], share[2], {"a": 1}, h)
+    again = call(f.of("proxy")[-1].web, share[1], share[2], {"a": 1}, h)
     n = sum(r["key"] == key for r in f.rows("ran.jsonl"))
     return (
         []
@@ -367,13 +372,13 @@
 def _after_notice(f: Fleet, hit) -> list[str]:
     """An upstream says it is leaving; the node that took the notice dies with it on its lips."""
     u = next(p for p in f.of("upstream") if p.up)
-    p = f.of("flow")[0]
+    p = f.of("proxy")[0]
     status, data, _ = call(p.web, "GET", "/-/upstreams")
     row = next((r for r in data["upstreams"] if r["instance"] == u.name), None) if status == 200 else None
     if row is None:
         return []
-    beat = {k: row[k] for k in ("service", "instance", "incarnation", "locality", "address")}
-    status, _, _ = call(p.web, "POST", "/-/beats", beat | {"sequence": 1 << 40, "state": "leaving"})
+    heartbeat = {k: row[k] for k in ("service", "instance", "incarnation", "locality", "address")}
+    status, _, _ = call(p.web, "POST", "/-/heartbeats", heartbeat | {"sequence": 1 << 40, "state": "leaving"})
     left = time.time()
     if status != 200:
         return []
--- a/mallowvalve/whole/operators.py
+++ b/mallowvalve/localfleet/operators.py
@@ -5,10 +5,10 @@
 import time
 from threading import RLock
 
-from mallowvalve.whole.call import call
-from mallowvalve.whole.fleet import Fleet
-from mallowvalve.whole.jobs import Jobs
-from mallowvalve.whole.judge import Offered
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.fleet import Fleet
+from mallowvalve.localfleet.jobs import Jobs
+from mallowvalve.localfleet.judge import Offered
 
 
 class Operators(Jobs):
@@ -23,14 +23,16 @@
         self.refused = self.failed = 0
         self.ack_times: list[float] = []
 
-    def law(self, rng: random.Random = random.Random(3)) -> int:
-        laws = self.fleet.of("law")
-        return rng.choice([p for p in laws if p.up] or laws).web
+    def control(self, rng: random.Random = random.Random(3)) -> int:
+        controls = self.fleet.of("control")
+        return rng.choice([p for p in controls if p.up] or controls).web
 
-    def put(self, doc: dict, key: str, base: int | None = None, law: int | None = None) -> tuple[int, object]:
+    def put(self, doc: dict, key: str, base: int | None = None, control: int | None = None) -> tuple[int, object]:
         """Offers a configuration once and notes what was said."""
         begun = time.time()
-        status, data, _ = call(law or self.law(), "PUT", "/config", {"doc": doc, "base": base}, {"Mallow-Key": key}, 10)
+        status, data, _ = call(
+            control or self.control(), "PUT", "/config", {"doc": doc, "base": base}, {"Mallow-Key": key}, 10
+        )
         end, plain = time.time(), {**doc, "services": {n: s for n, s in doc["services"].items() if "spare-" not in n}}
         if status == 200:
             self.acked.append((begun, end, data["revision"]))
@@ -54,12 +56,12 @@
         n, rng, base = 0, random.Random(f"{self.seed}/{who}"), None
         while not self.stop.wait(self.every * (0.5 + rng.random())):
             n += 1
-            law = self.law(rng)
+            control = self.control(rng)
             with self.lock:
                 doc = copy.deepcopy(self.fleet.shape.config)
             doc["services"][f"spare-{who}{n}"] = {}
             known = self.fleet.shape.config
-            status, data = self.put(doc, f"{who}{n}", base, law)
+            status, data = self.put(doc, f"{who}{n}", base, control)
             if known is not self.fleet.shape.config:
                 self._repair()
             if status == 200:
@@ -85,7 +87,7 @@
         for begun, end, r in self.acked:
             if any(e < begun and x > r for _, e, x in by_end):
                 out.append(f"revision {r} was acknowledged after a higher one had been")
-        status, data, _ = call(self.law(), "GET", "/config")
+        status, data, _ = call(self.control(), "GET", "/config")
         if status != 200:
             out.append(f"no read-back: {data}")
         elif rs and data["revision"] < max(rs):
--- a/mallowvalve/whole/trial.py
+++ b/mallowvalve/localfleet/trial.py
@@ -2,11 +2,11 @@
 
 import time
 
-from mallowvalve.whole import acts, history, mishaps
-from mallowvalve.whole.fleet import Fleet
-from mallowvalve.whole.judge import dropped, figures, judge
-from mallowvalve.whole.operators import Operators
-from mallowvalve.whole.users import Coordinators
+from mallowvalve.localfleet import acts, history, mishaps
+from mallowvalve.localfleet.fleet import Fleet
+from mallowvalve.localfleet.judge import dropped, figures, judge
+from mallowvalve.localfleet.operators import Operators
+from mallowvalve.localfleet.users import Coordinators
 
 ACTS = {
     a.__name__: a
@@ -50,7 +50,7 @@
     f: Fleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
 ) -> tuple[list[str], dict]:
     found: list[str] = []
-    f.start_consumers(seed=seed, rate=rate)
+    f.start_clients(seed=seed, rate=rate)
     time.sleep(3)
     begun = time.time()
     with Operators(f, seed) as ops, Coordinators(f, seed, coordination) as users:
@@ -64,7 +64,7 @@
             print(f"{a}: {time.time() - t:.1f} s, {len(got)} findings", flush=True)
         time.sleep(2)
     seconds = time.time() - begun
-    f.stop("consumers", 30)
+    f.stop("clients", 30)
     asked, ran = f.rows("asked.jsonl"), f.rows("ran.jsonl")
     found += ops.findings() + judge(ops.offers, asked, ran) + history.check(users.history)
     ts = sorted(ops.ack_times)
--- a/mallowvalve/whole/users.py
+++ b/mallowvalve/localfleet/users.py
@@ -4,11 +4,11 @@
 import time
 import uuid
 
-from mallowvalve.whole.call import call
-from mallowvalve.whole.fleet import Fleet
-from mallowvalve.whole.history import Event as Seen
-from mallowvalve.whole.history import History, Hold, Op
-from mallowvalve.whole.jobs import Jobs
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.fleet import Fleet
+from mallowvalve.localfleet.history import Event as Seen
+from mallowvalve.localfleet.history import History, Hold, Op
+from mallowvalve.localfleet.jobs import Jobs
 
 TRIES = 8
 SAID = {200: "ok", 404: "missing", 409: "conflict", 410: "lost"}
@@ -34,15 +34,15 @@
         self.pause = 6 / rate
         super().__init__([(j, (f"u{i}", random.Random(f"{seed}/{i}"))) for i, j in enumerate(jobs)])
 
-    def _law(self, rng: random.Random) -> int:
-        laws = self.fleet.of("law")
-        return rng.choice([p for p in laws if p.up] or laws).web
+    def _control(self, rng: random.Random) -> int:
+        controls = self.fleet.of("control")
+        return rng.choice([p for p in controls if p.up] or controls).web
 
     def _ask(self, rng: random.Random, method: str, path: str, body=None) -> tuple[int, dict]:
         """The same call under one key until it is decided."""
         key = {"Mallow-Key": uuid.uuid4().hex}
         for _ in range(TRIES):
-            status, data, h = call(self._law(rng), method, path, body, key, 5)
+            status, data, h = call(self._control(rng), method, path, body, key, 5)
             self.calls += 1
             if status and status < 500:
                 return status, data
@@ -96,10 +96,12 @@
         since = None
         while not self.stop.is_set():
             if since is None:
-                status, data, _ = call(self._law(rng), "GET", "/keys/k0", None, None, 5)
+                status, data, _ = call(self._control(rng), "GET", "/keys/k0", None, None, 5)
                 since = data["revision"] if status in (200, 404) else None
                 continue
-            status, data, _ = call(self._law(rng), "GET", f"/watch?since={since}&prefix=k&wait_ms=1000", None, None, 6)
+            status, data, _ = call(
+                self._control(rng), "GET", f"/watch?since={since}&prefix=k&wait_ms=1000", None, None, 6
+            )
             if status == 410:
                 self.history.gaps.append(f"{who} since {since}")
                 since = None
--- a/mallowvalve/bond/detector.py
+++ b/mallowvalve/membership/detector.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from mallowvalve.bond.share import Share
-from mallowvalve.bond.wire import (
+from mallowvalve.membership.share import Share
+from mallowvalve.membership.wire import (
     ALIVE,
     ALL,
     FAILED,
@@ -26,7 +26,7 @@
     Tell,
     Want,
 )
-from mallowvalve.kind import Address
+from mallowvalve.types import Address
 
 FORGET = 600.0
 QUIET = 60.0
@@ -37,7 +37,7 @@
 TRIES = 16
 
 
-class Bond(Share):
+class Membership(Share):
     """The paper's detector (`_begin`, `_ask`, `_end`) and what joins, refutes and forgets; `Share` spreads views.
 
     `tick` and `receive` take seconds of any one steady clock and return datagrams to send.
@@ -84,7 +84,7 @@
         self._joined = self._agrees = False
         self._healed = float("-inf")
 
-    def wakeup(self) -> float:
+    def timer(self) -> float:
         if self._start is None:
             return 0.0
         due = self._start + self.period
@@ -108,7 +108,7 @@
 
     def receive(self, m: Message, now: float) -> list[tuple[Address, Message]]:
         if m.head.version != VERSION or m.head.fleet != self.fleet or m.head.sender == self.me.addr:
-            self.counts.add("bond_foreign")
+            self.counts.add("membership_foreign")
             return []
         sender = m.head.sender
         if isinstance(m, Tell):
@@ -170,7 +170,7 @@
         target = self._target.addr
         for a in self._view.some(self.rng, self.helpers, target):
             self._send(a, PingReq(self._head(), self.me.addr, target, self.pr))
-        self.counts.add("bond_asked")
+        self.counts.add("membership_asked")
 
     def _end(self, now: float) -> None:
         r = self._target
@@ -178,17 +178,17 @@
             return
         late = max(1.5 * self.round_trip, self.period - 2 * self.round_trip)
         if self._asked is None or self._asked > self._start + late or now > self._start + self.period + self.round_trip:
-            self.counts.add("bond_void_period")
+            self.counts.add("membership_void_period")
             return
         r = msgspec.structs.replace(r, state=FAILED)
         helpers = min(self.helpers, max(0, len(self._view.live) - 1))
         if not self._accept(r, now, f"no ack in period {self.pr}, direct or through {helpers} helpers"):
             return
-        self.counts.add("bond_declared")
+        self.counts.add("membership_declared")
         self._spread([r], r.addr)
 
     def _join(self, now: float) -> None:
-        """Until it sees its seeds and agrees with a neighbour a new member asks four times a second, ten seconds at most."""
+        """Until it sees its seeds and agrees with a peer a new member asks four times a second, ten seconds at most."""
         lone = self._lone()
         if now > self._born + YOUNG or self._agrees and not lone or not self.seeds and not self._view.live:
             self._join_at = None
@@ -256,7 +256,7 @@
                 continue
             old = self.view.get(r.addr)
             if self._accept(r, now, f"told by {sender}"):
-                self.counts.add("bond_learned")
+                self.counts.add("membership_learned")
                 self._learned(r, old, now)
             elif old.state > LEAVING and r.rank < old.rank and sender != r.addr:
                 back.append(old)
@@ -284,7 +284,7 @@
             self._send(sender, Tell(self._head(), [self.me]))
             return
         self._raise(r.incarnation + 1)
-        self.counts.add("bond_refuted")
+        self.counts.add("membership_refuted")
         self._spread([self.me], sender)
         if r.boot != self.me.boot:
             return
--- a/mallowvalve/bond/share.py
+++ b/mallowvalve/membership/share.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-from mallowvalve.bond.view import BUCKETS, Digest, View, packed, unpacked
-from mallowvalve.bond.wire import LEAVING, VERSION, Head, Marks, Message, Record, Sums, Tell, Want
-from mallowvalve.count import Counts
-from mallowvalve.kind import Address
+from mallowvalve.membership.view import BUCKETS, Digest, View, packed, unpacked
+from mallowvalve.membership.wire import LEAVING, VERSION, Head, Marks, Message, Record, Sums, Tell, Want
+from mallowvalve.metrics import Counts
+from mallowvalve.types import Address
 
 ROOM = 1100
 DIRECT = 64
@@ -104,7 +104,7 @@
         if old is None or (old.state, old.boot) != (r.state, r.boot):
             self.why[r.addr] = why
         if old is None or old.state != r.state:
-            self.counts.add(("bond_alive", "bond_leaving", "bond_failed", "bond_left")[r.state])
+            self.counts.add(("membership_alive", "membership_leaving", "membership_failed", "membership_left")[r.state])
         return True
 
     def _drop(self, a: Address) -> None:
@@ -156,7 +156,7 @@
     def _compare(self, to: Address, total: int) -> bool:
         if total == self._digest.total:
             return True
-        self.counts.add("bond_differed")
+        self.counts.add("membership_differed")
         self._send(to, Sums(self._head(), packed(self._digest.sums)))
         return False
 
@@ -214,5 +214,5 @@
     def _take(self) -> list[tuple[Address, Message]]:
         out, self._out = self._out, []
         for _, m in out:
-            self.counts.add(f"bond_sent_{type(m).__name__.lower()}")
+            self.counts.add(f"membership_sent_{type(m).__name__.lower()}")
         return out
--- a/mallowvalve/bond/view.py
+++ b/mallowvalve/membership/view.py
@@ -5,8 +5,8 @@
 from hashlib import blake2b
 from zlib import crc32
 
-from mallowvalve.bond.wire import LEAVING, Record
-from mallowvalve.kind import Address
+from mallowvalve.membership.wire import LEAVING, Record
+from mallowvalve.types import Address
 
 BUCKETS = 64
 
@@ -73,7 +73,7 @@
 
 
 class View:
-    """The records a member has of the others, those alive at hand for a draw in constant time."""
+    """The records a member has of the others, those alive at hand for a choose in constant time."""
 
     __slots__ = ("rows", "live", "_place", "_lists")
 
@@ -107,9 +107,9 @@
         return got
 
     def some(self, rng: random.Random, n: int, but: Address | None = None) -> list[Address]:
-        """At most `n` others that are alive, drawn uniformly."""
-        drawn = rng.sample(self.live, min(n + 1, len(self.live)))
-        return [a for a in drawn if a != but][:n]
+        """At most `n` others that are alive, chosen uniformly."""
+        chosen = rng.sample(self.live, min(n + 1, len(self.live)))
+        return [a for a in chosen if a != but][:n]
 
     def _unlive(self, a: Address) -> None:
         i = self._place.pop(a, None)
--- a/mallowvalve/bond/wire.py
+++ b/mallowvalve/membership/wire.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from mallowvalve.kind import Address, Locality
+from mallowvalve.types import Address, Locality
 
-VERSION = 2
+VERSION = 3
 ALIVE, LEAVING, FAILED, LEFT = range(4)
 NOTHING, SELF, ALL = range(3)
 
--- a/mallowvalve/count.py
+++ b/mallowvalve/metrics.py
@@ -20,7 +20,7 @@
     def get(self, name: str) -> int:
         return self._c[name]
 
-    def picture(self) -> dict[str, int]:
+    def snapshot(self) -> dict[str, int]:
         return dict(sorted(self._c.items()))
 
 
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -12,18 +12,18 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
-from mallowvalve.beat.board import Beat
-from mallowvalve.beat.task import BeatTask
-from mallowvalve.bond import formula
-from mallowvalve.bond.detector import Bond, fresh_record
-from mallowvalve.bond.task import NAMES, BondTask
-from mallowvalve.count import Counts, change, recent
 from mallowvalve.fault import Faults
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.kind import Address, Locality
-from mallowvalve.mesh.task import Mesh
-from mallowvalve.params import Params
+from mallowvalve.membership import formula
+from mallowvalve.membership.detector import Membership, fresh_record
+from mallowvalve.membership.task import NAMES, MembershipTask
+from mallowvalve.metrics import Counts, change, recent
 from mallowvalve.reload import Reload
+from mallowvalve.settings import Settings
+from mallowvalve.transport.task import Transport
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.board import Heartbeat
+from mallowvalve.upstreams.task import HeartbeatTask
 
 if TYPE_CHECKING:
     import falcon
@@ -32,7 +32,7 @@
 PAGES = 64
 
 
-class BeatDoc(msgspec.Struct):
+class HeartbeatDoc(msgspec.Struct):
     service: str
     instance: str
     incarnation: int
@@ -43,7 +43,7 @@
     usage: float = 0.0
 
 
-def read_beat(d: BeatDoc) -> Result[Beat, Findings]:
+def read_heartbeat(d: HeartbeatDoc) -> Result[Heartbeat, Findings]:
     found = []
     loc, addr = Locality.read(d.locality), Address.read(d.address)
     if loc.is_err():
@@ -57,20 +57,22 @@
             found.append(Finding(f, "out of range"))
     if found:
         return Err(found)
-    return Ok(Beat(d.service, d.instance, d.incarnation, d.sequence, d.usage, d.state, loc.ok_value, addr.ok_value))
+    return Ok(
+        Heartbeat(d.service, d.instance, d.incarnation, d.sequence, d.usage, d.state, loc.ok_value, addr.ok_value)
+    )
 
 
 class Node:
-    """What every daemon has: membership, mesh, upstreams' beats, and its pages; `front` answers beside the pages."""
+    """What every daemon has: membership, transport, upstreams' heartbeats, and its pages; `front` answers beside the pages."""
 
     __slots__ = (
-        "params",
+        "settings",
         "boot",
         "counts",
         "faults",
-        "bond",
-        "mesh",
-        "beats",
+        "membership",
+        "transport",
+        "heartbeats",
         "app",
         "server",
         "pages",
@@ -83,21 +85,21 @@
 
     def __init__(
         self,
-        params: Params,
+        settings: Settings,
         remembered: list[Address] = (),
         faults: Faults | None = None,
     ):
-        self.params = params
+        self.settings = settings
         self.boot = random.SystemRandom().getrandbits(62)
         self.counts = Counts()
-        self.faults = faults or Faults(params.faults, params.name)
-        d = params.detector
-        me = fresh_record(params.mesh, self.boot, params.role, params.name, params.locality, params.web)
-        self.bond = BondTask(
-            Bond(
+        self.faults = faults or Faults(settings.faults, settings.name)
+        d = settings.detector
+        me = fresh_record(settings.transport, self.boot, settings.role, settings.name, settings.locality, settings.web)
+        self.membership = MembershipTask(
+            Membership(
                 me,
-                params.fleet,
-                [*params.seeds, *remembered],
+                settings.fleet,
+                [*settings.seeds, *remembered],
                 random.Random(self.boot),
                 d.period or formula.period(d.detect, d.fail),
                 d.helpers or formula.helpers(d.mistake, d.fail, d.loss),
@@ -105,12 +107,12 @@
             ),
             self.faults,
         )
-        self.mesh = Mesh(params.mesh, params.fleet, self.counts, self.faults)
-        self.beats = BeatTask(self.bond, self.mesh)
+        self.transport = Transport(settings.transport, settings.fleet, self.counts, self.faults)
+        self.heartbeats = HeartbeatTask(self.membership, self.transport)
         self.app = web.Later()
-        self.server = web.Server(params.web, self.app, self.counts, params.sessions)
+        self.server = web.Server(settings.web, self.app, self.counts, settings.connections)
         self.pages = (
-            web.Server(params.pages, self.app, self.counts, PAGES) if params.pages else contextlib.nullcontext()
+            web.Server(settings.pages, self.app, self.counts, PAGES) if settings.pages else contextlib.nullcontext()
         )
         self.stopping = Event()
         self._gauges: dict[str, object] = {}
@@ -123,15 +125,15 @@
         self.app.add_route("/-/counts", CountsView(self))
         self.app.add_route("/-/nodes", Nodes(self))
         self.app.add_route("/-/upstreams", Upstreams(self))
-        self.app.add_route("/-/beats", Beats(self))
+        self.app.add_route("/-/heartbeats", Heartbeats(self))
         self.app.add_route("/-/changes", Changes(self))
         with self._stack as s:
-            reload = Reload(self.params, self.renew, self.counts)
-            told = [self.beats] if self.params.beats == "told" else []
+            reload = Reload(self.settings, self.renew, self.counts)
+            told = [self.heartbeats] if self.settings.heartbeats == "told" else []
             for part in (
                 self.faults,
-                self.mesh,
-                self.bond,
+                self.transport,
+                self.membership,
                 *told,
                 self.pages,
                 *([] if self.late else [self.server]),
@@ -141,18 +143,18 @@
             for sig in (signal.SIGTERM, signal.SIGINT):
                 gevent.signal_handler(sig, self.stopping.set)
             self._stack = s.pop_all()
-        change("started", role=self.params.role, name=self.params.name, pid=os.getpid())
+        change("started", role=self.settings.role, name=self.settings.name, pid=os.getpid())
         return self
 
     def __exit__(self, *a) -> None:
-        change("stopped", role=self.params.role, name=self.params.name)
+        change("stopped", role=self.settings.role, name=self.settings.name)
         self._stack.__exit__(*a)
 
-    def renew(self, params: Params) -> None:
-        """Takes in new seeds; remembered neighbours stay asked."""
-        old, self.params = self.params, params
-        kept = [s for s in self.bond.bond.seeds if s not in old.seeds]
-        self.bond.bond.seeds = [s for s in [*params.seeds, *kept] if s != params.mesh]
+    def renew(self, settings: Settings) -> None:
+        """Takes in new seeds; remembered peers stay asked."""
+        old, self.settings = self.settings, settings
+        kept = [s for s in self.membership.membership.seeds if s not in old.seeds]
+        self.membership.membership.seeds = [s for s in [*settings.seeds, *kept] if s != settings.transport]
 
     @property
     def front(self):
@@ -180,21 +182,21 @@
         while not self.stopping.wait(timeout=0.2 if before else 0.05):
             now = bool(ready())
             if now != before:
-                change("ready" if now else "unready", name=self.params.name)
+                change("ready" if now else "unready", name=self.settings.name)
                 before = now
-            self.bond.ready(now)
-        self.bond.leave(final=False)
+            self.membership.ready(now)
+        self.membership.leave(final=False)
         leaving()
-        linger, finish = (0.5, 0.4) if self.params.role == "flow" else (0.1, 0.2)
-        self.server.drain(self.params.polite * linger, self.params.polite * finish)
-        self.bond.leave(final=True)
+        linger, finish = (0.5, 0.4) if self.settings.role == "proxy" else (0.1, 0.2)
+        self.server.drain(self.settings.polite * linger, self.settings.polite * finish)
+        self.membership.leave(final=True)
 
     def is_ready(self) -> bool:
-        return self.bond.bond.me.ready and not self.stopping.is_set()
+        return self.membership.membership.me.ready and not self.stopping.is_set()
 
     def _said_ready(self) -> tuple[int, object]:
         ok = self.is_ready()
-        return 200 if ok else 503, {"ready": ok, "role": self.params.role, "name": self.params.name}
+        return 200 if ok else 503, {"ready": ok, "role": self.settings.role, "name": self.settings.name}
 
 
 class View:
@@ -205,7 +207,7 @@
 class CountsView(View):
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         n = self.node
-        counts = n.counts.picture() | n.bond.bond.counts.picture() | n.beats.board.counts.picture()
+        counts = n.counts.snapshot() | n.membership.membership.counts.snapshot() | n.heartbeats.board.counts.snapshot()
         web.say(resp, {"counts": counts, "gauges": n.gauges()})
 
 
@@ -218,14 +220,14 @@
                     {
                         "name": r.name,
                         "role": r.role,
-                        "mesh": str(r.addr),
+                        "transport": str(r.addr),
                         "web": str(r.web),
                         "locality": str(r.locality),
                         "status": NAMES[r.state],
                         "ready": r.ready,
                         "incarnation": r.incarnation,
                     }
-                    for r in sorted(self.node.bond.view(), key=lambda r: r.addr)
+                    for r in sorted(self.node.membership.view(), key=lambda r: r.addr)
                 ]
             },
         )
@@ -233,7 +235,7 @@
 
 class Changes(View):
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        web.say(resp, {"name": self.node.params.name, "changes": recent.about(req.get_param("about") or "")})
+        web.say(resp, {"name": self.node.settings.name, "changes": recent.about(req.get_param("about") or "")})
 
 
 class Upstreams(View):
@@ -252,23 +254,23 @@
                         "address": str(b.address),
                         "silent_ms": int(age * 1000),
                     }
-                    for b, h, age in self.node.beats.board.all(clock.now())
+                    for b, h, age in self.node.heartbeats.board.all(clock.now())
                 ]
             },
         )
 
 
-class Beats(View):
+class Heartbeats(View):
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        d = web.read_as(BeatDoc, req, resp)
+        d = web.read_as(HeartbeatDoc, req, resp)
         if d is None:
             return
-        r = read_beat(d)
+        r = read_heartbeat(d)
         if r.is_err():
-            self.node.counts.add("beat_refused")
+            self.node.counts.add("heartbeat_refused")
             return web.turn_away(req, resp, 400, r.err_value)
         if not self.node.allowed(r.ok_value.service):
-            self.node.counts.add("beat_unallowed")
+            self.node.counts.add("heartbeat_unallowed")
             return web.turn_away(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
-        fresh = self.node.beats.hear(r.ok_value)
+        fresh = self.node.heartbeats.hear(r.ok_value)
         web.say(resp, {"news": fresh})
