--- a/mallowvalve/aim/main.py
+++ b/mallowvalve/planner/main.py
@@ -4,18 +4,23 @@
 
 import click
 
-from mallowvalve.will.main import addresses, ask, read_json, show
+from mallowvalve.admin.main import addresses, ask, read_json, show
 
 
 @click.command()
 @click.option(
-    "--at", multiple=True, required=True, callback=addresses, envvar="MALLOWVALVE_AT", help="HOST:PORT of a law's web"
+    "--at",
+    multiple=True,
+    required=True,
+    callback=addresses,
+    envvar="MALLOWVALVE_AT",
+    help="HOST:PORT of a control process's web",
 )
 @click.option("--base", type=int, help="the revision the change was made from; needed for a patch")
 @click.option("--json", "as_json", is_flag=True, help="the whole plan as JSON")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.pass_context
-def aim(ctx, at, base, as_json, file) -> None:
+def planner(ctx, at, base, as_json, file) -> None:
     """Show what FILE, a settings tree or a JSON Patch, would move. Nothing is applied."""
     ctx.obj = {"at": at}
     data = read_json(file)
--- a/mallowvalve/aim/plan.py
+++ b/mallowvalve/planner/plan.py
@@ -2,9 +2,9 @@
 
 import msgspec
 
-from mallowvalve.flow.draw import reachable
-from mallowvalve.kind import Locality
-from mallowvalve.tree.model import Plan, Tree
+from mallowvalve.configuration.model import Plan, Tree
+from mallowvalve.proxy.choose import reachable
+from mallowvalve.types import Locality
 
 
 class Move(msgspec.Struct, frozen=True, order=True):
--- a/mallowvalve/flow/call.py
+++ b/mallowvalve/proxy/call.py
@@ -6,9 +6,9 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve.flow.steps import Ask
-from mallowvalve.tree.model import Plan, Tree
-from mallowvalve.word.compiler import Request
+from mallowvalve.configuration.model import Plan, Tree
+from mallowvalve.proxy.steps import Ask
+from mallowvalve.routing.compiler import Request
 
 HOP = frozenset(
     (
@@ -31,7 +31,7 @@
 
 
 class Call(msgspec.Struct):
-    """A request that was understood; its plan is drawn anew before anything is sent."""
+    """A request that was understood; its plan is chosen anew before anything is sent."""
 
     ask: Ask
     request: Request
@@ -49,7 +49,7 @@
 
     def fill(self, body: bytes) -> None:
         a, self.body = self.ask, body
-        self.name = name_of(a.consumer, self.tenant, a.method, a.target, body)
+        self.name = name_of(a.client, self.tenant, a.method, a.target, body)
         self.digest = digest(a.method, a.target, body)
 
     def wire(self, host: str) -> bytes:
@@ -72,7 +72,7 @@
     if tenant not in tree.cell_of:
         return Err((404, "Mallow-Tenant", f"no tenant {tenant[:64]!r}"))
     request = Request(a.method, path, a.headers)
-    plan = tree.draw(tenant, request)
+    plan = tree.choose(tenant, request)
     if plan is None:
         return Err((404, "path", "no route takes this request"))
     key = a.headers.get("mallow-key", "")
@@ -110,6 +110,6 @@
     return hashlib.blake2b(b"\0".join((method.encode(), target.encode(), body)), digest_size=16).hexdigest()
 
 
-def name_of(consumer: str, tenant: str, method: str, target: str, body: bytes) -> bytes:
-    parts = (consumer.encode(), tenant.encode(), method.encode(), target.encode(), body)
+def name_of(client: str, tenant: str, method: str, target: str, body: bytes) -> bytes:
+    parts = (client.encode(), tenant.encode(), method.encode(), target.encode(), body)
     return hashlib.blake2b(b"\0".join(parts), digest_size=16).digest()
--- a/mallowvalve/flow/draw.py
+++ b/mallowvalve/proxy/choose.py
@@ -3,9 +3,9 @@
 import math
 import random
 
-from mallowvalve.beat.board import Row
-from mallowvalve.kind import Address, Locality
-from mallowvalve.word.compiler import Policy
+from mallowvalve.routing.compiler import Policy
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.board import Row
 
 BROKEN = 2.0
 COLD = 0.05
@@ -29,7 +29,7 @@
     return (homes is None or at.region in homes) and not emptied(at, evacuated)
 
 
-class Draw:
+class Chooser:
     __slots__ = ("near", "rng", "busy")
 
     def __init__(self, near: Locality, rng: random.Random):
@@ -37,12 +37,12 @@
         self.busy: dict[Address, int] = {}
 
     def pick(self, rows: list[Row], policy: Policy, proxies: int, tried: set[Address], now: float) -> Row | None:
-        rows = [r for r in rows if r.beat.address not in tried]
+        rows = [r for r in rows if r.heartbeat.address not in tried]
         rows = [r for r in rows if now - r.broken > BROKEN] or rows
-        rows = [r for r in rows if self.busy.get(r.beat.address, 0) < cap(r, policy, proxies, now)]
+        rows = [r for r in rows if self.busy.get(r.heartbeat.address, 0) < cap(r, policy, proxies, now)]
         if not rows:
             return None
-        rings = [rows] if policy.draw != "near" else self._rings(rows)
+        rings = [rows] if policy.chooser != "near" else self._rings(rows)
         warmest = max(warmth(r, policy.ramp_ms, now) for r in rows)
         for ring in rings:
             w = [warmth(r, policy.ramp_ms, now) for r in ring]
@@ -55,7 +55,7 @@
         """By distance; where only cold ones are near, the warmer farther ones bear their share."""
         by: dict[int, list[Row]] = {}
         for r in rows:
-            by.setdefault(self.near.distance(r.beat.locality), []).append(r)
+            by.setdefault(self.near.distance(r.heartbeat.locality), []).append(r)
         return [by[d] for d in sorted(by)]
 
     def enter(self, a: Address) -> None:
@@ -69,4 +69,4 @@
             self.busy.pop(a, None)
 
     def _usage(self, r: Row) -> float:
-        return self.busy.get(r.beat.address, 0) + r.beat.usage
+        return self.busy.get(r.heartbeat.address, 0) + r.heartbeat.usage
--- a/mallowvalve/flow/session.py
+++ b/mallowvalve/proxy/connection.py
@@ -4,13 +4,13 @@
 
 import gevent
 import msgspec
-from geventhttpclient.response import HTTPParseError, HTTPProtocolViolationError, HTTPSocketResponse
 from gevent import socket
+from geventhttpclient.response import HTTPParseError, HTTPProtocolViolationError, HTTPSocketResponse
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.beat.board import Beat
-from mallowvalve.flow.steps import Answer
+from mallowvalve.proxy.steps import Answer
+from mallowvalve.upstreams.board import Heartbeat
 
 WHOLE = 256 << 10
 SKIP = frozenset(
@@ -43,22 +43,22 @@
         super()._on_message_begin()
 
 
-class Session:
-    __slots__ = ("beat", "sock", "since")
+class Connection:
+    __slots__ = ("heartbeat", "sock", "since")
 
-    def __init__(self, beat: Beat, sock):
-        self.beat, self.sock, self.since = beat, sock, clock.now()
+    def __init__(self, heartbeat: Heartbeat, sock):
+        self.heartbeat, self.sock, self.since = heartbeat, sock, clock.now()
 
     @classmethod
-    def open(cls, beat: Beat, status: str, end: float) -> Result[Session, str]:
+    def open(cls, heartbeat: Heartbeat, status: str, end: float) -> Result[Connection, str]:
         left = end - clock.now()
         if left <= 0:
             return Err("limit")
         try:
-            sock = socket.create_connection(beat.address.pair, timeout=min(1.0, left))
+            sock = socket.create_connection(heartbeat.address.pair, timeout=min(1.0, left))
         except OSError as e:
             return Err(f"unreachable: {e.strerror or e}")
-        s = cls(beat, sock)
+        s = cls(heartbeat, sock)
         s.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         why = s._identify(status, min(end, clock.now() + 1.0))
         if why is None:
@@ -104,7 +104,7 @@
             self.sock.setblocking(True)
 
     def _identify(self, path: str, end: float) -> str | None:
-        if not self.send(f"GET {path} HTTP/1.1\r\nHost: {self.beat.address}\r\n\r\n".encode(), end):
+        if not self.send(f"GET {path} HTTP/1.1\r\nHost: {self.heartbeat.address}\r\n\r\n".encode(), end):
             return "status: not sent"
         r = self.receive("GET", end)
         if r.is_err():
@@ -116,7 +116,7 @@
             who = msgspec.json.decode(a.body, type=Identity)
         except msgspec.DecodeError:
             return "status: not understood"
-        b = self.beat
+        b = self.heartbeat
         if (who.service, who.instance, who.incarnation) != (b.service, b.instance, b.incarnation):
             return "status: another upstream answers here"
         return None if a.keep else "status: the connection does not stay open"
--- a/mallowvalve/flow/front.py
+++ b/mallowvalve/proxy/front.py
@@ -8,10 +8,10 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
-from mallowvalve.flow.link import Link
-from mallowvalve.flow.serve import Stream
-from mallowvalve.flow.steps import Ask, Await, Body, Exchange, Open, Reply, Room, Step
-from mallowvalve.flow.tries import HOP, Tries
+from mallowvalve.proxy.link import Link
+from mallowvalve.proxy.serve import Stream
+from mallowvalve.proxy.steps import Ask, Await, Body, Exchange, Open, Reply, Room, Step
+from mallowvalve.proxy.tries import HOP, Tries
 
 SKIP = HOP
 REASONS = {
@@ -62,7 +62,7 @@
     def __init__(self, tries: Tries, app: Callable, only: bool):
         self.tries, self.app, self.only = tries, app, only
         self.rooms = Rooms()
-        self.mark = tries.params.terms.ask.lower()
+        self.mark = tries.settings.terms.ask.lower()
 
     def __call__(self, env: dict, start: Callable):
         h = env["mallow.head"]
@@ -85,20 +85,20 @@
             return True
         if "mallow-tenant" in headers:
             return False
-        s = self.tries.echo.state
+        s = self.tries.replica.state
         return self.only or s is not None and s.items.revision > 0
 
     def _do(self, s: Step, env: dict):
         match s:
             case Exchange():
-                return s.session.exchange(s.method, s.request, s.end, s.ask)
+                return s.connection.exchange(s.method, s.request, s.end, s.ask)
             case Await():
-                return s.session.receive(s.end)
+                return s.connection.receive(s.end)
             case Body():
                 return self._body(env, s)
             case Open():
-                r = Link.open(s.beat, self.mark, s.end)
-                self.tries.counts.add("upstream_sessions", r.is_ok())
+                r = Link.open(s.heartbeat, self.mark, s.end)
+                self.tries.counts.add("upstream_connections", r.is_ok())
                 return r
             case Room():
                 return self.rooms.wait(s.service, s.end - clock.now())
--- a/mallowvalve/flow/host.py
+++ b/mallowvalve/proxy/host.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of the upstreams of host routes: the roll's rows, and what it saw of each itself."""
+"""What a proxy knows of the upstreams of host routes: the registry's rows, and what it saw of each itself."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import random
 from collections.abc import Callable
 
-from mallowvalve.beat.roll import Upstream
-from mallowvalve.flow.budget import Sliding
-from mallowvalve.flow.draw import emptied
-from mallowvalve.flow.spot import BREAK, BREAK_MOST, Spot, Zone
-from mallowvalve.flow.steps import Answer
-from mallowvalve.kind import Locality
-from mallowvalve.law.echo import Echo
-from mallowvalve.params import Params
-from mallowvalve.tree.items import ServiceItem
+from mallowvalve.configuration.items import ServiceItem
+from mallowvalve.control.replica import Replica
+from mallowvalve.proxy.budget import Sliding
+from mallowvalve.proxy.choose import emptied
+from mallowvalve.proxy.spot import BREAK, BREAK_MOST, Spot, Zone
+from mallowvalve.proxy.steps import Answer
+from mallowvalve.settings import Settings
+from mallowvalve.types import Locality
+from mallowvalve.upstreams.registry import Upstream
 
 FILL, FAR = 0.85, (0.0, 0.1, 0.5)
 FULL = 0.2
@@ -27,36 +27,36 @@
 
 
 class Place:
-    """A place at an upstream and the session opened for it, given back exactly once."""
+    """A place at an upstream and the connection opened for it, given back exactly once."""
 
-    __slots__ = ("session", "hosts", "spot", "streams", "idle", "_left")
+    __slots__ = ("connection", "hosts", "spot", "streams", "idle", "_left")
 
     def __init__(self, hosts: Hosts, spot: Spot):
-        """`idle` is for how long its session was not used (s), None for one just opened."""
-        self.session, self.hosts, self.spot, self.idle = None, hosts, spot, None
+        """`idle` is for how long its connection was not used (s), None for one just opened."""
+        self.connection, self.hosts, self.spot, self.idle = None, hosts, spot, None
         self.streams = self._left = False
         spot.busy += 1
 
     def reuse(self, sure: bool, now: float) -> bool:
-        self.session = self.hosts.links.take(self.spot.up, now, sure)
-        if self.session is not None:
-            self.idle = now - self.session.since
-        return self.session is not None
+        self.connection = self.hosts.links.take(self.spot.up, now, sure)
+        if self.connection is not None:
+            self.idle = now - self.connection.since
+        return self.connection is not None
 
     def back(self, keep: bool) -> None:
         if self._left:
             return
         self._left = True
         self.spot.busy -= 1
-        if self.session is not None and keep:
-            self.hosts.links.give(self.session, self.hosts.now())
-        elif self.session is not None:
-            self.session.close()
+        if self.connection is not None and keep:
+            self.hosts.links.give(self.connection, self.hosts.now())
+        elif self.connection is not None:
+            self.connection.close()
         self.hosts.on_free(self.spot.up.service)
 
 
 class Links:
-    """Idle sessions, the last used first; none is used beyond the time that its upstream keeps it.
+    """Idle connections, the last used first; none is used beyond the time that its upstream keeps it.
 
     Where one was forgotten sooner than said, all are trusted for half of that time for a while.
     """
@@ -74,13 +74,13 @@
             if sure and now - idle[-1].since > SURE:
                 return None
             s = idle.pop()
-            if s.beat.address == up.address and now - s.since <= min(s.life, trust) and not s.stale():
+            if s.heartbeat.address == up.address and now - s.since <= min(s.life, trust) and not s.stale():
                 return s
             s.close()
         return None
 
     def forgotten(self, idle: float, now: float) -> None:
-        """A session not used for `idle` seconds broke at once when it was sent on."""
+        """A connection not used for `idle` seconds broke at once when it was sent on."""
         trust = max(CAUTION_LEAST, CAUTION_SHARE * idle)
         self._trust, self._until = min(trust, self._trust) if now < self._until else trust, now + CAUTION
 
@@ -90,7 +90,7 @@
 
     def give(self, s, now: float) -> None:
         s.since = now
-        self._idle.setdefault(s.beat.instance, []).append(s)
+        self._idle.setdefault(s.heartbeat.instance, []).append(s)
 
     def tidy(self, ready: set[str], now: float) -> None:
         for name, idle in list(self._idle.items()):
@@ -106,8 +106,8 @@
 
 class Hosts:
     __slots__ = (
-        "echo",
-        "params",
+        "replica",
+        "settings",
         "rng",
         "now",
         "on_free",
@@ -116,7 +116,7 @@
         "spots",
         "zones",
         "_rings",
-        "_roll",
+        "_registry",
         "_revision",
         "_budgets",
         "_share",
@@ -127,19 +127,19 @@
 
     def __init__(
         self,
-        echo: Echo,
-        params: Params,
+        replica: Replica,
+        settings: Settings,
         rng: random.Random,
         now: Callable[[], float],
         on_free: Callable[[str], None] = lambda service: None,
     ):
-        self.echo, self.params, self.rng, self.now, self.on_free = echo, params, rng, now, on_free
+        self.replica, self.settings, self.rng, self.now, self.on_free = replica, settings, rng, now, on_free
         self.links = Links()
         self.waiting: dict[str, int] = {}
         self.spots: dict[str, Spot] = {}
         self.zones: dict[Locality, Zone] = {}
         self._rings: dict[str, list[tuple[int, list[Spot]]]] = {}
-        self._roll, self._revision = None, -1
+        self._registry, self._revision = None, -1
         self._budgets: dict[str, Sliding] = {}
         self._share = self._proxies = 1
         self._roster = -1
@@ -148,8 +148,8 @@
     def pick(self, service: str, homes: list[str], tried: set[str], now: float) -> tuple[Spot | None, bool]:
         """The upstream for the next request, and whether there is any that may take it at all."""
         self.sync(now)
-        out, share, any_, free, rest = self.echo.state.params.evacuated, self._share, False, [], []
-        item = self.echo.state.items.services.get(service)
+        out, share, any_, free, rest = self.replica.state.settings.evacuated, self._share, False, [], []
+        item = self.replica.state.items.services.get(service)
         for d, ring in self._rings.get(service, ()):
             ok = [s for s in ring if s.up.instance not in tried and self._may(s, homes, out, now)]
             any_ = any_ or bool(ok)
@@ -174,8 +174,8 @@
         self.sync(now)
         if self.spots.get(s.up.instance) is not s or s.up.service != service:
             return False
-        item = self.echo.state.items.services.get(service)
-        return self._may(s, homes, self.echo.state.params.evacuated, now) and self._warm(s, item, now)
+        item = self.replica.state.items.services.get(service)
+        return self._may(s, homes, self.replica.state.settings.evacuated, now) and self._warm(s, item, now)
 
     def sending(self, s: Spot, now: float) -> None:
         """Told right before the first byte: a cold upstream's turn is used up."""
@@ -183,7 +183,7 @@
         s.zone.sending(now)
         if s.mute is None:
             s.mute = now
-        item = self.echo.state.items.services.get(s.up.service)
+        item = self.replica.state.items.services.get(s.up.service)
         if s.cold(now) and item is not None and item.cold_per_s > 0:
             s.cold_next = now + self._period(s, item)
 
@@ -192,7 +192,7 @@
         s.zone.heard(took)
         s.mute = now if s.busy > 1 else None
         s.latency += 0.2 * (took - s.latency)
-        t = self.params.terms
+        t = self.settings.terms
         if not (a.status == 421 or t.not_run and t.not_run.lower() in a.said):
             s.judged(a.status < 500 or a.status == 504, now)
         usage = a.said.get(t.usage.lower()) if t.usage else None
@@ -207,7 +207,7 @@
     def late(self, s: Spot, sent_at: float, now: float) -> None:
         """No answer within the limit: its fault when it has answered nothing at all since.
 
-        Whether it is there at all shows when a session is opened, at no risk to a request.
+        Whether it is there at all shows when a connection is opened, at no risk to a request.
         """
         if self.is_mute(s, sent_at):
             self.failed(s, now)
@@ -230,47 +230,47 @@
 
     def most(self, s: Spot, item: ServiceItem | None) -> int:
         own = s.up.slots + QUEUED
-        if item is not None and item.sessions > 0:
-            own = min(own, max(1, item.sessions // self._proxies))
+        if item is not None and item.connections > 0:
+            own = min(own, max(1, item.connections // self._proxies))
         if s.base_at < -1e8:
             own = min(own, max(1, -(-2 * s.up.slots // self._share)))
         return own
 
     def budget(self, service: str) -> Sliding:
         b = self._budgets.get(service)
-        p = self.params.budget
+        p = self.settings.budget
         if b is None:
             b = self._budgets[service] = Sliding(BUDGET_SHARE * p.ratio, p.span, 0.0)
         b.floor = FLOOR_SHARE * p.slack / self._proxies
         return b
 
     def sync(self, now: float) -> None:
-        state = self.echo.state
-        roll, p = state.roll, state.params
+        state = self.replica.state
+        registry, p = state.registry, state.settings
         if p.revision != self._roster:
             self._roster = p.revision
             self._proxies = max(1, len(p.roster))
-            here = self.params.locality
+            here = self.settings.locality
             self._share = max(1, sum(seat.locality == here for seat in p.roster.values()))
             self._lifted(dict(p.evacuated), now)
-        if roll is not self._roll or roll.revision != self._revision:
-            self._rebuild(roll, state.clock, now)
+        if registry is not self._registry or registry.revision != self._revision:
+            self._rebuild(registry, state.clock, now)
 
     def tidy(self) -> None:
-        if self.echo.state is None:
+        if self.replica.state is None:
             return
         now = self.now()
         self.sync(now)
         self.links.tidy(set(self.spots), now)
-        known = self.echo.state.items.services
+        known = self.replica.state.items.services
         for s in [s for s in self._budgets if s not in known]:
             del self._budgets[s]
 
-    def _rebuild(self, roll, clock: int, now: float) -> None:
-        self._roll, self._revision = roll, roll.revision
+    def _rebuild(self, registry, clock: int, now: float) -> None:
+        self._registry, self._revision = registry, registry.revision
         spots: dict[str, Spot] = {}
         rings: dict[str, dict[int, list[Spot]]] = {}
-        for name, up in roll.rows.items():
+        for name, up in registry.rows.items():
             if up.state != "ready":
                 continue
             s = self.spots.get(name)
@@ -281,24 +281,24 @@
                 s.cold_until = up.cold_until
                 self._chill(s, now + max(0, up.cold_until - clock) / 1000, now)
             spots[name] = s
-            rings.setdefault(up.service, {}).setdefault(self.params.locality.distance(up.locality), []).append(s)
+            rings.setdefault(up.service, {}).setdefault(self.settings.locality.distance(up.locality), []).append(s)
         self.spots = spots
         self._rings = {k: sorted(by.items()) for k, by in rings.items()}
 
     def _lifted(self, out: dict[str, int], now: float) -> None:
-        """Upstreams of a zone that was evacuated may have become cold, and the beat that says so may be on its way."""
+        """Upstreams of a zone that was evacuated may have become cold, and the heartbeat that says so may be on its way."""
         before, self._out = self._out, out
         for zone in before.keys() - out.keys():
             for s in self.spots.values():
                 if emptied(s.up.locality, {zone: 0}):
-                    self._chill(s, now + 1.4 * self.params.beat_ms / 1000, now)
+                    self._chill(s, now + 1.4 * self.settings.heartbeat_ms / 1000, now)
 
     def _chill(self, s: Spot, end: float, now: float) -> None:
         was = s.cold(now)
         s.cold_end = max(s.cold_end, end) if was else end
         if was or not s.cold(now):
             return
-        item = self.echo.state.items.services.get(s.up.service)
+        item = self.replica.state.items.services.get(s.up.service)
         if item is not None and item.cold_per_s > 0:
             s.cold_next = now + self.rng.random() * self._period(s, item)
 
@@ -318,12 +318,12 @@
         """
         if s.cold_at == (self._roster, item.version):
             return s.cold_k
-        c, rate = self.params.cold, item.cold_per_s
+        c, rate = self.settings.cold, item.cold_per_s
         k = min(self._proxies, int(rate * c.over + c.slack - COLD_SHARE * rate + 1e-9))
         k = max(k, 1 if rate * c.over + c.slack >= 1 else 0)
-        roster = self.echo.state.params.roster
+        roster = self.replica.state.settings.roster
         order = sorted(roster, key=lambda a: (roster[a].locality.distance(s.up.locality), _mix(a, s.up.instance)))
-        s.cold_at, s.cold_k = (self._roster, item.version), k if not order or str(self.echo.addr) in order[:k] else 0
+        s.cold_at, s.cold_k = (self._roster, item.version), k if not order or str(self.replica.addr) in order[:k] else 0
         return s.cold_k
 
     def _may(self, s: Spot, homes: list[str], out: dict[str, int], now: float) -> bool:
--- a/mallowvalve/flow/link.py
+++ b/mallowvalve/proxy/link.py
@@ -6,22 +6,22 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.beat.roll import Upstream
-from mallowvalve.flow.reader import Reader
-from mallowvalve.flow.steps import Answer
-from mallowvalve.head import until_bytes
+from mallowvalve.http_head import until_bytes
+from mallowvalve.proxy.reader import Reader
+from mallowvalve.proxy.steps import Answer
+from mallowvalve.upstreams.registry import Upstream
 
 LIFE = 4.0
 CONNECT = 0.5
 
 
 class Link:
-    """A session to an upstream of a host route; who answers there is checked by the `expect` header of each request."""
+    """A connection to an upstream of a host route; who answers there is checked by the `expect` header of each request."""
 
-    __slots__ = ("beat", "sock", "since", "life", "mark", "reader")
+    __slots__ = ("heartbeat", "sock", "since", "life", "mark", "reader")
 
     def __init__(self, up: Upstream, sock, mark: str):
-        self.beat, self.sock, self.mark = up, sock, mark
+        self.heartbeat, self.sock, self.mark = up, sock, mark
         self.since, self.life, self.reader = clock.now(), LIFE, None
 
     @classmethod
--- a/mallowvalve/flow/path.py
+++ b/mallowvalve/proxy/path.py
@@ -5,28 +5,28 @@
 
 import msgspec
 
-from mallowvalve.claim.ledger import Claim, Done, Forfeit, Release, Verdict
-from mallowvalve.count import Counts
+from mallowvalve.control.replica import Replica
 from mallowvalve.finding import Finding
-from mallowvalve.flow.call import Call, check_body, understand
-from mallowvalve.flow.draw import emptied
-from mallowvalve.flow.pool import Lease, Pool
-from mallowvalve.flow.steps import (
+from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Release, Verdict
+from mallowvalve.metrics import Counts
+from mallowvalve.proxy.call import Call, check_body, understand
+from mallowvalve.proxy.choose import emptied
+from mallowvalve.proxy.pool import Lease, Pool
+from mallowvalve.proxy.steps import (
     Answer,
     Ask,
     Body,
-    Bounced,
     Exchange,
     Insist,
     Offer,
     Open,
     Pause,
+    Rejected,
     Reply,
     Room,
     Step,
 )
-from mallowvalve.kind import Locality
-from mallowvalve.law.echo import Echo
+from mallowvalve.types import Locality
 
 NOT_RUN, UNDECIDED, UNKNOWN = "not-run", "undecided", "unknown"
 CLAIM_LIMIT = 3.0
@@ -44,11 +44,11 @@
 class Path:
     """The way of a request, without sockets: what a step needs from outside is yielded, its result comes back."""
 
-    __slots__ = ("echo", "pool", "repeats", "counts", "now", "locality", "holder", "nonce", "bounces", "_emptied")
+    __slots__ = ("replica", "pool", "repeats", "counts", "now", "locality", "holder", "nonce", "rejections", "_emptied")
 
     def __init__(
         self,
-        echo: Echo,
+        replica: Replica,
         pool: Pool,
         repeats,
         counts: Counts,
@@ -57,9 +57,9 @@
         holder: str,
         nonce: Callable[[], str],
     ):
-        self.echo, self.pool, self.repeats, self.counts, self.now = echo, pool, repeats, counts, now
+        self.replica, self.pool, self.repeats, self.counts, self.now = replica, pool, repeats, counts, now
         self.locality, self.holder, self.nonce = locality, holder, nonce
-        self.bounces: deque[Bounced] = deque(maxlen=200)
+        self.rejections: deque[Rejected] = deque(maxlen=200)
         self._emptied: float | None = None
 
     def carry(self, a: Ask) -> Generator[Step, object, Reply]:
@@ -67,7 +67,7 @@
         no = self._admits()
         if no is not None:
             return self._turn_away(a, *no)
-        r = understand(a, self.echo.tree, self.echo.state.revision, self.now())
+        r = understand(a, self.replica.tree, self.replica.state.revision, self.now())
         if r.is_err():
             return self._turn_away(a, *r.err_value)
         c: Call = r.ok_value
@@ -77,7 +77,7 @@
             return self._turn_away(a, *bad)
         c.fill(body.ok_value)
         if not self._in_budget(c):
-            return self._bounce(c, 503, "too many repeats just now", 2)
+            return self._reject(c, 503, "too many repeats just now", 2)
         if c.plan.kind == "once":
             return (yield from self._once(c))
         return (yield from self._read(c))
@@ -91,11 +91,11 @@
             with got.lease as lease:
                 if got.answer is not None:
                     return self._answer(c, lease, got.answer)
-            tried.add(lease.row.beat.address)
+            tried.add(lease.row.heartbeat.address)
             if c.sent > c.plan.policy.retry:
-                return self._bounce(c, 502, "the upstreams did not answer well", 1)
+                return self._reject(c, 502, "the upstreams did not answer well", 1)
             if not self.pool.budget(c.plan.service).again(self.now()):
-                return self._bounce(c, 502, "the upstream failed and the retry budget is spent", 1)
+                return self._reject(c, 502, "the upstream failed and the retry budget is spent", 1)
 
     def _once(self, c: Call) -> Generator[Step, object, Reply]:
         nonce = self.nonce()
@@ -113,7 +113,7 @@
         with got.lease as lease:
             if got.answer is None:
                 yield Insist(Forfeit(c.key, nonce), ("lost", "done", "gone"))
-                return self._bounce(c, 502, "sent, but no whole answer came back", None)
+                return self._reject(c, 502, "sent, but no whole answer came back", None)
             yield from self._done(c, nonce, got.answer)
             return self._answer(c, lease, got.answer)
 
@@ -125,11 +125,11 @@
                 return no
             rows = self.pool.usable(c.plan, c.tenant, tried)
             if not rows:
-                return self._bounce(c, 503, "no upstream is alive where this tenant may go", 2)
+                return self._reject(c, 503, "no upstream is alive where this tenant may go", 2)
             row = self.pool.pick(rows, c.plan, tried)
             if row is None:
                 if not (yield from self._queue(c, queue_end)):
-                    return self._bounce(c, 503, "all upstreams are busy", 1)
+                    return self._reject(c, 503, "all upstreams are busy", 1)
                 continue
             lease = Lease(self.pool, row)
             try:
@@ -139,20 +139,20 @@
                 raise
             if sent is not None:
                 return sent
-            tried.add(row.beat.address)
+            tried.add(row.heartbeat.address)
 
     def _try(self, c: Call, lease: Lease) -> Generator[Step, object, Sent | Reply | None]:
-        """Opens a session, judges everything once more, and sends in the same breath; None: try another upstream."""
+        """Opens a connection, judges everything once more, and sends in the same breath; None: try another upstream."""
         row = lease.row
-        lease.session = self.pool.sessions.take(row.beat, self.now())
-        if lease.session is None:
-            r = yield Open(row.beat, self.echo.tree.doc.services[c.plan.service].status, c.end)
+        lease.connection = self.pool.connections.take(row.heartbeat, self.now())
+        if lease.connection is None:
+            r = yield Open(row.heartbeat, self.replica.tree.doc.services[c.plan.service].status, c.end)
             if r.is_err():
                 self.counts.add("upstream_open_failed")
                 row.broken = self.now()
                 lease.back(keep=False)
                 return None
-            lease.session = r.ok_value
+            lease.connection = r.ok_value
         no = self._judge(c)
         if no is not None or not self.pool.fits(row, c.plan, c.tenant):
             lease.back(keep=no is not None)
@@ -160,7 +160,7 @@
         if not c.again:
             self.pool.budget(c.plan.service).first(self.now())
         c.again, c.sent = True, c.sent + 1
-        r = yield Exchange(lease.session, c.ask.method, c.wire(str(row.beat.address)), c.end)
+        r = yield Exchange(lease.connection, c.ask.method, c.wire(str(row.heartbeat.address)), c.end)
         if r.is_ok():
             return Sent(lease, r.ok_value)
         self.counts.add("upstream_" + r.err_value.partition(":")[0])
@@ -169,18 +169,18 @@
         return Sent(lease, None)
 
     def _judge(self, c: Call) -> Reply | None:
-        """All that was decided from an older picture is decided again: it may have changed since the request came."""
+        """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
         no = self._admits()
         if no is not None:
-            return self._bounce(c, no[0], no[2], 1)
+            return self._reject(c, no[0], no[2], 1)
         if self.now() >= c.end:
-            return self._bounce(c, 504, "the limit is over", 1)
-        tree = self.echo.tree
-        plan = tree.draw(c.tenant, c.request) if c.tenant in tree.cell_of else None
+            return self._reject(c, 504, "the limit is over", 1)
+        tree = self.replica.tree
+        plan = tree.choose(c.tenant, c.request) if c.tenant in tree.cell_of else None
         if plan is None:
-            return self._bounce(c, 404, "its tenant or route was removed meanwhile", None)
+            return self._reject(c, 404, "its tenant or route was removed meanwhile", None)
         if plan.kind != c.plan.kind:
-            return self._bounce(c, 503, "its route changed its kind meanwhile", 1)
+            return self._reject(c, 503, "its route changed its kind meanwhile", 1)
         c.plan = plan
         return None
 
@@ -198,7 +198,7 @@
 
     def _wait(self, c: Call) -> Generator[Step, object, Verdict]:
         while self.now() < c.end:
-            v = self.echo.state.ledger.look(c.key, c.digest)
+            v = self.replica.state.ledger.look(c.key, c.digest)
             if v is not None and v.state != "open":
                 return v
             yield Pause(LOOK)
@@ -221,9 +221,9 @@
             yield Insist(d, ("done", "gone"))
 
     def _admits(self) -> tuple[int, str, str] | None:
-        if not self.echo.admits(self.now()):
+        if not self.replica.admits(self.now()):
             return 503, "proxy", "its settings may be out of date"
-        if not emptied(self.locality, self.echo.state.params.evacuated):
+        if not emptied(self.locality, self.replica.state.settings.evacuated):
             self._emptied = None
             return None
         self._emptied = self._emptied if self._emptied is not None else self.now()
@@ -233,7 +233,7 @@
 
     def _in_budget(self, c: Call) -> bool:
         if c.key and c.plan.kind == "once":
-            r = self.echo.state.ledger.rows.get(c.key)
+            r = self.replica.state.ledger.rows.get(c.key)
             if r is not None and r.state != "released":
                 return True
         c.owed = self.repeats.is_one(c.name, self.now())
@@ -257,16 +257,16 @@
                 kind = [("content-type", v.kind or "application/octet-stream")]
                 return Reply(v.status, answer=Answer(v.status, kind, v.body, len(v.body), None), again=True)
             case "conflict":
-                return self._bounce(c, 409, "this key was used for another request", None)
+                return self._reject(c, 409, "this key was used for another request", None)
             case "undecided":
-                return self._bounce(c, 503, "the ledger did not answer in time", 1)
+                return self._reject(c, 503, "the ledger did not answer in time", 1)
             case "released":
-                return self._bounce(c, 503, "an earlier try of this key was just given back", 1)
+                return self._reject(c, 503, "an earlier try of this key was just given back", 1)
             case "open":
-                return self._bounce(c, 504, "an earlier try of this key is still open", 1, UNKNOWN)
+                return self._reject(c, 504, "an earlier try of this key is still open", 1, UNKNOWN)
             case "done":
-                return self._bounce(c, 502, "ran; its answer was too large to keep", None, UNKNOWN)
-        return self._bounce(c, 502, "an earlier try may have run", None, UNKNOWN)
+                return self._reject(c, 502, "ran; its answer was too large to keep", None, UNKNOWN)
+        return self._reject(c, 502, "an earlier try may have run", None, UNKNOWN)
 
     def _outcome(self, c: Call) -> str:
         """The one place that may say not-run: nothing was sent, and no key could have been claimed before."""
@@ -274,24 +274,24 @@
             return UNKNOWN
         return UNDECIDED if c.key else NOT_RUN
 
-    def _bounce(self, c: Call, status: int, why: str, after: float | None, outcome: str | None = None) -> Reply:
+    def _reject(self, c: Call, status: int, why: str, after: float | None, outcome: str | None = None) -> Reply:
         outcome = outcome or self._outcome(c)
         if outcome == UNKNOWN or c.owed:
             self.repeats.failed(c.name, self.now())
         note = self._note(c.plan.route, c.tenant, c.ask.target, status, outcome, why)
-        self.counts.add(f"bounced_{outcome}")
-        self.counts.add(f"bounced_service_{c.plan.service}")
+        self.counts.add(f"rejected_{outcome}")
+        self.counts.add(f"rejected_service_{c.plan.service}")
         return Reply(
             status, outcome, [Finding(f"routes.{c.plan.route}", why)], after, self._emptied is not None, note=note
         )
 
     def _turn_away(self, a: Ask, status: int, place: str, text: str) -> Reply:
         outcome = UNDECIDED if a.headers.get("mallow-key") else NOT_RUN
-        self.counts.add(f"bounced_{status}_{place.lower()}")
+        self.counts.add(f"rejected_{status}_{place.lower()}")
         self._note("", a.headers.get("mallow-tenant", "")[:64], a.target, status, outcome, f"{place}: {text}")
         close = self._emptied is not None or place == "body"
         return Reply(status, outcome, [Finding(place, text)], 1 if status == 503 else None, close)
 
-    def _note(self, route: str, tenant: str, target: str, status: int, outcome: str, why: str) -> Bounced:
-        self.bounces.append(Bounced(self.now(), route, tenant, target[:200], status, outcome, why))
-        return self.bounces[-1]
+    def _note(self, route: str, tenant: str, target: str, status: int, outcome: str, why: str) -> Rejected:
+        self.rejections.append(Rejected(self.now(), route, tenant, target[:200], status, outcome, why))
+        return self.rejections[-1]
--- /dev/null
+++ b/mallowvalve/proxy/pool.py
@@ -0,0 +1,99 @@
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+
+from mallowvalve.configuration.model import Plan
+from mallowvalve.control.replica import Replica
+from mallowvalve.proxy.budget import Budget
+from mallowvalve.proxy.choose import Chooser, reachable
+from mallowvalve.proxy.connections import Connections
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.board import Board, Row
+
+
+class Lease:
+    """A place in an upstream's width, and the connection opened for it, given back exactly once."""
+
+    __slots__ = ("connection", "pool", "row", "streams", "_left")
+
+    def __init__(self, pool: Pool, row: Row):
+        self.connection, self.pool, self.row = None, pool, row
+        self.streams = self._left = False
+        pool.chooser.enter(row.heartbeat.address)
+
+    def __enter__(self) -> Lease:
+        return self
+
+    def __exit__(self, kind, *_) -> None:
+        if kind is not None or not self.streams:
+            self.back(keep=False)
+
+    def back(self, keep: bool) -> None:
+        if self._left:
+            return
+        self._left = True
+        if self.connection is not None and keep:
+            self.pool.connections.give(self.connection, self.pool.now())
+        elif self.connection is not None:
+            self.connection.close()
+        self.pool.leave(self.row)
+
+
+class Pool:
+    """The upstreams a proxy may use, its places at them, their queues and their budgets."""
+
+    __slots__ = ("board", "replica", "chooser", "connections", "now", "on_free", "waiting", "_budgets")
+
+    def __init__(
+        self,
+        board: Board,
+        replica: Replica,
+        near: Locality,
+        rng: random.Random,
+        now: Callable[[], float],
+        on_free: Callable[[str], None] = lambda service: None,
+    ):
+        self.board, self.replica, self.now, self.on_free = board, replica, now, on_free
+        self.chooser = Chooser(near, rng)
+        self.connections = Connections()
+        self.waiting: dict[str, int] = {}
+        self._budgets: dict[str, Budget] = {}
+
+    def budget(self, service: str) -> Budget:
+        return self._budgets.setdefault(service, Budget())
+
+    def usable(self, plan: Plan, tenant: str, tried: set[Address]) -> list[Row]:
+        homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
+        rows = self.board.usable(plan.service, self.now())
+        return [r for r in rows if r.heartbeat.address not in tried and reachable(r.heartbeat.locality, homes, out)]
+
+    def pick(self, rows: list[Row], plan: Plan, tried: set[Address]) -> Row | None:
+        return self.chooser.pick(rows, plan.policy, len(self.replica.roster()), tried, self.now())
+
+    def fits(self, row: Row, plan: Plan, tenant: str) -> bool:
+        b = row.heartbeat
+        r = self.board.rows.get(b.name)
+        if (
+            r is None
+            or self.board.status(r, self.now()) != "ready"
+            or (r.heartbeat.incarnation, r.heartbeat.address) != (b.incarnation, b.address)
+        ):
+            return False
+        homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
+        return b.service == plan.service and reachable(b.locality, homes, out)
+
+    def leave(self, row: Row) -> None:
+        self.chooser.leave(row.heartbeat.address)
+        self.on_free(row.heartbeat.service)
+
+    def tidy(self) -> None:
+        live = {
+            (r.heartbeat.name, r.heartbeat.incarnation)
+            for r in self.board.rows.values()
+            if r.heartbeat.state == "ready"
+        }
+        self.connections.keep(live)
+        known = self.replica.tree.doc.services
+        for s in [s for s in self._budgets if s not in known]:
+            del self._budgets[s]
--- a/mallowvalve/flow/reader.py
+++ b/mallowvalve/proxy/reader.py
@@ -6,7 +6,7 @@
 
 
 class Reader(HTTPResponseParser):
-    """Reads one answer out of what a session brings, without sockets: answers that bear another id are passed over.
+    """Reads one answer out of what a connection brings, without sockets: answers that bear another id are passed over.
 
     `mark` is the header that bears the id (lower case; empty: not checked), `ask` the id of the request. After each
     `take`, `why` says what is wrong, `done` that the whole answer is here, `extra` that more came after it.
--- a/mallowvalve/flow/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -8,9 +8,9 @@
 from gevent.event import Event
 
 from mallowvalve import clock
-from mallowvalve.count import vital
-from mallowvalve.kind import Address
-from mallowvalve.mesh.task import Mesh
+from mallowvalve.metrics import vital
+from mallowvalve.transport.task import Transport
+from mallowvalve.types import Address
 
 SPAN = 10.0
 MOST = 20000
@@ -21,7 +21,7 @@
 
 
 class Repeats:
-    """Knows a repeat that its client did not mark: each bounce or failure answered here makes one like request a repeat."""
+    """Knows a repeat that its client did not mark: each rejection or failure answered here makes one like request a repeat."""
 
     __slots__ = ("_failed",)
 
@@ -47,13 +47,13 @@
 class RepeatTask:
     """Tells the other proxies of failures at once: a hasty client comes back through another one."""
 
-    __slots__ = ("repeats", "mesh", "neighbours", "_news", "_wake", "_job")
+    __slots__ = ("repeats", "transport", "peers", "_news", "_wake", "_job")
 
-    def __init__(self, mesh: Mesh, neighbours: Callable[[], list[Address]]):
-        self.repeats, self.mesh, self.neighbours = Repeats(), mesh, neighbours
+    def __init__(self, transport: Transport, peers: Callable[[], list[Address]]):
+        self.repeats, self.transport, self.peers = Repeats(), transport, peers
         self._news: list[bytes] = []
         self._wake = Event()
-        mesh.on("failed", self._heard, quick=True)
+        transport.on("failed", self._heard, quick=True)
 
     def __enter__(self) -> RepeatTask:
         self._job = vital(gevent.spawn(self._run))
@@ -81,7 +81,7 @@
             self._wake.clear()
             news, self._news = self._news, []
             body = _encode(news)
-            for a in self.neighbours():
-                if a != self.mesh.me:
-                    self.mesh.cast(a, "failed", body)
+            for a in self.peers():
+                if a != self.transport.me:
+                    self.transport.cast(a, "failed", body)
             gevent.sleep(FLUSH)
--- a/mallowvalve/flow/serve.py
+++ b/mallowvalve/proxy/serve.py
@@ -8,12 +8,12 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
-from mallowvalve.claim.ledger import Verdict
-from mallowvalve.flow.path import Path
-from mallowvalve.flow.session import Session
-from mallowvalve.flow.steps import Answer, Ask, Body, Exchange, Insist, Offer, Open, Pause, Reply, Room, Step
-from mallowvalve.law.echotask import EchoTask
-from mallowvalve.law.state import encode
+from mallowvalve.control.replica_task import ReplicaTask
+from mallowvalve.control.state import encode
+from mallowvalve.ledger.ledger import Verdict
+from mallowvalve.proxy.connection import Connection
+from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.steps import Answer, Ask, Body, Exchange, Insist, Offer, Open, Pause, Reply, Room, Step
 
 if TYPE_CHECKING:
     import falcon
@@ -22,7 +22,7 @@
 _verdict = msgspec.msgpack.Decoder(Verdict).decode
 
 
-class Bounces:
+class Rejections:
     def __init__(self, path: Path):
         self.path = path
 
@@ -31,7 +31,7 @@
         web.say(
             resp,
             {
-                "bounces": [
+                "rejections": [
                     {
                         "ago_ms": int((now - b.at) * 1000),
                         "route": b.route,
@@ -41,7 +41,7 @@
                         "outcome": b.outcome,
                         "why": b.why,
                     }
-                    for b in reversed(self.path.bounces)
+                    for b in reversed(self.path.rejections)
                     if not about or about in (b.route, b.tenant, b.target, b.outcome)
                 ]
             },
@@ -51,8 +51,8 @@
 class Serve:
     """Does for a request's path what needs sockets and the loop."""
 
-    def __init__(self, path: Path, echo: EchoTask, body_bytes: int):
-        self.path, self.echo, self.body_bytes = path, echo, body_bytes
+    def __init__(self, path: Path, replica: ReplicaTask, body_bytes: int):
+        self.path, self.replica, self.body_bytes = path, replica, body_bytes
         self.counts = path.counts
         self._freed: dict[str, Event] = {}
 
@@ -76,14 +76,14 @@
     def _do(self, s: Step, req: falcon.Request):
         match s:
             case Exchange():
-                return s.session.exchange(s.method, s.request, s.end)
+                return s.connection.exchange(s.method, s.request, s.end)
             case Offer():
                 return self._offer(s.command, s.limit)
             case Body():
                 return self._body(req, s.end)
             case Open():
-                r = Session.open(s.beat, s.status, s.end)
-                self.counts.add("upstream_sessions", r.is_ok())
+                r = Connection.open(s.heartbeat, s.status, s.end)
+                self.counts.add("upstream_connections", r.is_ok())
                 return r
             case Room():
                 left = s.end - clock.now()
@@ -104,7 +104,7 @@
         return Err((413, "body", f"larger than {self.body_bytes} bytes")) if body is None else Ok(body)
 
     def _offer(self, command, limit: float) -> Verdict:
-        t = self.echo.offer(encode(command), limit)
+        t = self.replica.offer(encode(command), limit)
         return _verdict(t.body) if t.body else Verdict("undecided")
 
     def _insist(self, s: Insist) -> None:
@@ -122,7 +122,7 @@
             resp.set_header("Mallow-Repeat", "1")
         a = r.answer
         if a is None:
-            return web.bounce(resp, r.status, r.outcome, r.findings, r.retry_after)
+            return web.reject(resp, r.status, r.outcome, r.findings, r.retry_after)
         resp.status = a.status
         for k, v in a.headers:
             if k.lower() == "content-type":
--- a/mallowvalve/flow/spot.py
+++ b/mallowvalve/proxy/spot.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mallowvalve.beat.roll import Upstream
+from mallowvalve.upstreams.registry import Upstream
 
 HALF = 0.4
 FRESH = 0.3
--- a/mallowvalve/flow/steps.py
+++ b/mallowvalve/proxy/steps.py
@@ -6,17 +6,17 @@
 
 import msgspec
 
-from mallowvalve.beat.board import Beat
-from mallowvalve.beat.roll import Upstream
-from mallowvalve.claim.ledger import Claim, Done, Forfeit, Release
 from mallowvalve.finding import Finding
+from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Release
+from mallowvalve.upstreams.board import Heartbeat
+from mallowvalve.upstreams.registry import Upstream
 
 
 class Ask(msgspec.Struct):
     method: str
     target: str
     headers: dict[str, str]
-    consumer: str
+    client: str
     length: int | None = None
     pairs: list[tuple[str, str]] = []
 
@@ -48,9 +48,9 @@
 
 
 class Open(msgspec.Struct, frozen=True):
-    """`status` is asked first of a new session; with none the session opens at once, for a host route."""
+    """`status` is asked first of a new connection; with none the connection opens at once, for a host route."""
 
-    beat: Beat | Upstream
+    heartbeat: Heartbeat | Upstream
     status: str
     end: float
 
@@ -58,7 +58,7 @@
 class Exchange(msgspec.Struct, frozen=True):
     """The first byte leaves before anything else of this process runs."""
 
-    session: object
+    connection: object
     method: str
     request: bytes
     end: float
@@ -68,7 +68,7 @@
 class Await(msgspec.Struct, frozen=True):
     """Goes on waiting for the answer of an exchange whose time was over."""
 
-    session: object
+    connection: object
     end: float
 
 
@@ -85,7 +85,7 @@
     said: dict[str, str] = {}
 
 
-class Bounced(msgspec.Struct):
+class Rejected(msgspec.Struct):
     at: float
     route: str
     tenant: str
@@ -96,7 +96,7 @@
 
 
 class Reply(msgspec.Struct):
-    """A final answer: the upstream's own (and the lease it still streams over), a kept one, or a bounce."""
+    """A final answer: the upstream's own (and the lease it still streams over), a kept one, or a rejection."""
 
     status: int
     outcome: str | None = None
@@ -106,4 +106,4 @@
     answer: Answer | None = None
     lease: object = None
     again: bool = False
-    note: Bounced | None = None
+    note: Rejected | None = None
--- a/mallowvalve/flow/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -6,13 +6,13 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve.count import Counts
+from mallowvalve.configuration.items import HostRoute
+from mallowvalve.control.replica import Replica
 from mallowvalve.finding import Finding
-from mallowvalve.flow.host import Hosts, Place
-from mallowvalve.flow.steps import Answer, Ask, Await, Body, Exchange, Open, Reply, Room, Step
-from mallowvalve.law.echo import Echo
-from mallowvalve.params import Params, Terms
-from mallowvalve.tree.items import HostRoute
+from mallowvalve.metrics import Counts
+from mallowvalve.proxy.host import Hosts, Place
+from mallowvalve.proxy.steps import Answer, Ask, Await, Body, Exchange, Open, Reply, Room, Step
+from mallowvalve.settings import Settings, Terms
 
 HOP = frozenset(
     (
@@ -70,11 +70,11 @@
     """
 
     __slots__ = (
-        "echo",
+        "replica",
         "hosts",
         "counts",
         "now",
-        "params",
+        "settings",
         "rng",
         "_ask",
         "_limit",
@@ -86,21 +86,28 @@
 
     def __init__(
         self,
-        echo: Echo,
+        replica: Replica,
         hosts: Hosts,
-        params: Params,
+        settings: Settings,
         counts: Counts,
         now: Callable[[], float],
         rng: random.Random,
     ):
-        self.echo, self.hosts, self.params, self.counts, self.now, self.rng = echo, hosts, params, counts, now, rng
+        self.replica, self.hosts, self.settings, self.counts, self.now, self.rng = (
+            replica,
+            hosts,
+            settings,
+            counts,
+            now,
+            rng,
+        )
         self.until: Callable[[], float | None] = lambda: None
-        t: Terms = params.terms
+        t: Terms = settings.terms
         self._ask, self._limit, self._not_run, self._seal = (x.lower() for x in (t.ask, t.limit, t.not_run, t.seal))
         self._drop = HOP | {self._limit, t.expect.lower()}
 
     def knows(self, host: str) -> bool:
-        return self.echo.state is not None and bool(self.echo.state.items.hosts.get(bare(host)))
+        return self.replica.state is not None and bool(self.replica.state.items.hosts.get(bare(host)))
 
     def carry(self, a: Ask) -> Generator[Step, object, Reply]:
         self.counts.add("requests")
@@ -113,7 +120,7 @@
             return r.err_value
         t: Trip = r.ok_value
         if a.length or "transfer-encoding" in a.headers:
-            got = yield Body(t.end, self.echo.state.items.limits.body_bytes)
+            got = yield Body(t.end, self.replica.state.items.limits.body_bytes)
             if got.is_err():
                 status, place, text = got.err_value
                 return own(status, NOT_RUN, place, text, 1.0 if status == 408 else None, close=True)
@@ -127,7 +134,7 @@
                 return got
 
     def _told(self) -> bool:
-        return self.echo.state is not None and self.echo.state.items.revision > 0
+        return self.replica.state is not None and self.replica.state.items.revision > 0
 
     def _until_told(self, a: Ask, at: float) -> Generator[Step, object, None]:
         """A proxy that has just started has its settings in a moment; who came too early waits for less than half of its time."""
@@ -138,8 +145,8 @@
             yield Room("", min(end, now + LOOK))
 
     def _begin(self, a: Ask, now: float) -> Result[Trip, Reply]:
-        state = self.echo.state
-        if state is None or not state.items.revision or not (self.params.serve_on or self.echo.admits(now)):
+        state = self.replica.state
+        if state is None or not state.items.revision or not (self.settings.serve_on or self.replica.admits(now)):
             return Err(
                 own(503, NOT_RUN, "proxy", "has no settings yet, or they may be out of date", 0.3 + self._jitter())
             )
@@ -153,7 +160,7 @@
         text = a.headers.get(self._limit) if self._limit else None
         if text is not None:
             if not text.isascii() or not text.isdigit() or len(text) > 12:
-                return Err(own(400, NOT_RUN, self.params.terms.limit, "want whole milliseconds"))
+                return Err(own(400, NOT_RUN, self.settings.terms.limit, "want whole milliseconds"))
             limit = min(limit, float(text))
         until = self.until()
         if until is not None and now + STAY * limit / 1000 > until:
@@ -179,9 +186,9 @@
             t.tried.add(place.spot.up.instance)
             self.hosts.sending(place.spot, now)
             part = self._part(t, place, now)
-            r = yield Exchange(place.session, t.ask.method, self._wire(t, place, now), part, t.mark)
+            r = yield Exchange(place.connection, t.ask.method, self._wire(t, place, now), part, t.mark)
             if part < t.end and r.is_err() and r.err_value == "limit" and not self._gives_up(t, place, now):
-                r = yield Await(place.session, t.end)
+                r = yield Await(place.connection, t.end)
             return self._took(t, place, r, now)
         except BaseException:
             place.back(keep=False)
@@ -220,7 +227,7 @@
                 if t.opens >= OPENS:
                     return self._end(t, "no connection to the upstreams tried")
                 continue
-            place.session = r.ok_value
+            place.connection = r.ok_value
             no = self._judge(t, now)
             if no is None and self.hosts.fits(spot, t.service, t.route.homes, now):
                 return place
@@ -229,9 +236,9 @@
                 return no
 
     def _judge(self, t: Trip, now: float) -> Reply | None:
-        """All that was decided from an older picture is decided again: it may have changed since the request came."""
-        state = self.echo.state
-        if not self.params.serve_on and not self.echo.admits(now):
+        """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
+        state = self.replica.state
+        if not self.settings.serve_on and not self.replica.admits(now):
             return self._end(t, "its settings may be out of date")
         if now >= t.end or t.sent and t.end - now < LEAST:
             return self._end(t, "the limit is over")
@@ -315,10 +322,10 @@
         return Reply(a.status, answer=a, lease=place)
 
     def _broke(self, place: Place, sent_at: float, now: float) -> None:
-        """A session long idle that breaks at once was forgotten; that says nothing of its upstream."""
+        """A connection long idle that breaks at once was forgotten; that says nothing of its upstream."""
         if place.idle is None or place.idle < IDLE or now - sent_at > AT_ONCE:
             return self.hosts.failed(place.spot, now)
-        self.counts.add("upstream_forgot_session")
+        self.counts.add("upstream_forgot_connection")
         self.hosts.links.forgotten(place.idle, now)
 
     def _again(self, t: Trip, why: str) -> Reply | None:
@@ -329,13 +336,13 @@
     def _end(self, t: Trip, why: str) -> Reply:
         """The one place that may promise that nothing ran."""
         if not t.ran:
-            self.counts.add("bounced_not-run")
+            self.counts.add("rejected_not-run")
             return own(503, NOT_RUN, f"routes.{t.route.name}", why, 0.1 + self._jitter())
-        self.counts.add("bounced_unknown")
+        self.counts.add("rejected_unknown")
         return own(504 if self.now() >= t.end - LEAST else 502, UNKNOWN, f"routes.{t.route.name}", why)
 
     def _no_route(self, now: float) -> Reply:
-        if not self.echo.fresh(now):
+        if not self.replica.fresh(now):
             return own(
                 503, NOT_RUN, "path", "no route known here takes this, but newer settings may", 0.3 + self._jitter()
             )
@@ -373,7 +380,7 @@
         return "".join(lines)
 
     def _wire(self, t: Trip, place: Place, now: float) -> bytes:
-        terms = self.params.terms
+        terms = self.settings.terms
         head = t.lines
         if terms.limit:
             head += f"{terms.limit}: {max(1, int((t.end - now) * 1000))}\r\n"
--- a/mallowvalve/vote/log.py
+++ b/mallowvalve/raft/log.py
@@ -1,24 +1,24 @@
 from __future__ import annotations
 
-from mallowvalve.vote.wire import VOTERS, Entry, Picture, Voters, voters_of
+from mallowvalve.raft.messages import VOTERS, Entry, Snapshot, Voters, voters_of
 
 CHUNK = 512
 CHUNK_BYTES = 1 << 20
 
 
 class Log:
-    __slots__ = ("picture", "entries", "_voters")
+    __slots__ = ("snapshot", "entries", "_voters")
 
-    def __init__(self, picture: Picture, entries: list[Entry] = ()):
-        self.picture = picture
+    def __init__(self, snapshot: Snapshot, entries: list[Entry] = ()):
+        self.snapshot = snapshot
         self.entries: list[Entry] = []
-        self._voters: list[tuple[int, Voters]] = [(picture.index, picture.voters)]
+        self._voters: list[tuple[int, Voters]] = [(snapshot.index, snapshot.voters)]
         for e in entries:
             self.append(e)
 
     @property
     def base(self) -> int:
-        return self.picture.index
+        return self.snapshot.index
 
     @property
     def last(self) -> int:
@@ -26,7 +26,7 @@
 
     @property
     def last_term(self) -> int:
-        return self.entries[-1].term if self.entries else self.picture.term
+        return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
     def voters(self) -> Voters:
@@ -41,7 +41,7 @@
 
     def term(self, index: int) -> int | None:
         if index == self.base:
-            return self.picture.term
+            return self.snapshot.term
         if index < self.base or index > self.last:
             return None
         return self.entries[index - self.base - 1].term
@@ -68,11 +68,11 @@
             out.append(e)
         return out
 
-    def compact(self, picture: Picture) -> None:
-        if self.term(picture.index) == picture.term:
-            self.entries = self.entries[picture.index - self.base :]
+    def compact(self, snapshot: Snapshot) -> None:
+        if self.term(snapshot.index) == snapshot.term:
+            self.entries = self.entries[snapshot.index - self.base :]
         else:
             self.entries = []
-        later = [(i, v) for i, v in self._voters if i > picture.index and self.entries]
-        self._voters = [(picture.index, picture.voters), *later]
-        self.picture = picture
+        later = [(i, v) for i, v in self._voters if i > snapshot.index and self.entries]
+        self._voters = [(snapshot.index, snapshot.voters), *later]
+        self.snapshot = snapshot
--- a/mallowvalve/vote/wire.py
+++ b/mallowvalve/raft/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from mallowvalve.kind import Address
+from mallowvalve.types import Address
 
 NOOP, COMMAND, VOTERS = range(3)
 
@@ -41,7 +41,7 @@
         return sorted(map(number, self.voters), reverse=True)[self.quorum - 1]
 
 
-class Picture(msgspec.Struct, array_like=True, frozen=True):
+class Snapshot(msgspec.Struct, array_like=True, frozen=True):
     group: Group
     index: int
     term: int
@@ -90,7 +90,7 @@
 
 class Install(msgspec.Struct, array_like=True, frozen=True, tag=5):
     term: int
-    picture: Picture
+    snapshot: Snapshot
     seq: int
 
 
@@ -112,4 +112,4 @@
 encode = msgspec.msgpack.Encoder().encode
 envelope = msgspec.msgpack.Decoder(Envelope).decode
 voters_of = msgspec.msgpack.Decoder(Voters).decode
-picture_of = msgspec.msgpack.Decoder(Picture).decode
+snapshot_of = msgspec.msgpack.Decoder(Snapshot).decode
--- a/mallowvalve/vote/progress.py
+++ b/mallowvalve/raft/progress.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from mallowvalve.vote.wire import Entry, Hard, Message, Picture
-
+from mallowvalve.raft.messages import Entry, Hard, Message, Snapshot
 
 FOLLOWER, PRE, CANDIDATE, LEADER = "follower", "pre", "candidate", "leader"
 
@@ -16,24 +15,24 @@
     `told` is how long the word that something is decided may wait for a round that goes anyway.
     """
 
-    beat: float = 0.1
+    heartbeat: float = 0.1
     pace: float = 0.0
     told: float = 0.0
     election: float = 1.0
-    picture_again: float = 2.0
+    snapshot_again: float = 2.0
 
 
 class Progress:
-    __slots__ = ("next", "match", "seq", "floor", "heard", "picture_at")
+    __slots__ = ("next", "match", "seq", "floor", "heard", "snapshot_at")
 
     def __init__(self, next: int, now: float):
-        self.next, self.match, self.seq, self.floor, self.heard, self.picture_at = next, 0, 0, 0, now, -1e9
+        self.next, self.match, self.seq, self.floor, self.heard, self.snapshot_at = next, 0, 0, 0, now, -1e9
 
 
 class Ready(msgspec.Struct):
     hard: Hard | None
     entries: list[Entry]
-    install: Picture | None
+    install: Snapshot | None
     early: list[tuple[str, Message]]
     late: list[tuple[str, Message]]
     last: int
--- a/mallowvalve/vote/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -2,11 +2,9 @@
 
 import random
 
-from mallowvalve.count import Counts
-from mallowvalve.vote.log import Log
-from mallowvalve.vote.progress import CANDIDATE, FOLLOWER, LEADER, PRE, Progress, Ready, Times
-from mallowvalve.vote.rounds import Rounds
-from mallowvalve.vote.wire import (
+from mallowvalve.metrics import Counts
+from mallowvalve.raft.log import Log
+from mallowvalve.raft.messages import (
     NOOP,
     VOTERS,
     Append,
@@ -18,11 +16,13 @@
     Hard,
     Install,
     Message,
-    Picture,
+    Snapshot,
     Voice,
     Voters,
     encode,
 )
+from mallowvalve.raft.progress import CANDIDATE, FOLLOWER, LEADER, PRE, Progress, Ready, Times
+from mallowvalve.raft.rounds import Rounds
 
 FIRST, DOUBT = 0.3, 0.25
 NEVER = float("inf")
@@ -49,7 +49,7 @@
         "_voices",
         "_progress",
         "_election_at",
-        "_beat_at",
+        "_heartbeat_at",
         "_heard",
         "_saved",
         "_hard",
@@ -77,8 +77,8 @@
     ):
         """`commit` is how far the log was known to be committed when it was last saved."""
         self.me, self.log, self.rng, self.times = me, log, rng, times
-        self.group: Group = log.picture.group
-        self.term, self.vote = max(term, log.picture.term), vote
+        self.group: Group = log.snapshot.group
+        self.term, self.vote = max(term, log.snapshot.term), vote
         self.role, self.leader = FOLLOWER, ""
         self.commit = self.marked = max(log.base, min(commit, log.last))
         self.told, self.rounds = 0, Rounds()
@@ -88,11 +88,11 @@
         self._progress: dict[str, Progress] = {}
         self._hard = (term, vote)
         self._fresh: list[Entry] = []
-        self._install: Picture | None = None
+        self._install: Snapshot | None = None
         self._early: list[tuple[str, Message]] = []
         self._late: list[tuple[str, Message]] = []
         self._saved = log.last
-        self._heard = self._beat_at = self._paced_at = -1e9
+        self._heard = self._heartbeat_at = self._paced_at = -1e9
         self._term_start = 0
         self._election_at = now + times.election * (FIRST + (1 - FIRST) * rng.random())
         self._all_at, self._now = -1e9, now
@@ -110,10 +110,10 @@
         """The index of a leader's first entry."""
         return self._term_start
 
-    def wakeup(self) -> float:
+    def timer(self) -> float:
         if not self.leads:
             return self._election_at
-        return min(self._beat_at, self._all_at, self._paced_at if self.nudge else NEVER)
+        return min(self._heartbeat_at, self._all_at, self._paced_at if self.nudge else NEVER)
 
     def in_touch(self, now: float, span: float) -> bool:
         """Whether a leader spoke to this voter, or a quorum answered this leader, within the span (s)."""
@@ -190,7 +190,7 @@
 
     def ready(self, now: float) -> Ready:
         self._now = now
-        if self.leads and (self.nudge and now >= self._paced_at or now >= min(self._beat_at, self._all_at)):
+        if self.leads and (self.nudge and now >= self._paced_at or now >= min(self._heartbeat_at, self._all_at)):
             self._broadcast(now)
         hard = self.hard()
         same = (hard.term, hard.vote) == self._hard
@@ -220,7 +220,7 @@
 
     def _follow(self, term: int, leader: str, now: float) -> None:
         if self.leads:
-            self.counts.add("vote_step_down")
+            self.counts.add("raft_step_down")
         if term > self.term:
             self.term, self.vote = term, ""
         self.role, self.leader = FOLLOWER, leader
@@ -234,7 +234,7 @@
         self.role, self.leader, self._voices = (PRE if pre else CANDIDATE), "", {self.me}
         if not pre:
             self.term, self.vote = self.term + 1, self.me
-            self.counts.add("vote_campaigns")
+            self.counts.add("raft_campaigns")
         term = self.term + 1 if pre else self.term
         for v in self.log.voters.voters:
             if v != self.me:
@@ -275,22 +275,22 @@
         self._term_start = self.log.last + 1
         at = self.log.entries[-1].at if self.log.entries else 0
         self.propose(NOOP, b"", at)
-        self.counts.add("vote_led")
+        self.counts.add("raft_led")
 
     def _tick_leader(self, now: float) -> None:
         if now - self.rounds.confirmed_at() > 2 * self.times.election:
             self._follow(self.term, "", now)
 
     def _broadcast(self, now: float) -> None:
-        """Learners wait for the word of what is decided, or for the beat; it may be for them alone."""
+        """Learners wait for the word of what is decided, or for the heartbeat; it may be for them alone."""
         vs, all = self.log.voters, now >= self._all_at
         self.rounds.send(now)
         to = [*vs.learners] if all else []
-        if self.nudge or now >= self._beat_at:
+        if self.nudge or now >= self._heartbeat_at:
             to += vs.voters
-            self.nudge, self._beat_at, self._paced_at = False, now + self.times.beat, now + self.times.pace
+            self.nudge, self._heartbeat_at, self._paced_at = False, now + self.times.heartbeat, now + self.times.pace
         if all:
-            self._all_at = now + self.times.beat
+            self._all_at = now + self.times.heartbeat
         for i in to:
             if i != self.me:
                 self._send_append(i, now)
@@ -301,9 +301,9 @@
         if p is None:
             p = self._progress[i] = Progress(self.log.last + 1, now)
         if p.next <= self.log.base:
-            if now - p.picture_at > self.times.picture_again:
-                p.picture_at = now
-                self._early.append((i, Install(self.term, self.log.picture, self.rounds.seq)))
+            if now - p.snapshot_at > self.times.snapshot_again:
+                p.snapshot_at = now
+                self._early.append((i, Install(self.term, self.log.snapshot, self.rounds.seq)))
             return
         es = self.log.since(p.next - 1)
         m = Append(self.term, p.next - 1, self.log.term(p.next - 1), es, self.commit, self.rounds.seq)
@@ -363,16 +363,16 @@
     def _on_install(self, src: str, m: Install, now: float) -> None:
         self._follow(m.term, src, now)
         self._heard = now
-        if not m.picture.state:
+        if not m.snapshot.state:
             self._late.append((src, Appended(self.term, True, self.commit, m.seq)))
             return
-        if m.picture.index > self.commit:
-            self.log.compact(m.picture)
-            self.commit = m.picture.index
-            self._install = m.picture
+        if m.snapshot.index > self.commit:
+            self.log.compact(m.snapshot)
+            self.commit = m.snapshot.index
+            self._install = m.snapshot
             self._fresh = list(self.log.entries)
             self._saved = self.log.base
-        self._late.append((src, Appended(self.term, True, max(m.picture.index, self.log.base), m.seq)))
+        self._late.append((src, Appended(self.term, True, max(m.snapshot.index, self.log.base), m.seq)))
 
     def _confirm(self) -> None:
         self.rounds.confirm(self.log.voters.agreed(lambda i: self.rounds.seq if i == self.me else self._seq(i)))
@@ -391,7 +391,7 @@
             return
         self.commit = self.told = n
         due = self._now + self.times.told
-        self._beat_at, self._all_at = min(self._beat_at, due), min(self._all_at, due)
+        self._heartbeat_at, self._all_at = min(self._heartbeat_at, due), min(self._all_at, due)
         gone = self.me not in self.log.voters.voters and self.log.voters_index <= n
         if gone:
             self.role, self.leader = FOLLOWER, ""
--- a/mallowvalve/reload.py
+++ b/mallowvalve/reload.py
@@ -9,10 +9,10 @@
 import msgspec
 from gevent.event import Event
 
-from mallowvalve import params
-from mallowvalve.count import Counts, change, vital
+from mallowvalve import settings
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.params import Params
+from mallowvalve.metrics import Counts, change, vital
+from mallowvalve.settings import Settings
 
 LOOK = 2.0
 LIVE = ("seeds",)
@@ -26,7 +26,7 @@
     left: Findings
 
 
-def changes(old: Params, new: Params) -> Changes:
+def changes(old: Settings, new: Settings) -> Changes:
     other = [f for f in old.__struct_fields__ if f not in OWN and getattr(old, f) != getattr(new, f)]
     return Changes(
         {f: getattr(new, f) for f in other if f in LIVE},
@@ -35,22 +35,22 @@
 
 
 class Reload:
-    """Hands each new settings to `take(Params)`, with only what may change in flight changed; without a file it does nothing.
+    """Hands each new settings to `take(Settings)`, with only what may change in flight changed; without a file it does nothing.
 
     A file that cannot be read or has findings changes nothing and is logged once.
     """
 
-    __slots__ = ("params", "take", "counts", "_told", "_seen", "_jobs", "_said")
+    __slots__ = ("settings", "take", "counts", "_told", "_seen", "_jobs", "_said")
 
-    def __init__(self, first: Params, take, counts: Counts):
-        self.params, self.take, self.counts = first, take, counts
+    def __init__(self, first: Settings, take, counts: Counts):
+        self.settings, self.take, self.counts = first, take, counts
         self._told = Event()
         self._seen: tuple | None = None
         self._said: tuple = ()
         self._jobs: list = []
 
     def __enter__(self) -> Reload:
-        if self.params.path is not None:
+        if self.settings.path is not None:
             gevent.signal_handler(signal.SIGHUP, self._told.set)
             self._jobs = [vital(gevent.spawn(self._run))]
         return self
@@ -60,7 +60,7 @@
 
     def look(self, told: bool = False) -> None:
         """Reads the file if it was changed since the last look, or if told to."""
-        if self.params.path is None:
+        if self.settings.path is None:
             return
         seen = self._mark()
         if seen == self._seen and not told:
@@ -69,8 +69,8 @@
         self._read()
 
     def _read(self) -> None:
-        p = self.params
-        r = params.load(p.role, p.path, p.flags)
+        p = self.settings
+        r = settings.load(p.role, p.path, p.flags)
         if r.is_err():
             self.counts.add("settings_refused")
             return self._say("settings_refused", r.err_value)
@@ -78,10 +78,10 @@
         self._say("settings_left", c.left)
         if not c.taken:
             return
-        self.params = msgspec.structs.replace(p, **c.taken)
+        self.settings = msgspec.structs.replace(p, **c.taken)
         self.counts.add("settings_taken")
         change("settings_taken", fields=sorted(c.taken))
-        self.take(self.params)
+        self.take(self.settings)
 
     def _say(self, what: str, found: Findings) -> None:
         said = (what, *map(str, found)) if found else ()
@@ -91,7 +91,7 @@
 
     def _mark(self) -> tuple | None:
         try:
-            s = os.stat(self.params.path)
+            s = os.stat(self.settings.path)
         except OSError:
             return None
         return s.st_mtime_ns, s.st_size, s.st_ino
--- a/mallowvalve/word/compiler.py
+++ b/mallowvalve/routing/compiler.py
@@ -28,7 +28,7 @@
     queue: int | None = None
     width: int | None = None
     keep: int | None = None
-    draw: str | None = None
+    chooser: str | None = None
 
     def under(self, lower: Policy) -> Policy:
         return Policy(
@@ -36,7 +36,7 @@
         )
 
 
-DEFAULT = Policy(limit_ms=5000, ramp_ms=10000, retry=1, queue=64, width=16, keep=16384, draw="near")
+DEFAULT = Policy(limit_ms=5000, ramp_ms=10000, retry=1, queue=64, width=16, keep=16384, chooser="near")
 BOUNDS = {
     "limit_ms": (10, 60000),
     "ramp_ms": (0, 600000),
@@ -49,14 +49,14 @@
 
 @lru_cache(maxsize=REMEMBERED)
 def _match(text: str) -> Result[Match, tuple[str, str]]:
-    from mallowvalve.word.maker import match
+    from mallowvalve.routing.maker import match
 
     return match(text)
 
 
 @lru_cache(maxsize=REMEMBERED)
 def _policy(text: str) -> Result[Policy, tuple[str, str]]:
-    from mallowvalve.word.maker import policy
+    from mallowvalve.routing.maker import policy
 
     return policy(text).map(lambda d: Policy(**d))
 
--- a/mallowvalve/word/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -10,7 +10,7 @@
 from lark.exceptions import VisitError
 from result import Err, Ok, Result
 
-from mallowvalve.word.compiler import BOUNDS, METHODS, Match
+from mallowvalve.routing.compiler import BOUNDS, METHODS, Match
 
 
 @cache
@@ -89,7 +89,7 @@
     def keep(self, p):
         return "keep", p[0]
 
-    def draw(self, p):
+    def choose(self, p):
         return "draw", str(p[0])
 
     def start(self, parts) -> dict:
--- a/mallowvalve/params.py
+++ b/mallowvalve/settings.py
@@ -10,9 +10,9 @@
 from mallowvalve import finding
 from mallowvalve.fault import FLEET
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.kind import Address, Locality
+from mallowvalve.types import Address, Locality
 
-ROLES = ("way", "flow", "law")
+ROLES = ("directory", "proxy", "control")
 
 
 class Detector(msgspec.Struct, frozen=True, kw_only=True):
@@ -41,10 +41,10 @@
 
 
 class Acks(msgspec.Struct, frozen=True, kw_only=True):
-    """What an acknowledgement waits for: `commit` a quorum's disks, `held` the echoes in touch too, `force` all of them."""
+    """What an acknowledgement waits for: `commit` a quorum's disks, `held` the replicas in touch too, `force` all of them."""
 
     settings: Literal["force", "held", "commit"] = "force"
-    ties: Literal["held", "commit"] = "held"
+    coordination: Literal["held", "commit"] = "held"
 
 
 class Terms(msgspec.Struct, frozen=True, kw_only=True):
@@ -68,7 +68,7 @@
 class Raw(msgspec.Struct, frozen=True, kw_only=True):
     name: str
     locality: str
-    mesh: str
+    transport: str
     web: str
     fleet: str = "mallowvalve"
     seeds: list[str] = []
@@ -76,7 +76,7 @@
     log: str | None = None
     detector: Detector = Detector()
     polite: float = 4.0
-    sessions: int = 2048
+    connections: int = 2048
     body_bytes: int = 1 << 20
     faults: str | None = None
     pages: str | None = None
@@ -85,30 +85,30 @@
     zones: dict[str, str] = {}
     serve_on: bool = False
     holds: Literal["all", "settings"] = "all"
-    ties_at: str = "/ties"
-    beats: Literal["told", "rolled"] = "told"
+    coordination_at: str = "/coordination"
+    heartbeats: Literal["told", "registered"] = "told"
     pace: float = 0.0
     election: float = 1.0
-    beat_ms: float = 1500.0
+    heartbeat_ms: float = 1500.0
     budget: BudgetBounds = BudgetBounds()
     cold: ColdBounds = ColdBounds()
     acks: Acks = Acks()
     terms: Terms = Terms()
 
 
-class Params(msgspec.Struct, frozen=True, kw_only=True):
+class Settings(msgspec.Struct, frozen=True, kw_only=True):
     role: str
     name: str
     fleet: str
     locality: Locality
-    mesh: Address
+    transport: Address
     web: Address
     seeds: list[Address]
     data: Path | None
     log: str | None
     detector: Detector
     polite: float
-    sessions: int
+    connections: int
     body_bytes: int
     faults: str | None
     pages: Address | None = None
@@ -116,11 +116,11 @@
     zones: dict[str, str] = {}
     serve_on: bool = False
     holds: Literal["all", "settings"] = "all"
-    ties_at: str = "/ties"
-    beats: Literal["told", "rolled"] = "told"
+    coordination_at: str = "/coordination"
+    heartbeats: Literal["told", "registered"] = "told"
     pace: float = 0.0
     election: float = 1.0
-    beat_ms: float = 1500.0
+    heartbeat_ms: float = 1500.0
     budget: BudgetBounds = BudgetBounds()
     cold: ColdBounds = ColdBounds()
     acks: Acks = Acks()
@@ -129,7 +129,7 @@
     flags: dict = {}
 
 
-def load(role: str, path: str | None, flags: dict) -> Result[Params, Findings]:
+def load(role: str, path: str | None, flags: dict) -> Result[Settings, Findings]:
     data: dict = {}
     if path is not None:
         try:
@@ -142,7 +142,7 @@
     return check(role, data)
 
 
-def check(role: str, data: dict) -> Result[Params, Findings]:
+def check(role: str, data: dict) -> Result[Settings, Findings]:
     found: Findings = []
     raw = finding.read_into(found, Raw, data)
     if raw is None:
@@ -150,7 +150,7 @@
     values = {}
     for key, kind, text in (
         ("locality", Locality, raw.locality),
-        ("mesh", Address, raw.mesh),
+        ("transport", Address, raw.transport),
         ("web", Address, raw.web),
     ):
         values[key] = _text(kind, text, key, found)
@@ -162,8 +162,8 @@
     for key in ("pages", "directory"):
         text = getattr(raw, key)
         values[key] = _text(Address, text, key, found) if text is not None else None
-    if not raw.ties_at.startswith("/"):
-        found.append(Finding("ties_at", "must begin with /"))
+    if not raw.coordination_at.startswith("/"):
+        found.append(Finding("coordination_at", "must begin with /"))
     for place, v in (
         ("budget.ratio", raw.budget.ratio),
         ("budget.slack", raw.budget.slack),
@@ -174,17 +174,17 @@
     for place, v in (
         ("budget.span", raw.budget.span),
         ("cold.over", raw.cold.over),
-        ("beat_ms", raw.beat_ms),
+        ("heartbeat_ms", raw.heartbeat_ms),
         ("election", raw.election),
     ):
         if v <= 0:
             found.append(Finding(place, "must be positive"))
     if len(seeds) > 3:
         found.append(Finding("seeds", "three at most"))
-    if raw.mesh == raw.web:
-        found.append(Finding("web", "must differ from mesh"))
-    if role == "law" and raw.data is None:
-        found.append(Finding("data", "missing: law keeps its state in a folder"))
+    if raw.transport == raw.web:
+        found.append(Finding("web", "must differ from transport"))
+    if role == "control" and raw.data is None:
+        found.append(Finding("data", "missing: control process keeps its state in a folder"))
     d = raw.detector
     for key in ("fail", "loss", "mistake"):
         if not 0 < getattr(d, key) < 1:
@@ -196,13 +196,13 @@
         found.append(
             Finding("faults", f"only for trials: a fleet named {FLEET!r} may have them, this one is {raw.fleet!r}")
         )
-    for key in ("sessions", "body_bytes", "polite"):
+    for key in ("connections", "body_bytes", "polite"):
         if getattr(raw, key) <= 0:
             found.append(Finding(key, "must be positive"))
     if found:
         return Err(found)
     return Ok(
-        Params(
+        Settings(
             role=role,
             name=raw.name,
             fleet=raw.fleet,
@@ -211,17 +211,17 @@
             log=raw.log,
             detector=d,
             polite=raw.polite,
-            sessions=raw.sessions,
+            connections=raw.connections,
             body_bytes=raw.body_bytes,
             faults=raw.faults,
             zones=raw.zones,
             serve_on=raw.serve_on,
             holds=raw.holds,
-            ties_at=raw.ties_at,
-            beats=raw.beats,
+            coordination_at=raw.coordination_at,
+            heartbeats=raw.heartbeats,
             pace=raw.pace,
             election=raw.election,
-            beat_ms=raw.beat_ms,
+            heartbeat_ms=raw.heartbeat_ms,
             budget=raw.budget,
             cold=raw.cold,
             acks=raw.acks,
--- a/mallowvalve/play/consumer.py
+++ b/mallowvalve/standins/client.py
@@ -11,8 +11,7 @@
 from gevent.pool import Group
 from geventhttpclient import HTTPClient
 
-from mallowvalve.kind import Address
-
+from mallowvalve.types import Address
 
 AVOID = 10.0
 
@@ -24,11 +23,11 @@
         self.tenant, self.method, self.path, self.once, self.weight = tenant, method, path, once, weight
 
 
-class Consumer:
+class Client:
     def __init__(
         self,
         name: str,
-        ways: list[Address],
+        directory_server: list[Address],
         locality: str,
         shares: list[Share],
         rate: float,
@@ -37,12 +36,18 @@
         relentless: bool = False,
     ):
         self.relentless = relentless
-        self.name, self.ways, self.locality, self.shares, self.rate = name, ways, locality, shares, rate
+        self.name, self.directory_server, self.locality, self.shares, self.rate = (
+            name,
+            directory_server,
+            locality,
+            shares,
+            rate,
+        )
         self.journal, self.rng = journal, random.Random(f"{seed}/{name}")
         self.proxies: list[Address] = []
         self.until = 0.0
         self.refused: dict[Address, float] = {}
-        self.session: HTTPClient | None = None
+        self.connection: HTTPClient | None = None
         self.at: Address | None = None
 
     def run(self, stop: Event) -> None:
@@ -109,7 +114,7 @@
             h["Content-Type"] = "application/json"
             body = json.dumps({"id": id}).encode()
         try:
-            r = self.session.request(s.method, path, body=body, headers=h)
+            r = self.connection.request(s.method, path, body=body, headers=h)
             data = bytes(r.read())
             out = r.status_code, r.get("mallow-outcome"), data, float(r.get("retry-after") or 0)
             if (r.get("connection") or "").lower() == "close" or r.status_code == 503:
@@ -123,9 +128,9 @@
             return 0, type(e).__name__, b"", 0.05
 
     def drop(self, ask: bool) -> None:
-        if self.session is not None:
-            self.session.close()
-        self.session = None
+        if self.connection is not None:
+            self.connection.close()
+        self.connection = None
         if ask:
             self.until = 0.0
 
@@ -138,19 +143,19 @@
         now = time.monotonic()
         if now >= self.until or not self.proxies:
             self.ask_way(now)
-        if self.session is not None and self.at in self.proxies:
+        if self.connection is not None and self.at in self.proxies:
             return True
         if not self.proxies:
             return False
         self.drop(False)
         self.at = self.rng.choice(self.proxies[:3])
-        self.session = HTTPClient(
+        self.connection = HTTPClient(
             self.at.host, self.at.port, connection_timeout=1.0, network_timeout=5.0, concurrency=1
         )
         return True
 
     def ask_way(self, now: float) -> None:
-        for a in self.rng.sample(self.ways, len(self.ways)):
+        for a in self.rng.sample(self.directory_server, len(self.directory_server)):
             c = HTTPClient(a.host, a.port, connection_timeout=1.0, network_timeout=2.0)
             try:
                 r = c.get(f"/connect?locality={self.locality}" + "".join(f"&avoid={x}" for x in self.dead(now)))
@@ -167,10 +172,10 @@
 
 
 def serve(
-    ways: list[Address],
+    directory_server: list[Address],
     localities: list[str],
     shares: list[Share],
-    consumers: int,
+    clients: int,
     rate: float,
     journal: str,
     seed: int,
@@ -182,8 +187,10 @@
         gevent.signal_handler(sig, stop.set)
     with open(journal, "a", buffering=1) as j:
         g = Group()
-        for i in range(consumers):
-            c = Consumer(f"c{i}", ways, localities[i % len(localities)], shares, rate / consumers, j, seed, relentless)
+        for i in range(clients):
+            c = Client(
+                f"c{i}", directory_server, localities[i % len(localities)], shares, rate / clients, j, seed, relentless
+            )
             g.spawn(c.run, stop)
         stop.wait(timeout=seconds)
         stop.set()
--- a/mallowvalve/play/main.py
+++ b/mallowvalve/standins/main.py
@@ -5,8 +5,8 @@
 
 import click
 
-from mallowvalve.kind import Address
-from mallowvalve.play import consumer, upstream
+from mallowvalve.standins import client, upstream
+from mallowvalve.types import Address
 
 
 def address(_ctx, _param, value):
@@ -21,38 +21,38 @@
 
 
 @click.group()
-def play() -> None:
-    """Stand-in consumers and upstreams, for trying and testing a fleet."""
+def standins() -> None:
+    """Stand-in clients and upstreams, for trying and testing a fleet."""
 
 
-@play.command("upstream")
+@standins.command("upstream")
 @click.option("--service", required=True)
 @click.option("--instance", required=True)
 @click.option("--at", required=True, callback=address)
 @click.option("--locality", required=True)
-@click.option("--tell", multiple=True, callback=address, help="web addresses of nodes that take beats")
+@click.option("--tell", multiple=True, callback=address, help="web addresses of nodes that take heartbeats")
 @click.option("--journal", default="/dev/null")
 @click.option("--work", default=0.005, help="seconds a request takes on average")
 def upstream_command(service, instance, at, locality, tell, journal, work) -> None:
-    """An upstream that beats, answers, journals what it ran and signs off."""
+    """An upstream that heartbeats, answers, journals what it ran and signs off."""
     upstream.serve(upstream.Upstream(service, instance, at, locality, tell, journal, work))
 
 
-@play.command("consumers")
-@click.option("--way", multiple=True, callback=address, required=True)
+@standins.command("clients")
+@click.option("--directory", multiple=True, callback=address, required=True)
 @click.option("--locality", multiple=True, required=True)
 @click.option("--shares", required=True, help="JSON list of [tenant, method, path, once, weight]")
-@click.option("--consumers", default=20)
-@click.option("--rate", default=50.0, help="requests a second, all consumers together")
+@click.option("--clients", default=20)
+@click.option("--rate", default=50.0, help="requests a second, all clients together")
 @click.option("--journal", default="/dev/null")
 @click.option("--seed", default=1)
 @click.option("--seconds", default=1e9)
 @click.option("--relentless", is_flag=True, help="retry at once, again and again, without marking it")
-def consumers_command(way, locality, shares, consumers, rate, journal, seed, seconds, relentless) -> None:
-    """Consumers that ask a directory, keep sessions open and retry within a limit."""
+def clients_command(directory, locality, shares, clients, rate, journal, seed, seconds, relentless) -> None:
+    """Clients that ask a directory, keep connections open and retry within a limit."""
     try:
-        rows = [consumer.Share(*s) for s in json.loads(shares)]
+        rows = [client.Share(*s) for s in json.loads(shares)]
     except (ValueError, TypeError) as e:
         click.echo(f"shares: {e}", err=True)
         sys.exit(2)
-    consumer.serve(way, list(locality), rows, consumers, rate, journal, seed, seconds, relentless)
+    client.serve(directory, list(locality), rows, clients, rate, journal, seed, seconds, relentless)
--- a/mallowvalve/play/upstream.py
+++ b/mallowvalve/standins/upstream.py
@@ -13,8 +13,8 @@
 from geventhttpclient import HTTPClient
 
 from mallowvalve import web
-from mallowvalve.count import Counts
-from mallowvalve.kind import Address
+from mallowvalve.metrics import Counts
+from mallowvalve.types import Address
 
 
 class Upstream:
@@ -33,7 +33,7 @@
         self.fault = ""
         self.fault_share = 0.0
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         self.sequence += 1
         body = json.dumps(
             {
@@ -50,7 +50,7 @@
         for a in self.rng.sample(self.tell, min(2, len(self.tell))):
             with contextlib.suppress(Exception):
                 c = HTTPClient(a.host, a.port, connection_timeout=1.0, network_timeout=1.0)
-                c.post("/-/beats", body=body, headers={"Content-Type": "application/json"}).read()
+                c.post("/-/heartbeats", body=body, headers={"Content-Type": "application/json"}).read()
                 c.close()
 
     def status(self, req: falcon.Request, resp: falcon.Response) -> None:
@@ -75,7 +75,7 @@
                         "key": key,
                         "path": req.path,
                         "method": req.method,
-                        "echo": req.get_header("Play-Id"),
+                        "replica": req.get_header("Play-Id"),
                         "state": self.state,
                     }
                 )
@@ -137,11 +137,11 @@
     server = PlayServer(u.at, app, Counts(), 4096)
     with server:
         while not u.stopping.is_set():
-            u.beat()
+            u.heartbeat()
             u.stopping.wait(timeout=1.5 + u.rng.random())
         u.state = "leaving"
-        u.beat()
+        u.heartbeat()
         gevent.sleep(3.2)
         server.drain(0.0, 1.0)
         u.state = "gone"
-        u.beat()
+        u.heartbeat()
--- a/mallowvalve/tale/log.py
+++ b/mallowvalve/storage/log.py
@@ -7,9 +7,9 @@
 from result import Err, Ok, Result
 
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.tale.disk import Disk
+from mallowvalve.storage.disk import Disk
 
-FORMAT = 2
+FORMAT = 3
 SEGMENT = 4 << 20
 _HEAD = struct.Struct("!4sII")
 _MAGIC = b"MVt1"
@@ -38,24 +38,24 @@
     return body
 
 
-class Tale:
+class DiskLog:
     __slots__ = (
         "disk",
         "identity",
-        "picture",
+        "snapshot",
         "batches",
         "_segments",
         "_serial",
         "_size",
         "_broken",
         "segment_bytes",
-        "picture_bytes",
+        "snapshot_bytes",
     )
 
     def __init__(self, disk: Disk, identity: Identity, segment_bytes: int = SEGMENT):
         self.disk, self.identity, self.segment_bytes = disk, identity, segment_bytes
-        self.picture: list[bytes] | None = None
-        self.picture_bytes = 0
+        self.snapshot: list[bytes] | None = None
+        self.snapshot_bytes = 0
         self.batches: list[Batch] = []
         self._segments: list[str] = []
         self._serial = 0
@@ -63,13 +63,13 @@
         self._broken = False
 
     @classmethod
-    def open(cls, disk: Disk, fleet: str, fresh_id: str, segment_bytes: int = SEGMENT) -> Result[Tale, Findings]:
+    def open(cls, disk: Disk, fleet: str, fresh_id: str, segment_bytes: int = SEGMENT) -> Result[DiskLog, Findings]:
         names = disk.names()
         who = _identity(disk, names, fleet, fresh_id)
         if isinstance(who, Err):
             return who
         t = cls(disk, who.ok_value, segment_bytes)
-        found = t._load_picture(names) + t._load_segments(names)
+        found = t._load_snapshot(names) + t._load_segments(names)
         return Err(found) if found else Ok(t)
 
     def save(self, batch: Batch) -> None:
@@ -77,7 +77,7 @@
             self.disk.cut(self._segments[-1], self._size)
             self._broken = False
         data = seal(_pack(batch))
-        name = self._segments[-1] if self._segments else self._roll()
+        name = self._segments[-1] if self._segments else self._registry()
         self._broken = True
         self.disk.append(name, data)
         self.disk.sync(name)
@@ -85,27 +85,27 @@
         self._size += len(data)
 
     def full(self) -> bool:
-        """A large picture is written anew only once the log is half its size: a bound on writing, and on the disk."""
-        return self._size >= max(self.segment_bytes, self.picture_bytes // 2)
+        """A large snapshot is written anew only once the log is half its size: a bound on writing, and on the disk."""
+        return self._size >= max(self.segment_bytes, self.snapshot_bytes // 2)
 
     def reserve(self) -> str:
         self._serial += 1
-        return f"picture-{self._serial:016x}"
+        return f"snapshot-{self._serial:016x}"
 
-    def put(self, name: str, picture: list[bytes]) -> None:
-        """Writes a picture beside the log, which goes on; it counts once the log has turned to it."""
-        self.disk.put(name, seal(_pack(len(picture))), *map(seal, picture))
+    def put(self, name: str, snapshot: list[bytes]) -> None:
+        """Writes a snapshot beside the log, which goes on; it counts once the log has turned to it."""
+        self.disk.put(name, seal(_pack(len(snapshot))), *map(seal, snapshot))
 
-    def turn(self, name: str, picture: list[bytes], head: Batch) -> None:
-        old_pics = [n for n in self.disk.names() if n.startswith("picture-") and n != name]
+    def turn(self, name: str, snapshot: list[bytes], head: Batch) -> None:
+        old_pics = [n for n in self.disk.names() if n.startswith("snapshot-") and n != name]
         old, self._segments = self._segments, []
-        self._roll()
+        self._registry()
         try:
             self.save(head)
         except OSError:
             self._segments = old + self._segments
             raise
-        self.picture_bytes = sum(map(len, picture))
+        self.snapshot_bytes = sum(map(len, snapshot))
         for n in old + old_pics:
             self.disk.remove(n)
 
@@ -116,27 +116,27 @@
         self.identity = Identity(FORMAT, self.identity.fleet, fresh_id)
         self.disk.put("identity", seal(msgspec.json.encode(self.identity)))
         for n in self.disk.names():
-            if n.startswith(("log-", "picture-")):
+            if n.startswith(("log-", "snapshot-")):
                 self.disk.remove(n)
-        self.picture, self.batches, self._segments, self._size, self._broken = None, [], [], 0, False
-        self.picture_bytes = 0
+        self.snapshot, self.batches, self._segments, self._size, self._broken = None, [], [], 0, False
+        self.snapshot_bytes = 0
 
-    def _roll(self) -> str:
+    def _registry(self) -> str:
         self._serial += 1
         name = f"log-{self._serial:016x}"
         self._segments.append(name)
         self._size, self._broken = 0, False
         return name
 
-    def _load_picture(self, names: list[str]) -> Findings:
-        pics = [n for n in names if n.startswith("picture-")]
+    def _load_snapshot(self, names: list[str]) -> Findings:
+        pics = [n for n in names if n.startswith("snapshot-")]
         if not pics:
             return []
         self._serial = int(pics[-1][8:], 16)
-        self.picture = _parts(self.disk.read(pics[-1]))
-        if self.picture is None:
-            return [Finding(pics[-1], "damaged picture")]
-        self.picture_bytes = sum(map(len, self.picture))
+        self.snapshot = _parts(self.disk.read(pics[-1]))
+        if self.snapshot is None:
+            return [Finding(pics[-1], "damaged snapshot")]
+        self.snapshot_bytes = sum(map(len, self.snapshot))
         return []
 
     def _load_segments(self, names: list[str]) -> Findings:
@@ -186,7 +186,7 @@
 
 def _identity(disk: Disk, names: list[str], fleet: str, fresh_id: str) -> Result[Identity, Findings]:
     if "identity" not in names:
-        if any(n.startswith(("log-", "picture-")) for n in names):
+        if any(n.startswith(("log-", "snapshot-")) for n in names):
             return Err([Finding("identity", "missing beside a log: the folder is damaged")])
         who = Identity(FORMAT, fleet, fresh_id)
         disk.put("identity", seal(msgspec.json.encode(who)))
--- a/mallowvalve/mesh/frame.py
+++ b/mallowvalve/transport/frame.py
@@ -6,9 +6,9 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve.kind import Address
+from mallowvalve.types import Address
 
-VERSION = 3
+VERSION = 4
 LARGEST = 64 << 20
 PRESSED, PRESS_FROM, GAIN = 1 << 31, 512, 0.9
 _LEN = struct.Struct("!I")
--- a/mallowvalve/mesh/task.py
+++ b/mallowvalve/transport/task.py
@@ -13,10 +13,10 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.count import Counts
 from mallowvalve.fault import Faults
-from mallowvalve.kind import Address
-from mallowvalve.mesh.frame import VERSION, Cutter, Frame, Hello, seal
+from mallowvalve.metrics import Counts
+from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, seal
+from mallowvalve.types import Address
 
 Handler = Callable[[Address, bytes], bytes | None]
 OUTBOX = 4096
@@ -50,7 +50,7 @@
         try:
             self._box.put_nowait(Frame(kind, self._next, False, body))
         except Full:
-            self.counts.add("mesh_overflow")
+            self.counts.add("transport_overflow")
             self._fail("overflow")
         return self._next
 
@@ -78,8 +78,8 @@
                 except Empty:
                     break
             try:
-                self.counts.add("mesh_frames", len(buf))
-                self.counts.add("mesh_bytes", sum(map(len, buf)))
+                self.counts.add("transport_frames", len(buf))
+                self.counts.add("transport_bytes", sum(map(len, buf)))
                 self._sock.sendall(b"".join(buf))
             except (OSError, AttributeError):
                 self._drop("broken")
@@ -127,7 +127,7 @@
             w.set(Err(why))
 
 
-class Mesh:
+class Transport:
     __slots__ = ("me", "fleet", "counts", "faults", "gone", "_on", "_lines", "_server", "_pool", "_here")
 
     def __init__(self, me: Address, fleet: str, counts: Counts, faults: Faults = Faults()):
@@ -141,7 +141,7 @@
     def on(self, kind: str, handler: Handler, quick: bool = False) -> None:
         self._on[kind] = (handler, quick)
 
-    def __enter__(self) -> Mesh:
+    def __enter__(self) -> Transport:
         self._server = StreamServer(self.me.pair, self._serve)
         self._server.start()
         return self
@@ -191,11 +191,11 @@
         try:
             while True:
                 data = seal(box.get())
-                self.counts.add("mesh_frames")
-                self.counts.add("mesh_bytes", len(data))
+                self.counts.add("transport_frames")
+                self.counts.add("transport_bytes", len(data))
                 sock.sendall(data)
         except OSError:
-            self.counts.add("mesh_unanswered")
+            self.counts.add("transport_unanswered")
 
     def _read(self, sock, box: Queue) -> None:
         heard: set[Address] = set()
@@ -219,7 +219,7 @@
                 return
             r = cut.feed(data)
             if isinstance(r, Err):
-                self.counts.add(f"mesh_{r.err_value}")
+                self.counts.add(f"transport_{r.err_value}")
                 return
             for f in r.ok_value:
                 if isinstance(f, Hello):
@@ -235,7 +235,7 @@
     def _handle(self, sender: Address, f: Frame, box: Queue) -> None:
         h = self._on.get(f.kind)
         if h is None:
-            self.counts.add("mesh_unknown")
+            self.counts.add("transport_unknown")
             return
         act, quick = h
         if quick:
@@ -247,11 +247,11 @@
         try:
             body = act(sender, f.body)
         except ValueError:
-            self.counts.add("mesh_garbage")
+            self.counts.add("transport_garbage")
             return
         if body is None:
             return
         try:
             box.put_nowait(Frame(f.kind, f.id, True, body))
         except Full:
-            self.counts.add("mesh_unanswered")
+            self.counts.add("transport_unanswered")
--- a/mallowvalve/beat/board.py
+++ b/mallowvalve/upstreams/board.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
-from mallowvalve.count import Counts
-from mallowvalve.kind import Address, Locality
+from mallowvalve.metrics import Counts
+from mallowvalve.types import Address, Locality
 
 SILENT = 8.0
 TOMBSTONE = 600.0
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
     service: str
     instance: str
     incarnation: int
@@ -31,15 +31,15 @@
 
 
 class Aged(msgspec.Struct, frozen=True, array_like=True):
-    beat: Beat
+    heartbeat: Heartbeat
     age: float
 
 
 class Row:
-    __slots__ = ("beat", "heard", "since", "broken")
+    __slots__ = ("heartbeat", "heard", "since", "broken")
 
-    def __init__(self, beat: Beat, heard: float, since: float):
-        self.beat, self.heard, self.since, self.broken = beat, heard, since, -1e9
+    def __init__(self, heartbeat: Heartbeat, heard: float, since: float):
+        self.heartbeat, self.heard, self.since, self.broken = heartbeat, heard, since, -1e9
 
 
 class Board:
@@ -49,48 +49,50 @@
         self.rows: dict[str, Row] = {}
         self.counts = Counts()
 
-    def hear(self, b: Beat, now: float, age: float = 0.0) -> bool:
+    def hear(self, b: Heartbeat, now: float, age: float = 0.0) -> bool:
         r = self.rows.get(b.name)
         heard = now - age
         if r is None:
             self.rows[b.name] = Row(b, heard, heard)
-            self.counts.add("beat_new")
+            self.counts.add("heartbeat_new")
             return True
-        if b.rank <= r.beat.rank:
+        if b.rank <= r.heartbeat.rank:
             return False
-        if b.incarnation > r.beat.incarnation:
+        if b.incarnation > r.heartbeat.incarnation:
             self.rows[b.name] = Row(b, heard, heard)
-            self.counts.add("beat_reborn")
+            self.counts.add("heartbeat_reborn")
             return True
-        if r.beat.state != "ready" and b.state == "ready" or r.beat.state == "gone":
-            self.counts.add("beat_after_leaving")
+        if r.heartbeat.state != "ready" and b.state == "ready" or r.heartbeat.state == "gone":
+            self.counts.add("heartbeat_after_leaving")
             return False
         if heard - r.heard > SILENT:
             r.since = heard
-        r.beat, r.heard = b, max(r.heard, heard)
+        r.heartbeat, r.heard = b, max(r.heard, heard)
         return True
 
     def usable(self, service: str, now: float) -> list[Row]:
         return [
             r
             for r in self.rows.values()
-            if r.beat.service == service and r.beat.state == "ready" and now - r.heard < SILENT
+            if r.heartbeat.service == service and r.heartbeat.state == "ready" and now - r.heard < SILENT
         ]
 
-    def all(self, now: float) -> list[tuple[Beat, str, float]]:
-        return [(r.beat, self.status(r, now), now - r.heard) for _, r in sorted(self.rows.items())]
+    def all(self, now: float) -> list[tuple[Heartbeat, str, float]]:
+        return [(r.heartbeat, self.status(r, now), now - r.heard) for _, r in sorted(self.rows.items())]
 
     def status(self, r: Row, now: float) -> str:
-        if r.beat.state != "ready":
-            return r.beat.state
+        if r.heartbeat.state != "ready":
+            return r.heartbeat.state
         return "silent" if now - r.heard >= SILENT else "ready"
 
     def digest(self) -> dict[str, tuple[int, int]]:
-        return {n: r.beat.rank for n, r in self.rows.items()}
+        return {n: r.heartbeat.rank for n, r in self.rows.items()}
 
     def newer_than(self, digest: dict[str, tuple[int, int]], now: float) -> list[Aged]:
         return [
-            Aged(r.beat, max(0.0, now - r.heard)) for n, r in self.rows.items() if r.beat.rank > digest.get(n, (-1, -1))
+            Aged(r.heartbeat, max(0.0, now - r.heard))
+            for n, r in self.rows.items()
+            if r.heartbeat.rank > digest.get(n, (-1, -1))
         ]
 
     def forget(self, now: float) -> None:
--- a/mallowvalve/beat/hear.py
+++ b/mallowvalve/upstreams/liveness.py
@@ -1,4 +1,4 @@
-"""Who was heard when, what a beat changes, and whose silence has lasted too long."""
+"""Who was heard when, what a heartbeat changes, and whose silence has lasted too long."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowvalve.beat.roll import Roll, Rolled, Upstream
+from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
 COLD_MOVED_MS = 200
 FORGET = 60.0
@@ -27,17 +27,17 @@
         self.at, self.sequence = at, sequence
 
 
-class Hear:
-    """One at each law. All times are seconds of this node's own clock but for the fleet's, which is ms.
+class Liveness:
+    """One at each control process. All times are seconds of this node's own clock but for the fleet's, which is ms.
 
-    `beat` is how often upstreams are heard; three without a word are a silence, and six where most of a service
+    `heartbeat` is how often upstreams are heard; three without a word are a silence, and six where most of a service
     fall silent at once, for then the fault is more likely ours.
     """
 
-    __slots__ = ("beat_every", "silent", "_last", "_acked", "_led", "_judged", "_clock", "_clock_at")
+    __slots__ = ("heartbeat_every", "silent", "_last", "_acked", "_led", "_judged", "_clock", "_clock_at")
 
-    def __init__(self, beat: float = 1.5):
-        self.beat_every, self.silent = beat, 3 * beat
+    def __init__(self, heartbeat: float = 1.5):
+        self.heartbeat_every, self.silent = heartbeat, 3 * heartbeat
         self._last: dict[str, Last] = {}
         self._acked: set[tuple[str, str]] = set()
         self._led: float | None = None
@@ -50,12 +50,12 @@
             self._clock, self._clock_at = seen, now
         return self._clock + int((now - self._clock_at) * 1000)
 
-    def beat(self, u: Upstream, roll: Roll, clock: int, now: float) -> Upstream | None:
-        """Notes the beat; what is to be offered for it, or None for a plain one. `cold_until` says how much longer."""
+    def heartbeat(self, u: Upstream, registry: Registry, clock: int, now: float) -> Upstream | None:
+        """Notes the heartbeat; what is to be offered for it, or None for a plain one. `cold_until` says how much longer."""
         last = self._last.get(u.instance)
         if last is not None and u.sequence < last.sequence:
             return None
-        row = roll.rows.get(u.instance)
+        row = registry.rows.get(u.instance)
         if row is None:
             self._note(u.instance, now, u.sequence)
             return u
@@ -98,37 +98,37 @@
     def follow(self) -> None:
         self._led = None
 
-    def judge(self, roll: Roll, now: float) -> Rolled | None:
+    def judge(self, registry: Registry, now: float) -> Registered | None:
         """The leader's: what has become silent, and what is forgotten. One that just began to lead waits first."""
         if self._led is None or now - self._judged > PAUSE:
             self._led = now
         self._judged = now
         if now - self._led < self.silent:
             return None
-        ages = {i: now - max(self._led, x.at if (x := self._last.get(i)) else self._led) for i in roll.rows}
-        held = self._mass(roll, ages)
+        ages = {i: now - max(self._led, x.at if (x := self._last.get(i)) else self._led) for i in registry.rows}
+        held = self._mass(registry, ages)
         silent, forget = [], []
-        for i, u in roll.rows.items():
+        for i, u in registry.rows.items():
             if u.state == "ready" and ages[i] >= self.silent * (2 if u.service in held else 1):
                 silent.append(replace(u, state="silent", cold_until=0))
             elif u.state in ("silent", "leaving") and ages[i] >= FORGET:
                 forget.append(i)
-        return Rolled(silent, "", forget) if silent or forget else None
+        return Registered(silent, "", forget) if silent or forget else None
 
-    def prune(self, roll: Roll, now: float) -> None:
-        self._acked = {a for a in self._acked if a[0] in roll.rows}
-        if len(self._last) > len(roll.rows):
-            old = [i for i, x in self._last.items() if i not in roll.rows and now - x.at > FORGET]
+    def prune(self, registry: Registry, now: float) -> None:
+        self._acked = {a for a in self._acked if a[0] in registry.rows}
+        if len(self._last) > len(registry.rows):
+            old = [i for i, x in self._last.items() if i not in registry.rows and now - x.at > FORGET]
             for i in old:
                 del self._last[i]
 
-    def _mass(self, roll: Roll, ages: dict[str, float]) -> set[str]:
-        """Services of which more than half have missed a beat at once: those would follow within one more."""
+    def _mass(self, registry: Registry, ages: dict[str, float]) -> set[str]:
+        """Services of which more than half have missed a heartbeat at once: those would follow within one more."""
         every, late = Counter(), Counter()
-        for i, u in roll.rows.items():
+        for i, u in registry.rows.items():
             if u.state in ("ready", "silent"):
                 every[u.service] += 1
-            if u.state == "ready" and ages[i] >= self.silent - self.beat_every:
+            if u.state == "ready" and ages[i] >= self.silent - self.heartbeat_every:
                 late[u.service] += 1
         return {s for s, n in late.items() if 2 * n > every[s] and n > 1}
 
--- a/mallowvalve/beat/roll.py
+++ b/mallowvalve/upstreams/registry.py
@@ -1,4 +1,4 @@
-"""The upstreams as the core agreed on them: what changes is replicated, plain beats are not."""
+"""The upstreams as the core agreed on them: what changes is replicated, plain heartbeats are not."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowvalve.kind import Address, Locality
+from mallowvalve.types import Address, Locality
 
 TOMBSTONE_MS = 60_000
 MOST, MOST_SERVICES, MOST_GONE = 100_000, 4096, 10_000
@@ -31,7 +31,7 @@
     cold_until: int = 0
 
 
-class Rolled(msgspec.Struct, frozen=True, array_like=True, tag="rolled"):
+class Registered(msgspec.Struct, frozen=True, array_like=True, tag="registered"):
     """`forget` names rows to drop without a trace, if they are silent or leaving still."""
 
     changes: list[Upstream]
@@ -39,8 +39,8 @@
     forget: list[str] = []
 
 
-class Roll:
-    """All rows are in `rows`, those that are gone for a minute more, so that a late beat brings none back."""
+class Registry:
+    """All rows are in `rows`, those that are gone for a minute more, so that a late heartbeat brings none back."""
 
     __slots__ = ("rows", "revision")
 
@@ -48,7 +48,7 @@
         self.rows: dict[str, Upstream] = {}
         self.revision = 0
 
-    def apply(self, c: Rolled, clock: int) -> None:
+    def apply(self, c: Registered, clock: int) -> None:
         before = len(self.rows)
         self._lapse(clock)
         changed = len(self.rows) != before
--- a/mallowvalve/beat/task.py
+++ b/mallowvalve/upstreams/task.py
@@ -7,11 +7,11 @@
 from gevent.lock import RLock
 
 from mallowvalve import clock
-from mallowvalve.beat.board import Aged, Beat, Board, Row
-from mallowvalve.bond.task import BondTask
-from mallowvalve.count import change, vital
-from mallowvalve.kind import Address
-from mallowvalve.mesh.task import Mesh
+from mallowvalve.membership.task import MembershipTask
+from mallowvalve.metrics import change, vital
+from mallowvalve.transport.task import Transport
+from mallowvalve.types import Address
+from mallowvalve.upstreams.board import Aged, Board, Heartbeat, Row
 
 ROUND = 1.0
 encode = msgspec.msgpack.Encoder().encode
@@ -19,30 +19,30 @@
 _digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
 
 
-class BeatTask:
-    __slots__ = ("board", "bond", "mesh", "_lock", "_job", "_rng", "_known")
+class HeartbeatTask:
+    __slots__ = ("board", "membership", "transport", "_lock", "_job", "_rng", "_known")
 
-    def __init__(self, bond: BondTask, mesh: Mesh):
-        self.board, self.bond, self.mesh = Board(), bond, mesh
+    def __init__(self, membership: MembershipTask, transport: Transport):
+        self.board, self.membership, self.transport = Board(), membership, transport
         self._lock, self._rng = RLock(), random.Random()
         self._known: dict[str, tuple[int, str]] = {}
-        mesh.on("beats", self._beats, quick=True)
-        mesh.on("digest", self._on_digest, quick=True)
+        transport.on("heartbeats", self._heartbeats, quick=True)
+        transport.on("digest", self._on_digest, quick=True)
 
-    def __enter__(self) -> BeatTask:
+    def __enter__(self) -> HeartbeatTask:
         self._job = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
         self._job.kill()
 
-    def hear(self, b: Beat) -> bool:
+    def hear(self, b: Heartbeat) -> bool:
         with self._lock:
             fresh = self.board.hear(b, clock.now())
         if fresh:
             body = encode([Aged(b, 0.0)])
-            for r in self.bond.alive():
-                self.mesh.cast(r.addr, "beats", body)
+            for r in self.membership.alive():
+                self.transport.cast(r.addr, "heartbeats", body)
             self._log(b)
         return fresh
 
@@ -55,18 +55,18 @@
             self.board.forget(now)
             self._known = {n: k for n, k in self._known.items() if n in self.board.rows}
             for r in self.board.rows.values():
-                self._log(r.beat, self.board.status(r, now))
+                self._log(r.heartbeat, self.board.status(r, now))
 
-    def _beats(self, _sender: Address, body: bytes) -> None:
+    def _heartbeats(self, _sender: Address, body: bytes) -> None:
         self._merge(_aged(body))
 
     def _merge(self, aged: list[Aged]) -> None:
         now = clock.now()
         for a in aged:
             with self._lock:
-                fresh = self.board.hear(a.beat, now, a.age)
+                fresh = self.board.hear(a.heartbeat, now, a.age)
             if fresh:
-                self._log(a.beat)
+                self._log(a.heartbeat)
 
     def _on_digest(self, _sender: Address, body: bytes) -> bytes:
         with self._lock:
@@ -78,17 +78,17 @@
             self.forget(clock.now())
             with self._lock:
                 body = encode(self.board.digest())
-            neighbours = self.bond.alive()
-            if not neighbours:
+            peers = self.membership.alive()
+            if not peers:
                 continue
-            r = self.mesh.call(self._rng.choice(neighbours).addr, "digest", body, ROUND)
+            r = self.transport.call(self._rng.choice(peers).addr, "digest", body, ROUND)
             if r.is_ok():
                 try:
                     self._merge(_aged(r.ok_value))
                 except msgspec.DecodeError:
-                    self.mesh.counts.add("beat_garbage")
+                    self.transport.counts.add("heartbeat_garbage")
 
-    def _log(self, b: Beat, status: str = "") -> None:
+    def _log(self, b: Heartbeat, status: str = "") -> None:
         now = (b.incarnation, status or b.state)
         if self._known.get(b.name) == now:
             return
--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -13,11 +13,11 @@
 from gevent.pywsgi import Input, WSGIHandler, WSGIServer
 
 from mallowvalve import clock, finding
-from mallowvalve.count import Counts, change
+from mallowvalve.configuration.items import Limits
 from mallowvalve.finding import Finding, Findings, parse_json
-from mallowvalve.head import Incoming, read_head
-from mallowvalve.kind import Address
-from mallowvalve.tree.items import Limits
+from mallowvalve.http_head import Incoming, read_head
+from mallowvalve.metrics import Counts, change
+from mallowvalve.types import Address
 
 if TYPE_CHECKING:
     import falcon
@@ -37,7 +37,7 @@
 
 
 class Handler(WSGIHandler):
-    """A client's session. Its bounds are the server's `limits`, asked anew for each request."""
+    """A client's connection. Its bounds are the server's `limits`, asked anew for each request."""
 
     linger = False
 
@@ -45,7 +45,7 @@
         super().__init__(sock, address, server, rfile or Incoming(sock))
 
     def handle(self):
-        self.server.sessions.add(self)
+        self.server.connections.add(self)
         self.busy = False
         try:
             while (r := self.handle_one_request()) is True:
@@ -56,7 +56,7 @@
         except OSError:
             pass
         finally:
-            self.server.sessions.discard(self)
+            self.server.connections.discard(self)
             self._end()
 
     def handle_one_request(self):
@@ -174,7 +174,7 @@
         self.__dict__.pop("wsgi_input", None)
 
     def cut(self) -> None:
-        """This answer is the session's last, and what the client still sends of its request is not waited for."""
+        """This answer is the connection's last, and what the client still sends of its request is not waited for."""
         self.linger, self.wsgi_input, self.close_connection = True, Nothing(), True
 
     def log_request(self):
@@ -205,7 +205,7 @@
     def __init__(self, at: Address, app, counts: Counts, most: int):
         super().__init__(at.pair, app, log=None, error_log=None, spawn=Pool(most))
         self.counts = counts
-        self.sessions: set[Handler] = set()
+        self.connections: set[Handler] = set()
         self.draining = False
         self.lean = False
         self.until: float | None = None
@@ -219,13 +219,13 @@
         self.stop(timeout=0.2)
 
     def drain(self, linger: float, limit: float) -> None:
-        """Serve on for a while, telling each session to close; then take no more, and let answers finish."""
+        """Serve on for a while, telling each connection to close; then take no more, and let answers finish."""
         self.draining, self.until = True, clock.now() + linger + limit
         gevent.sleep(linger)
         self.close()
         with gevent.Timeout(limit, False):
-            while self.sessions:
-                for h in list(self.sessions):
+            while self.connections:
+                for h in list(self.connections):
                     if not h.busy:
                         self._nudge(h)
                 gevent.sleep(0.02)
@@ -246,7 +246,7 @@
     resp.data = encode(body)
 
 
-def bounce(
+def reject(
     resp: falcon.Response, status: int, outcome: str, findings: Findings, retry_after: float | None = None
 ) -> None:
     say(resp, {"outcome": outcome, "findings": findings}, status)
@@ -258,8 +258,8 @@
 def turn_away(
     req: falcon.Request, resp: falcon.Response, status: int, findings: Findings, retry_after: float | None = None
 ) -> None:
-    """Bounces what nobody was asked about yet: of a key, an earlier try may have run."""
-    bounce(resp, status, UNDECIDED if req.get_header("Mallow-Key") else NOT_RUN, findings, retry_after)
+    """Rejections what nobody was asked about yet: of a key, an earlier try may have run."""
+    reject(resp, status, UNDECIDED if req.get_header("Mallow-Key") else NOT_RUN, findings, retry_after)
 
 
 def body_of(req: falcon.Request, most: int) -> bytes | None:
@@ -334,11 +334,11 @@
     return app
 
 
-def _crash(req, resp, ex, _params) -> None:
+def _crash(req, resp, ex, _settings) -> None:
     from falcon import HTTPError
 
     if isinstance(ex, HTTPError):
         turn_away(req, resp, ex.status_code, [Finding(req.path, ex.description or ex.title)])
         return
     change("crash", where=req.path, error=repr(ex))
-    bounce(resp, 500, UNKNOWN, [Finding(req.path, "internal error")])
+    reject(resp, 500, UNKNOWN, [Finding(req.path, "internal error")])
--- a/sim/acks.py
+++ b/sim/acks.py
@@ -5,7 +5,7 @@
 
 import click
 
-from mallowvalve.law.force import COPIES, REACHED, Echoes
+from mallowvalve.control.acknowledgement import COPIES, REACHED, Replicas
 from sim.storms import play
 
 
@@ -19,22 +19,22 @@
 
 
 def at_once(self, revision, now):
-    return revision <= self._params.revision
+    return revision <= self._settings.revision
 
 
 RULES = {
     "committed by a quorum": {"held_elsewhere": committed, "in_force": at_once},
     "and in force": {"held_elsewhere": committed},
     "and two copies elsewhere": {"held_elsewhere": copies},
-    "and every prompt echo (the rule)": {},
+    "and every prompt replica (the rule)": {},
 }
-KEEP = {n: getattr(Echoes, n) for n in ("held_elsewhere", "in_force")}
+KEEP = {n: getattr(Replicas, n) for n in ("held_elsewhere", "in_force")}
 
 
 def one(job: tuple[str, str, int]) -> tuple[list[str], dict[str, list[float]]]:
     rule, storm, seed = job
     for n, f in (KEEP | RULES[rule]).items():
-        setattr(Echoes, n, f)
+        setattr(Replicas, n, f)
     waits: dict[str, list[float]] = {}
     found, _ = play(storm, seed, keep=waits)
     return found, waits
@@ -48,7 +48,7 @@
     with ProcessPoolExecutor(jobs) as pool:
         for rule in RULES:
             parts = []
-            for storm in ("calm", "core_cut_off", "wiped_all_but_one_flow"):
+            for storm in ("calm", "core_cut_off", "wiped_all_but_one_proxy"):
                 rows = list(pool.map(one, [(rule, storm, s) for s in range(1, seeds + 1)]))
                 bad = sum(bool(f) for f, _ in rows)
                 mid = {k: statistics.median([x for _, w in rows for x in w[k]]) * 1000 for k in rows[0][1]}
--- a/sim/law.py
+++ b/sim/control.py
@@ -4,36 +4,34 @@
 
 from msgspec.structs import replace
 
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law import store, wire
-from mallowvalve.law.core import Core
-from mallowvalve.law.cut import founding
-from mallowvalve.law.found import Found, Judge, Start, Wipe, decide, heard_enough
-from mallowvalve.law.pieces import read_want
-from mallowvalve.law.pull import BASE, NOW
-from mallowvalve.law.state import State
-from mallowvalve.law.task import announced
-from mallowvalve.tale.log import Tale
-from mallowvalve.vote.wire import Envelope, Group, Hard, Install, Picture, encode, envelope
+from mallowvalve.control import store, wire
+from mallowvalve.control.bootstrap import Found, Judge, Start, Wipe, decide, heard_enough
+from mallowvalve.control.core import Core
+from mallowvalve.control.snapshot import founding
+from mallowvalve.control.snapshot_fetch import BASE, NOW
+from mallowvalve.control.snapshot_transfer import read_want
+from mallowvalve.control.state import State
+from mallowvalve.control.task import announced
+from mallowvalve.raft.messages import Envelope, Group, Hard, Install, Snapshot, encode, envelope
+from mallowvalve.storage.log import DiskLog
+from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
-from sim.echo import SimShelf, pull
+from sim.replica import SimShelf, pull
 from sim.world import Node, World
 
 
-class LawNode(Node):
-    role = "law"
+class ControlNode(Node):
+    role = "control"
 
-    def __init__(
-        self, world: World, addr: Address, locality: Locality, seeds: list[Address], disk: SimDisk, neighbours
-    ):
+    def __init__(self, world: World, addr: Address, locality: Locality, seeds: list[Address], disk: SimDisk, peers):
         super().__init__(world, addr)
-        self.locality, self.seeds, self.disk, self.neighbours = locality, seeds, disk, neighbours
+        self.locality, self.seeds, self.disk, self.peers = locality, seeds, disk, peers
         self.rng = random.Random(world.rng.random())
-        self.tale = Tale.open(disk, "sim", self._fresh_id(), segment_bytes=20_000).unwrap()
-        loaded = store.load(self.tale).unwrap()
-        self.core = Core(self.tale.identity.id, addr, locality, self.rng)
-        if loaded.picture is not None:
-            self.core.start(loaded.picture, loaded.hard, loaded.entries, world.now)
+        self.disk_log = DiskLog.open(disk, "sim", self._fresh_id(), segment_bytes=20_000).unwrap()
+        loaded = store.load(self.disk_log).unwrap()
+        self.core = Core(self.disk_log.identity.id, addr, locality, self.rng)
+        if loaded.snapshot is not None:
+            self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
         self._busy = self._saving = self._pulling = False
         self.shelf = SimShelf()
         self._box: list = []
@@ -47,7 +45,7 @@
 
     def handle(self, kind, src, body, answer) -> None:
         match kind:
-            case "vote":
+            case "raft":
                 self._vote(envelope(body))
             case "want":
                 self._put(lambda: self.core.want(wire.want(body), answer, self.now))
@@ -67,7 +65,7 @@
 
     def _label(self, what: bytes):
         if what == NOW:
-            return self.shelf.offer(self.core.picture(), self.now)
+            return self.shelf.offer(self.core.snapshot(), self.now)
         p = self.core.base()
         return self.shelf.put(p, self.now) if p is not None else None
 
@@ -77,7 +75,7 @@
             not isinstance(e.body, Install)
             or self._pulling
             or self.core.raft is None
-            or e.body.picture.index <= self.core.raft.commit
+            or e.body.snapshot.index <= self.core.raft.commit
         ):
             return
         self._pulling = True
@@ -87,15 +85,15 @@
             if got is not None:
                 self._put(lambda: self._show(e, *got))
 
-        pull(self, e.address, BASE, came, lambda l: l.group == e.group and l.index >= e.body.picture.index)
+        pull(self, e.address, BASE, came, lambda l: l.group == e.group and l.index >= e.body.snapshot.index)
 
-    def _show(self, e: Envelope, p: Picture, s) -> None:
+    def _show(self, e: Envelope, p: Snapshot, s) -> None:
         if self.core.raft is not None and self.core.raft.group == e.group and p.index > self.core.raft.commit:
             self.core.bring(p, s)
-            self.core.receive(replace(e, body=replace(e.body, picture=p)), self.now)
+            self.core.receive(replace(e, body=replace(e.body, snapshot=p)), self.now)
 
     def _who(self) -> wire.Who:
-        return self.core.who("law", self.seeds)
+        return self.core.who("control", self.seeds)
 
     def _put(self, act) -> None:
         self._box.append(act)
@@ -113,7 +111,7 @@
         raft = self.core.raft
         self._send(raft.group, r.early)
         hard = raft.hard()
-        self._persist(lambda: store.save(self.tale, r, hard), lambda: self._saved(raft, r))
+        self._persist(lambda: store.save(self.disk_log, r, hard), lambda: self._saved(raft, r))
 
     def _persist(self, act, then) -> None:
         self._busy = True
@@ -133,30 +131,30 @@
         if self.core.raft is raft:
             self._send(raft.group, r.late)
             self.core.saved(r, self.now)
-            if self.tale.full() and not self._saving:
+            if self.disk_log.full() and not self._saving:
                 self._compact()
         self._reply()
 
     def _compact(self) -> None:
         """Stored while the machine goes on; the log turns to it some time later, as in the daemon."""
-        p, pieces = self.core.picture()
+        p, pieces = self.core.snapshot()
         p = replace(p, state=list(pieces))
-        name = self.tale.reserve()
+        name = self.disk_log.reserve()
         try:
-            self.tale.put(name, store.parts(p))
+            self.disk_log.put(name, store.parts(p))
         except OSError:
             return
         self._saving = True
         self.wake(0.3 + self.disk.stall, lambda: self._put(lambda: self._turn(p, name)))
 
-    def _turn(self, p: Picture, name: str) -> None:
+    def _turn(self, p: Snapshot, name: str) -> None:
         raft, self._saving = self.core.raft, False
         if raft is None or raft.group != p.group or p.index <= raft.log.base:
-            return self.tale.drop(name)
+            return self.disk_log.drop(name)
 
         def turn() -> None:
             tail = [e for e in raft.log.entries if e.index > p.index]
-            store.turn(self.tale, p, store.head(raft.hard(), tail), name)
+            store.turn(self.disk_log, p, store.head(raft.hard(), tail), name)
 
         self._persist(turn, lambda: self.core.compact(p))
 
@@ -175,11 +173,11 @@
             s = self.core.seen.get(to)
             a = a or (s.addr if s else None)
             if a is not None:
-                self.cast(a, "vote", encode(Envelope(group, self.core.id, to, self.addr, m)))
+                self.cast(a, "raft", encode(Envelope(group, self.core.id, to, self.addr, m)))
 
     def _gather(self) -> None:
         self._answers = []
-        to = set(self.neighbours()) | set(self.seeds)
+        to = set(self.peers()) | set(self.seeds)
         if self.core.raft is not None:
             to |= set(self.core.raft.log.voters.voters.values())
         asked = to - {self.addr}
@@ -220,18 +218,18 @@
             pull(self, v.source.addr, BASE, lambda got: got and self._begin(got[0]))
         elif isinstance(v, Wipe):
             new = self._fresh_id()
-            self._put(lambda: self._persist(lambda: self.tale.wipe(new), lambda: self.core.stop(new)))
+            self._put(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
 
     def _found_anew(self, v: Found, base: State, answers: list) -> None:
         if heard_enough(base, answers):
             self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, base))
 
-    def _begin(self, p: Picture) -> None:
+    def _begin(self, p: Snapshot) -> None:
         head = store.head(Hard(p.group, 0, ""), [])
 
         def act() -> None:
             if self.core.raft is not None and self.core.raft.group.generation >= p.group.generation:
                 return
-            self._persist(lambda: store.turn(self.tale, p, head), lambda: self.core.start(p, None, [], self.now))
+            self._persist(lambda: store.turn(self.disk_log, p, head), lambda: self.core.start(p, None, [], self.now))
 
         self._put(act)
--- a/sim/crowd.py
+++ b/sim/crowd.py
@@ -9,10 +9,10 @@
 import click
 import msgspec
 
-from mallowvalve.bond import formula
-from mallowvalve.bond.detector import Bond
-from mallowvalve.bond.wire import ALIVE, FAILED, VERSION, Head, Record, Tell, decode, encode
-from mallowvalve.kind import Address
+from mallowvalve.membership import formula
+from mallowvalve.membership.detector import Membership
+from mallowvalve.membership.wire import ALIVE, FAILED, VERSION, Head, Record, Tell, decode, encode
+from mallowvalve.types import Address
 from sim.fleet import ZONES
 from sim.members import ASSUMED, DETECT, MISTAKE, ROUND_TRIP, UDP
 from sim.world import Node, World
@@ -24,7 +24,9 @@
 
 def record(i: int, boot: int) -> Record:
     a, z = address(i + 1), ZONES[i % 6]
-    return Record(a, boot, 1, ALIVE, "flow" if i % 5 else "law", f"{z.zone}-edge-{i}", z, Address(a.host, 8080), True)
+    return Record(
+        a, boot, 1, ALIVE, "proxy" if i % 5 else "control", f"{z.zone}-edge-{i}", z, Address(a.host, 8080), True
+    )
 
 
 class Mote(Node):
@@ -33,7 +35,7 @@
     def __init__(self, crowd: Crowd, me: Record, seeds: list[Address], start: float):
         super().__init__(crowd.world, me.addr)
         self.crowd = crowd
-        self.bond = Bond(
+        self.membership = Membership(
             me,
             "mallowvalve",
             seeds,
@@ -48,17 +50,17 @@
 
     def handle(self, kind, src, body, answer) -> None:
         t = time.process_time_ns()
-        out = self._coded(self.bond.receive(decode(body), self.now))
+        out = self._coded(self.membership.receive(decode(body), self.now))
         self.crowd.spent += time.process_time_ns() - t
         self._emit(out)
-        if self.bond.pr and self.bond.wakeup() < self._armed:
+        if self.membership.pr and self.membership.timer() < self._armed:
             self._arm()
 
     def _tick(self) -> None:
         if self.now < self._armed - 1e-9:
             return
         t = time.process_time_ns()
-        out = self._coded(self.bond.tick(self.now))
+        out = self._coded(self.membership.tick(self.now))
         self.crowd.spent += time.process_time_ns() - t
         self._emit(out)
         self._arm()
@@ -72,14 +74,14 @@
             self.crowd.largest = max(self.crowd.largest, len(data))
             self.crowd.kinds[kind] = self.crowd.kinds.get(kind, 0) + n
             self.sent, self.bytes = self.sent + 1, self.bytes + n
-            self.cast(to, "bond", data)
+            self.cast(to, "membership", data)
 
     def _arm(self) -> None:
-        self._armed = max(self.now + 0.001, self.bond.wakeup())
+        self._armed = max(self.now + 0.001, self.membership.timer())
         self.wake(self._armed - self.now, self._tick)
 
 
-def know(b: Bond, other: Bond) -> None:
+def know(b: Membership, other: Membership) -> None:
     """Gives a member what another knows, faster than by messages."""
     for name in ("rows", "live", "_place"):
         setattr(b._view, name, getattr(other._view, name).copy())
@@ -100,11 +102,11 @@
         self.records = [record(i, self.rng.getrandbits(62)) for i in range(n)]
         self.seeds = [r.addr for r in self.records[:3]]
         period = formula.period(DETECT, ASSUMED)
-        everyone = Bond(self.records[0], "mallowvalve", [], self.rng, period, 1, ROUND_TRIP)
+        everyone = Membership(self.records[0], "mallowvalve", [], self.rng, period, 1, ROUND_TRIP)
         for r in self.records:
             everyone._accept(r, 0.0, "")
         for r in self.records:
-            know(Mote(self, r, self.seeds, self.rng.random() * period).bond, everyone)
+            know(Mote(self, r, self.seeds, self.rng.random() * period).membership, everyone)
 
     def herd(self) -> None:
         """Kills every member and starts it again within half a second, knowing nothing but three seeds."""
@@ -149,7 +151,7 @@
     def knows(self, a: Address, test) -> float:
         """The share of the members whose record of this address passes."""
         others = [m for m in self.members() if m.addr != a]
-        return sum(a in m.bond.view and test(m.bond.view[a]) for m in others) / len(others)
+        return sum(a in m.membership.view and test(m.membership.view[a]) for m in others) / len(others)
 
 
 def sec(x: float | None) -> str:
@@ -168,7 +170,7 @@
     rs = [record(i, random.Random(i).getrandbits(62)) for i in range(n)]
     data = [encode(Tell(Head(VERSION, "m", rs[1].addr, 1, 1), rs[i : i + 8])) for i in range(1, n, 8)]
     tracemalloc.start()
-    b = Bond(rs[0], "m", [], random.Random(1), 1.7, 30, 0.5)
+    b = Membership(rs[0], "m", [], random.Random(1), 1.7, 30, 0.5)
     for d in data:
         b.receive(decode(d), 0.0)
     b.why.clear()
@@ -202,10 +204,10 @@
         click.echo(told(c.run(10.0), "10 s with one dead"))
         i = n // 3
         m = c.restart(i)
-        a, back = m.addr, lambda r: r.boot == m.bond.me.boot and r.state == ALIVE
+        a, back = m.addr, lambda r: r.boot == m.membership.me.boot and r.state == ALIVE
         most = c.until(lambda: c.knows(a, back) >= 0.95, 30)
         rest = c.until(lambda: c.knows(a, back) == 1, 30)
-        full = c.until(lambda: len(m.bond.alive()) == n - 2, 60)
+        full = c.until(lambda: len(m.membership.alive()) == n - 2, 60)
         click.echo(
             f"  one restarts: seen alive by 95% after {sec(most)}, by all {sec(rest)} later, its own view whole {sec(full)} after that; it sent {m.bytes} B"
         )
@@ -213,7 +215,7 @@
             heal(c)
         if herd:
             c.herd()
-            whole = c.until(lambda: all(len(m.bond.alive()) == n - 1 for m in c.members()), 60)
+            whole = c.until(lambda: all(len(m.membership.alive()) == n - 1 for m in c.members()), 60)
             most = max(m.bytes for m in c.members())
             click.echo(
                 f"  all restarted within 0.5 s: every view whole after {sec(whole)}, at most {most} B from a node"
@@ -226,10 +228,10 @@
         up = [m.addr for m in c.members()]
         c.world.split(up[:size], up[size:])
         c.world.run(c.world.now + wait)
-        lost = c.n - 2 - min(len(m.bond.alive()) for m in c.members())
+        lost = c.n - 2 - min(len(m.membership.alive()) for m in c.members())
         c.world.heal()
         start = {m.addr: m.bytes for m in c.members()}
-        whole = c.until(lambda: all(len(m.bond.alive()) == len(up) - 1 for m in c.members()), 60)
+        whole = c.until(lambda: all(len(m.membership.alive()) == len(up) - 1 for m in c.members()), 60)
         spent = max(m.bytes - start[m.addr] for m in c.members())
         click.echo(
             f"  {what}: one view lost {lost}; healed everywhere after {sec(whole)}, at most {spent} B from a node"
--- a/sim/failover.py
+++ b/sim/failover.py
@@ -17,7 +17,7 @@
         case "leader":
             return [lead]
         case "proxy":
-            return [f.flows[0]]
+            return [f.proxies[0]]
         case "zone":
             return [a for a in f.nodes if f.place[a] == f.place[lead]]
         case "region":
@@ -31,10 +31,10 @@
 
 
 def gaps(job: tuple[str, int, int]) -> dict[str, float]:
-    what, seed, flows = job
-    f = Fleet(seed, flows=flows)
+    what, seed, proxies = job
+    f = Fleet(seed, proxies=proxies)
     f.load()
-    f.run_until(lambda: f.served() > 3 and all(f.world.nodes[a].admits() for a in f.flows), 30)
+    f.run_until(lambda: f.served() > 3 and all(f.world.nodes[a].admits() for a in f.proxies), 30)
     f.run(8)
     start = f.world.now
     for a in lost(f, what):
@@ -51,13 +51,13 @@
 @click.command()
 @click.option("--seeds", default=20)
 @click.option("--first", default=1)
-@click.option("--flows", default=9)
+@click.option("--proxies", default=9)
 @click.option("--jobs", default=6)
-def main(seeds: int, first: int, flows: int, jobs: int) -> None:
+def main(seeds: int, first: int, proxies: int, jobs: int) -> None:
     """The longest time without a success in the 15 s after a loss, paired by seed with the same run without one."""
     with ProcessPoolExecutor(jobs) as pool:
         for what in LOSSES:
-            rows = list(pool.map(gaps, [(what, s, flows) for s in range(first, first + seeds)]))
+            rows = list(pool.map(gaps, [(what, s, proxies) for s in range(first, first + seeds)]))
             parts = []
             for k in rows[0]:
                 xs = sorted(r[k] for r in rows)
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -2,42 +2,50 @@
 
 import random
 
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law import cut
+from mallowvalve.control import snapshot
+from mallowvalve.types import Address, Locality
+from sim.control import ControlNode
 from sim.disk import SimDisk
-from sim.echo import EchoNode
 from sim.history import History
-from sim.law import LawNode
-from sim.flow import Flow
+from sim.proxy import Proxy
+from sim.replica import ReplicaNode
 from sim.upstream import Upstream
 from sim.users import Counter, Customer, Keeper, Locker, Operator, Reader, Watcher
 from sim.world import World
 
-cut.SLICE = 20
+snapshot.SLICE = 20
 ZONES = [Locality(r, f"{r}-{z}") for r in ("eu", "us", "ap") for z in "ab"]
 
 
 class Fleet:
-    def __init__(self, seed: int, cores: int = 6, flows: int = 9, ways: int = 2, loss: float = 0.0, lose: float = 0.05):
+    def __init__(
+        self,
+        seed: int,
+        cores: int = 6,
+        proxies: int = 9,
+        directory_server: int = 2,
+        loss: float = 0.0,
+        lose: float = 0.05,
+    ):
         self.world = World(seed, loss=loss, double=0.01)
         self.rng = random.Random(seed * 7919 + 1)
         self.history = History()
         self._users = 0
         self.disks: dict[Address, SimDisk] = {}
         self.place: dict[Address, Locality] = {}
-        self.laws = [self._address("1", i) for i in range(cores)]
-        self.flows = [self._address("2", i) for i in range(flows)]
-        self.ways = [self._address("3", i) for i in range(ways)]
+        self.controls = [self._address("1", i) for i in range(cores)]
+        self.proxies = [self._address("2", i) for i in range(proxies)]
+        self.directory_server = [self._address("3", i) for i in range(directory_server)]
         self.lose = lose
         self.upstreams: dict[str, Address] = {}
-        self.seeds = self.laws[:3]
-        self.core = list(self.laws)
-        for a in self.laws:
+        self.seeds = self.controls[:3]
+        self.core = list(self.controls)
+        for a in self.controls:
             self.disks[a] = SimDisk(random.Random(self.rng.random()))
         for service, n in (("boards", 6), ("runs", 6), ("spare", 3)):
             for i in range(n):
                 self.upstream(f"{service}-{i}", self._address("4", len(self.upstreams)))
-        for a in self.laws + self.flows + self.ways:
+        for a in self.controls + self.proxies + self.directory_server:
             self.start(a)
 
     def _address(self, net: str, i: int) -> Address:
@@ -47,16 +55,16 @@
 
     @property
     def nodes(self) -> list[Address]:
-        return self.core + self.flows + self.ways
+        return self.core + self.proxies + self.directory_server
 
-    def live_laws(self) -> list[Address]:
+    def live_controls(self) -> list[Address]:
         return [a for a in self.core if self.world.up(a)] or self.core
 
     def start(self, a: Address) -> None:
         if self.world.up(a):
             return
         if a in self.disks:
-            LawNode(
+            ControlNode(
                 self.world,
                 a,
                 self.place[a],
@@ -64,10 +72,10 @@
                 self.disks[a],
                 lambda: [n for n in self.nodes if self.world.up(n)],
             )
-        elif a in self.flows:
-            Flow(self.world, a, self.place[a], self.live_laws, self.history, lambda: self.flows)
+        elif a in self.proxies:
+            Proxy(self.world, a, self.place[a], self.live_controls, self.history, lambda: self.proxies)
         else:
-            EchoNode(self.world, a, "way", self.place[a], self.live_laws)
+            ReplicaNode(self.world, a, "directory", self.place[a], self.live_controls)
 
     def kill(self, a: Address) -> None:
         if not self.world.up(a):
@@ -93,7 +101,7 @@
             self.world.nodes[a].crash()
         self.upstreams[instance] = a
         service = instance.partition("-")[0]
-        return Upstream(self.world, a, self.history, service, instance, self.place[a], lambda: self.flows, self.lose)
+        return Upstream(self.world, a, self.history, service, instance, self.place[a], lambda: self.proxies, self.lose)
 
     def pool(self, service: str) -> list[Upstream]:
         ns = [self.world.nodes[a] for i, a in self.upstreams.items() if self.world.up(a)]
@@ -101,18 +109,18 @@
 
     def user(self, kind, *more):
         self._users += 1
-        return kind(self.world, Address(f"10.0.9.{self._users}", 1), self.live_laws, self.history, *more)
+        return kind(self.world, Address(f"10.0.9.{self._users}", 1), self.live_controls, self.history, *more)
 
     def load(self) -> None:
         user = self.user
 
-        def flows() -> list[Address]:
-            return [f for f in self.flows if self.world.up(f)] or self.flows
+        def proxies() -> list[Address]:
+            return [f for f in self.proxies if self.world.up(f)] or self.proxies
 
         for i in range(5):
-            user(Customer, flows, i == 0)
+            user(Customer, proxies, i == 0)
         for _ in range(3):
-            user(Reader, flows)
+            user(Reader, proxies)
         for _ in range(2):
             user(Operator, ["eu-a", "us-b"])
             user(Locker)
@@ -120,7 +128,7 @@
             user(Watcher)
             user(Keeper)
 
-    def leader(self) -> LawNode | None:
+    def leader(self) -> ControlNode | None:
         ls = [self.world.nodes[a] for a in self.core if self.world.up(a) and a not in self.world.frozen]
         ls = [n for n in ls if n.core.leads]
         return max(ls, key=lambda n: (n.core.raft.group.generation, n.core.raft.term), default=None)
--- a/sim/history.py
+++ b/sim/history.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from mallowvalve.whole import history
-from mallowvalve.whole.judge import Offered
+from mallowvalve.localfleet import history
+from mallowvalve.localfleet.judge import Offered
 
 IN_FORCE = 3.0
 
--- a/sim/joiners.py
+++ b/sim/joiners.py
@@ -1,4 +1,4 @@
-"""Many that lack everything fetch the settings from one machine at once, while its log goes on: pictures made, time taken."""
+"""Many that lack everything fetch the settings from one machine at once, while its log goes on: snapshots made, time taken."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 import click
 
 from mallowvalve import clock
-from mallowvalve.law.cut import cut_settings
-from mallowvalve.law.pieces import Gather, read_want
-from mallowvalve.law.pull import QUICK_TRIES, SETTINGS, Puller
-from mallowvalve.law.state import State, encode
-from mallowvalve.vote.wire import Picture
-from sim.target import GROUP, items, roll, voters
+from mallowvalve.control.snapshot import cut_settings
+from mallowvalve.control.snapshot_fetch import QUICK_TRIES, SETTINGS, Puller
+from mallowvalve.control.snapshot_transfer import Gather, read_want
+from mallowvalve.control.state import State, encode
+from mallowvalve.raft.messages import Snapshot
+from sim.target import GROUP, items, registry, voters
 
 AGAIN = 0.05
 
@@ -27,12 +27,12 @@
     def __init__(self, every: float, rows: int):
         self.now, self.every, self.made = 0.0, every, 0
         self.state = State(GROUP.generation)
-        self.state.items, self.state.roll = items(rows), roll(rows)
+        self.state.items, self.state.registry = items(rows), registry(rows)
         self.puller = Puller(SimpleNamespace(on=lambda *a, **k: None), lambda: None, settings=self.settings)
 
     def settings(self):
         self.state.index = 1 + int(self.now / self.every)
-        return Picture(GROUP, self.state.index, 0, voters(), []), self.pieces()
+        return Snapshot(GROUP, self.state.index, 0, voters(), []), self.pieces()
 
     def pieces(self):
         self.made += 1
@@ -57,7 +57,7 @@
 
 
 def play(n: int, every: float, trip: float, rows: int, most: float) -> tuple[int, int, float]:
-    """How many were whole in time, pictures made, and when the last was."""
+    """How many were whole in time, snapshots made, and when the last was."""
     g, rng = Giver(every, rows), random.Random(1)
     queue = [(rng.random() * 0.2, i, joiner(g, trip)) for i in range(n)]
     heapq.heapify(queue)
@@ -81,7 +81,7 @@
 def main(every: float, trip: float, rows: int, most: float) -> None:
     for n in (1, 2, 3, 5, 12, 82, 162):
         done, made, last = play(n, every, trip, rows, most)
-        click.echo(f"{n:4} at once: {done:4} whole after {last:5.2f} s, {made} pictures made")
+        click.echo(f"{n:4} at once: {done:4} whole after {last:5.2f} s, {made} snapshots made")
 
 
 if __name__ == "__main__":
--- a/sim/large.py
+++ b/sim/large.py
@@ -11,19 +11,19 @@
 import click
 import msgspec
 
-from mallowvalve.claim.ledger import DONE, Row
+from mallowvalve.control import store
+from mallowvalve.control.snapshot import dump
+from mallowvalve.control.state import State
 from mallowvalve.fault import FLEET
-from mallowvalve.flow.call import digest
-from mallowvalve.kind import Address
-from mallowvalve.law import store
-from mallowvalve.law.cut import dump
-from mallowvalve.law.state import State
-from mallowvalve.tale.disk import Folder
-from mallowvalve.tale.log import Tale
-from mallowvalve.vote.wire import Group, Hard, Picture, Voters
-from mallowvalve.whole.call import call
-from mallowvalve.whole.fleet import Fleet, Proc, until
-from mallowvalve.whole.main import load_shape
+from mallowvalve.ledger.ledger import DONE, Row
+from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.fleet import Fleet, Proc, until
+from mallowvalve.localfleet.main import load_shape
+from mallowvalve.proxy.call import digest
+from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
+from mallowvalve.storage.disk import Folder
+from mallowvalve.storage.log import DiskLog
+from mallowvalve.types import Address
 
 ANSWER = b'{"by":"before"}'
 
@@ -31,7 +31,7 @@
 def state(config: dict, rows: int, body: int) -> State:
     s = State(7)
     s.index = 10
-    s.params.doc, s.params.doc_revision, s.params.revision = msgspec.json.encode(config), s.revision, s.revision
+    s.settings.doc, s.settings.doc_revision, s.settings.revision = msgspec.json.encode(config), s.revision, s.revision
     dig = digest("POST", "/runs", b"{}")
     for i in range(rows):
         k = f"runner\0{i:032x}"
@@ -45,13 +45,13 @@
 
 def plant(f: Fleet, s: State) -> int:
     """Gives the first core machines disks that hold this state, as if they had been stopped."""
-    laws = f.of("law")[:3]
-    ids = {uuid.uuid4().hex: p for p in laws}
-    voters = Voters({i: Address("127.0.0.1", p.mesh) for i, p in ids.items()})
-    pic = Picture(Group(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
+    controls = f.of("control")[:3]
+    ids = {uuid.uuid4().hex: p for p in controls}
+    voters = Voters({i: Address("127.0.0.1", p.transport) for i, p in ids.items()})
+    pic = Snapshot(Group(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
     for i, p in ids.items():
         with Folder(p.data) as d:
-            store.turn(Tale.open(d, FLEET, i).unwrap(), pic, store.head(Hard(pic.group, 1, ""), []))
+            store.turn(DiskLog.open(d, FLEET, i).unwrap(), pic, store.head(Hard(pic.group, 1, ""), []))
     return sum(map(len, pic.state))
 
 
@@ -73,18 +73,20 @@
     def _run(self) -> None:
         while not self.stop.wait(0.02):
             t = time.monotonic()
-            ok = call(self.f.of("law")[self.n % 3].web, "POST", "/numbers/n", {})[0] == 200
+            ok = call(self.f.of("control")[self.n % 3].web, "POST", "/numbers/n", {})[0] == 200
             self.n += ok
             self.worst = max(self.worst, time.monotonic() - t)
 
 
 def ready(f: Fleet) -> bool:
-    return all(call(p.web, "GET", "/-/ready", limit=2)[0] == 200 for r in ("law", "flow", "way") for p in f.of(r))
+    return all(
+        call(p.web, "GET", "/-/ready", limit=2)[0] == 200 for r in ("control", "proxy", "directory") for p in f.of(r)
+    )
 
 
 def known(f: Fleet, key: int) -> bool:
     h = {"Mallow-Tenant": "runner", "Mallow-Key": f"{key:032x}"}
-    status, data, got = call(f.of("flow")[0].web, "POST", "/runs", "{}", h)
+    status, data, got = call(f.of("proxy")[0].web, "POST", "/runs", "{}", h)
     return status == 200 and data == {"by": "before"} and got.get("mallow-repeat") == "1"
 
 
@@ -108,39 +110,39 @@
     shape = load_shape(str(Path(__file__).parent.parent / "examples" / "small.json"))
     f = Fleet(shape, Path(tempfile.mkdtemp(prefix="large-")))
     size = plant(f, state(shape.config, rows, body))
-    click.echo(f"{rows} facts, a picture of {size / 1e6:.1f} MB")
+    click.echo(f"{rows} facts, a snapshot of {size / 1e6:.1f} MB")
     with f:
         timed("started, every process ready", lambda: ready(f), 120)
         timed("a key of before is answered from the ledger", lambda: known(f, rows // 2), 20)
         with Numbers(f) as idle:
             time.sleep(5)
         click.echo(f"numbers, nothing else: {idle.n}, worst {idle.worst * 1000:.0f} ms")
-        taken = sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("pictures_taken", 0) for p in f.of("law"))
+        taken = sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("snapshots_taken", 0) for p in f.of("control"))
         with Numbers(f) as busy:
             for i in range(1, size // 2 // 65000 + 60):
-                call(f.of("law")[0].web, "PUT", f"/keys/k{i % 10}", {"value": "v" * 65000})
+                call(f.of("control")[0].web, "PUT", f"/keys/k{i % 10}", {"value": "v" * 65000})
             timed(
-                "pictures taken by the core",
+                "snapshots taken by the core",
                 lambda: (
-                    sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("pictures_taken", 0) for p in f.of("law"))
+                    sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("snapshots_taken", 0) for p in f.of("control"))
                     > taken + 2
                 ),
                 60,
             )
         click.echo(f"numbers while the log grew and was turned: {busy.n}, worst {busy.worst * 1000:.0f} ms")
-        new = f.add_node("law", "us/us-b", "law9")
-        lead = max(index(p) for p in f.of("law")[:3])
+        new = f.add_node("control", "us/us-b", "control9")
+        lead = max(index(p) for p in f.of("control")[:3])
         timed("an empty core machine caught up", lambda: index(new) >= lead, 60)
-        disk = max(sum(x.stat().st_size for x in p.data.iterdir()) for p in f.of("law"))
+        disk = max(sum(x.stat().st_size for x in p.data.iterdir()) for p in f.of("control"))
         click.echo(f"largest folder {disk / 1e6:.0f} MB")
-        for p in f.of("law"):
+        for p in f.of("control"):
             f.kill(p.name)
             f.wipe(p.name)
-        for p in f.of("law"):
+        for p in f.of("control"):
             f.start(p.name)
         timed(
             "control back after the whole core was wiped",
-            lambda: call(f.of("law")[0].web, "GET", "/config")[0] == 200,
+            lambda: call(f.of("control")[0].web, "GET", "/config")[0] == 200,
             60,
         )
         timed("and the key of before", lambda: known(f, rows // 2), 20)
--- a/sim/members.py
+++ b/sim/members.py
@@ -6,10 +6,10 @@
 
 import click
 
-from mallowvalve.bond import formula
-from mallowvalve.bond.detector import Bond, fresh_record
-from mallowvalve.bond.wire import FAILED, decode, encode
-from mallowvalve.kind import Address
+from mallowvalve.membership import formula
+from mallowvalve.membership.detector import Membership, fresh_record
+from mallowvalve.membership.wire import FAILED, decode, encode
+from mallowvalve.types import Address
 from sim.fleet import ZONES
 from sim.world import Node, World
 
@@ -21,8 +21,8 @@
     def __init__(self, world: World, addr: Address, seeds: list[Address], n: int = 0, spread: bool = True):
         super().__init__(world, addr)
         self.rng = random.Random(world.rng.random())
-        me = fresh_record(addr, self.rng.getrandbits(60), "flow", str(addr), ZONES[n % 6], addr)
-        self.bond = Bond(
+        me = fresh_record(addr, self.rng.getrandbits(60), "proxy", str(addr), ZONES[n % 6], addr)
+        self.membership = Membership(
             me,
             "sim",
             seeds,
@@ -32,12 +32,12 @@
             ROUND_TRIP,
         )
         self.sent = self.bytes = 0
-        self._armed = world.now + self.rng.random() * (self.bond.period if spread else 0.0)
+        self._armed = world.now + self.rng.random() * (self.membership.period if spread else 0.0)
         self.wake(self._armed - world.now, self._tick)
 
     def handle(self, kind, src, body, answer) -> None:
-        self.emit(self.bond.receive(decode(body), self.now))
-        if self.bond.pr and self.bond.wakeup() < self._armed:
+        self.emit(self.membership.receive(decode(body), self.now))
+        if self.membership.pr and self.membership.timer() < self._armed:
             self._arm()
 
     def emit(self, out: list) -> None:
@@ -45,16 +45,16 @@
             data = encode(m)
             self.sent += 1
             self.bytes += len(data) + UDP
-            self.cast(to, "bond", data)
+            self.cast(to, "membership", data)
 
     def _tick(self) -> None:
         if self.now < self._armed - 1e-9:
             return
-        self.emit(self.bond.tick(self.now))
+        self.emit(self.membership.tick(self.now))
         self._arm()
 
     def _arm(self) -> None:
-        self._armed = max(self.now + 0.001, self.bond.wakeup())
+        self._armed = max(self.now + 0.001, self.membership.timer())
         self.wake(self._armed - self.now, self._tick)
 
 
@@ -91,13 +91,13 @@
 
     def whole(self) -> bool:
         up = {m.addr for m in self.members()}
-        return all({r.addr for r in m.bond.alive()} == up - {m.addr} for m in self.members())
+        return all({r.addr for r in m.membership.alive()} == up - {m.addr} for m in self.members())
 
     def declared(self) -> int:
-        return sum(m.bond.counts.get("bond_declared") for m in self.members())
+        return sum(m.membership.counts.get("membership_declared") for m in self.members())
 
     def knows_failed(self, a: Address) -> list[Member]:
-        return [m for m in self.members() if a in m.bond.view and m.bond.view[a].state >= FAILED]
+        return [m for m in self.members() if a in m.membership.view and m.membership.view[a].state >= FAILED]
 
 
 def detection(seed: int, n: int, loss: float) -> tuple[float, float] | None:
@@ -119,7 +119,9 @@
     sent, declared = sum(m.sent for m in g.members()), g.declared()
     g.run(seconds)
     kinds = sum(
-        m.bond.counts.get(f"bond_sent_{k}") for m in g.members() for k in ("ping", "pingreq", "relayping", "ack")
+        m.membership.counts.get(f"membership_sent_{k}")
+        for m in g.members()
+        for k in ("ping", "pingreq", "relayping", "ack")
     )
     return {
         "messages a node and second": (sum(m.sent for m in g.members()) - sent) / n / seconds,
--- a/sim/pools.py
+++ b/sim/pools.py
@@ -12,7 +12,7 @@
         u = f.rng.choice(f.pool(f.rng.choice(("boards", "runs"))))
         u.leave()
         if f.rng.random() < 0.5:
-            a = f.rng.choice(f.flows)
+            a = f.rng.choice(f.proxies)
             f.world.split([a], f.rng.sample([b for b in f.nodes if b != a], len(f.nodes) // 2))
         f.run(5)
         f.world.heal()
@@ -58,7 +58,7 @@
 
 def relentless(f: Fleet) -> None:
     _fault(f, "garbage", 0.6)
-    hasty = [f.user(Reader, lambda: f.flows, 5.0, True) for _ in range(4)]
+    hasty = [f.user(Reader, lambda: f.proxies, 5.0, True) for _ in range(4)]
     f.run(25)
     _fault(f, "", 0.0)
     for u in hasty:
@@ -69,7 +69,7 @@
 
 def cold_return(f: Fleet) -> None:
     """A slow pool, so that a flood would show; one of it returns cold after a crash."""
-    more = [f.user(Reader, lambda: f.flows, 12.0) for _ in range(3)]
+    more = [f.user(Reader, lambda: f.proxies, 12.0) for _ in range(3)]
     for _ in range(2):
         pool = f.pool("boards") + f.pool("spare")
         for u in pool:
@@ -82,9 +82,7 @@
         f.run(6)
         near = [p.instance for p in f.pool("boards")]
         share = cold_share(f.history, new.instance, new.incarnation, new.born, near)
-        assert share is None or share <= 0.7, (
-            f"a cold upstream got {share:.2f} of its neighbours' mean in its first 2 s"
-        )
+        assert share is None or share <= 0.7, f"a cold upstream got {share:.2f} of its peers' mean in its first 2 s"
     for u in more:
         u.crash()
 
@@ -123,7 +121,7 @@
         down = {
             "region": [a for a in f.nodes if f.place[a].region == "us"],
             "leader": [f.leader().addr] if f.leader() else [],
-            "rolling": f.flows[:4],
+            "rolling": f.proxies[:4],
         }[act]
         for a in down:
             f.kill(a)
@@ -141,7 +139,7 @@
 def impatient(f: Fleet) -> None:
     """Customers ask again before they were answered, while claims are slow and the pool comes and goes."""
     f.world.slow = 0.4
-    more = [f.user(Customer, lambda: f.flows, True) for _ in range(8)]
+    more = [f.user(Customer, lambda: f.proxies, True) for _ in range(8)]
     for _ in range(8):
         down = f.pool("runs")
         for u in down:
--- a/sim/flow.py
+++ b/sim/proxy.py
@@ -3,19 +3,19 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve.beat.board import Aged, Beat, Board
-from mallowvalve.claim.ledger import Verdict
-from mallowvalve.count import Counts
-from mallowvalve.flow.path import Path
-from mallowvalve.flow.pool import Pool
-from mallowvalve.flow.repeats import Repeats
-from mallowvalve.flow.steps import Answer, Ask, Body, Exchange, Insist, Offer, Open, Pause, Reply, Room
-from mallowvalve.law.state import encode
-from sim.echo import EchoNode
+from mallowvalve.control.state import encode
+from mallowvalve.ledger.ledger import Verdict
+from mallowvalve.metrics import Counts
+from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.pool import Pool
+from mallowvalve.proxy.repeats import Repeats
+from mallowvalve.proxy.steps import Answer, Ask, Body, Exchange, Insist, Offer, Open, Pause, Reply, Room
+from mallowvalve.upstreams.board import Aged, Board, Heartbeat
 from sim.history import History
+from sim.replica import ReplicaNode
 
 _verdict = msgspec.msgpack.Decoder(Verdict).decode
-_beat = msgspec.msgpack.Decoder(Beat).decode
+_heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
 _aged = msgspec.msgpack.Decoder(list[Aged]).decode
 _digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
 _names = msgspec.msgpack.Decoder(list[bytes]).decode
@@ -23,23 +23,23 @@
 LATE = 20.0
 
 
-class SimSession:
-    """One exchange at a time; an answer that comes late is read by whoever uses the session next, as on a real one."""
+class SimConnection:
+    """One exchange at a time; an answer that comes late is read by whoever uses the connection next, as on a real one."""
 
-    def __init__(self, node: Flow, beat: Beat, life: int):
-        self.node, self.beat, self.life, self.since = node, beat, life, node.now
+    def __init__(self, node: Proxy, heartbeat: Heartbeat, life: int):
+        self.node, self.heartbeat, self.life, self.since = node, heartbeat, life, node.now
         self.closed, self._then = False, None
 
     def close(self) -> None:
         self.closed = True
 
     def stale(self) -> bool:
-        n = self.node.world.nodes.get(self.beat.address)
+        n = self.node.world.nodes.get(self.heartbeat.address)
         return n is not None and n.life != self.life
 
     def exchange(self, request: bytes, end: float, then) -> None:
         self._then = then
-        self.node.call(self.beat.address, "run", request, LATE, self._arrived)
+        self.node.call(self.heartbeat.address, "run", request, LATE, self._arrived)
         self.node.wake(max(0.001, end - self.node.now), lambda: self._ended(then))
 
     def _arrived(self, data: bytes | None) -> None:
@@ -64,17 +64,17 @@
         self.tell(name)
 
 
-class Flow(EchoNode):
-    """The proxy: its own path, pool, board and echo, over simulated sessions."""
+class Proxy(ReplicaNode):
+    """The proxy: its own path, pool, board and replica, over simulated connections."""
 
-    def __init__(self, world, addr, locality, laws, history: History, flows):
-        super().__init__(world, addr, "flow", locality, laws)
-        self.history, self.flows = history, flows
+    def __init__(self, world, addr, locality, controls, history: History, proxies):
+        super().__init__(world, addr, "proxy", locality, controls)
+        self.history, self.proxies = history, proxies
         self.board, self.repeats = Board(), Telling()
         self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
-        self.pool = Pool(self.board, self.echo, locality, self.rng, lambda: self.now, self._freed)
+        self.pool = Pool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
         self.path = Path(
-            self.echo,
+            self.replica,
             self.pool,
             self.repeats,
             Counts(),
@@ -89,15 +89,15 @@
 
     def _watch(self) -> None:
         if self.admits():
-            self.history.admitted.append((self.now, self.addr, self.echo.revision, self.echo.group))
+            self.history.admitted.append((self.now, self.addr, self.replica.revision, self.replica.group))
 
     def handle(self, kind, src, body, answer) -> None:
         match kind:
             case "request":
                 self._request(src, decode(body), answer)
-            case "beat":
-                self._beat(_beat(body), answer)
-            case "beats":
+            case "heartbeat":
+                self._heartbeat(_heartbeat(body), answer)
+            case "heartbeats":
                 self._merge(_aged(body))
             case "digest":
                 answer(encode(self.board.newer_than(_digest(body), self.now)))
@@ -149,17 +149,17 @@
                 self.wake(max(0.001, s.end - self.now), lambda: self._no_room(s.service, go))
             case Open():
                 left = max(0.001, min(1.0, s.end - self.now))
-                self.call(s.beat.address, "status", b"", left, lambda d: go(self._identify(s.beat, d)))
+                self.call(s.heartbeat.address, "status", b"", left, lambda d: go(self._identify(s.heartbeat, d)))
             case Exchange():
-                s.session.exchange(encode([s.session.life, *mark]), s.end, go)
+                s.connection.exchange(encode([s.connection.life, *mark]), s.end, go)
 
-    def _identify(self, b: Beat, data: bytes | None) -> Result:
+    def _identify(self, b: Heartbeat, data: bytes | None) -> Result:
         if data is None:
             return Err("unreachable")
         service, instance, incarnation, life = decode(data)
         if (service, instance, incarnation) != (b.service, b.instance, b.incarnation):
             return Err("status: another upstream answers here")
-        return Ok(SimSession(self, b, life))
+        return Ok(SimConnection(self, b, life))
 
     def _freed(self, service: str) -> None:
         for go in self._rooms.pop(service, []):
@@ -179,21 +179,21 @@
 
         self.offer(encode(s.command), 2.0, took)
 
-    def _beat(self, b: Beat, answer) -> None:
-        if b.service not in self.echo.tree.doc.services:
+    def _heartbeat(self, b: Heartbeat, answer) -> None:
+        if b.service not in self.replica.tree.doc.services:
             return
         if self.board.hear(b, self.now):
-            self._tell_others("beats", encode([Aged(b, 0.0)]))
+            self._tell_others("heartbeats", encode([Aged(b, 0.0)]))
         answer(b"ok")
 
     def _merge(self, aged: list[Aged]) -> None:
         for a in aged:
-            self.board.hear(a.beat, self.now, a.age)
+            self.board.hear(a.heartbeat, self.now, a.age)
 
     def _digests(self) -> None:
         self.pool.tidy()
         self.board.forget(self.now)
-        others = [a for a in self.flows() if a != self.addr]
+        others = [a for a in self.proxies() if a != self.addr]
         if others:
             self.call(
                 self.rng.choice(others),
@@ -204,7 +204,7 @@
             )
 
     def _tell_others(self, kind: str, body: bytes) -> None:
-        for a in self.flows():
+        for a in self.proxies():
             if a != self.addr:
                 self.cast(a, kind, body)
 
--- a/sim/echo.py
+++ b/sim/replica.py
@@ -4,41 +4,41 @@
 
 from msgspec.structs import replace
 
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law import wire
-from mallowvalve.law.echotask import AGAIN, ATTEMPT
-from mallowvalve.law.echo import Echo
-from mallowvalve.law.pieces import Gather, Shelf, read_label, read_piece, read_want
-from mallowvalve.law.pull import BASE, NOW
+from mallowvalve.control import wire
+from mallowvalve.control.replica import Replica
+from mallowvalve.control.replica_task import AGAIN, ATTEMPT
+from mallowvalve.control.snapshot_fetch import BASE, NOW
+from mallowvalve.control.snapshot_transfer import Gather, Shelf, read_label, read_piece, read_want
+from mallowvalve.types import Address, Locality
 from sim.world import Node, World
 
 
-class EchoNode(Node):
-    def __init__(self, world: World, addr: Address, role: str, locality: Locality, laws):
+class ReplicaNode(Node):
+    def __init__(self, world: World, addr: Address, role: str, locality: Locality, controls):
         super().__init__(world, addr)
-        self.role, self.locality, self.laws = role, locality, laws
+        self.role, self.locality, self.controls = role, locality, controls
         self.rng = random.Random(world.rng.random())
-        self.echo = Echo(addr, self.life, role, locality, lambda built: None)
+        self.replica = Replica(addr, self.life, role, locality, lambda built: None)
         self.shelf = SimShelf()
         self.wake(0.01, self._follow)
         self.every(0.3, self._round)
 
     def admits(self) -> bool:
-        return self.echo.admits(self.now)
+        return self.replica.admits(self.now)
 
-    def law(self) -> Address:
-        return self.echo.leader or self.rng.choice(self.laws())
+    def control(self) -> Address:
+        return self.replica.leader or self.rng.choice(self.controls())
 
     def handle(self, kind, src, body, answer) -> None:
         match kind:
             case "round":
-                answer(wire.encode(self.echo.tell(wire.round_(body))))
+                answer(wire.encode(self.replica.tell(wire.round_(body))))
             case "label":
-                answer(wire.encode(self.shelf.offer(self.echo.picture(), self.now)))
+                answer(wire.encode(self.shelf.offer(self.replica.snapshot(), self.now)))
             case "piece":
                 answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
             case "who":
-                e = self.echo
+                e = self.replica
                 answer(
                     wire.encode(
                         wire.Who(
@@ -57,39 +57,39 @@
                 )
 
     def _follow(self) -> None:
-        to = self.law()
-        self.call(to, "want", wire.encode(self.echo.want(self.now)), 1.5, lambda d: self._fed(to, d))
+        to = self.control()
+        self.call(to, "want", wire.encode(self.replica.want(self.now)), 1.5, lambda d: self._fed(to, d))
 
     def _fed(self, to: Address, data: bytes | None) -> None:
         if data is None:
-            if self.echo.leader == to:
-                self.echo.leader = None
+            if self.replica.leader == to:
+                self.replica.leader = None
             return self.wake(0.1, self._follow)
         f = wire.fed(data)
-        self.echo.fed(f, self.now)
+        self.replica.fed(f, self.now)
         if f.lacking:
             return pull(
-                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.echo.lacks
+                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.replica.lacks
             )
         self.wake(0.05 if f.group is None else 0.001, self._follow)
 
     def _round(self) -> None:
-        if not self.echo.quiet(self.now):
+        if not self.replica.quiet(self.now):
             return
-        m = self.echo.round(self.now)
+        m = self.replica.round(self.now)
         if m is None:
             return
-        for a in self.echo.roster():
+        for a in self.replica.roster():
             if a != self.addr:
                 self.call(a, "round", wire.encode(m), 1.0, lambda d, a=a: self._told(a, d))
 
     def _told(self, a: Address, data: bytes | None) -> None:
-        if data is not None and self.echo.told(wire.told(data)):
-            pull(self, a, NOW, self._fetched, self.echo.lacks)
+        if data is not None and self.replica.told(wire.told(data)):
+            pull(self, a, NOW, self._fetched, self.replica.lacks)
 
     def _fetched(self, got) -> None:
         if got is not None:
-            self.echo.adopt(*got)
+            self.replica.adopt(*got)
 
     def offer(self, command: bytes, limit: float, then) -> None:
         offer(self, command, self.now + limit, then)
@@ -101,7 +101,7 @@
 
 
 def pull(node: Node, to: Address, what: bytes, then, wanted=lambda l: True) -> None:
-    """Fetches a picture by pieces; then(None) if it does not come."""
+    """Fetches a snapshot by pieces; then(None) if it does not come."""
 
     def labelled(d: bytes | None) -> None:
         l = read_label(d) if d is not None else None
@@ -127,14 +127,14 @@
     left = min(end - node.now, attempt)
     if left <= 0:
         return then(wire.Took("undecided"))
-    to = node.law()
+    to = node.control()
 
     def took(data: bytes | None) -> None:
         t = wire.took(data) if data is not None else None
         if t is not None and t.code not in AGAIN:
             return then(t)
-        if hasattr(node, "echo"):
-            node.echo.leader = t.leader if t is not None else None
+        if hasattr(node, "replica"):
+            node.replica.leader = t.leader if t is not None else None
         else:
             node.leader = t.leader if t is not None else None
         node.wake(0.05, lambda: offer(node, command, end, then, attempt))
--- /dev/null
+++ b/sim/request_cost.py
@@ -0,0 +1,46 @@
+"""One request carried through the proxy's request machine without any socket."""
+
+from __future__ import annotations
+
+from result import Ok
+
+from mallowvalve.http_head import read_head
+from mallowvalve.proxy.reader import Reader
+from mallowvalve.proxy.steps import Answer, Ask, Exchange, Open
+from mallowvalve.proxy.tries import Tries
+
+HEAD = (
+    b"GET /p1001/ HTTP/1.1\r\nHost: h00001.example\r\nUser-Agent: client/1.0\r\nAccept: */*\r\nMallow-Ask: 0123456789abcdef\r\n"
+    b"Mallow-Limit: 1500\r\nAccept-Encoding: gzip\r\n"
+)
+ANSWER = (
+    b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\nMallow-Ask: 0123456789abcdef\r\n"
+    b"Mallow-Instance: up-000001\r\nMallow-Usage: 1,0,6\r\n\r\n" + b"x" * 400
+)
+
+
+class Kept:
+    """A connection that is open already."""
+
+    def __init__(self, up):
+        self.heartbeat, self.since, self.life = up, 0.0, 60.0
+
+    def stale(self) -> bool:
+        return False
+
+
+def carry_one(tries: Tries, head: bytes) -> None:
+    h = read_head(head)
+    steps, got = tries.carry(Ask(h.method, h.target, h.said, "", h.length, h.pairs)), None
+    try:
+        while True:
+            match steps.send(got):
+                case Open() as s:
+                    got = Ok(Kept(s.heartbeat))
+                case Exchange() as s:
+                    r = Reader(s.method, "mallow-ask", s.ask)
+                    r.take(ANSWER)
+                    got = Ok(Answer(r.status, r.headers, bytes(r.body), len(r.body), None, r.keep, r.said))
+    except StopIteration as e:
+        if e.value.status != 200:
+            raise SystemExit(f"a request ended in {e.value}") from None
--- a/sim/run.py
+++ b/sim/run.py
@@ -11,8 +11,8 @@
 
 
 def one(job: tuple[str, int, int, int]) -> tuple[str, int, list[str], dict]:
-    name, seed, cores, flows = job
-    found, figures = play(name, seed, cores=cores, flows=flows)
+    name, seed, cores, proxies = job
+    found, figures = play(name, seed, cores=cores, proxies=proxies)
     gc.collect()
     return name, seed, found, figures
 
@@ -22,16 +22,16 @@
 @click.option("--first", default=1, help="first seed")
 @click.option("--seeds", default=10, help="how many seeds a storm")
 @click.option("--cores", default=6)
-@click.option("--flows", default=9, help="9: Trinacria Splits' serving machines; 12: Cycles Le Goff's")
+@click.option("--proxies", default=9, help="9: Trinacria Splits' serving machines; 12: Cycles Le Goff's")
 @click.option("--jobs", default=6)
-def main(storms, first, seeds, cores, flows, jobs) -> None:
+def main(storms, first, seeds, cores, proxies, jobs) -> None:
     """Play seeded storms against the real machines and check every promise."""
     bad = runs = 0
     with ProcessPoolExecutor(jobs) as pool:
         for name in storms or STORMS:
             total: Counter = Counter()
             worst = wrong = 0
-            work = [(name, n, cores, flows) for n in range(first, first + seeds)]
+            work = [(name, n, cores, proxies) for n in range(first, first + seeds)]
             for _, seed, found, fig in pool.map(one, work):
                 for f in found[:4]:
                     click.echo(f"{name} seed {seed}: {f}")
--- a/sim/serving.py
+++ b/sim/serving.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from mallowvalve.whole.history import check as coordination
-from mallowvalve.whole.judge import in_force_at, worst_share
+from mallowvalve.localfleet.history import check as coordination
+from mallowvalve.localfleet.judge import in_force_at, worst_share
 from sim.config import allows
 from sim.history import IN_FORCE, Emptied, History
 
@@ -85,7 +85,7 @@
 
 
 def cold_share(h: History, instance: str, incarnation: int, born: float, pool: list[str]) -> float | None:
-    """What a cold upstream got in its first 2 s over the mean of its neighbours; None where too little ran."""
+    """What a cold upstream got in its first 2 s over the mean of its peers; None where too little ran."""
     rows = [r for r in h.served if r.instance in pool and born <= r.at < born + 2.0]
     if len(rows) < 30:
         return None
--- a/sim/storms.py
+++ b/sim/storms.py
@@ -2,9 +2,10 @@
 
 from collections.abc import Callable
 
-from sim.fleet import Fleet
 from sim import serving
-from sim.history import History, check as promises
+from sim.fleet import Fleet
+from sim.history import History
+from sim.history import check as promises
 from sim.pools import POOLS
 
 BACK = 15.0
@@ -32,7 +33,7 @@
 
 def herds(f: Fleet) -> None:
     for _ in range(4):
-        down = f.rng.sample(f.flows, len(f.flows) // 3) + f.rng.sample(f.core, 2)
+        down = f.rng.sample(f.proxies, len(f.proxies) // 3) + f.rng.sample(f.core, 2)
         for a in down:
             f.kill(a)
         f.run(1 + 3 * f.rng.random())
@@ -63,7 +64,7 @@
 
 
 def rolling(f: Fleet) -> None:
-    for a in f.core + f.flows + f.ways:
+    for a in f.core + f.proxies + f.directory_server:
         f.kill(a)
         f.run(0.7)
         f.start(a)
@@ -123,9 +124,9 @@
 
 
 def core_cut_off(f: Fleet) -> None:
-    f.world.split(f.core, f.flows + f.ways)
+    f.world.split(f.core, f.proxies + f.directory_server)
     f.run(3)
-    assert all(f.world.nodes[a].admits() for a in f.flows), "proxies that see each other stopped"
+    assert all(f.world.nodes[a].admits() for a in f.proxies), "proxies that see each other stopped"
     f.run(5)
     f.world.heal()
     f.run(3)
@@ -144,7 +145,7 @@
 
 def isolated(f: Fleet) -> None:
     for _ in range(3):
-        a = f.rng.choice(f.flows)
+        a = f.rng.choice(f.proxies)
         f.world.split([a], [b for b in f.nodes if b != a])
         f.run(2.5)
         assert not f.world.nodes[a].admits(), "an isolated proxy serves on"
@@ -192,8 +193,8 @@
     f.run(1)
 
 
-def wiped_all_but_one_flow(f: Fleet) -> None:
-    keep = f.rng.choice(f.flows)
+def wiped_all_but_one_proxy(f: Fleet) -> None:
+    keep = f.rng.choice(f.proxies)
     f.run(1)
     for a in f.nodes:
         if a != keep:
@@ -245,7 +246,7 @@
         disks,
         wiped_core,
         wiped_most,
-        wiped_all_but_one_flow,
+        wiped_all_but_one_proxy,
         lossy,
         mixed,
     )
@@ -255,7 +256,7 @@
 def play(name: str, seed: int, keep: dict | None = None, **shape) -> tuple[list[str], dict]:
     f = Fleet(seed, **shape)
     f.load()
-    if not f.run_until(lambda: f.served() > 3 and all(f.world.nodes[a].admits() for a in f.flows), 30):
+    if not f.run_until(lambda: f.served() > 3 and all(f.world.nodes[a].admits() for a in f.proxies), 30):
         return ["the fleet never came up"], {}
     f.run(8)
     try:
--- a/sim/target.py
+++ b/sim/target.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from mallowvalve.beat.board import Aged, Beat, Board
-from mallowvalve.beat.roll import Roll, Rolled, Upstream
-from mallowvalve.bond.detector import Bond
-from mallowvalve.bond.wire import ALIVE, VERSION, Ack, Head, Ping, Record, Tell
-from mallowvalve.bond.wire import encode as bond_encode
-from mallowvalve.kind import Address, Locality
-from mallowvalve.law import wire
-from mallowvalve.law.core import Core
-from mallowvalve.law.cut import founding
-from mallowvalve.law.state import Enrol, Evacuate, Seat, State, Strike, encode
-from mallowvalve.law.wire import Fed, Want
-from mallowvalve.mesh.frame import Frame, seal
-from mallowvalve.tree.items import Amend, HostRoute, Item, Items, Part, ServiceItem
-from mallowvalve.vote.wire import COMMAND, Entry, Group, Voters
+from mallowvalve.configuration.items import Amend, HostRoute, Item, Items, Part, ServiceItem
+from mallowvalve.control import wire
+from mallowvalve.control.core import Core
+from mallowvalve.control.snapshot import founding
+from mallowvalve.control.state import Enrol, Evacuate, Seat, State, Strike, encode
+from mallowvalve.control.wire import Fed, Want
+from mallowvalve.membership.detector import Membership
+from mallowvalve.membership.wire import ALIVE, VERSION, Ack, Head, Ping, Record, Tell
+from mallowvalve.membership.wire import encode as membership_encode
+from mallowvalve.raft.messages import COMMAND, Entry, Group, Voters
+from mallowvalve.transport.frame import Frame, seal
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.board import Aged, Board, Heartbeat
+from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
 REGIONS, ZONES = 16, 34
 NODES, UPSTREAMS, SERVICES, ROUTES, TENANTS = 5500, 66_000, 3400, 130_000, 370_000
@@ -46,8 +46,8 @@
     )
 
 
-def rolled(i: int) -> Rolled:
-    return Rolled([upstream(i)])
+def registered(i: int) -> Registered:
+    return Registered([upstream(i)])
 
 
 def route(i: int, version: int = 7) -> HostRoute:
@@ -75,12 +75,12 @@
 
 
 def record(i: int) -> Record:
-    return Record(addr(i), BOOT + i, 3, ALIVE, "flow", f"edge-{at(i).zone}-{i:04d}", at(i), addr(i, 8641), True)
+    return Record(addr(i), BOOT + i, 3, ALIVE, "proxy", f"edge-{at(i).zone}-{i:04d}", at(i), addr(i, 8641), True)
 
 
-def beat(i: int) -> Beat:
+def heartbeat(i: int) -> Heartbeat:
     u = upstream(i)
-    return Beat(u.service, u.instance, BOOT, 12_345, 0.5, "ready", u.locality, u.address)
+    return Heartbeat(u.service, u.instance, BOOT, 12_345, 0.5, "ready", u.locality, u.address)
 
 
 def doc(routes: int, tenants: int, services: int) -> dict:
@@ -114,13 +114,13 @@
 
 
 def fed(entries: list[Entry], told: Voters | None = None) -> Fed:
-    """An answer of the leader; the core machines are named only to an echo that may not know them."""
+    """An answer of the leader; the core machines are named only to a replica that may not know them."""
     n = 1_000_000
     return Fed(addr(1), GROUP, False, entries, n, 20_000_000 << 36 | n, 123456.789, told, 86_400_000, 86_400_100)
 
 
 def want() -> Want:
-    return Want(addr(9), BOOT, "flow", at(9), GROUP, 1_000_000, 20_000_000 << 36, 123456.789, "settings", 1.0)
+    return Want(addr(9), BOOT, "proxy", at(9), GROUP, 1_000_000, 20_000_000 << 36, 123456.789, "settings", 1.0)
 
 
 def frame(kind: str, body: bytes, answer: bool = False) -> int:
@@ -132,7 +132,7 @@
 
 
 def sizes() -> dict[str, int]:
-    """Bytes as encoded; what is "framed" has the mesh's own frame, not TCP's and IP's 40 a packet."""
+    """Bytes as encoded; what is "framed" has the transport's own frame, not TCP's and IP's 40 a packet."""
     head = Head(VERSION, "mallowvalve", addr(1), BOOT, 3)
     idle = frame("want", wire.encode(fed([])), True)
 
@@ -140,19 +140,19 @@
         return frame("want", wire.encode(fed([entry(encode(c))])), True) - idle
 
     return {
-        "roll row": len(encode(upstream(65_000))),
+        "registry row": len(encode(upstream(65_000))),
         "route item": len(encode(item(129_000))),
-        "membership record": len(bond_encode(record(5400))),
-        "ping": len(bond_encode(Ping(head, addr(1), addr(2), 9999))),
-        "ack": len(bond_encode(Ack(head, addr(1), addr(2), 9999))),
-        "tell of one": len(bond_encode(Tell(head, [record(5400)]))),
-        "tell of twelve": len(bond_encode(Tell(head, [record(5400 + i) for i in range(12)]))),
-        "beat noted, framed": frame("beats", encode([Aged(beat(65_000), 0.0)])),
-        "beat digest entry": len(encode({beat(65_000).name: beat(65_000).rank})) - 1,
+        "membership record": len(membership_encode(record(5400))),
+        "ping": len(membership_encode(Ping(head, addr(1), addr(2), 9999))),
+        "ack": len(membership_encode(Ack(head, addr(1), addr(2), 9999))),
+        "tell of one": len(membership_encode(Tell(head, [record(5400)]))),
+        "tell of twelve": len(membership_encode(Tell(head, [record(5400 + i) for i in range(12)]))),
+        "heartbeat noted, framed": frame("heartbeats", encode([Aged(heartbeat(65_000), 0.0)])),
+        "heartbeat digest entry": len(encode({heartbeat(65_000).name: heartbeat(65_000).rank})) - 1,
         "want, framed": frame("want", wire.encode(want())),
         "fed idle, framed": idle,
         "fed more: the core machines": frame("want", wire.encode(fed([], voters())), True) - idle,
-        "fed more: one upstream": more(rolled(65_000)),
+        "fed more: one upstream": more(registered(65_000)),
         "fed more: one route": more(Amend([item(129_000)], "operator-1/000123")),
         "fed more: a seat": more(Enrol(addr(9), BOOT, at(9))),
         "fed more: a strike": more(Strike(addr(9), BOOT)),
@@ -172,13 +172,13 @@
 
 
 def decoded(kind, x):
-    """As it comes off the wire: no text shared with its neighbours."""
+    """As it comes off the wire: no text shared with its peers."""
     return msgspec.msgpack.decode(encode(x), type=kind)
 
 
-def roll(n: int) -> Roll:
+def registry(n: int) -> Registry:
     """Laid in row by row: what `apply` takes for each is measured apart."""
-    r = Roll()
+    r = Registry()
     for i in range(n):
         u = decoded(Upstream, upstream(i))
         r.rows[u.instance] = u
@@ -186,7 +186,7 @@
 
 
 def service(i: int) -> Item:
-    d = ServiceItem(name=f"service-{i:04d}", version=7, sessions=550, cold_s=3.0, cold_per_s=7.3)
+    d = ServiceItem(name=f"service-{i:04d}", version=7, connections=550, cold_s=3.0, cold_per_s=7.3)
     return Item("services", d.name, 7, msgspec.json.encode(d))
 
 
@@ -201,8 +201,8 @@
     return x
 
 
-def bond(n: int) -> Bond:
-    b = Bond(record(0), "mallowvalve", [addr(1)], random.Random(1), 1.7178, 30, 0.5)
+def membership(n: int) -> Membership:
+    b = Membership(record(0), "mallowvalve", [addr(1)], random.Random(1), 1.7178, 30, 0.5)
     head = Head(VERSION, "mallowvalve", addr(1), BOOT + 1, 3)
     for i in range(1, n):
         b.receive(decoded(Tell, Tell(head, [record(i)])), 0.0)
@@ -212,21 +212,21 @@
 def board(n: int) -> Board:
     b = Board()
     for i in range(n):
-        b.hear(decoded(Beat, beat(i)), 0.0)
+        b.hear(decoded(Heartbeat, heartbeat(i)), 0.0)
     return b
 
 
 class Led:
-    """One leader that is its own quorum, fed wants by so many echoes; no sockets."""
+    """One leader that is its own quorum, fed wants by so many replicas; no sockets."""
 
     def __init__(self, n: int, batch: int):
         self.c = Core("a", addr(1), at(1), random.Random(1))
         s = State(GROUP.generation)
-        s.params.roster = {str(addr(i)): Seat(BOOT + i, at(i)) for i in range(100, 100 + n)}
+        s.settings.roster = {str(addr(i)): Seat(BOOT + i, at(i)) for i in range(100, 100 + n)}
         self.c.start(founding(GROUP, Voters({"a": addr(1)}), s), None, [], 0.0, s)
         self.batch, self.now, self.sent, self.fed_entries = batch, 5.0, 0, 0
         self.wants = {
-            i: Want(addr(i), BOOT + i, "flow", at(i), GROUP, 0, 0, 0.0, "settings", 1.0) for i in range(100, 100 + n)
+            i: Want(addr(i), BOOT + i, "proxy", at(i), GROUP, 0, 0, 0.0, "settings", 1.0) for i in range(100, 100 + n)
         }
         for wait in (0.1, *[0.5] * 6):
             self.step()
@@ -240,7 +240,7 @@
         return out
 
     def ask(self, who: list[int]) -> list:
-        """These echoes ask, so many a turn of the leader's loop; what was answered."""
+        """These replicas ask, so many a turn of the leader's loop; what was answered."""
         out = []
         for lo in range(0, len(who), self.batch):
             for i in who[lo : lo + self.batch]:
@@ -249,12 +249,12 @@
         return out
 
     def parked(self) -> int:
-        """Echoes whose question waits for news."""
+        """Replicas whose question waits for news."""
         return len(self.c._parked)
 
     def change(self, i: int, limit: float) -> list:
         """One change proposed and fed to all whose questions wait; what else was answered."""
-        data = encode(rolled(i))
+        data = encode(registered(i))
         self.c.propose(data, "change", limit, self.now)
         return self.answer(self.step())
 
--- a/sim/upstream.py
+++ b/sim/upstream.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from mallowvalve.beat.board import Beat
-from mallowvalve.kind import Address, Locality
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.board import Heartbeat
 from sim.history import Cold, History, Left, Ran
 from sim.world import Node, World
 
@@ -13,7 +13,7 @@
 
 
 class Upstream(Node):
-    """Beats, runs what comes over its sessions, and may lose, garble, halve or delay its answers."""
+    """Heartbeats, runs what comes over its connections, and may lose, garble, halve or delay its answers."""
 
     def __init__(
         self,
@@ -23,17 +23,17 @@
         service: str,
         instance: str,
         locality: Locality,
-        flows,
+        proxies,
         lose: float,
     ):
         super().__init__(world, addr)
         self.history, self.service, self.instance, self.locality = history, service, instance, locality
-        self.flows, self.lose = flows, lose
+        self.proxies, self.lose = proxies, lose
         self.born, self.incarnation, self.sequence = world.now, self.life, 0
         self.state, self.busy, self.work = "ready", 0, WORK
         self.fault, self.share = "", 0.0
         self.learned = False
-        self._beat()
+        self._heartbeat()
 
     def leave(self) -> None:
         self.state = "leaving"
@@ -46,14 +46,14 @@
             case "run":
                 self._run(decode(body), answer)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         if self.state == "ready":
             self._tell()
-            self.wake(1.0 + self.world.rng.random(), self._beat)
+            self.wake(1.0 + self.world.rng.random(), self._heartbeat)
 
     def _tell(self) -> None:
         self.sequence += 1
-        b = Beat(
+        b = Heartbeat(
             self.service,
             self.instance,
             self.incarnation,
@@ -64,8 +64,8 @@
             self.addr,
         )
         state = self.state
-        for a in self.world.rng.sample(self.flows(), min(2, len(self.flows()))):
-            self.call(a, "beat", encode(b), 0.5, lambda d: self._heard(state, d))
+        for a in self.world.rng.sample(self.proxies(), min(2, len(self.proxies()))):
+            self.call(a, "heartbeat", encode(b), 0.5, lambda d: self._heard(state, d))
         if self.state == "leaving":
             self.wake(0.5, lambda: self.learned or self._tell())
 
