--- a/sim/users.py
+++ b/sim/users.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from mallowvalve.kind import Address
-from mallowvalve.law import wire
-from mallowvalve.law.echotask import ATTEMPT
-from mallowvalve.law.state import Change, Evacuate, encode
-from mallowvalve.tie.state import Lock, Next, Put, Said, Unlock
-from mallowvalve.whole.history import Op
+from mallowvalve.control import wire
+from mallowvalve.control.replica_task import ATTEMPT
+from mallowvalve.control.state import Change, Evacuate, encode
+from mallowvalve.coordination.state import Lock, Next, Put, Said, Unlock
+from mallowvalve.localfleet.history import Op
+from mallowvalve.types import Address
 from sim.config import config
-from sim.echo import offer
 from sim.history import Emptied, History, Offered
+from sim.replica import offer
 from sim.world import Node, World
 
 _said = msgspec.msgpack.Decoder(Said).decode
@@ -20,14 +20,14 @@
 
 
 class User(Node):
-    def __init__(self, world: World, addr: Address, laws, history: History):
+    def __init__(self, world: World, addr: Address, controls, history: History):
         super().__init__(world, addr)
-        self.laws, self.history, self.rng = laws, history, random.Random(world.rng.random())
+        self.controls, self.history, self.rng = controls, history, random.Random(world.rng.random())
         self.leader: Address | None = None
         self.n = 0
 
-    def law(self) -> Address:
-        return self.leader or self.rng.choice(self.laws())
+    def control(self) -> Address:
+        return self.leader or self.rng.choice(self.controls())
 
     def handle(self, kind, src, body, answer) -> None:
         return None
@@ -43,9 +43,9 @@
 class Customer(User):
     """Orders under a key; a hasty one does not wait for the answer before it asks again."""
 
-    def __init__(self, world, addr, laws, history, flows, hasty=False):
-        super().__init__(world, addr, laws, history)
-        self.flows, self.hasty = flows, hasty
+    def __init__(self, world, addr, controls, history, proxies, hasty=False):
+        super().__init__(world, addr, controls, history)
+        self.proxies, self.hasty = proxies, hasty
         self.wake(3.0, self._order)
 
     def _order(self) -> None:
@@ -66,15 +66,15 @@
         slow = self.rng.random() * 3 if self.rng.random() < 0.1 else 0.0
         ask = [key, key, n, "runner", "POST", "/runs", int(LIMIT * 1000), False, slow]
         wait = 0.1 + self.rng.random() * 0.4 if self.hasty else LIMIT + 1.5
-        self.call(self.rng.choice(self.flows()), "request", encode(ask), wait, heard)
+        self.call(self.rng.choice(self.proxies()), "request", encode(ask), wait, heard)
 
 
 class Reader(User):
     """Reads rankings at a rate; a relentless one repeats at once, unmarked, and without end."""
 
-    def __init__(self, world, addr, laws, history, flows, rate=5.0, relentless=False):
-        super().__init__(world, addr, laws, history)
-        self.flows, self.rate, self.relentless = flows, rate, relentless
+    def __init__(self, world, addr, controls, history, proxies, rate=5.0, relentless=False):
+        super().__init__(world, addr, controls, history)
+        self.proxies, self.rate, self.relentless = proxies, rate, relentless
         self.wake(3.0 + self.rng.random(), self._next)
 
     def _next(self) -> None:
@@ -93,12 +93,12 @@
 
         slow = self.rng.random() * 3 if self.rng.random() < 0.05 else 0.0
         ask = [id, "", n, "overlay", "GET", target, int(LIMIT * 1000), n > 1 and not self.relentless, slow]
-        self.call(self.rng.choice(self.flows()), "request", encode(ask), LIMIT + 1.5, heard)
+        self.call(self.rng.choice(self.proxies()), "request", encode(ask), LIMIT + 1.5, heard)
 
 
 class Operator(User):
-    def __init__(self, world, addr, laws, history, zones):
-        super().__init__(world, addr, laws, history)
+    def __init__(self, world, addr, controls, history, zones):
+        super().__init__(world, addr, controls, history)
         self.base, self.zones = 0, zones
         self.wake(1.0, self._change)
 
@@ -135,12 +135,12 @@
         self.propose(Evacuate(zone, on, name), 8.0, took)
 
     def _read(self) -> None:
-        to, begun = self.law(), self.now
+        to, begun = self.control(), self.now
 
         def took(data: bytes | None) -> None:
             node = self.world.nodes.get(to)
             if data is not None and wire.took(data).code == "ok" and node is not None and node.core.state is not None:
-                s = node.core.state.params
+                s = node.core.state.settings
                 self.history.reads.append((begun, self.now, s.doc_revision, s.doc))
             else:
                 self.leader = wire.took(data).leader if data is not None else None
@@ -150,8 +150,8 @@
 
 
 class Locker(User):
-    def __init__(self, world, addr, laws, history):
-        super().__init__(world, addr, laws, history)
+    def __init__(self, world, addr, controls, history):
+        super().__init__(world, addr, controls, history)
         self.wake(3.0, self._lock)
 
     def _lock(self) -> None:
@@ -176,8 +176,8 @@
 
 
 class Counter(User):
-    def __init__(self, world, addr, laws, history):
-        super().__init__(world, addr, laws, history)
+    def __init__(self, world, addr, controls, history):
+        super().__init__(world, addr, controls, history)
         self.wake(3.0, self._next)
 
     def _next(self) -> None:
@@ -204,12 +204,12 @@
 class Keeper(User):
     """Reads a key and puts it anew on what it read; judged by revisions and by what ended before what began."""
 
-    def __init__(self, world, addr, laws, history):
-        super().__init__(world, addr, laws, history)
+    def __init__(self, world, addr, controls, history):
+        super().__init__(world, addr, controls, history)
         self.wake(3.0, self._read)
 
     def _read(self) -> None:
-        to, begun, name = self.law(), self.now, f"c{self.rng.randrange(2)}"
+        to, begun, name = self.control(), self.now, f"c{self.rng.randrange(2)}"
 
         def took(data: bytes | None) -> None:
             t = wire.took(data) if data is not None else None
@@ -218,7 +218,7 @@
                 self.leader = t.leader if t is not None else None
                 return self.wake(0.1, self._read)
             s = node.core.state
-            value, at = s.tie.keys.get(name, (None, 0))
+            value, at = s.coordination.keys.get(name, (None, 0))
             self.history.coord.ops.append(
                 Op("read", name, str(self.addr), begun, self.now, "ok", s.revision, value, None, at)
             )
@@ -241,15 +241,15 @@
 
 
 class Watcher(User):
-    """Reads events from whichever law answers, resuming by revision."""
+    """Reads events from whichever control process answers, resuming by revision."""
 
-    def __init__(self, world, addr, laws, history):
-        super().__init__(world, addr, laws, history)
+    def __init__(self, world, addr, controls, history):
+        super().__init__(world, addr, controls, history)
         self.since = 0
         self.every(0.3, self._poll)
 
     def _poll(self) -> None:
-        to = self.law()
+        to = self.control()
 
         def took(data: bytes | None) -> None:
             t = wire.took(data) if data is not None else None
@@ -257,7 +257,7 @@
             if t is None or t.code != "ok" or node is None or node.core.state is None:
                 self.leader = t.leader if t is not None else None
                 return
-            events = node.core.state.tie.since(self.since, "")
+            events = node.core.state.coordination.since(self.since, "")
             if events is None:
                 self.history.compacted.append((self.now, str(self.addr), self.since))
                 self.since = node.core.state.revision
--- a/sim/world.py
+++ b/sim/world.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Callable
 
-from mallowvalve.kind import Address
+from mallowvalve.types import Address
 
 
 class World:
--- a/tests/test_formula.py
+++ b/tests/test_formula.py
@@ -1,6 +1,6 @@
 import pytest
 
-from mallowvalve.bond import formula
+from mallowvalve.membership import formula
 
 
 def test_period_and_helpers_match_hand_worked_values():
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,6 +1,6 @@
 import pytest
 
-from mallowvalve.whole.history import Event, History, Hold, Op, check
+from mallowvalve.localfleet.history import Event, History, Hold, Op, check
 
 
 def put(begun, ended, revision, value, base=None, said="ok", name="k"):
--- a/tests/test_aim.py
+++ b/tests/test_planner.py
@@ -1,8 +1,8 @@
 import copy
 
-from mallowvalve.aim.plan import Seen, plan
-from mallowvalve.kind import Locality
-from mallowvalve.tree.build import build
+from mallowvalve.configuration.build import build
+from mallowvalve.planner.plan import Seen, plan
+from mallowvalve.types import Locality
 from tests.shapes import CONFIG
 
 UP = [Seen("boards", "b-eu", Locality("eu", "eu-a")), Seen("boards", "b-us", Locality("us", "us-a"))]
--- a/tests/test_press.py
+++ b/tests/test_press.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from mallowvalve.kind import Address
-from mallowvalve.mesh import frame
-from mallowvalve.mesh.frame import VERSION, Cutter, Frame, Hello, seal
+from mallowvalve.transport import frame
+from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, seal
+from mallowvalve.types import Address
 
 HELLO = seal(Hello(VERSION, "f", Address("10.0.0.1", 1)))
 LONG = Frame("want", 7, True, b"route-name,prefix,service," * 2000)
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from mallowvalve.whole.history import Op
-from mallowvalve.whole.judge import Offered
+from mallowvalve.localfleet.history import Op
+from mallowvalve.localfleet.judge import Offered
 from sim.config import config
 from sim.history import Emptied, History, Left, Ran
 from sim.serving import check, cold_share
--- a/tests/test_kind.py
+++ b/tests/test_types.py
@@ -1,6 +1,6 @@
 import pytest
 
-from mallowvalve.kind import Address, Locality, Revision
+from mallowvalve.types import Address, Locality, Revision
 
 
 def test_revisions_rise_by_generation_then_index_and_fit_a_signed_64_bit_integer():
