--- a/mallowvalve/storage/log.py
+++ b/mallowvalve/storage/log.py
@@ -77,7 +77,7 @@
             self.disk.cut(self._segments[-1], self._size)
             self._broken = False
         data = seal(_pack(batch))
-        name = self._segments[-1] if self._segments else self._registry()
+        name = self._segments[-1] if self._segments else self._new_segment()
         self._broken = True
         self.disk.append(name, data)
         self.disk.sync(name)
@@ -99,7 +99,7 @@
     def turn(self, name: str, snapshot: list[bytes], head: Batch) -> None:
         old_pics = [n for n in self.disk.names() if n.startswith("snapshot-") and n != name]
         old, self._segments = self._segments, []
-        self._registry()
+        self._new_segment()
         try:
             self.save(head)
         except OSError:
@@ -121,7 +121,7 @@
         self.snapshot, self.batches, self._segments, self._size, self._broken = None, [], [], 0, False
         self.snapshot_bytes = 0
 
-    def _registry(self) -> str:
+    def _new_segment(self) -> str:
         self._serial += 1
         name = f"log-{self._serial:016x}"
         self._segments.append(name)
