--- /dev/null
+++ b/verification/bounds.py
@@ -0,0 +1,41 @@
+"""How far an exploration goes: how many of each kind of event one path may hold."""
+
+from __future__ import annotations
+
+import msgspec
+
+UNBOUNDED = 1 << 30
+
+
+class Bounds(msgspec.Struct, frozen=True):
+    """Counts of one path, but for `members` and `spares`, which are machines, and `terms`, the highest term."""
+
+    members: int = 3
+    spares: int = 0
+    terms: int = 2
+    beats: int = 1
+    commands: int = 1
+    crashes: int = 0
+    wipes: int = 0
+    changes: int = 0
+    repeats: int = 0
+    reads: int = 0
+    silences: int = 0
+    compactions: int = 0
+    handovers: int = 0
+    led: bool = False
+
+
+WALK = Bounds(
+    members=3,
+    spares=0,
+    terms=UNBOUNDED,
+    beats=UNBOUNDED,
+    commands=UNBOUNDED,
+    crashes=UNBOUNDED,
+    repeats=UNBOUNDED,
+    reads=UNBOUNDED,
+    silences=UNBOUNDED,
+    compactions=UNBOUNDED,
+    handovers=UNBOUNDED,
+)
--- /dev/null
+++ b/verification/cluster.py
@@ -0,0 +1,258 @@
+"""A cluster of members and the messages between them: which steps are possible, and what each does."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator
+
+from msgspec.structs import replace
+
+from mallowvalve.raft.messages import Group, Install, Message, Snapshot, Voters
+from mallowvalve.raft.raft import Raft
+from mallowvalve.types import Address
+from verification import steps
+from verification.bounds import Bounds
+from verification.disk import WHOLE
+from verification.identity import Still, digest
+from verification.invariants import Record
+from verification.member import FROZEN_FOR, Member, Sent, announced
+from verification.reconfigurations import proposals
+
+GROUP = Group(1, "verification")
+HOST = "10.0.0.1"
+FIRST_PORT = 7001
+KEPT = (0, WHOLE // 2, WHOLE)
+Flight = tuple[str, str, str]
+
+
+class Impossible(Exception):
+    """A step that this state does not allow: the trace belongs to another state."""
+
+
+class Cluster:
+    """The members, what is in flight, what was spent of the bounds, and the record of what the checks remember.
+
+    A message in flight is known by its sender, its receiver and its text, so two that say the same are one.
+    """
+
+    __slots__ = ("bounds", "kind", "machine", "members", "flights", "spent", "record", "_shared")
+
+    def __init__(
+        self, bounds: Bounds, machine: type[Raft] = Raft, seed: int | None = None, member: type[Member] = Member
+    ):
+        """With no `seed` the members' random numbers are all 0, which the breadth-first search needs."""
+        self.bounds, self.machine, self.kind = bounds, machine, member
+        names = [f"n{number}" for number in range(bounds.members)]
+        first = Snapshot(GROUP, 0, 0, Voters({name: address(name) for name in names}), [b""])
+        self.members: dict[str, Member] = {}
+        for number in range(bounds.members + bounds.spares):
+            self._add(f"n{number}", first, seed)
+        self.flights: dict[Flight, Message] = {}
+        self.spent: dict[str, int] = {}
+        self.record = Record()
+        self._shared: set[str] = set()
+        if bounds.led:
+            self._lead_first()
+
+    def _add(self, name: str, snapshot: Snapshot, seed: int | None) -> None:
+        rng = Still() if seed is None else random.Random(f"{seed} {name}")
+        self.members[name] = self.kind(name, self.machine, rng, snapshot)
+
+    def fork(self) -> Cluster:
+        """A cluster in the same state; members are copied once they are touched."""
+        other = object.__new__(Cluster)
+        other.bounds, other.machine, other.kind = self.bounds, self.machine, self.kind
+        other.members, other.flights, other.spent = dict(self.members), dict(self.flights), dict(self.spent)
+        other.record = self.record.copy()
+        other._shared = set(self.members)
+        return other
+
+    def key(self) -> bytes:
+        """The identity of the state: members, messages in flight, what the bounds still allow, and what is recorded."""
+        members = [member.key() for member in self.members.values()]
+        return digest([members, sorted(self.flights), sorted(self.spent.items()), self.record.key()])
+
+    def apply(self, step: steps.Step) -> str | None:
+        """Takes one step and checks the state; gives what is broken, if anything. Raises Impossible."""
+        match step:
+            case steps.Deliver():
+                sent = self._deliver(step)
+                touched = step.to
+            case steps.Lose():
+                self._take(step, keep=False)
+                return None
+            case _:
+                sent = self._at(step, self._own(step.member))
+                touched = step.member
+        self._send(touched, sent)
+        return self.record.check(self.members, self.members[touched])
+
+    def _own(self, name: str) -> Member:
+        if name not in self.members:
+            raise Impossible(name)
+        if name in self._shared:
+            self.members[name] = self.members[name].copy()
+            self._shared.discard(name)
+        return self.members[name]
+
+    def _deliver(self, step: steps.Deliver) -> Sent:
+        message = self._take(step, step.keep)
+        if step.keep:
+            self._spend("repeats")
+        member = self._own(step.to)
+        if member.unsaved is not None:
+            raise Impossible(step.to)
+        return member.step(lambda raft: raft.receive(step.sender, message, member.now))
+
+    def _take(self, step: steps.Deliver | steps.Lose, keep: bool) -> Message:
+        flight = (step.sender, step.to, step.message)
+        if flight not in self.flights:
+            raise Impossible(step.message)
+        return self.flights[flight] if keep else self.flights.pop(flight)
+
+    def _at(self, step: steps.Step, member: Member) -> Sent:
+        if isinstance(step, steps.Crash):
+            self._spend("crashes")
+            member.crash(step.kept)
+            return []
+        if isinstance(step, steps.Save) != (member.unsaved is not None):
+            raise Impossible(step.member)
+        match step:
+            case steps.Save():
+                return member.save()
+            case steps.Timeout():
+                return self._time_out(member)
+            case steps.Silence():
+                self._spend("silences")
+                member.now += FROZEN_FOR
+                return member.step(lambda raft: None)
+            case steps.Propose():
+                self._spend("commands")
+                return member.propose(step.command.encode())
+            case steps.Read():
+                self._spend("reads")
+                return member.read(self.record.acknowledged)
+            case steps.Reconfigure():
+                self._spend("changes")
+                voters = Voters(*[{name: address(name) for name in part} for part in (step.voters, step.learners)])
+                return member.step(lambda raft: raft.change_voters(voters, 0))
+            case steps.HandOver():
+                self._spend("handovers")
+                return member.step(lambda raft: raft.hand_over())
+            case steps.Compact():
+                self._spend("compactions")
+                member.compact()
+                return []
+        raise Impossible(str(step))
+
+    def _time_out(self, member: Member) -> Sent:
+        if member.raft.leads:
+            self._spend("beats")
+        member.now = max(member.now, member.raft.timer())
+        return member.step(lambda raft: None)
+
+    def _spend(self, what: str) -> None:
+        self.spent[what] = self.spent.get(what, 0) + 1
+
+    def _left(self, what: str) -> bool:
+        return self.spent.get(what, 0) < getattr(self.bounds, what)
+
+    def _send(self, sender: str, sent: Sent) -> None:
+        """An announcement of a snapshot is followed by what its receiver fetches: each is a message of its own."""
+        for to, message in sent:
+            if to not in self.members:
+                continue
+            if isinstance(message, Install):
+                told = replace(message, snapshot=announced(message.snapshot))
+                self.flights[(sender, to, repr(told))] = told
+            self.flights[(sender, to, repr(message))] = message
+        member = self.members[sender]
+        if member.unsaved is not None and not self._left("crashes"):
+            self._send(sender, member.save())
+
+    def options(self, kind: type) -> Iterator[steps.Step]:
+        """The steps of one kind that this state and the bounds allow."""
+        return getattr(self, f"_{kind.__struct_config__.tag.replace('-', '_')}_options")()
+
+    def everything(self) -> Iterator[steps.Step]:
+        """All steps that this state and the bounds allow; what is never delivered is as good as lost."""
+        for kind in steps.Step.__args__:
+            if kind is not steps.Lose:
+                yield from self.options(kind)
+
+    def idle(self) -> Iterator[Member]:
+        """The members that do not wait for their disk."""
+        return (member for member in self.members.values() if member.unsaved is None)
+
+    def leaders(self, budget: str) -> Iterator[Member]:
+        """The idle members that lead, if the budget allows something of this kind."""
+        return (member for member in self.idle() if member.raft.leads and self._left(budget))
+
+    def _timeout_options(self) -> Iterator[steps.Step]:
+        for member in self.idle():
+            allowed = self._left("beats") if member.raft.leads else member.raft.term < self.bounds.terms
+            if allowed:
+                yield steps.Timeout(member.id)
+
+    def _silence_options(self) -> Iterator[steps.Step]:
+        if self._left("silences"):
+            yield from (steps.Silence(member.id) for member in self.idle())
+
+    def _deliver_options(self) -> Iterator[steps.Step]:
+        repeats = (False, True) if self._left("repeats") else (False,)
+        for sender, to, text in self.flights:
+            if self.members[to].unsaved is None:
+                yield from (steps.Deliver(sender, to, text, keep) for keep in repeats)
+
+    def _lose_options(self) -> Iterator[steps.Step]:
+        yield from (steps.Lose(*flight) for flight in self.flights)
+
+    def _save_options(self) -> Iterator[steps.Step]:
+        yield from (steps.Save(member.id) for member in self.members.values() if member.unsaved is not None)
+
+    def _crash_options(self) -> Iterator[steps.Step]:
+        if not self._left("crashes"):
+            return
+        for member in self.members.values():
+            kept = KEPT if member.unsaved is not None else (0,)
+            yield from (steps.Crash(member.id, part) for part in kept)
+
+    def _propose_options(self) -> Iterator[steps.Step]:
+        command = f"c{self.spent.get('commands', 0)}"
+        yield from (steps.Propose(member.id, command) for member in self.leaders("commands"))
+
+    def _read_options(self) -> Iterator[steps.Step]:
+        yield from (steps.Read(member.id) for member in self.leaders("reads") if member.raft.settled)
+
+    def _hand_over_options(self) -> Iterator[steps.Step]:
+        if any(member.raft.term >= self.bounds.terms for member in self.members.values()):
+            return
+        yield from (steps.HandOver(member.id) for member in self.leaders("handovers"))
+
+    def _compact_options(self) -> Iterator[steps.Step]:
+        if self._left("compactions"):
+            yield from (steps.Compact(m.id) for m in self.idle() if m.applied.index > m.raft.log.base)
+
+    def _wipe_options(self) -> Iterator[steps.Step]:
+        yield from ()
+
+    def _reconfigure_options(self) -> Iterator[steps.Step]:
+        for member in self.leaders("changes"):
+            for voters, learners in proposals(member.raft.log.voters, list(self.members)):
+                yield steps.Reconfigure(member.id, voters, learners)
+
+    def _lead_first(self) -> None:
+        """The first member is elected and its first entry is everywhere: a start further on."""
+        self.apply(steps.Timeout("n0"))
+        while True:
+            for member in self.members.values():
+                if member.unsaved is not None:
+                    self._send(member.id, member.save())
+            if not self.flights:
+                return
+            self.apply(steps.Deliver(*next(iter(self.flights))))
+
+
+def address(name: str) -> Address:
+    """The address of a member, by the number in its name."""
+    return Address(HOST, FIRST_PORT + int(name[1:]))
--- /dev/null
+++ b/verification/disk.py
@@ -0,0 +1,33 @@
+"""A simulated disk that loses power inside a write."""
+
+from __future__ import annotations
+
+import random
+
+from sim.disk import SimDisk
+
+WHOLE = 1000
+
+
+class PowerLoss(Exception):
+    """The disk lost power before the write under way was confirmed."""
+
+
+class PowerDisk(SimDisk):
+    """Once `fail_at` is set, the next sync keeps that many thousandths of what was not synced and raises PowerLoss."""
+
+    def __init__(self) -> None:
+        super().__init__(random.Random(0))
+        self.fail_at: int | None = None
+
+    def sync(self, name: str) -> None:
+        """Confirms a file, or loses power."""
+        if self.fail_at is None:
+            super().sync(name)
+            return
+        safe = self.safe.get(name, 0)
+        kept = safe + (len(self.files[name]) - safe) * self.fail_at // WHOLE
+        del self.files[name][kept:]
+        self.safe[name] = kept
+        self.fail_at = None
+        raise PowerLoss(name)
--- /dev/null
+++ b/verification/explorer.py
@@ -0,0 +1,142 @@
+"""The two searches over states, the replay of a trace, and its shortening."""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from collections.abc import Callable, Iterator
+from typing import Any
+
+import msgspec
+
+from verification.bounds import Bounds
+from verification.cluster import Cluster, Impossible
+from verification.steps import Step, Trace, line
+from verification.weather import Weather
+
+Make = Callable[..., Any]
+
+
+class Result(msgspec.Struct):
+    """What a search saw; `broken` is empty and `trace` of no meaning where every state held."""
+
+    states: int = 0
+    steps: int = 0
+    depth: int = 0
+    seeds: int = 0
+    complete: bool = False
+    broken: str = ""
+    seed: int | None = None
+    trace: Trace = []
+
+
+def breadth_first(bounds: Bounds, most: int, depth: int = 1 << 30, make: Make = Cluster) -> Result:
+    """Visits every state within the bounds, nearest first, until `most` states: its trace to a failure is shortest."""
+    first = make(bounds)
+    seen = {first.key()}
+    queue: deque[tuple[Any, tuple | None, int]] = deque([(first, None, 0)])
+    result = Result(states=1)
+    while queue:
+        cluster, path, far = queue.popleft()
+        if far >= depth:
+            continue
+        for step in cluster.everything():
+            result.steps += 1
+            following, way = cluster.fork(), (path, step)
+            broken = following.apply(step)
+            if broken:
+                return msgspec.structs.replace(result, depth=far + 1, broken=broken, trace=_unwound(way))
+            key = following.key()
+            if key in seen:
+                continue
+            seen.add(key)
+            result.states, result.depth = result.states + 1, far + 1
+            if result.states >= most:
+                return result
+            queue.append((following, way, far + 1))
+    result.complete = True
+    return result
+
+
+def _unwound(way: tuple | None) -> Trace:
+    trace: Trace = []
+    while way is not None:
+        way, step = way
+        trace.append(step)
+    return trace[::-1]
+
+
+def walk(bounds: Bounds, seed: int, length: int, make: Make = Cluster) -> Result:
+    """One path of random steps; the same seed takes the same path."""
+    cluster, weather = make(bounds, seed=seed), Weather(random.Random(seed))
+    result = Result(seeds=1, seed=seed)
+    for _ in range(length):
+        step = weather.choose(cluster)
+        result.trace.append(step)
+        result.states, result.steps, result.depth = result.states + 1, result.steps + 1, result.depth + 1
+        result.broken = cluster.apply(step) or ""
+        if result.broken:
+            break
+    return result
+
+
+def walks(bounds: Bounds, seeds: Iterator[int], length: int, make: Make = Cluster) -> Result:
+    """Random paths, one a seed, up to the first failure, whose trace is then shortened."""
+    total = Result()
+    for seed in seeds:
+        one = walk(bounds, seed, length, make)
+        total.seeds, total.states, total.steps = total.seeds + 1, total.states + one.states, total.steps + one.steps
+        total.depth = max(total.depth, one.depth)
+        if one.broken:
+            total.broken, total.seed = one.broken, seed
+            total.trace = shorten(one.trace, one.broken, lambda: make(bounds, seed=seed))
+            break
+    return total
+
+
+def replay(trace: Trace, bounds: Bounds, seed: int | None = None, make: Make = Cluster) -> str | None:
+    """Takes the steps of a trace from the first state; gives what breaks, None if nothing does. Raises Impossible."""
+    return _outcome(trace, make(bounds, seed=seed))
+
+
+def _outcome(trace: Trace, cluster: Any) -> str | None:
+    for step in trace:
+        broken = cluster.apply(step)
+        if broken:
+            return broken
+    return None
+
+
+def shorten(trace: Trace, broken: str, first: Callable[[], Any]) -> Trace:
+    """Leaves out steps as long as the same invariant still breaks; steps that have become impossible go too."""
+    kind = broken.partition(":")[0]
+    size = len(trace) // 2
+    while size:
+        at = 0
+        while at < len(trace):
+            shorter = _possible(trace[:at] + trace[at + size :], kind, first())
+            if shorter is None:
+                at += size
+            else:
+                trace = shorter
+        size //= 2
+    return trace
+
+
+def _possible(trace: Trace, kind: str, cluster: Any) -> Trace | None:
+    """The steps that can be taken, up to a failure of this kind; None if there is none."""
+    taken: list[Step] = []
+    for step in trace:
+        try:
+            broken = cluster.apply(step)
+        except Impossible:
+            continue
+        taken.append(step)
+        if broken:
+            return taken if broken.partition(":")[0] == kind else None
+    return None
+
+
+def lines(trace: Trace) -> list[str]:
+    """A trace as a numbered list."""
+    return [f"{number:4d}. {line(step)}" for number, step in enumerate(trace, 1)]
--- /dev/null
+++ b/verification/invariants.py
@@ -0,0 +1,158 @@
+"""What holds in every state, and what has to be remembered on the way to check it.
+
+The names are those of the Raft paper, figure 3; each check says what it found, or None.
+"""
+
+from __future__ import annotations
+
+import itertools
+
+from mallowvalve.raft.messages import VOTERS, Entry, Voters, voters_of
+from verification.identity import digest
+from verification.member import Member
+
+Members = dict[str, Member]
+
+
+class Record:
+    """The leader of each term, each committed entry with the term in which it was first seen as committed."""
+
+    __slots__ = ("leaders", "committed", "histories", "acknowledged", "seen")
+
+    def __init__(self) -> None:
+        self.leaders: dict[int, str] = {}
+        self.committed: list[tuple[Entry, int]] = []
+        self.histories: dict[int, bytes] = {}
+        self.acknowledged = 0
+        self.seen: dict[str, int] = {}
+
+    def copy(self) -> Record:
+        """A record that goes on by itself."""
+        other = object.__new__(Record)
+        other.leaders, other.committed = dict(self.leaders), list(self.committed)
+        other.histories, other.acknowledged, other.seen = dict(self.histories), self.acknowledged, dict(self.seen)
+        return other
+
+    def key(self) -> bytes:
+        """The identity of what is remembered."""
+        return digest([sorted(self.leaders.items()), self.committed, self.acknowledged])
+
+    def check(self, members: Members, touched: Member) -> str | None:
+        """Checks all that the last step, at one member, can have broken."""
+        return (
+            self.election_safety(touched)
+            or self.log_matching(members, touched)
+            or self.state_machine_safety(members, touched)
+            or self.leader_completeness(touched)
+            or self.one_change_at_a_time(touched)
+            or self.fresh_reads(touched)
+        )
+
+    def election_safety(self, touched: Member) -> str | None:
+        """At most one leader is elected in a term."""
+        if not touched.raft.leads:
+            return None
+        had = self.leaders.setdefault(touched.raft.term, touched.id)
+        if had == touched.id:
+            return None
+        return f"election safety: {had} and {touched.id} both led term {touched.raft.term}"
+
+    def log_matching(self, members: Members, touched: Member) -> str | None:
+        """Two logs with the same term at an index hold the same entries up to there."""
+        for other in members.values():
+            if other is not touched and not _match(touched, other):
+                return f"log matching: the logs of {touched.id} and {other.id} differ before an entry they share"
+        return None
+
+    def state_machine_safety(self, members: Members, touched: Member) -> str | None:
+        """No two members apply different entries at an index; what is committed is on the disks of a quorum."""
+        applied, log = touched.applied.index, touched.raft.log
+        for index in range(log.base + 1, min(applied, len(self.committed)) + 1):
+            if log.get(index) != self.committed[index - 1][0]:
+                return f"state machine safety: {touched.id} applied another entry at {index}"
+        for index in range(len(self.committed) + 1, applied + 1):
+            if index <= log.base:
+                return f"state machine safety: {touched.id} has a snapshot of entry {index}, which nobody committed"
+            self.committed.append((log.get(index), touched.raft.term))
+            if not _held_by_quorum(members, log.voters, index, log.term(index)):
+                return f"commit without a quorum: entry {index} is not on the disks of a quorum of {_seats(log.voters)}"
+        had = self.histories.setdefault(applied, touched.applied.history)
+        if had != touched.applied.history:
+            return f"state machine safety: {touched.id} has another state at {applied}"
+        return None
+
+    def leader_completeness(self, touched: Member) -> str | None:
+        """What was committed in a term is in the log of every later term's leader."""
+        raft = touched.raft
+        if not raft.leads:
+            return None
+        for entry, term in self.committed[raft.log.base :]:
+            if term <= raft.term and raft.log.term(entry.index) != entry.term:
+                return f"leader completeness: {touched.id} leads term {raft.term} without entry {entry.index}"
+        return None
+
+    def one_change_at_a_time(self, touched: Member) -> str | None:
+        """A leader's log holds one change of voters at most that is not committed; quorums before and after it meet."""
+        log = touched.raft.log
+        if not touched.raft.leads:
+            return None
+        changes = [entry for entry in log.entries if entry.kind == VOTERS]
+        if sum(entry.index > len(self.committed) for entry in changes) > 1:
+            return f"one change at a time: {touched.id} has two changes of voters under way"
+        sets = [log.snapshot.voters, *(voters_of(entry.data) for entry in changes)]
+        for before, after in itertools.pairwise(sets):
+            if not _quorums_meet(before, after):
+                return f"one change at a time: quorums of {_seats(before)} and of {_seats(after)} need not meet"
+        return None
+
+    def fresh_reads(self, touched: Member) -> str | None:
+        """A confirmed read shows all that had been acknowledged when it was asked."""
+        for index in touched.acknowledged:
+            self.acknowledged = max(self.acknowledged, index)
+        stale = [read for read in touched.answers if read.index < read.floor]
+        touched.acknowledged, touched.answers = [], []
+        if stale:
+            return f"stale read: {touched.id} answered from {stale[0].index}, {stale[0].floor} was acknowledged"
+        return None
+
+
+def _match(one: Member, two: Member) -> bool:
+    left, right = one.raft.log, two.raft.log
+    low = max(left.base, right.base)
+    high = min(left.last, right.last)
+    while high > low and left.term(high) != right.term(high):
+        high -= 1
+    if high <= low:
+        return True
+    return left.entries[low - left.base : high - left.base] == right.entries[low - right.base : high - right.base]
+
+
+def _held_by_quorum(members: Members, voters: Voters, index: int, term: int) -> bool:
+    holders = {name for name, member in members.items() if _holds(member, index, term)}
+    return _quorum(holders, voters)
+
+
+def _holds(member: Member, index: int, term: int) -> bool:
+    """Whether a disk holds the entry, or a snapshot that covers it."""
+    return index <= member.held.base or member.held.term(index) == term
+
+
+def _quorum(names: set[str], voters: Voters) -> bool:
+    """A majority of the voters, and of the former voters while both count."""
+    sides = [side for side in (voters.voters, getattr(voters, "old", {})) if side]
+    return all(2 * len(names & side.keys()) > len(side) for side in sides)
+
+
+def _quorums_meet(before: Voters, after: Voters) -> bool:
+    """Whether each quorum of the one shares a member with each quorum of the other: no split gives both one."""
+    everyone = sorted({*before.voters, *after.voters, *getattr(before, "old", {}), *getattr(after, "old", {})})
+    for size in range(len(everyone) + 1):
+        for part in itertools.combinations(everyone, size):
+            if _quorum(set(part), before) and _quorum(set(everyone) - set(part), after):
+                return False
+    return True
+
+
+def _seats(voters: Voters) -> str:
+    old = getattr(voters, "old", {})
+    return "+".join(sorted(voters.voters)) + (" with " + "+".join(sorted(old)) if old else "")
--- /dev/null
+++ b/verification/member.py
@@ -0,0 +1,218 @@
+"""One member: the product's Raft machine over the product's disk log, run as its daemon runs them.
+
+A step of the machine hands out what to save and what to send; what it says `early` goes out at once, the rest
+only once the disk has it. In between the member does nothing else, but it may lose power.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import random
+from collections.abc import Callable
+
+import msgspec
+from msgspec.structs import replace
+
+from mallowvalve.control import store
+from mallowvalve.control.waiting import Read, Reads
+from mallowvalve.raft.log import Log
+from mallowvalve.raft.messages import COMMAND, Entry, Hard, Message, Snapshot
+from mallowvalve.raft.progress import Ready, Times
+from mallowvalve.raft.raft import Raft
+from mallowvalve.storage.log import DiskLog
+from verification.disk import PowerDisk, PowerLoss
+from verification.identity import clone, digest, shape
+
+FLEET = "verification"
+TIMES = Times()
+FROZEN_FOR = 3 * TIMES.election
+Sent = list[tuple[str, Message]]
+
+
+class Applied:
+    """A state that is nothing but its history: a digest over all commands, in their order."""
+
+    __slots__ = ("index", "history")
+
+    def __init__(self, snapshot: Snapshot):
+        self.index, self.history = snapshot.index, snapshot.state[0]
+
+    def apply(self, entry: Entry) -> None:
+        """Takes in the next entry."""
+        self.index = entry.index
+        if entry.kind == COMMAND:
+            self.history = hashlib.blake2b(self.history + entry.data, digest_size=8).digest()
+
+    def revision_at(self, index: int) -> int:
+        """As the control state's; here the index itself."""
+        return index
+
+
+class Held(msgspec.Struct, frozen=True):
+    """What a member's disk holds: the base and the terms of the entries after it, and the last Hard written."""
+
+    base: int = 0
+    base_term: int = 0
+    terms: tuple[int, ...] = ()
+    hard: Hard | None = None
+
+    def term(self, index: int) -> int | None:
+        """The term of the entry held at an index, None if there is none."""
+        at = index - self.base
+        if at == 0:
+            return self.base_term
+        return self.terms[at - 1] if 0 < at <= len(self.terms) else None
+
+
+class Answered(msgspec.Struct, frozen=True):
+    """A read that was answered: what had been acknowledged when it was asked, and the index it was answered from."""
+
+    floor: int
+    index: int
+
+
+class Member:
+    """Runs one machine; `acknowledged` and `answers` are filled for whoever checks, and emptied by them."""
+
+    __slots__ = (
+        "id",
+        "machine",
+        "rng",
+        "now",
+        "disk_log",
+        "raft",
+        "applied",
+        "held",
+        "unsaved",
+        "reads",
+        "proposed",
+        "acknowledged",
+        "answers",
+        "_key",
+    )
+
+    def __init__(self, id: str, machine: type[Raft], rng: random.Random, snapshot: Snapshot, now: float = 0.0):
+        self.id, self.machine, self.rng, self.now = id, machine, rng, now
+        disk = PowerDisk()
+        store.turn(DiskLog.open(disk, FLEET, id).unwrap(), snapshot, store.head(Hard(snapshot.group, 0, ""), []))
+        self._start(disk)
+
+    def _start(self, disk: PowerDisk) -> None:
+        self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
+        loaded = store.load(self.disk_log).unwrap()
+        snapshot = loaded.snapshot
+        hard = loaded.hard or Hard(snapshot.group, 0, "")
+        log = Log(snapshot, loaded.entries)
+        self.raft = self.machine(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMES, hard.commit)
+        self.applied = Applied(snapshot)
+        self.unsaved: tuple[Ready, Hard] | None = None
+        self.reads, self.proposed = Reads(), {}
+        self.acknowledged: list[int] = []
+        self.answers: list[Answered] = []
+        self._key: bytes | None = None
+        self._hold(hard)
+        self._apply()
+        self.acknowledged = []
+
+    def step(self, act: Callable[[Raft], None] = lambda raft: None) -> Sent:
+        """Does something to the machine, and gives the messages that need not wait for the disk."""
+        self._key = None
+        act(self.raft)
+        self.raft.tick(self.now)
+        ready = self.raft.ready(self.now)
+        if ready.hard is None and not ready.entries and ready.install is None:
+            return ready.early + self._after(ready)
+        self.unsaved = ready, self.raft.hard()
+        return ready.early
+
+    def save(self) -> Sent:
+        """The disk has it all; gives the messages that waited for it."""
+        self._key = None
+        ready, hard = self.unsaved
+        store.save(self.disk_log, ready, hard)
+        self.unsaved = None
+        self._hold(hard if ready.hard is not None or ready.install is not None else self.held.hard)
+        return self._after(ready)
+
+    def crash(self, kept: int) -> None:
+        """Loses power, with `kept` thousandths of the write under way on the disk, and starts again from it."""
+        self._key = None
+        if self.unsaved is not None:
+            ready, hard = self.unsaved
+            self.disk_log.disk.fail_at = kept
+            try:
+                store.save(self.disk_log, ready, hard)
+            except PowerLoss:
+                pass
+            self.disk_log.disk.fail_at = None
+        self._start(self.disk_log.disk)
+
+    def propose(self, data: bytes) -> Sent:
+        """Offers a command to the machine."""
+
+        def act(raft: Raft) -> None:
+            index = raft.propose(COMMAND, data, 0)
+            if index is not None:
+                self.proposed[index] = raft.term
+
+        return self.step(act)
+
+    def read(self, floor: int) -> Sent:
+        """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
+        if not self.raft.settled:
+            return []
+        return self.step(lambda raft: self.reads.add(Read(floor, raft.ask_quorum(), raft.commit, float("inf"))))
+
+    def compact(self) -> None:
+        """Writes a snapshot of the applied state, and the log turns to it."""
+        self._key = None
+        raft, index = self.raft, self.applied.index
+        term, voters = raft.log.term(index), raft.log.voters_at(index)
+        snapshot = Snapshot(raft.group, index, term, voters, [self.applied.history])
+        tail = [entry for entry in raft.log.entries if entry.index > index]
+        store.turn(self.disk_log, snapshot, store.head(raft.hard(), tail))
+        raft.log.compact(snapshot)
+        self._hold(raft.hard())
+
+    def key(self) -> bytes:
+        """The identity of the member's state."""
+        if self._key is None:
+            volatile = [self.raft, self.unsaved, self.reads, self.proposed]
+            self._key = digest([self.id, self.held, self.applied.history, shape(volatile, self.now)])
+        return self._key
+
+    def copy(self) -> Member:
+        """A member in the same state."""
+        return clone(self)
+
+    def _hold(self, hard: Hard | None) -> None:
+        log = self.raft.log
+        self.held = Held(log.base, log.snapshot.term, tuple(entry.term for entry in log.entries), hard)
+
+    def _after(self, ready: Ready) -> Sent:
+        if ready.install is not None:
+            self.applied = Applied(ready.install)
+        self.raft.saved(ready)
+        self._apply()
+        self._answer()
+        return ready.late
+
+    def _apply(self) -> None:
+        while self.applied.index < self.raft.commit:
+            entry = self.raft.log.get(self.applied.index + 1)
+            self.applied.apply(entry)
+            if self.proposed.pop(entry.index, None) == entry.term:
+                self.acknowledged.append(entry.index)
+
+    def _answer(self) -> None:
+        if not self.raft.leads:
+            self.reads.fail()
+            self.proposed.clear()
+            return
+        answered = self.reads.answer(self.raft.rounds.confirmed, self.applied, self.now)
+        self.answers += [Answered(floor, took.revision) for floor, took in answered]
+
+
+def announced(snapshot: Snapshot) -> Snapshot:
+    """A snapshot as its announcement names it: without its state, which is fetched afterwards."""
+    return replace(snapshot, state=[])
--- /dev/null
+++ b/verification/steps.py
@@ -0,0 +1,102 @@
+"""The steps of which a trace is made: each is one event at one member, or the passing of time."""
+
+from __future__ import annotations
+
+import msgspec
+
+
+class Timeout(msgspec.Struct, frozen=True, tag="timeout"):
+    """The member's clock moves on to its timer: an election time-out, or a leader's next round."""
+
+    member: str
+
+
+class Silence(msgspec.Struct, frozen=True, tag="silence"):
+    """The member was frozen: its clock shows several election time-outs more, nothing else happened to it."""
+
+    member: str
+
+
+class Deliver(msgspec.Struct, frozen=True, tag="deliver", omit_defaults=True):
+    """A message in flight arrives; with `keep` it stays in flight and may arrive again at any later step."""
+
+    sender: str
+    to: str
+    message: str
+    keep: bool = False
+
+
+class Lose(msgspec.Struct, frozen=True, tag="lose"):
+    """A message in flight is lost for good."""
+
+    sender: str
+    to: str
+    message: str
+
+
+class Save(msgspec.Struct, frozen=True, tag="save"):
+    """The member's write reaches its disk; what waited for that is sent."""
+
+    member: str
+
+
+class Crash(msgspec.Struct, frozen=True, tag="crash"):
+    """Loss of power and a restart from disk; of a write under way `kept` thousandths are on the disk."""
+
+    member: str
+    kept: int = 0
+
+
+class Wipe(msgspec.Struct, frozen=True, tag="wipe"):
+    """The member's disk is lost: a new one under the id `fresh` begins from the base snapshot of `source`."""
+
+    member: str
+    fresh: str
+    source: str
+
+
+class Propose(msgspec.Struct, frozen=True, tag="propose"):
+    """A command is offered to a member that leads."""
+
+    member: str
+    command: str
+
+
+class Read(msgspec.Struct, frozen=True, tag="read"):
+    """A leader is asked for a read that a quorum has to confirm."""
+
+    member: str
+
+
+class Reconfigure(msgspec.Struct, frozen=True, tag="reconfigure"):
+    """A leader is asked for other voters and learners."""
+
+    member: str
+    voters: tuple[str, ...]
+    learners: tuple[str, ...]
+
+
+class HandOver(msgspec.Struct, frozen=True, tag="hand-over"):
+    """A leader is asked to let another lead."""
+
+    member: str
+
+
+class Compact(msgspec.Struct, frozen=True, tag="compact"):
+    """The member writes a snapshot of its state and drops the log that it covers."""
+
+    member: str
+
+
+Step = Timeout | Silence | Deliver | Lose | Save | Crash | Wipe | Propose | Read | Reconfigure | HandOver | Compact
+Trace = list[Step]
+
+
+def line(step: Step) -> str:
+    """One step as a person reads it."""
+    name = step.__struct_config__.tag
+    if isinstance(step, Deliver | Lose):
+        again = ", kept in flight" if isinstance(step, Deliver) and step.keep else ""
+        return f"{name} {step.sender} -> {step.to} {step.message}{again}"
+    fields = [f"{f}={getattr(step, f)!r}" for f in step.__struct_fields__ if f != "member"]
+    return " ".join([name, step.member, *fields])
--- /dev/null
+++ b/verification/weather.py
@@ -0,0 +1,76 @@
+"""How a random path is steered: the weight of each kind of step, and links that are dark for a while.
+
+It chooses among possible steps only, so a trace needs none of it to be replayed.
+"""
+
+from __future__ import annotations
+
+import random
+from typing import Any
+
+from verification import steps
+
+WEIGHTS = {
+    steps.Deliver: 600,
+    steps.Save: 500,
+    steps.Timeout: 90,
+    steps.Propose: 60,
+    steps.Read: 20,
+    steps.Crash: 12,
+    steps.Compact: 10,
+    steps.Silence: 6,
+    steps.HandOver: 4,
+    steps.Reconfigure: 12,
+    steps.Wipe: 3,
+    steps.Lose: 30,
+}
+MOST_IN_FLIGHT = 40
+NEAR = 4
+IN_ORDER = 0.8
+DARK = 0.6
+SPELL = (10, 80)
+
+
+class Weather:
+    """Chooses a path's steps from one random generator."""
+
+    __slots__ = ("rng", "_left", "_dark", "_kinds", "_weights")
+
+    def __init__(self, rng: random.Random):
+        self.rng = rng
+        self._left = 0
+        self._dark: set[tuple[str, str]] = set()
+        self._kinds, self._weights = list(WEIGHTS), list(WEIGHTS.values())
+
+    def choose(self, cluster: Any) -> steps.Step:
+        """One of the steps that are possible now."""
+        self._turn(list(cluster.members))
+        if len(cluster.flights) > MOST_IN_FLIGHT:
+            return self.rng.choice(list(cluster.options(steps.Lose)))
+        while True:
+            kind = self.rng.choices(self._kinds, self._weights)[0]
+            options = list(cluster.options(kind))
+            if kind is steps.Deliver:
+                options = [step for step in options if (step.sender, step.to) not in self._dark]
+                if options and self.rng.random() < IN_ORDER:
+                    options = options[:NEAR]
+            if options:
+                return self.rng.choice(options)
+
+    def _turn(self, names: list[str]) -> None:
+        """Now and then other links are dark: none, or each with a member that is alone, one way or both."""
+        self._left -= 1
+        if self._left > 0:
+            return
+        self._left = self.rng.randint(*SPELL)
+        self._dark = set()
+        if self.rng.random() > DARK:
+            return
+        alone = set(self.rng.sample(names, self.rng.randint(1, (len(names) + 1) // 2)))
+        inward, outward = self.rng.choice([(True, True), (True, True), (True, False), (False, True)])
+        for one in alone:
+            for other in set(names) - alone:
+                if outward:
+                    self._dark.add((one, other))
+                if inward:
+                    self._dark.add((other, one))
