--- a/mallowvalve/raft/messages.py
+++ b/mallowvalve/raft/messages.py
@@ -23,22 +23,59 @@
 
 
 class Voters(msgspec.Struct, array_like=True, frozen=True):
+    """A configuration of the cluster. While `old` is not empty it is a joint one (Raft, section 6).
+
+    A joint configuration decides nothing without a majority of `voters` and a majority of `old`, each by itself.
+    """
+
     voters: dict[str, Address]
     learners: dict[str, Address] = {}
+    old: dict[str, Address] = {}
 
     def address(self, id: str) -> Address | None:
-        return self.voters.get(id) or self.learners.get(id)
+        return self.voters.get(id) or self.old.get(id) or self.learners.get(id)
 
     def everyone(self) -> dict[str, Address]:
-        return {**self.learners, **self.voters}
+        return {**self.learners, **self.old, **self.voters}
 
-    @property
-    def quorum(self) -> int:
-        return len(self.voters) // 2 + 1
+    def electors(self) -> dict[str, Address]:
+        """All whose votes count, in either set."""
+        return {**self.old, **self.voters} if self.old else self.voters
 
     def agreed(self, number: Callable[[str], int]) -> int:
-        """The highest number that a quorum of the voters has reached, by what `number` says of each."""
-        return sorted(map(number, self.voters), reverse=True)[self.quorum - 1]
+        """The highest number that a majority of each set has reached, by what `number` says of each member."""
+        return min(_reached(ids, number) for ids in (self.voters, self.old) if ids)
+
+    def elects(self, granted: set[str]) -> bool:
+        """Whether these members are a majority of each set."""
+        return self.agreed(lambda i: i in granted) == 1
+
+    def toward(self, wanted: Voters) -> Voters | None:
+        """The next configuration on the way to the wanted one; None where a change under way forbids it.
+
+        Any other set of voters is reached through a joint configuration, other learners or addresses in one step.
+        """
+        if (
+            not wanted.voters
+            or self.old
+            and (wanted.voters.keys(), wanted.old.keys())
+            != (
+                self.voters.keys(),
+                self.old.keys(),
+            )
+        ):
+            return None
+        if self.old or wanted.voters.keys() == self.voters.keys():
+            return wanted
+        return Voters(wanted.voters, wanted.learners, self.voters)
+
+    def final(self) -> Voters:
+        """What a joint configuration leads to."""
+        return Voters(self.voters, self.learners)
+
+
+def _reached(ids: dict[str, Address], number: Callable[[str], int]) -> int:
+    return sorted(map(number, ids), reverse=True)[len(ids) // 2]
 
 
 class Snapshot(msgspec.Struct, array_like=True, frozen=True):
--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -3,6 +3,7 @@
 import random
 
 from mallowvalve.metrics import Counts
+from mallowvalve.raft.election import Election
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import (
     NOOP,
@@ -21,42 +22,28 @@
     Voters,
     encode,
 )
-from mallowvalve.raft.progress import CANDIDATE, FOLLOWER, LEADER, PRE, Progress, Ready, Times
+from mallowvalve.raft.progress import FOLLOWER, LEADER, Progress, Ready, Times
 from mallowvalve.raft.rounds import Rounds
 
 FIRST, DOUBT = 0.3, 0.25
+UNHEARD = Progress(0, -1e9)
 NEVER = float("inf")
 
 
-class Raft:
+class Raft(Election):
     __slots__ = (
-        "me",
-        "group",
-        "log",
-        "term",
-        "vote",
-        "role",
-        "leader",
         "commit",
         "rounds",
-        "counts",
-        "times",
-        "rng",
         "nudge",
-        "halted",
         "mark",
         "marked",
-        "_voices",
         "_progress",
-        "_election_at",
         "_heartbeat_at",
-        "_heard",
         "_saved",
         "_hard",
         "_fresh",
         "_install",
         "_early",
-        "_late",
         "_term_start",
         "_paced_at",
         "told",
@@ -97,10 +84,6 @@
         self._election_at = now + times.election * (FIRST + (1 - FIRST) * rng.random())
         self._all_at, self._now = -1e9, now
 
-    @property
-    def leads(self) -> bool:
-        return self.role == LEADER
-
     @property
     def settled(self) -> bool:
         return self.leads and self.commit >= self._term_start
@@ -155,7 +138,7 @@
                 self._on_appended(src, m, now)
             case Install():
                 self._on_install(src, m, now)
-            case Elect() if self.me in self.log.voters.voters:
+            case Elect() if self.me in self.log.voters.electors():
                 self._campaign(now, pre=False, forced=True)
 
     def doubt(self, now: float) -> None:
@@ -177,16 +160,20 @@
         return e.index
 
     def change_voters(self, v: Voters, at: int) -> int | None:
-        return self.propose(VOTERS, encode(v), at)
+        """Begins the change to these voters and learners; the leader ends it by itself. One change at a time."""
+        step = self.log.voters.toward(v)
+        return self.propose(VOTERS, encode(step), at) if step is not None else None
 
     def ask_quorum(self) -> int:
         self.nudge = True
         return self.rounds.seq + 1
 
     def hand_over(self) -> None:
-        ahead = [(p.match, i) for i, p in self._progress.items() if i in self.log.voters.voters and i != self.me]
+        """Asks the voter that has most of the log, and was heard last, to campaign at once."""
+        voters = self.log.voters.voters
+        ahead = [(p.match, p.heard, i) for i, p in self._progress.items() if i in voters and i != self.me]
         if self.leads and ahead:
-            self._late.append((max(ahead)[1], Elect(self.term)))
+            self._late.append((max(ahead)[2], Elect(self.term)))
 
     def ready(self, now: float) -> Ready:
         self._now = now
@@ -212,62 +199,6 @@
         if self.leads:
             self._advance()
 
-    def _rest(self, now: float) -> None:
-        self._election_at = now + self.times.election * (1 + self.rng.random())
-
-    def _loyal(self, now: float) -> bool:
-        return self.leads or bool(self.leader) and now - self._heard < self.times.election
-
-    def _follow(self, term: int, leader: str, now: float) -> None:
-        if self.leads:
-            self.counts.add("raft_step_down")
-        if term > self.term:
-            self.term, self.vote = term, ""
-        self.role, self.leader = FOLLOWER, leader
-        self._voices = set()
-        self._rest(now)
-
-    def _campaign(self, now: float, pre: bool, forced: bool = False) -> None:
-        self._rest(now)
-        if self.me not in self.log.voters.voters or self.halted:
-            return
-        self.role, self.leader, self._voices = (PRE if pre else CANDIDATE), "", {self.me}
-        if not pre:
-            self.term, self.vote = self.term + 1, self.me
-            self.counts.add("raft_campaigns")
-        term = self.term + 1 if pre else self.term
-        for v in self.log.voters.voters:
-            if v != self.me:
-                self._late.append((v, Ask(term, pre, self.log.last, self.log.last_term, forced)))
-        self._count(now)
-
-    def _on_ask(self, src: str, m: Ask, now: float) -> None:
-        fit = (m.last_term, m.last_index) >= (self.log.last_term, self.log.last)
-        if m.pre:
-            ok = fit and m.term > self.term and not self._loyal(now)
-            self._late.append((src, Voice(m.term if ok else self.term, True, ok)))
-            return
-        ok = fit and self.vote in ("", src) and self.role in (FOLLOWER, PRE)
-        if ok:
-            self.vote = src
-            self._rest(now)
-        self._late.append((src, Voice(self.term, False, ok)))
-
-    def _on_voice(self, src: str, m: Voice, now: float) -> None:
-        want = self.term + 1 if m.pre else self.term
-        if not m.granted or m.term != want or self.role != (PRE if m.pre else CANDIDATE):
-            return
-        self._voices.add(src)
-        self._count(now)
-
-    def _count(self, now: float) -> None:
-        if len(self._voices & self.log.voters.voters.keys()) < self.log.voters.quorum:
-            return
-        if self.role == PRE:
-            self._campaign(now, pre=False)
-        elif self.role == CANDIDATE:
-            self._lead(now)
-
     def _lead(self, now: float) -> None:
         self.role, self.leader = LEADER, self.me
         self._progress = {}
@@ -287,7 +218,7 @@
         self.rounds.send(now)
         to = [*vs.learners] if all else []
         if self.nudge or now >= self._heartbeat_at:
-            to += vs.voters
+            to += vs.electors()
             self.nudge, self._heartbeat_at, self._paced_at = False, now + self.times.heartbeat, now + self.times.pace
         if all:
             self._all_at = now + self.times.heartbeat
@@ -375,23 +306,27 @@
         self._late.append((src, Appended(self.term, True, max(m.snapshot.index, self.log.base), m.seq)))
 
     def _confirm(self) -> None:
-        self.rounds.confirm(self.log.voters.agreed(lambda i: self.rounds.seq if i == self.me else self._seq(i)))
+        self.rounds.confirm(self.log.voters.agreed(lambda i: self.rounds.seq if i == self.me else self._of(i).seq))
 
-    def _seq(self, i: str) -> int:
-        p = self._progress.get(i)
-        return p.seq if p else 0
-
-    def _match(self, i: str) -> int:
-        p = self._progress.get(i)
-        return p.match if p else 0
+    def _of(self, i: str) -> Progress:
+        return self._progress.get(i, UNHEARD)
 
     def _advance(self) -> None:
-        n = self.log.voters.agreed(lambda i: self._saved if i == self.me else self._match(i))
+        n = self.log.voters.agreed(lambda i: self._saved if i == self.me else self._of(i).match)
         if n <= self.commit or self.log.term(n) != self.term:
             return
         self.commit = self.told = n
         due = self._now + self.times.told
         self._heartbeat_at, self._all_at = min(self._heartbeat_at, due), min(self._all_at, due)
-        gone = self.me not in self.log.voters.voters and self.log.voters_index <= n
-        if gone:
+        if self.log.voters_index <= n:
+            self._end_change()
+
+    def _end_change(self) -> None:
+        """A committed joint configuration is followed by its final one; a leader that this leaves out steps down."""
+        vs = self.log.voters
+        if vs.old:
+            at = self.log.entries[-1].at if self.log.entries else 0
+            self.propose(VOTERS, encode(vs.final()), at)
+        elif self.me not in vs.voters:
+            self.hand_over()
             self.role, self.leader = FOLLOWER, ""
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -3,17 +3,30 @@
 import pytest
 
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import COMMAND, Append, Appended, Ask, Entry, Group, Snapshot, Voice, Voters
+from mallowvalve.raft.messages import (
+    COMMAND,
+    VOTERS,
+    Append,
+    Appended,
+    Ask,
+    Elect,
+    Entry,
+    Group,
+    Snapshot,
+    Voice,
+    Voters,
+    encode,
+)
 from mallowvalve.raft.raft import LEADER, Raft, Times
 from mallowvalve.types import Address
 from sim.world import Node, World
 
 G = Group(1, "g")
 ADDRS = {f"n{i}": Address("10.0.0.1", 1 + i) for i in range(5)}
-VOTERS = Voters(ADDRS)
+FIVE = Voters(ADDRS)
 
 
-def raft(me="n0", voters=VOTERS, entries=(), term=0, vote="", seed=1, now=0.0):
+def raft(me="n0", voters=FIVE, entries=(), term=0, vote="", seed=1, now=0.0):
     return Raft(me, Log(Snapshot(G, 0, 0, voters, b""), list(entries)), term, vote, random.Random(seed), now)
 
 
@@ -149,9 +162,9 @@
     w, ns, lead = group(10)
     less = Voters({i: a for i, a in ADDRS.items() if i != "n4" or lead.raft.me == "n4"})
     assert lead.raft.change_voters(less, 0) is not None
-    assert lead.raft.change_voters(VOTERS, 0) is None
+    assert lead.raft.change_voters(FIVE, 0) is None
     w.run(w.now + 1.0)
-    assert lead.raft.change_voters(VOTERS, 0) is not None
+    assert lead.raft.change_voters(FIVE, 0) is not None
 
 
 def test_what_is_decided_waits_for_a_round_that_goes_anyway_but_not_long():
@@ -179,3 +192,150 @@
         assert turn(9.0 + i / 100) == [("n1", 2)]
     r.ask_quorum()
     assert turn(9.17) == [("n2", 2), ("n1", 2)]
+
+
+def members(text):
+    return {i: ADDRS[i] for i in text.split()}
+
+
+def joint(new, old):
+    return Voters(members(new), {}, members(old))
+
+
+def led(voters, entries=(), term=0):
+    """`n0` as the leader of the next term by its voters' votes, nothing committed yet."""
+    r = raft(voters=voters, entries=entries, term=term)
+    r.tick(9.0)
+    for pre in (True, False):
+        for i in voters.electors():
+            if i != "n0":
+                r.receive(i, Voice(term + 1, pre, True), 9.0)
+    assert r.role == LEADER
+    r.saved(r.ready(9.0))
+    return r
+
+
+def hold(r, ids, index, now=9.1):
+    for i in ids.split():
+        r.receive(i, Appended(r.term, True, index, 0), now)
+
+
+def test_a_joint_configuration_commits_by_both_majorities_only():
+    r = led(Voters(members("n0 n1 n2")))
+    hold(r, "n1", 1)
+    assert r.change_voters(Voters(members("n0 n3 n4")), 0) == 2
+    assert r.log.voters == joint("n0 n3 n4", "n0 n1 n2")
+    r.saved(r.ready(9.2))
+    hold(r, "n1 n2", 2)
+    assert r.commit == 1
+    hold(r, "n3", 2)
+    assert r.commit == 2 and r.log.voters == Voters(members("n0 n3 n4"))
+    r.saved(r.ready(9.3))
+    hold(r, "n1 n2", 3)
+    assert r.commit == 2
+    hold(r, "n4", 3)
+    assert r.commit == 3
+
+
+def test_a_joint_configuration_elects_by_both_majorities_only():
+    r = raft(voters=joint("n0 n3 n4", "n0 n1 n2"))
+    r.tick(9.0)
+    assert {to for to, _ in r.ready(9.0).late} == {"n1", "n2", "n3", "n4"}
+    for i in ("n1", "n2"):
+        r.receive(i, Voice(1, True, True), 9.0)
+    assert r.term == 0
+    r.receive("n3", Voice(1, True, True), 9.0)
+    assert r.term == 1
+    for i in ("n3", "n4"):
+        r.receive(i, Voice(1, False, True), 9.0)
+    assert r.role != LEADER
+    r.receive("n1", Voice(1, False, True), 9.0)
+    assert r.role == LEADER
+
+
+def test_a_round_is_confirmed_by_both_majorities_only():
+    r = led(joint("n0 n3 n4", "n0 n1 n2"))
+    before = r.rounds.confirmed
+    r.nudge = True
+    r.ready(9.3)
+    for i in ("n1", "n2"):
+        r.receive(i, Appended(1, True, 0, r.rounds.seq), 9.3)
+    assert r.rounds.confirmed == before
+    r.receive("n4", Appended(1, True, 0, r.rounds.seq), 9.3)
+    assert r.rounds.confirmed == r.rounds.seq
+
+
+def test_a_new_leader_ends_the_change_that_it_finds_in_its_log():
+    begun = Entry(1, 1, VOTERS, 0, encode(joint("n0 n1 n3", "n0 n1 n2")))
+    r = led(Voters(members("n0 n1 n2")), [begun], term=1)
+    assert r.log.voters.old and r.change_voters(Voters(members("n0 n1 n2")), 0) is None
+    hold(r, "n1", 2)
+    assert r.commit == 2 and r.log.voters == Voters(members("n0 n1 n3")) and r.log.last == 3
+
+
+def test_a_joint_configuration_that_is_cut_from_the_log_is_no_longer_in_force():
+    r = raft(voters=Voters(members("n0 n1 n2")))
+    begun = Entry(1, 1, VOTERS, 0, encode(joint("n0 n3 n4", "n0 n1 n2")))
+    r.receive("n1", Append(1, 0, 0, [begun], 0, 1), 1.0)
+    assert r.log.voters.old
+    r.receive("n2", Append(2, 0, 0, [entry(1, 2)], 0, 1), 1.1)
+    assert r.log.voters == Voters(members("n0 n1 n2"))
+
+
+def test_a_leader_left_out_steps_down_after_the_final_configuration_and_names_a_successor():
+    r = led(Voters(members("n0 n1 n2")))
+    hold(r, "n1", 1)
+    r.change_voters(Voters(members("n1 n2 n3")), 0)
+    r.saved(r.ready(9.2))
+    hold(r, "n1 n3", 2)
+    assert r.leads and not r.log.voters.old
+    r.saved(r.ready(9.3))
+    hold(r, "n1", 3)
+    assert r.leads
+    hold(r, "n3", 3)
+    assert not r.leads and r.commit == 3
+    assert [to for to, m in r.ready(9.4).late if isinstance(m, Elect)] in (["n1"], ["n3"])
+
+
+def test_learners_come_and_go_in_one_step_and_only_addresses_change_within_a_joint_configuration():
+    r = led(Voters(members("n0 n1 n2")))
+    hold(r, "n1", 1)
+    assert r.change_voters(Voters(members("n0 n1 n2"), members("n3")), 0) == 2
+    assert r.log.voters == Voters(members("n0 n1 n2"), members("n3"))
+    assert r.change_voters(Voters(members("n0 n1 n3")), 0) is None
+    r.saved(r.ready(9.2))
+    hold(r, "n1", 2)
+    r.change_voters(Voters(members("n0 n1 n3")), 0)
+    r.saved(r.ready(9.3))
+    under_way = r.log.voters
+    moved = {**under_way.voters, "n3": Address("10.0.0.9", 9)}
+    assert under_way.toward(Voters(moved, {}, under_way.old)) == Voters(moved, {}, under_way.old)
+    assert under_way.toward(Voters(moved)) is None
+    assert under_way.toward(Voters(members("n0 n1"), {}, under_way.old)) is None
+    assert Voters(members("n0")).toward(Voters({})) is None
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_one_leader_a_term_and_one_log_whatever_changes_meet_cuts(seed):
+    w, ns, _ = group(100 + seed)
+    leaders, rng = {}, random.Random(seed)
+    for _ in range(60):
+        for n in ns:
+            if n.raft.role == LEADER:
+                wanted = rng.sample(sorted(ADDRS), rng.choice([2, 3, 5]))
+                n.step(lambda n=n, wanted=wanted: n.raft.change_voters(Voters(members(" ".join(wanted))), 0))
+                n.step(lambda n=n: n.raft.propose(COMMAND, b"x", 0))
+        w.heal()
+        if rng.random() < 0.5:
+            side = rng.sample(ns, 2)
+            w.split([n.addr for n in side], [n.addr for n in ns if n not in side])
+        for _ in range(10):
+            w.run(w.now + 0.06)
+            for n in ns:
+                if n.raft.role == LEADER:
+                    assert leaders.setdefault(n.raft.term, n.raft.me) == n.raft.me
+    w.heal()
+    w.run(w.now + 10.0)
+    least = min(n.raft.commit for n in ns)
+    assert len({tuple((e.term, e.data) for e in n.raft.log.entries[:least]) for n in ns}) == 1
+    assert any(n.raft.settled for n in ns) and max(n.raft.commit for n in ns) > 30
