--- a/verification/bounds.py
+++ b/verification/bounds.py
@@ -23,6 +23,8 @@
     silences: int = 0
     compactions: int = 0
     handovers: int = 0
+    passes: int = 0
+    shared_clock: bool = False
     led: bool = False
 
 
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -9,14 +9,15 @@
 WHOLE = 1000
 
 
-class PowerLoss(Exception):
+class PowerLossError(Exception):
     """The disk lost power before the write under way was confirmed."""
 
 
 class PowerDisk(SimDisk):
-    """Once `fail_at` is set, the next sync keeps that many thousandths of what was not synced and raises PowerLoss."""
+    """Once `fail_at` is set, the next sync keeps that many thousandths of what it lacks and raises PowerLossError."""
 
     def __init__(self) -> None:
+        """An empty disk, with power."""
         super().__init__(random.Random(0))
         self.fail_at: int | None = None
 
@@ -30,4 +31,4 @@
         del self.files[name][kept:]
         self.safe[name] = kept
         self.fail_at = None
-        raise PowerLoss(name)
+        raise PowerLossError(name)
--- a/verification/weather.py
+++ b/verification/weather.py
@@ -14,6 +14,7 @@
     steps.Deliver: 600,
     steps.Save: 500,
     steps.Timeout: 90,
+    steps.Pass: 90,
     steps.Propose: 60,
     steps.Read: 20,
     steps.Crash: 12,
@@ -37,6 +38,7 @@
     __slots__ = ("rng", "_left", "_dark", "_kinds", "_weights")
 
     def __init__(self, rng: random.Random):
+        """All choices come from `rng`."""
         self.rng = rng
         self._left = 0
         self._dark: set[tuple[str, str]] = set()
