--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -74,6 +74,12 @@
 
     def apply(self, step: steps.Step) -> str | None:
         """Takes one step and checks the state; gives what is broken, if anything. Raises ImpossibleError."""
+        try:
+            return self._apply(step)
+        except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError) as error:
+            return f"exception: {type(error).__name__}: {error}"
+
+    def _apply(self, step: steps.Step) -> str | None:
         match step:
             case steps.Deliver():
                 sent = self._deliver(step)
@@ -86,8 +92,8 @@
             case steps.Wipe():
                 return self._wipe(step)
             case _:
-                sent = self._at(step, self._own(step.member))
                 touched = step.member
+                sent = self._at(step, self._own(touched))
         self._send(touched, sent)
         return self.record.check(self.members, self.members[touched])
 
@@ -199,9 +205,10 @@
         if member.unsaved is not None and not self._left("crashes"):
             self._send(sender, member.save())
 
-    def options(self, kind: type) -> Iterator[steps.Step]:
+    def options(self, kind: type[steps.Step]) -> Iterator[steps.Step]:
         """The steps of one kind that this state and the bounds allow."""
-        return getattr(self, f"_{kind.__struct_config__.tag.replace('-', '_')}_options")()
+        tag = str(kind.__struct_config__.tag)
+        return getattr(self, f"_{tag.replace('-', '_')}_options")()
 
     def everything(self) -> Iterator[steps.Step]:
         """All steps that this state and the bounds allow; what is never delivered is as good as lost."""
--- a/verification/explorer.py
+++ b/verification/explorer.py
@@ -12,7 +12,7 @@
 
 from verification.bounds import Bounds
 from verification.cluster import Cluster, ImpossibleError
-from verification.steps import Step, Trace, line
+from verification.steps import Deliver, Lose, Step, Trace, line
 from verification.weather import Weather
 
 Make = Callable[..., Any]
@@ -113,21 +113,23 @@
     kind = broken.partition(":")[0]
     size = len(trace) // 2
     while size:
-        at = 0
+        before, at = len(trace), 0
         while at < len(trace):
             shorter = _possible(trace[:at] + trace[at + size :], kind, first())
-            if shorter is None:
+            if shorter is None or len(shorter) >= len(trace):
                 at += size
             else:
                 trace = shorter
-        size //= 2
+        if size > 1 or len(trace) == before:
+            size //= 2
     return trace
 
 
 def _possible(trace: Trace, kind: str, cluster: Any) -> Trace | None:
     """The steps that can be taken, up to a failure of this kind; None if there is none."""
     taken: list[Step] = []
-    for step in trace:
+    for wanted in trace:
+        step = _nearest(wanted, cluster)
         try:
             broken = cluster.apply(step)
         except ImpossibleError:
@@ -138,6 +140,15 @@
     return None
 
 
+def _nearest(step: Step, cluster: Any) -> Step:
+    """The step itself, or for a message that is not in flight the newest of its kind between the same two."""
+    if not isinstance(step, Deliver | Lose) or (step.sender, step.to, step.message) in cluster.flights:
+        return step
+    kind = step.message.partition("(")[0]
+    alike = [text for *ends, text in cluster.flights if ends == [step.sender, step.to] and text.startswith(kind)]
+    return msgspec.structs.replace(step, message=alike[-1]) if alike else step
+
+
 def lines(trace: Trace) -> list[str]:
     """A trace as a numbered list."""
     return [f"{number:4d}. {line(step)}" for number, step in enumerate(trace, 1)]
--- /dev/null
+++ b/verification/faults.py
@@ -0,0 +1,234 @@
+"""Protections taken out one at a time: machines of which each lacks one, to see that the checks would notice.
+
+Each is a subclass of a product's machine or a method put in its place for a while; the product knows nothing of it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from contextlib import ExitStack, contextmanager
+from typing import Any
+from unittest.mock import patch
+
+import msgspec
+from msgspec.structs import replace
+
+from mallowvalve.raft import log
+from mallowvalve.raft.messages import VOTERS, Ask, Entry, Hard, Install, Voters, encode
+from mallowvalve.raft.progress import Ready
+from mallowvalve.raft.raft import Raft
+from mallowvalve.raft.rounds import Rounds
+from verification import steps
+from verification.bounds import UNBOUNDED, WALK, Bounds
+from verification.cluster import Cluster
+
+NEWEST = 1 << 30
+CHANGING = replace(WALK, spares=2, changes=UNBOUNDED)
+STEADY = replace(WALK, crashes=0, compactions=0, reads=0, silences=0, repeats=0)
+READING = replace(STEADY, reads=UNBOUNDED)
+VOTING = replace(STEADY, members=5, crashes=UNBOUNDED, commands=0)
+SWAPPING = replace(STEADY, spares=3, changes=UNBOUNDED)
+SNAPSHOTS = replace(STEADY, compactions=UNBOUNDED, repeats=UNBOUNDED)
+WIPING = replace(CHANGING, wipes=UNBOUNDED)
+Reach = Callable[[str], int]
+
+
+class VoteNotSaved(Raft):
+    """Writes its term without its vote."""
+
+    def hard(self) -> Hard:
+        """What is written."""
+        return replace(super().hard(), vote="")
+
+
+class TermNotSaved(Raft):
+    """Writes nothing of a term that it enters without a vote or an entry."""
+
+    def ready(self, now: float) -> Ready:
+        """What is to be written and sent."""
+        out = super().ready(now)
+        if not out.entries and out.install is None:
+            out.hard = None
+        return out
+
+
+class SpeaksBeforeSaving(Raft):
+    """Sends what it should send only once its disk has confirmed."""
+
+    def ready(self, now: float) -> Ready:
+        """What is to be written and sent."""
+        out = super().ready(now)
+        out.early, out.late = out.early + out.late, []
+        return out
+
+
+class VotesForAnyLog(Raft):
+    """Votes for a candidate whatever its log holds."""
+
+    def _on_ask(self, src: str, m: Ask, now: float) -> None:
+        super()._on_ask(src, replace(m, last_index=NEWEST, last_term=NEWEST), now)
+
+
+class VotesTwice(Raft):
+    """Forgets within a term that it has voted."""
+
+    def _on_ask(self, src: str, m: Ask, now: float) -> None:
+        if not m.pre and not self.leads:
+            self.vote = ""
+        super()._on_ask(src, m, now)
+
+
+class CommitsFormerTerms(Raft):
+    """Commits an entry of a former term by counting who holds it (the paper's figure 8)."""
+
+    def _advance(self) -> None:
+        super()._advance()
+        count = self.log.voters.agreed(lambda name: self._saved if name == self.me else self._of(name).match)
+        self.commit = max(self.commit, count)
+
+
+class ReadsUnconfirmed(Raft):
+    """Takes a read as confirmed by rounds that went out before it was asked."""
+
+    def ask_quorum(self) -> int:
+        """The round that a read waits for."""
+        return self.rounds.confirmed
+
+
+class ChangesAtOnce(Raft):
+    """Begins a change of voters while another is under way."""
+
+    def change_voters(self, v: Voters, at: int) -> int | None:
+        """Begins the change."""
+        if not self.leads:
+            return None
+        joint = replace(v, old=self.log.voters.voters)
+        return self._append(joint if v.voters != joint.old else v)
+
+    def _append(self, voters: Voters) -> int:
+        entry = Entry(self.log.last + 1, self.term, VOTERS, 0, encode(voters))
+        self.log.append(entry)
+        self._fresh.append(entry)
+        self.nudge = True
+        return entry.index
+
+
+class ChangesInOneStep(Raft):
+    """Goes to other voters without a joint configuration between."""
+
+    def change_voters(self, v: Voters, at: int) -> int | None:
+        """Begins the change."""
+        return self.propose(VOTERS, encode(v), at)
+
+
+class TakesOlderSnapshots(Raft):
+    """Installs a snapshot over a log that is committed further on."""
+
+    def _on_install(self, src: str, m: Install, now: float) -> None:
+        if m.snapshot.state:
+            self.commit = 0
+        super()._on_install(src, m, now)
+
+
+class KeepsConflicts(Raft):
+    """Takes entries behind an entry of another term than the leader's."""
+
+    def receive(self, src: str, m: Any, now: float) -> None:
+        """Takes in a message."""
+        if hasattr(m, "prev_term") and self.log.base <= m.prev_index <= self.log.last:
+            m = replace(m, prev_term=self.log.term(m.prev_index))
+        super().receive(src, m, now)
+
+
+class SameIdAfterWipe(Cluster):
+    """A member that lost its disk comes back under its former id."""
+
+    def _wipe(self, step: steps.Wipe) -> str | None:
+        broken = super()._wipe(step)
+        member = self.members.pop(step.fresh)
+        self._add(step.member, member.raft.log.snapshot, member.seed, member.now)
+        self.record.gone.discard(step.member)
+        return broken
+
+
+def _majority(names: Any, reach: Reach) -> int:
+    return sorted(map(reach, names), reverse=True)[len(names) // 2]
+
+
+def _new_voters_only(voters: Voters, reach: Reach) -> int:
+    """A joint configuration that asks no majority of the former voters."""
+    return _majority(voters.voters, reach)
+
+
+def _learners_too(voters: Voters, reach: Reach) -> int:
+    """A configuration in which learners count as voters."""
+    return _majority(voters.everyone(), reach)
+
+
+def _half(voters: Voters, reach: Reach) -> int:
+    """A configuration whose quorum is one member short of a majority."""
+    return max(map(reach, voters.voters))
+
+
+def _always_answered(rounds: Rounds, seq: int) -> None:
+    """Rounds that are confirmed as soon as they are sent."""
+    rounds.confirmed = rounds.seq
+
+
+class Fault(msgspec.Struct, frozen=True):
+    """A protection, what takes it out, the bounds of the run that has to fail, and the names of what may break."""
+
+    name: str
+    breaks: tuple[str, ...]
+    machine: type[Raft] = Raft
+    patches: tuple[tuple[Any, str, Any], ...] = ()
+    bounds: Bounds = WALK
+    cluster: type[Cluster] = Cluster
+
+    @contextmanager
+    def out(self) -> Iterator[Callable[..., Cluster]]:
+        """Takes the protection out for a while; gives what makes clusters without it."""
+        with ExitStack() as stack:
+            for owner, name, method in self.patches:
+                stack.enter_context(patch.object(owner, name, method))
+            yield lambda bounds, seed=None: self.cluster(bounds, machine=self.machine, seed=seed)
+
+
+ELECTION, LOG, STATE = "election safety", "log matching", "state machine safety"
+COMPLETE, QUORUM, CHANGE, STALE = "leader completeness", "commit without a quorum", "one change at a time", "stale read"
+LOST = "lost"
+
+FAULTS = (
+    Fault("vote saved before it is sent", (ELECTION,), VoteNotSaved, bounds=VOTING),
+    Fault("one vote a term", (ELECTION,), VotesTwice, bounds=VOTING),
+    Fault("term saved before it is acted on", (ELECTION, LOG), TermNotSaved, bounds=VOTING),
+    Fault("nothing said before the disk confirms", (ELECTION, QUORUM, COMPLETE), SpeaksBeforeSaving),
+    Fault("votes only for logs as new", (COMPLETE, STATE), VotesForAnyLog),
+    Fault(
+        "former terms commit by an entry of the term",
+        (COMPLETE, STATE),
+        CommitsFormerTerms,
+        ((log, "CHUNK", 1),),
+        bounds=STEADY,
+    ),
+    Fault("entries only behind their predecessor", (LOG, STATE, QUORUM), KeepsConflicts),
+    Fault("reads wait for a round sent after them", (STALE,), ReadsUnconfirmed, bounds=READING),
+    Fault("rounds need answers", (STALE,), patches=((Rounds, "confirm", _always_answered),), bounds=READING),
+    Fault("a majority, not half", (ELECTION, QUORUM), patches=((Voters, "agreed", _half),)),
+    Fault("no snapshot over a newer log", (STATE, COMPLETE, QUORUM), TakesOlderSnapshots, bounds=SNAPSHOTS),
+    Fault("one change of voters at a time", (CHANGE,), ChangesAtOnce, bounds=CHANGING),
+    Fault("a joint configuration between two", (CHANGE,), ChangesInOneStep, bounds=CHANGING),
+    Fault(
+        "both majorities while joint",
+        (QUORUM, ELECTION, COMPLETE),
+        patches=((Voters, "agreed", _new_voters_only),),
+        bounds=SWAPPING,
+    ),
+    Fault(
+        "learners have no vote",
+        (QUORUM, ELECTION),
+        patches=((Voters, "agreed", _learners_too),),
+        bounds=CHANGING,
+    ),
+    Fault("a new id after a lost disk", (ELECTION, COMPLETE, LOST), bounds=WIPING, cluster=SameIdAfterWipe),
+)
--- a/verification/identity.py
+++ b/verification/identity.py
@@ -57,7 +57,7 @@
     names = slots_of(kind)
 
     def copy(thing: Any) -> Any:
-        other = object.__new__(kind)
+        other: Any = object.__new__(kind)
         for name in names:
             setattr(other, name, clone(getattr(thing, name)))
         for name, value in getattr(thing, "__dict__", {}).items():
--- a/verification/invariants.py
+++ b/verification/invariants.py
@@ -68,12 +68,14 @@
     def state_machine_safety(self, members: Members, touched: Member) -> str | None:
         """No two members apply different entries at an index; what is committed is on the disks of a quorum."""
         applied, log = touched.applied.index, touched.raft.log
+        if applied < touched.reached:
+            return f"state machine safety: {touched.id} went back from {touched.reached} to {applied}"
         for index in range(log.base + 1, min(applied, len(self.committed)) + 1):
-            if log.get(index) != self.committed[index - 1][0]:
+            if log.term(index) is None or log.get(index) != self.committed[index - 1][0]:
                 return f"state machine safety: {touched.id} applied another entry at {index}"
         for index in range(len(self.committed) + 1, applied + 1):
-            if index <= log.base:
-                return f"state machine safety: {touched.id} has a snapshot of entry {index}, which nobody committed"
+            if not log.base < index <= log.last:
+                return f"state machine safety: {touched.id} applied entry {index}, which nobody committed"
             self.committed.append((log.get(index), touched.raft.term))
             if not _quorum(_holders(members, index, log.get(index).term) | self.gone, log.voters):
                 return f"commit without a quorum: entry {index} is not on the disks of a quorum of {_seats(log.voters)}"
@@ -117,7 +119,8 @@
         if not touched.raft.leads:
             return None
         changes = [entry for entry in log.entries if entry.kind == VOTERS]
-        if sum(entry.index > len(self.committed) for entry in changes) > 1:
+        done = max(touched.raft.commit, len(self.committed))
+        if sum(entry.index > done for entry in changes) > 1:
             return f"one change at a time: {touched.id} has two changes of voters under way"
         sets = _configurations(touched)
         for before, after in itertools.pairwise(sets):
--- a/verification/member.py
+++ b/verification/member.py
@@ -87,6 +87,7 @@
         "raft",
         "applied",
         "held",
+        "reached",
         "unsaved",
         "reads",
         "proposed",
@@ -111,6 +112,7 @@
         log = Log(snapshot, loaded.entries)
         self.raft = self.machine(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMES, hard.commit)
         self.applied = Applied(snapshot)
+        self.reached = 0
         self.unsaved: tuple[Ready, Hard] | None = None
         self.reads, self.proposed = Reads(), {}
         self.acknowledged: list[int] = []
@@ -207,6 +209,7 @@
             self.applied.apply(entry)
             if self.proposed.pop(entry.index, None) == entry.term:
                 self.acknowledged.append(entry.index)
+        self.reached = max(self.reached, self.applied.index)
 
     def _answer(self) -> None:
         if not self.raft.leads:
--- a/verification/reconfigurations.py
+++ b/verification/reconfigurations.py
@@ -10,10 +10,12 @@
 
 
 def proposals(now: Voters, names: list[str]) -> Iterator[Seats]:
-    """Changes from the voters of now: a learner more, a learner's vote, a voter less, a voter for a learner."""
+    """Changes from the voters of now: a learner more, a learner's vote, a voter less, a voter for a learner, all at once."""
     if now.old:
         return
     voters, learners = tuple(now.voters), tuple(now.learners)
+    if learners and all(name in names for name in learners):
+        yield learners, voters
     for name in names:
         if name not in voters and name not in learners:
             yield voters, (*learners, name)
--- a/verification/steps.py
+++ b/verification/steps.py
@@ -94,7 +94,9 @@
     member: str
 
 
-Step = Timeout | Pass | Silence | Deliver | Lose | Save | Crash | Wipe | Propose | Read | Reconfigure | HandOver | Compact
+Step = (
+    Timeout | Pass | Silence | Deliver | Lose | Save | Crash | Wipe | Propose | Read | Reconfigure | HandOver | Compact
+)
 Trace = list[Step]
 
 
@@ -104,5 +106,4 @@
     if isinstance(step, Deliver | Lose):
         again = ", kept in flight" if isinstance(step, Deliver) and step.keep else ""
         return f"{name} {step.sender} -> {step.to} {step.message}{again}"
-    fields = [f"{f}={getattr(step, f)!r}" for f in step.__struct_fields__ if f != "member"]
-    return " ".join([name, step.member, *fields])
+    return " ".join([name, *(f"{field}={getattr(step, field)!r}" for field in step.__struct_fields__)])
--- a/verification/weather.py
+++ b/verification/weather.py
@@ -13,23 +13,24 @@
 WEIGHTS = {
     steps.Deliver: 600,
     steps.Save: 500,
-    steps.Timeout: 90,
+    steps.Timeout: 100,
     steps.Pass: 90,
-    steps.Propose: 60,
-    steps.Read: 20,
-    steps.Crash: 12,
-    steps.Compact: 10,
+    steps.Propose: 40,
+    steps.Read: 40,
+    steps.Crash: 20,
+    steps.Compact: 25,
     steps.Silence: 6,
     steps.HandOver: 4,
-    steps.Reconfigure: 12,
-    steps.Wipe: 3,
+    steps.Reconfigure: 25,
+    steps.Wipe: 8,
     steps.Lose: 30,
 }
 MOST_IN_FLIGHT = 40
 NEAR = 4
 IN_ORDER = 0.8
 DARK = 0.6
-SPELL = (10, 80)
+SPELL = (10, 60)
+LEADERS_TURN = 0.6
 
 
 class Weather:
@@ -46,7 +47,7 @@
 
     def choose(self, cluster: Any) -> steps.Step:
         """One of the steps that are possible now."""
-        self._turn(list(cluster.members))
+        self._turn(cluster)
         if len(cluster.flights) > MOST_IN_FLIGHT:
             return self.rng.choice(list(cluster.options(steps.Lose)))
         while True:
@@ -59,8 +60,8 @@
             if options:
                 return self.rng.choice(options)
 
-    def _turn(self, names: list[str]) -> None:
-        """Now and then other links are dark: none, or each with a member that is alone, one way or both."""
+    def _turn(self, cluster: Any) -> None:
+        """Now and then other links are dark: none, or each with some alone, often a leader, one way or both."""
         self._left -= 1
         if self._left > 0:
             return
@@ -68,7 +69,11 @@
         self._dark = set()
         if self.rng.random() > DARK:
             return
+        names = list(cluster.members)
+        leaders = [name for name, member in cluster.members.items() if member.raft.leads]
         alone = set(self.rng.sample(names, self.rng.randint(1, (len(names) + 1) // 2)))
+        if leaders and self.rng.random() < LEADERS_TURN:
+            alone = {self.rng.choice(leaders)}
         inward, outward = self.rng.choice([(True, True), (True, True), (True, False), (False, True)])
         for one in alone:
             for other in set(names) - alone:
