--- /dev/null
+++ b/tests/test_verification_explorer.py
@@ -0,0 +1,168 @@
+import random
+from collections import Counter
+
+import msgspec
+import pytest
+from click.testing import CliRunner
+from msgspec.structs import replace
+
+from mallowvalve.raft import log
+from verification import steps, trace
+from verification.__main__ import main
+from verification.bounds import UNBOUNDED, WALK, Bounds
+from verification.cluster import Cluster, ImpossibleError
+from verification.disk import WHOLE, PowerDisk, PowerLossError
+from verification.explorer import breadth_first, lines, replay, walk, walks
+from verification.faults import CHANGING, FAULTS, WIPING
+from verification.weather import Weather
+
+NEAREST = {
+    "an election": (Bounds(terms=2), 4000),
+    "a leader's command and a crash": (Bounds(led=True, crashes=1), 4000),
+    "a read at a leader that may be deposed": (Bounds(led=True, reads=1, commands=0, silences=1), 3000),
+    "a change of voters": (Bounds(led=True, spares=1, changes=2, commands=0, terms=1), 3000),
+    "a snapshot for a member that lags": (Bounds(led=True, compactions=1, repeats=1, terms=1), 3000),
+}
+PATHS = {
+    "three members": (WALK, 40, 600),
+    "five members": (replace(WALK, members=5), 8, 2000),
+    "changes of voters": (CHANGING, 40, 600),
+    "lost disks": (WIPING, 40, 600),
+    "five members, lost disks": (replace(WIPING, members=5), 8, 2000),
+    "one clock": (replace(WALK, shared_clock=True, passes=UNBOUNDED), 30, 600),
+}
+
+
+@pytest.mark.parametrize("name", NEAREST)
+def test_every_nearest_state_holds(name):
+    bounds, most = NEAREST[name]
+    result = breadth_first(bounds, most)
+    assert (result.broken, result.trace) == ("", [])
+    assert result.states == most
+
+
+def test_a_small_space_is_visited_whole_and_the_same_each_time():
+    runs = [breadth_first(Bounds(members=2, terms=1, commands=0, beats=0, crashes=1), 20_000) for _ in range(2)]
+    assert runs[0] == runs[1]
+    assert runs[0].complete and not runs[0].broken and runs[0].depth > 8
+
+
+@pytest.mark.parametrize("name", PATHS)
+def test_every_state_on_random_paths_holds_and_the_paths_reach_what_they_should(name):
+    bounds, seeds, length = PATHS[name]
+    result = walks(bounds, range(seeds), length)
+    assert (result.broken, result.trace) == ("", [])
+    assert result.states == seeds * length
+    for what in ("elections", "commits", "crashes", "reads", "compactions", "repeats", "commands"):
+        assert result.seen[what] >= seeds
+    for what in ("changes", "wipes", "passes"):
+        assert bool(result.seen.get(what)) == bool(getattr(bounds, what))
+
+
+def test_paths_hold_where_entries_travel_one_at_a_time(monkeypatch):
+    monkeypatch.setattr(log, "CHUNK", 1)
+    assert walks(WALK, range(20), 600).broken == ""
+
+
+def test_a_seed_takes_the_same_path_each_time():
+    assert walk(WIPING, 7, 400) == walk(WIPING, 7, 400)
+    assert walk(WIPING, 7, 400) != walk(WIPING, 8, 400)
+
+
+def test_a_fork_leaves_the_state_it_came_from_as_it_was():
+    cluster, weather = Cluster(WIPING), Weather(random.Random(3))
+    for _ in range(400):
+        step = weather.choose(cluster)
+        before, fork = cluster.key(), cluster.fork()
+        fork.apply(step)
+        assert cluster.key() == before
+        cluster.apply(step)
+        assert cluster.key() == fork.key()
+
+
+def test_a_trace_is_replayed_from_its_file_and_breaks_where_it_broke(tmp_path):
+    fault = next(fault for fault in FAULTS if fault.name == "votes only for logs as new")
+    with fault.out() as make:
+        found = walks(fault.bounds, range(20), 600, make)
+        file = tmp_path / "trace.json"
+        trace.write(file, trace.Recorded(fault.bounds, found.seed, found.trace, found.broken))
+        recorded = trace.read(file)
+        assert replay(recorded.steps, recorded.bounds, recorded.seed, make) == found.broken == recorded.broken
+        shorter = recorded.steps[:-1]
+        assert replay(shorter, recorded.bounds, recorded.seed, make) is None
+    assert len(found.trace) < 60 and len(lines(found.trace)) == len(found.trace)
+
+
+def test_breadth_first_gives_the_shortest_trace():
+    fault = next(fault for fault in FAULTS if fault.name == "a majority, not half")
+    with fault.out() as make:
+        found = breadth_first(Bounds(), 1000, make=make)
+    assert found.broken.startswith("commit without a quorum")
+    assert found.trace == [steps.Timeout("n0")]
+
+
+def test_a_step_of_another_state_is_refused():
+    for step in (steps.Save("n0"), steps.Timeout("n9"), steps.Deliver("n0", "n1", "Elect(term=1)")):
+        with pytest.raises(ImpossibleError):
+            replay([step], WALK)
+
+
+@pytest.mark.parametrize("kept", [0, WHOLE // 2, WHOLE])
+def test_a_write_under_way_at_a_loss_of_power_is_there_whole_or_not_at_all(kept):
+    cluster = Cluster(replace(WALK, members=1))
+    cluster.apply(steps.Timeout("n0"))
+    assert cluster.members["n0"].raft.term == 1 and cluster.members["n0"].unsaved is not None
+    assert cluster.apply(steps.Crash("n0", kept)) is None
+    raft = cluster.members["n0"].raft
+    assert (raft.term, raft.vote, raft.log.last) == ((1, "n0", 1) if kept == WHOLE else (0, "", 0))
+
+
+def test_a_disk_keeps_what_was_synced_before_it_lost_power():
+    disk = PowerDisk()
+    disk.append("a", b"12")
+    disk.sync("a")
+    disk.append("a", b"3456")
+    disk.fail_at = WHOLE // 2
+    with pytest.raises(PowerLossError):
+        disk.sync("a")
+    assert disk.read("a") == b"1234"
+
+
+def test_the_commands_say_what_they_saw(tmp_path):
+    run = CliRunner().invoke
+    said = run(main, ["explore", "--states", "300"])
+    assert said.exit_code == 0 and said.output.startswith("states 300, steps ") and "every check held" in said.output
+    said = run(
+        main, ["explore", "--mode", "random", "--seeds", "2", "--depth", "200", "--changes", "3", "--spares", "1"]
+    )
+    assert said.exit_code == 0 and "states 400" in said.output and "2 seeds" in said.output
+    said = run(main, ["teeth", "half"])
+    assert said.exit_code == 0 and "a majority, not half: 5 states" in said.output
+    file = tmp_path / "trace.json"
+    trace.write(file, trace.Recorded(WALK, 1, walk(WALK, 1, 30).trace))
+    said = run(main, ["replay", str(file)])
+    assert said.exit_code == 0 and "  30. " in said.output and "every check held" in said.output
+    file.write_bytes(b"{}")
+    said = run(main, ["replay", str(file)])
+    assert said.exit_code == 1 and "missing required field" in said.output
+
+
+def test_a_failure_is_printed_written_and_ends_with_1(tmp_path):
+    fault = next(fault for fault in FAULTS if fault.name == "a majority, not half")
+    file = tmp_path / "trace.json"
+    with pytest.MonkeyPatch.context() as patch:
+        for owner, name, method in fault.patches:
+            patch.setattr(owner, name, method)
+        said = CliRunner().invoke(main, ["explore", "--out", str(file)])
+        again = CliRunner().invoke(main, ["replay", str(file)])
+    assert said.exit_code == again.exit_code == 1
+    assert "   1. timeout member='n0'" in said.output and "BROKEN: commit without a quorum" in again.output
+    assert CliRunner().invoke(main, ["replay", str(file)]).exit_code == 0
+
+
+def test_every_kind_of_step_is_taken_and_survives_its_encoding():
+    taken = [step for seed in range(20) for step in walk(WIPING, seed, 600).trace]
+    taken += walk(replace(WALK, shared_clock=True, passes=UNBOUNDED), 1, 100).trace
+    kinds = Counter(type(step) for step in taken)
+    assert set(kinds) == set(steps.Step.__args__)
+    assert msgspec.json.decode(msgspec.json.encode(taken), type=list[steps.Step]) == taken
--- /dev/null
+++ b/verification/__main__.py
@@ -0,0 +1,139 @@
+"""The commands: search states, replay a trace, take protections out, check a recorded history."""
+
+from __future__ import annotations
+
+import sys
+import time
+from importlib import import_module
+from pathlib import Path
+
+import click
+import msgspec
+
+from verification import trace as traces
+from verification.bounds import UNBOUNDED, Bounds
+from verification.cluster import ImpossibleError
+from verification.explorer import Result, breadth_first, lines, replay, walks
+from verification.faults import FAULTS
+
+BREADTH, RANDOM = "breadth", "random"
+SMALL = Bounds()
+SHARED = ("members", "spares", "led", "shared_clock")
+COUNTED = [name for name in Bounds.__struct_fields__ if name not in SHARED]
+
+
+@click.group()
+def main() -> None:
+    """Explore the states of the product's own machines under every order of events that the bounds allow."""
+
+
+def bounds_options(command: click.Command) -> click.Command:
+    """An option for each count that a path may hold."""
+    for name in reversed(COUNTED):
+        text = f"most {name} of a path; breadth first {getattr(SMALL, name)} if not given, random unbounded"
+        command = click.option(f"--{name}", type=click.IntRange(0), help=text)(command)
+    return command
+
+
+@main.command()
+@click.option("--mode", type=click.Choice([BREADTH, RANDOM]), default=BREADTH, show_default=True)
+@click.option("--members", type=click.IntRange(1), default=3, show_default=True)
+@click.option("--spares", type=click.IntRange(0), default=0, show_default=True, help="machines outside the voters")
+@click.option("--led", is_flag=True, help="start with an elected leader")
+@click.option("--shared-clock", is_flag=True, help="one clock for all, so that leases hold; else each has its own")
+@bounds_options
+@click.option("--states", type=click.IntRange(1), default=50_000, show_default=True, help="breadth first: most states")
+@click.option("--depth", type=click.IntRange(1), default=1000, show_default=True, help="most steps of a path")
+@click.option("--first", type=int, default=0, show_default=True, help="random: first seed")
+@click.option("--seeds", type=click.IntRange(1), default=100, show_default=True, help="random: how many seeds")
+@click.option(
+    "--seconds", type=float, help="random: begin no seed after so long; the verdict then depends on the machine"
+)
+@click.option("--out", type=click.Path(path_type=Path), help="file for the trace of a failure")
+def explore(mode, states, depth, first, seeds, seconds, out, **limits) -> None:
+    """Search states, breadth first or along random paths; exits with 1 where a check fails."""
+    unbounded = mode == RANDOM
+    counts = {name: limits.pop(name) for name in COUNTED}
+    counts = {name: _count(name, value, unbounded) for name, value in counts.items()}
+    bounds = Bounds(**limits, **counts)
+    began = time.monotonic()
+    if mode == BREADTH:
+        result = breadth_first(bounds, states, depth)
+    else:
+        until = began + seconds if seconds else float("inf")
+        numbers = (seed for seed in range(first, first + seeds) if time.monotonic() < until)
+        result = walks(bounds, numbers, depth)
+    report(result, time.monotonic() - began)
+    if result.broken:
+        if out is not None:
+            traces.write(out, traces.Recorded(bounds, result.seed, result.trace, result.broken))
+        sys.exit(1)
+
+
+def _count(name: str, value: int | None, unbounded: bool) -> int:
+    if value is not None:
+        return value
+    return UNBOUNDED if unbounded and name not in ("changes", "wipes") else getattr(SMALL, name)
+
+
+def report(result: Result, seconds: float) -> None:
+    """Prints what a search saw, and a failure's trace."""
+    over = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
+    pace = round(result.states / seconds) if seconds else 0
+    click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{over}, {pace} states/s")
+    if result.seen:
+        click.echo("seen: " + ", ".join(f"{what} {number}" for what, number in sorted(result.seen.items())))
+    if not result.broken:
+        click.echo("every check held")
+        return
+    click.echo(f"BROKEN: {result.broken}")
+    if result.seed is not None:
+        click.echo(f"seed {result.seed}, the path shortened to {len(result.trace)} steps:")
+    for text in lines(result.trace):
+        click.echo(text)
+
+
+@main.command("replay")
+@click.argument("file", type=click.Path(exists=True, path_type=Path))
+def replay_file(file: Path) -> None:
+    """Take the steps of a trace that `explore --out` wrote; exits with 1 where it still fails."""
+    try:
+        recorded = traces.read(file)
+        broken = replay(recorded.steps, recorded.bounds, recorded.seed)
+    except (msgspec.DecodeError, ImpossibleError) as error:
+        raise click.ClickException(f"{file}: {error}") from None
+    for text in lines(recorded.steps):
+        click.echo(text)
+    click.echo(f"BROKEN: {broken}" if broken else "every check held")
+    sys.exit(1 if broken else 0)
+
+
+@main.command()
+@click.option("--seeds", type=click.IntRange(1), default=1000, show_default=True)
+@click.option("--depth", type=click.IntRange(1), default=600, show_default=True)
+@click.argument("names", nargs=-1)
+def teeth(seeds, depth, names) -> None:
+    """Take each protection out in turn (or those whose name holds one of NAMES) and count states to a failure."""
+    blunt = 0
+    for fault in FAULTS:
+        if names and not any(name in fault.name for name in names):
+            continue
+        began = time.monotonic()
+        with fault.out() as make:
+            result = walks(fault.bounds, range(seeds), depth, make)
+        blunt += not result.broken
+        told = f"{result.broken}; trace of {len(result.trace)}" if result.broken else "NOT NOTICED"
+        took = time.monotonic() - began
+        click.echo(f"{fault.name}: {result.states} states, {result.seeds} seeds, {took:.1f} s: {told}")
+    sys.exit(1 if blunt else 0)
+
+
+@main.command()
+@click.argument("file", type=click.Path(exists=True, path_type=Path))
+def check(file: Path) -> None:
+    """Check a recorded history for linearizability; exits with 1 where there is no order that explains it."""
+    sys.exit(import_module("verification.linearizability").main_check(file))
+
+
+if __name__ == "__main__":
+    main()
--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -59,7 +59,7 @@
         self.members[name] = self.kind(name, self.machine, seed, snapshot, now)
 
     def fork(self) -> Cluster:
-        """A cluster in the same state; members are copied once they are touched."""
+        """A cluster in the same state; members are copied once they are touched. For clusters without a seed."""
         other = object.__new__(Cluster)
         other.bounds, other.machine, other.kind = self.bounds, self.machine, self.kind
         other.members, other.flights, other.spent = dict(self.members), dict(self.flights), dict(self.spent)
@@ -118,7 +118,10 @@
         flight = (step.sender, step.to, step.message)
         if flight not in self.flights:
             raise ImpossibleError(step.message)
-        return self.flights[flight] if keep else self.flights.pop(flight)
+        message = self.flights.pop(flight)
+        if keep:
+            self.flights[flight] = message
+        return message
 
     def _at(self, step: steps.Step, member: Member) -> Sent:
         if isinstance(step, steps.Crash):
--- a/verification/explorer.py
+++ b/verification/explorer.py
@@ -29,6 +29,7 @@
     broken: str = ""
     seed: int | None = None
     trace: Trace = []
+    seen: dict[str, int] = {}
 
 
 def breadth_first(bounds: Bounds, most: int, depth: int = 1 << 30, make: Make = Cluster) -> Result:
@@ -78,9 +79,16 @@
         result.broken = cluster.apply(step) or ""
         if result.broken:
             break
+    result.seen = _seen(cluster)
     return result
 
 
+def _seen(cluster: Any) -> dict[str, int]:
+    """What a path came to, so that a search that reached nothing is not taken for a proof."""
+    reached = {"elections": len(cluster.record.leaders), "commits": len(cluster.record.committed)}
+    return {**cluster.spent, **reached}
+
+
 def walks(bounds: Bounds, seeds: Iterator[int], length: int, make: Make = Cluster) -> Result:
     """Random paths, one a seed, up to the first failure, whose trace is then shortened."""
     total = Result()
@@ -88,9 +96,12 @@
         one = walk(bounds, seed, length, make)
         total.seeds, total.states, total.steps = total.seeds + 1, total.states + one.states, total.steps + one.steps
         total.depth = max(total.depth, one.depth)
+        for what, number in one.seen.items():
+            total.seen[what] = total.seen.get(what, 0) + number
         if one.broken:
-            total.broken, total.seed = one.broken, seed
+            total.seed = seed
             total.trace = shorten(one.trace, one.broken, partial(make, bounds, seed=seed))
+            total.broken = replay(total.trace, bounds, seed, make) or ""
             break
     return total
 
--- a/verification/faults.py
+++ b/verification/faults.py
@@ -26,7 +26,7 @@
 CHANGING = replace(WALK, spares=2, changes=UNBOUNDED)
 STEADY = replace(WALK, crashes=0, compactions=0, reads=0, silences=0, repeats=0)
 READING = replace(STEADY, reads=UNBOUNDED)
-VOTING = replace(STEADY, members=5, crashes=UNBOUNDED, commands=0)
+VOTING = replace(STEADY, crashes=UNBOUNDED, commands=0)
 SWAPPING = replace(STEADY, spares=3, changes=UNBOUNDED)
 SNAPSHOTS = replace(STEADY, compactions=UNBOUNDED, repeats=UNBOUNDED)
 WIPING = replace(CHANGING, wipes=UNBOUNDED)
@@ -230,5 +230,5 @@
         patches=((Voters, "agreed", _learners_too),),
         bounds=CHANGING,
     ),
-    Fault("a new id after a lost disk", (ELECTION, COMPLETE, LOST), bounds=WIPING, cluster=SameIdAfterWipe),
+    Fault("a new id after a lost disk", (QUORUM, ELECTION, COMPLETE, LOST), bounds=WIPING, cluster=SameIdAfterWipe),
 )
--- a/verification/reconfigurations.py
+++ b/verification/reconfigurations.py
@@ -10,7 +10,7 @@
 
 
 def proposals(now: Voters, names: list[str]) -> Iterator[Seats]:
-    """Changes from the voters of now: a learner more, a learner's vote, a voter less, a voter for a learner, all at once."""
+    """Changes from the voters of now: a learner more, a learner's vote, a voter less, voters for learners."""
     if now.old:
         return
     voters, learners = tuple(now.voters), tuple(now.learners)
--- a/verification/weather.py
+++ b/verification/weather.py
@@ -26,9 +26,12 @@
     steps.Lose: 30,
 }
 MOST_IN_FLIGHT = 40
+KEEP = 0.1
 NEAR = 4
 IN_ORDER = 0.8
-DARK = 0.6
+UPSETTING = frozenset({steps.Crash, steps.Silence, steps.HandOver, steps.Wipe})
+CALM = 0.3
+DARK = 0.8
 SPELL = (10, 60)
 LEADERS_TURN = 0.6
 
@@ -36,12 +39,12 @@
 class Weather:
     """Chooses a path's steps from one random generator."""
 
-    __slots__ = ("rng", "_left", "_dark", "_kinds", "_weights")
+    __slots__ = ("rng", "_left", "_calm", "_dark", "_kinds", "_weights")
 
     def __init__(self, rng: random.Random):
         """All choices come from `rng`."""
         self.rng = rng
-        self._left = 0
+        self._left, self._calm = 0, False
         self._dark: set[tuple[str, str]] = set()
         self._kinds, self._weights = list(WEIGHTS), list(WEIGHTS.values())
 
@@ -53,21 +56,31 @@
         while True:
             kind = self.rng.choices(self._kinds, self._weights)[0]
             options = list(cluster.options(kind))
+            if self._calm and kind in UPSETTING:
+                continue
             if kind is steps.Deliver:
-                options = [step for step in options if (step.sender, step.to) not in self._dark]
-                if options and self.rng.random() < IN_ORDER:
-                    options = options[:NEAR]
+                options = self._deliverable(options)
+            if self._calm and kind is steps.Timeout:
+                leaders = [step for step in options if cluster.members[step.member].raft.leads]
+                options = leaders or options
             if options:
                 return self.rng.choice(options)
 
+    def _deliverable(self, options: list[steps.Deliver]) -> list[steps.Deliver]:
+        """Those over links that are not dark, mostly the oldest; few of them are kept in flight."""
+        keep = self.rng.random() < KEEP
+        lit = [step for step in options if (step.sender, step.to) not in self._dark]
+        some = [step for step in lit if step.keep == keep] or lit
+        return some[:NEAR] if self.rng.random() < IN_ORDER else some
+
     def _turn(self, cluster: Any) -> None:
         """Now and then other links are dark: none, or each with some alone, often a leader, one way or both."""
         self._left -= 1
         if self._left > 0:
             return
         self._left = self.rng.randint(*SPELL)
-        self._dark = set()
-        if self.rng.random() > DARK:
+        self._dark, self._calm = set(), self.rng.random() < CALM
+        if self._calm or self.rng.random() > DARK:
             return
         names = list(cluster.members)
         leaders = [name for name, member in cluster.members.items() if member.raft.leads]
