--- a/mallowvalve/routing/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -89,21 +89,26 @@
     def keep(self, p):
         return "keep", p[0]
 
-    def choose(self, p):
-        return "draw", str(p[0])
+    def draw(self, p):
+        return "chooser", str(p[0])
 
     def start(self, parts) -> dict:
         out: dict = {}
         for k, v in parts:
             if k in out:
-                raise ValueError(f"{k.removesuffix('_ms')} is set twice")
+                raise ValueError(f"{_word(k)} is set twice")
             lo, hi = BOUNDS.get(k, (None, None))
             if lo is not None and not lo <= v <= hi:
-                raise ValueError(f"{k.removesuffix('_ms')} must be {lo} to {hi}, got {v}")
+                raise ValueError(f"{_word(k)} must be {lo} to {hi}, got {v}")
             out[k] = v
         return out
 
 
+def _word(field: str) -> str:
+    """The language's word for a field of `Policy`."""
+    return "draw" if field == "chooser" else field.removesuffix("_ms")
+
+
 def _run(grammar: str, maker: Transformer, text: str) -> Result[object, tuple[str, str]]:
     try:
         return Ok(maker.transform(_grammar(grammar).parse(text)))
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -2,7 +2,7 @@
 
 from mallowvalve.configuration.build import build
 from mallowvalve.routing import compiler
-from mallowvalve.routing.compiler import Request
+from mallowvalve.routing.compiler import Policy, Request
 from tests.shapes import CONFIG
 
 
@@ -35,6 +35,20 @@
     assert not m(get("/b", "POST"))
 
 
+def test_every_statement_of_a_policy_is_understood():
+    text = "limit 4s; ramp 20s; retry 1; queue 64; width 32; keep 16kb; draw any"
+    assert compiler.policy(text, "p").unwrap() == Policy(
+        limit_ms=4000, ramp_ms=20000, retry=1, queue=64, width=32, keep=16384, chooser="any"
+    )
+    assert compiler.policy("draw near", "p").unwrap().chooser == "near"
+    assert compiler.policy("draw far", "p").is_err()
+
+
+def test_a_statement_given_twice_is_named_as_it_was_written():
+    for text, name in (("draw any; draw near", "draw"), ("limit 1s; limit 2s", "limit")):
+        assert [f.text for f in compiler.policy(text, "p").unwrap_err()] == [f"{name} is set twice"]
+
+
 def test_homes_are_the_tenants_or_the_cells_regions():
     d = copy.deepcopy(CONFIG)
     d["cells"]["racing"]["regions"] = ["eu", "us"]
