--- a/mallowvalve/localfleet/judge.py
+++ b/mallowvalve/localfleet/judge.py
@@ -8,7 +8,7 @@
 
 from mallowvalve.configuration.build import build
 from mallowvalve.configuration.model import Tree
-from mallowvalve.routing.compiler import Request
+from mallowvalve.routing.model import Request
 
 IN_FORCE = 3.5
 LEFT = 3.5
--- a/mallowvalve/routing/compiler.py
+++ b/mallowvalve/routing/compiler.py
@@ -1,73 +1,50 @@
+"""Texts of the route language compiled, each distinct text once; the grammars are loaded with the first of them."""
+
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping
 from functools import lru_cache
+from types import ModuleType
+from typing import TypeVar
 
-import msgspec
 from result import Result
 
 from mallowvalve.finding import Finding, Findings
+from mallowvalve.routing.model import BOUNDS, DEFAULT, METHODS, Match, Policy, Request
 
-REMEMBERED = 65536
-METHODS = frozenset(("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"))
-
-
-class Request(msgspec.Struct):
-    method: str
-    path: str
-    headers: Mapping[str, str]
-
-
-Match = Callable[[Request], bool]
+__all__ = ["BOUNDS", "DEFAULT", "METHODS", "Match", "Policy", "Request", "match", "policy"]
 
+REMEMBERED = 65536
+Compiled = TypeVar("Compiled")
+Unplaced = tuple[str, str]
+"""Where in the text something is wrong ("@LINE:COLUMN", or nothing), and what."""
 
-class Policy(msgspec.Struct, frozen=True, omit_defaults=True):
-    limit_ms: int | None = None
-    ramp_ms: int | None = None
-    retry: int | None = None
-    queue: int | None = None
-    width: int | None = None
-    keep: int | None = None
-    chooser: str | None = None
 
-    def under(self, lower: Policy) -> Policy:
-        return Policy(
-            **{f: b if (b := getattr(lower, f)) is not None else getattr(self, f) for f in self.__struct_fields__}
-        )
+def match(text: str, place: str) -> Result[Match, Findings]:
+    """The test that `text` describes; findings name `place`."""
+    return _placed(_match(text), place)
 
 
-DEFAULT = Policy(limit_ms=5000, ramp_ms=10000, retry=1, queue=64, width=16, keep=16384, chooser="near")
-BOUNDS = {
-    "limit_ms": (10, 60000),
-    "ramp_ms": (0, 600000),
-    "retry": (0, 3),
-    "queue": (0, 4096),
-    "width": (1, 1024),
-    "keep": (0, 65536),
-}
+def policy(text: str, place: str) -> Result[Policy, Findings]:
+    """The policy that `text` describes; findings name `place`."""
+    return _placed(_policy(text), place)
 
 
 @lru_cache(maxsize=REMEMBERED)
-def _match(text: str) -> Result[Match, tuple[str, str]]:
-    from mallowvalve.routing.maker import match
-
-    return match(text)
+def _match(text: str) -> Result[Match, Unplaced]:
+    return _maker().match(text)
 
 
 @lru_cache(maxsize=REMEMBERED)
-def _policy(text: str) -> Result[Policy, tuple[str, str]]:
-    from mallowvalve.routing.maker import policy
+def _policy(text: str) -> Result[Policy, Unplaced]:
+    return _maker().policy(text)
 
-    return policy(text).map(lambda d: Policy(**d))
 
+def _maker() -> ModuleType:
+    """The module with the grammars; a daemon whose configuration holds none of the language never loads it."""
+    from mallowvalve.routing import maker
 
-def _placed(r: Result, place: str) -> Result[object, Findings]:
-    return r.map_err(lambda e: [Finding(place + e[0], e[1])])
+    return maker
 
 
-def match(text: str, place: str) -> Result[Match, Findings]:
-    return _placed(_match(text), place)
-
-
-def policy(text: str, place: str) -> Result[Policy, Findings]:
-    return _placed(_policy(text), place)
+def _placed(result: Result[Compiled, Unplaced], place: str) -> Result[Compiled, Findings]:
+    return result.map_err(lambda wrong: [Finding(place + wrong[0], wrong[1])])
--- a/mallowvalve/routing/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -1,16 +1,37 @@
-"""The grammars and what their words mean; loaded and compiled at the first word that is read."""
+"""The grammars of the route language and what their words mean."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from functools import cache
 from pathlib import Path
+from typing import Any
 
-from lark import Lark, Transformer, UnexpectedInput
+from lark import Lark, Token, Transformer, UnexpectedInput
 from lark.exceptions import VisitError
 from result import Err, Ok, Result
 
-from mallowvalve.routing.compiler import BOUNDS, METHODS, Match
+from mallowvalve.routing.model import BOUNDS, METHODS, Match, Policy
+
+ANY_PART = "*"
+ANY_REST = "**"
+MS_PER_SECOND = 1000
+BYTES_PER_KB = 1024
+WORDS = {"limit_ms": "limit", "ramp_ms": "ramp", "chooser": "draw"}
+"""The language's words for those fields of `Policy` that are named otherwise."""
+
+Setting = tuple[str, int | str]
+"""A field of `Policy` and its value."""
+
+
+def match(text: str) -> Result[Match, tuple[str, str]]:
+    """The test that `text` describes, or where in it ("@LINE:COLUMN", or nothing) something is wrong and what."""
+    return _run("match.lark", _MatchMaker(), text)
+
+
+def policy(text: str) -> Result[Policy, tuple[str, str]]:
+    """The policy that `text` describes, or what is wrong as for `match`."""
+    return _run("policy.lark", _PolicyMaker(), text)
 
 
 @cache
@@ -18,110 +39,109 @@
     return Lark((Path(__file__).parent / name).read_text(), parser="lalr", maybe_placeholders=False)
 
 
+def _run(grammar: str, maker: Transformer, text: str) -> Result[Any, tuple[str, str]]:
+    try:
+        return Ok(maker.transform(_grammar(grammar).parse(text)))
+    except UnexpectedInput as e:
+        line = getattr(e, "line", 1)
+        column = getattr(e, "column", 1)
+        return Err((f"@{line}:{column}", "not understood here"))
+    except VisitError as e:
+        return Err(("", str(e.orig_exc)))
+
+
 def path_test(pattern: str) -> Callable[[str], bool]:
-    want = pattern.strip("/").split("/")
-    rest = want[-1] == "**"
-    if rest:
-        want = want[:-1]
+    """A test of whole paths: `*` stands for one part, a last `**` for any rest."""
+    wanted = pattern.strip("/").split("/")
+    open_ended = wanted[-1] == ANY_REST
+    if open_ended:
+        wanted = wanted[:-1]
 
     def test(path: str) -> bool:
-        got = path.strip("/").split("/")
-        if len(got) < len(want) or not rest and len(got) != len(want):
+        parts = path.strip("/").split("/")
+        if len(parts) < len(wanted) or not open_ended and len(parts) != len(wanted):
             return False
-        return all(w in ("*", g) for w, g in zip(want, got))
+        return all(want in (ANY_PART, part) for want, part in zip(wanted, parts, strict=False))
 
     return test
 
 
-class MatchMaker(Transformer):
-    def any_of(self, parts) -> Match:
-        return lambda r: any(p(r) for p in parts)
+class _MatchMaker(Transformer):
+    """Methods are named after the rules of match.lark."""
+
+    def any_of(self, tests: list[Match]) -> Match:
+        return lambda request: any(test(request) for test in tests)
 
-    def all_of(self, parts) -> Match:
-        return lambda r: all(p(r) for p in parts)
+    def all_of(self, tests: list[Match]) -> Match:
+        return lambda request: all(test(request) for test in tests)
 
-    def negate(self, parts) -> Match:
-        return lambda r: not parts[0](r)
+    def negate(self, tests: list[Match]) -> Match:
+        return lambda request: not tests[0](request)
 
-    def method(self, names) -> Match:
-        names = frozenset(str(n) for n in names)
+    def method(self, tokens: list[Token]) -> Match:
+        names = frozenset(str(token) for token in tokens)
         if not names <= METHODS:
             raise ValueError(f"unknown method {sorted(names - METHODS)[0]}")
-        return lambda r: r.method in names
+        return lambda request: request.method in names
 
-    def path(self, parts) -> Match:
-        pattern = str(parts[0])[1:-1]
+    def path(self, tokens: list[Token]) -> Match:
+        pattern = _unquoted(tokens[0])
         if not pattern.startswith("/"):
             raise ValueError(f"path {pattern!r} must begin with /")
-        if "**" in pattern and not pattern.endswith("/**"):
+        if ANY_REST in pattern and not pattern.endswith("/" + ANY_REST):
             raise ValueError(f"path {pattern!r} may hold ** only as its last part")
         test = path_test(pattern)
-        return lambda r: test(r.path)
-
-    def header(self, parts) -> Match:
-        name, value = (str(p)[1:-1] for p in parts)
-        name = name.lower()
-        return lambda r: r.headers.get(name) == value
-
+        return lambda request: test(request.path)
 
-class PolicyMaker(Transformer):
-    def span(self, p) -> int:
-        return int(p[0]) * (1000 if p[1] == "s" else 1)
+    def header(self, tokens: list[Token]) -> Match:
+        name = _unquoted(tokens[0]).lower()
+        value = _unquoted(tokens[1])
+        return lambda request: request.headers.get(name) == value
 
-    def size(self, p) -> int:
-        return int(p[0]) * (1024 if p[1] == "kb" else 1)
 
-    def limit(self, p):
-        return "limit_ms", p[0]
+def _unquoted(token: Token) -> str:
+    return str(token)[1:-1]
 
-    def ramp(self, p):
-        return "ramp_ms", p[0]
 
-    def retry(self, p):
-        return "retry", int(p[0])
+class _PolicyMaker(Transformer):
+    """Methods are named after the rules of policy.lark."""
 
-    def queue(self, p):
-        return "queue", int(p[0])
+    def span(self, tokens: list[Token]) -> int:
+        return int(tokens[0]) * (MS_PER_SECOND if tokens[1] == "s" else 1)
 
-    def width(self, p):
-        return "width", int(p[0])
+    def size(self, tokens: list[Token]) -> int:
+        return int(tokens[0]) * (BYTES_PER_KB if tokens[1] == "kb" else 1)
 
-    def keep(self, p):
-        return "keep", p[0]
+    def limit(self, spans: list[int]) -> Setting:
+        return "limit_ms", spans[0]
 
-    def draw(self, p):
-        return "chooser", str(p[0])
+    def ramp(self, spans: list[int]) -> Setting:
+        return "ramp_ms", spans[0]
 
-    def start(self, parts) -> dict:
-        out: dict = {}
-        for k, v in parts:
-            if k in out:
-                raise ValueError(f"{_word(k)} is set twice")
-            lo, hi = BOUNDS.get(k, (None, None))
-            if lo is not None and not lo <= v <= hi:
-                raise ValueError(f"{_word(k)} must be {lo} to {hi}, got {v}")
-            out[k] = v
-        return out
+    def retry(self, tokens: list[Token]) -> Setting:
+        return "retry", int(tokens[0])
 
+    def queue(self, tokens: list[Token]) -> Setting:
+        return "queue", int(tokens[0])
 
-def _word(field: str) -> str:
-    """The language's word for a field of `Policy`."""
-    return "draw" if field == "chooser" else field.removesuffix("_ms")
+    def width(self, tokens: list[Token]) -> Setting:
+        return "width", int(tokens[0])
 
+    def keep(self, sizes: list[int]) -> Setting:
+        return "keep", sizes[0]
 
-def _run(grammar: str, maker: Transformer, text: str) -> Result[object, tuple[str, str]]:
-    try:
-        return Ok(maker.transform(_grammar(grammar).parse(text)))
-    except UnexpectedInput as e:
-        line, col = getattr(e, "line", 1), getattr(e, "column", 1)
-        return Err((f"@{line}:{col}", "not understood here"))
-    except VisitError as e:
-        return Err(("", str(e.orig_exc)))
-
-
-def match(text: str) -> Result[Match, tuple[str, str]]:
-    return _run("match.lark", MatchMaker(), text)
-
+    def draw(self, tokens: list[Token]) -> Setting:
+        return "chooser", str(tokens[0])
 
-def policy(text: str) -> Result[dict, tuple[str, str]]:
-    return _run("policy.lark", PolicyMaker(), text)
+    def start(self, settings: list[Setting]) -> Policy:
+        values: dict[str, Any] = {}
+        for field, value in settings:
+            word = WORDS.get(field, field)
+            if field in values:
+                raise ValueError(f"{word} is set twice")
+            if isinstance(value, int):
+                lowest, highest = BOUNDS[field]
+                if not lowest <= value <= highest:
+                    raise ValueError(f"{word} must be {lowest} to {highest}, got {value}")
+            values[field] = value
+        return Policy(**values)
