--- a/mallowvalve/directory/main.py
+++ b/mallowvalve/directory/main.py
@@ -11,9 +11,8 @@
 from mallowvalve.finding import Finding
 from mallowvalve.membership.wire import ALIVE
 from mallowvalve.node import Node
-from mallowvalve.proxy.choose import emptied
 from mallowvalve.settings import Settings
-from mallowvalve.types import Address, Locality
+from mallowvalve.types import Address, Locality, emptied
 
 LIFE_MS, LIFE_S = 3000, 2
 MOST = 6
--- a/mallowvalve/planner/plan.py
+++ b/mallowvalve/planner/plan.py
@@ -3,8 +3,7 @@
 import msgspec
 
 from mallowvalve.configuration.model import Plan, Tree
-from mallowvalve.proxy.choose import reachable
-from mallowvalve.types import Locality
+from mallowvalve.types import Locality, reachable
 
 
 class Move(msgspec.Struct, frozen=True, order=True):
--- a/mallowvalve/proxy/choose.py
+++ b/mallowvalve/proxy/choose.py
@@ -21,14 +21,6 @@
     return max(1, math.ceil(policy.width * warmth(r, policy.ramp_ms, now) / max(1, proxies)))
 
 
-def emptied(at: Locality, evacuated: dict[str, int]) -> bool:
-    return any(n in evacuated for n in (at.region, at.zone, str(at)))
-
-
-def reachable(at: Locality, homes: frozenset[str] | None, evacuated: dict[str, int]) -> bool:
-    return (homes is None or at.region in homes) and not emptied(at, evacuated)
-
-
 class Chooser:
     __slots__ = ("near", "rng", "busy")
 
--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -9,11 +9,10 @@
 from mallowvalve.configuration.items import ServiceItem
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.budget import Sliding
-from mallowvalve.proxy.choose import emptied
 from mallowvalve.proxy.spot import BREAK, BREAK_MOST, Spot, Zone
 from mallowvalve.proxy.steps import Answer
 from mallowvalve.settings import Settings
-from mallowvalve.types import Locality
+from mallowvalve.types import Locality, emptied
 from mallowvalve.upstreams.registry import Upstream
 
 FILL, FAR = 0.85, (0.0, 0.1, 0.5)
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -10,7 +10,6 @@
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.metrics import vital
 from mallowvalve.node import Node
-from mallowvalve.proxy.choose import emptied
 from mallowvalve.proxy.front import Front
 from mallowvalve.proxy.host import Hosts
 from mallowvalve.proxy.path import Path
@@ -19,6 +18,7 @@
 from mallowvalve.proxy.serve import Rejections, Serve
 from mallowvalve.proxy.tries import Tries
 from mallowvalve.settings import Settings
+from mallowvalve.types import emptied
 
 
 class Doors:
--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/path.py
@@ -10,7 +10,6 @@
 from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Release, Verdict
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.call import Call, check_body, understand
-from mallowvalve.proxy.choose import emptied
 from mallowvalve.proxy.pool import Lease, Pool
 from mallowvalve.proxy.steps import (
     Answer,
@@ -26,7 +25,7 @@
     Room,
     Step,
 )
-from mallowvalve.types import Locality
+from mallowvalve.types import Locality, emptied
 
 NOT_RUN, UNDECIDED, UNKNOWN = "not-run", "undecided", "unknown"
 CLAIM_LIMIT = 3.0
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/pool.py
@@ -6,9 +6,9 @@
 from mallowvalve.configuration.model import Plan
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.budget import Budget
-from mallowvalve.proxy.choose import Chooser, reachable
+from mallowvalve.proxy.choose import Chooser
 from mallowvalve.proxy.connections import Connections
-from mallowvalve.types import Address, Locality
+from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import Board, Row
 
 
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -5,11 +5,11 @@
 
 from mallowvalve import clock
 from mallowvalve.proxy.budget import Budget
-from mallowvalve.proxy.choose import Chooser, cap, reachable
+from mallowvalve.proxy.choose import Chooser, cap
 from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.repeats import Repeats
 from mallowvalve.routing.compiler import DEFAULT
-from mallowvalve.types import Address, Locality
+from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
 
 EU, EU2, US = Locality("eu", "a"), Locality("eu", "b"), Locality("us", "c")
