--- a/tests/test_house.py
+++ b/tests/test_house.py
@@ -49,14 +49,16 @@
     assert found == ["mallowvalve/control/bootstrap_task.py"]
 
 
-@pytest.mark.parametrize(
-    "package", ["membership", "raft", "disk_log", "heartbeat", "tree", "word", "coordination", "claim"]
-)
+MACHINES = ["membership", "raft", "storage", "upstreams", "configuration", "routing", "coordination", "ledger"]
+TASKS = ("task.py", "disk.py")
+
+
+@pytest.mark.parametrize("package", MACHINES)
 def test_machines_touch_no_socket_and_no_clock(package):
+    files = [p for p in sorted((ROOT / "mallowvalve" / package).glob("*.py")) if p.name not in TASKS]
+    assert len(files) > 1, "no such package: the check would hold nothing"
     bad = []
-    for p in sorted((ROOT / "mallowvalve" / package).glob("*.py")):
-        if p.name in ("task.py", "disk.py"):
-            continue
+    for p in files:
         for n in ast.walk(ast.parse(p.read_text())):
             names = (
                 [a.name for a in n.names]
