--- a/mallowvalve/finding.py
+++ b/mallowvalve/finding.py
@@ -1,18 +1,27 @@
+"""What is wrong with something that was read, place by place, and reading into structs with all findings at once."""
+
 from __future__ import annotations
 
 import types
 import typing
+from collections.abc import Mapping
 from functools import cache
+from typing import Any, TypeVar
 
 import msgspec
 from result import Err, Ok, Result
 
+Value = TypeVar("Value")
+
 
 class Finding(msgspec.Struct, frozen=True, order=True):
+    """One thing that is wrong: where (`routes.a.policy`, `seeds[0]`), and what."""
+
     place: str
     text: str
 
     def __str__(self) -> str:
+        """PLACE: TEXT."""
         return f"{self.place}: {self.text}"
 
 
@@ -20,29 +29,43 @@
 
 
 def join(place: str, key: str) -> str:
+    """The place of a field within a place."""
     return f"{place}.{key}" if place else key
 
 
-def read(kind: type, data: object, place: str = "") -> Result[object, Findings]:
+def read(kind: type[Value], data: object, place: str = "") -> Result[Value, Findings]:
+    """Convert JSON-like data into `kind`, strictly; the error holds every finding, not only the first."""
     found: Findings = []
     value = read_into(found, kind, data, place)
-    return Err(found) if found else Ok(value)
+    return Err(found) if found else Ok(typing.cast(Value, value))
 
 
-def read_into(found: Findings, kind: type, data: object, place: str = "") -> object | None:
+def read_into(found: Findings, kind: type[Value], data: object, place: str = "") -> Value | None:
+    """Like `read`; findings are added to `found`, and what could not be read is None."""
     return _read(kind, data, place, found)
 
 
-def _read(kind, data, place: str, found: Findings):
+def parse_json(body: bytes, place: str = "body") -> Result[Any, Findings]:
+    """JSON decoded, or the one finding that says what is wrong with it."""
+    try:
+        return Ok(msgspec.json.decode(body))
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
+        return Err([Finding(place, f"not JSON: {e}")])
+
+
+def _read(kind: Any, data: Any, place: str, found: Findings) -> Any:
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
         return _struct(kind, data, place, found)
-    origin, args = typing.get_origin(kind), typing.get_args(kind)
-    if origin is dict and args[0] is str:
-        return _dict(args[1], data, place, found)
+    origin = typing.get_origin(kind)
+    parameters = typing.get_args(kind)
+    if origin is dict and parameters[0] is str:
+        return _dict(parameters[1], data, place, found)
     if origin is list:
-        return _list(args[0], data, place, found)
-    if origin in (typing.Union, types.UnionType) and data is not None and len(args) == 2 and type(None) in args:
-        return _read(next(a for a in args if a is not type(None)), data, place, found)
+        return _list(parameters[0], data, place, found)
+    if origin in (typing.Union, types.UnionType) and data is not None:
+        others = [parameter for parameter in parameters if parameter is not type(None)]
+        if len(others) == 1:
+            return _read(others[0], data, place, found)
     try:
         return msgspec.convert(data, kind, strict=True)
     except msgspec.ValidationError as e:
@@ -51,25 +74,24 @@
 
 
 @cache
-def _fields(kind: type) -> dict:
-    return {f.encode_name: f for f in msgspec.structs.fields(kind)}
+def _fields(kind: type[msgspec.Struct]) -> Mapping[str, msgspec.structs.FieldInfo]:
+    return {field.encode_name: field for field in msgspec.structs.fields(kind)}
 
 
-def _struct(kind, data, place: str, found: Findings):
+def _struct(kind: type[msgspec.Struct], data: Any, place: str, found: Findings) -> msgspec.Struct | None:
     if not isinstance(data, dict):
         found.append(Finding(place, f"expected an object, got {type(data).__name__}"))
         return None
     fields = _fields(kind)
-    for k in data:
-        if k not in fields:
-            found.append(Finding(join(place, str(k)), "unknown field"))
-    values, before = {}, len(found)
-    for name, f in fields.items():
+    before = len(found)
+    found += [Finding(join(place, str(key)), "unknown field") for key in data if key not in fields]
+    values = {}
+    for name, field in fields.items():
         if name in data:
-            values[f.name] = _read(f.type, data[name], join(place, name), found)
-        elif f.required:
+            values[field.name] = _read(field.type, data[name], join(place, name), found)
+        elif field.required:
             found.append(Finding(join(place, name), "missing"))
-    if len(found) > before or any(k not in fields for k in data):
+    if len(found) > before:
         return None
     try:
         return kind(**values)
@@ -78,22 +100,15 @@
         return None
 
 
-def _dict(kind, data, place: str, found: Findings):
+def _dict(kind: Any, data: Any, place: str, found: Findings) -> dict[str, Any]:
     if not isinstance(data, dict):
         found.append(Finding(place, f"expected an object, got {type(data).__name__}"))
         return {}
-    return {k: _read(kind, v, join(place, str(k)), found) for k, v in data.items()}
+    return {key: _read(kind, value, join(place, str(key)), found) for key, value in data.items()}
 
 
-def _list(kind, data, place: str, found: Findings):
+def _list(kind: Any, data: Any, place: str, found: Findings) -> list[Any]:
     if not isinstance(data, list):
         found.append(Finding(place, f"expected an array, got {type(data).__name__}"))
         return []
-    return [_read(kind, v, f"{place}[{i}]", found) for i, v in enumerate(data)]
-
-
-def parse_json(body: bytes, place: str = "body") -> Result[object, Findings]:
-    try:
-        return Ok(msgspec.json.decode(body))
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        return Err([Finding(place, f"not JSON: {e}")])
+    return [_read(kind, value, f"{place}[{i}]", found) for i, value in enumerate(data)]
