--- a/mallowvalve/membership/detector.py
+++ b/mallowvalve/membership/detector.py
@@ -7,11 +7,9 @@
 from mallowvalve.membership.share import Share
 from mallowvalve.membership.wire import (
     ALIVE,
-    ALL,
     FAILED,
     LEAVING,
     LEFT,
-    SELF,
     VERSION,
     Ack,
     Head,
@@ -25,6 +23,7 @@
     Sums,
     Tell,
     Want,
+    Wanted,
 )
 from mallowvalve.types import Address
 
@@ -195,7 +194,7 @@
             return
         self._join_at = now + JOIN
         for s in self.rng.sample(lone, min(len(lone), 2 if self._joined else 8)):
-            self._send(s, Tell(self._head(), [self.me], ALL))
+            self._send(s, Tell(self._head(), [self.me], Wanted.ALL))
         if self._view.live:
             self._send(self.rng.choice(self._view.live), Sum(self._head(), self._digest.total, True))
 
@@ -209,7 +208,7 @@
         lone = self._lone()
         if lone and (not live or self._turn % 4 == 0):
             for s in lone if not live else [self.rng.choice(lone)]:
-                self._send(s, Tell(self._head(), [self.me], ALL))
+                self._send(s, Tell(self._head(), [self.me], Wanted.ALL))
         n = len(live) + 1
         for a, at in self.rng.sample(list(self._seen.items()), min(len(self._seen), 8)):
             chance = TRIES / n if now - at < QUIET else TRIES / n / 4
@@ -226,7 +225,7 @@
     def _check_sender(self, h: Head, now: float) -> None:
         r = self.view.get(h.sender)
         if r is None:
-            self._send(h.sender, Tell(self._head(), [self.me], SELF if self._joined else ALL))
+            self._send(h.sender, Tell(self._head(), [self.me], Wanted.SELF if self._joined else Wanted.ALL))
             return
         stale = (h.incarnation, h.boot) != (r.incarnation, r.boot) and h.incarnation <= r.incarnation
         if stale or (r.state > LEAVING and h.incarnation <= r.incarnation):
@@ -234,7 +233,7 @@
             if r.state == FAILED and r.boot == h.boot:
                 self._heal(h.sender, now)
         elif h.incarnation > r.incarnation:
-            self._send(h.sender, Tell(self._head(), [self.me], SELF))
+            self._send(h.sender, Tell(self._head(), [self.me], Wanted.SELF))
 
     def _heal(self, sender: Address, now: float) -> None:
         """One held as failed speaks, or this node hears that it was: a cut may be over.
@@ -264,9 +263,9 @@
             self._send(sender, Tell(self._head(), back))
         if m.share is not None:
             self._relay(m, sender)
-        if m.ask == SELF:
+        if m.ask == Wanted.SELF:
             self._send(sender, Tell(self._head(), [self.me]))
-        if m.ask == ALL:
+        if m.ask == Wanted.ALL:
             self._tell(sender, [self.me, *(self.view[a] for a in self.view if a in self._digest)], now)
 
     def _learned(self, r: Record, old: Record | None, now: float) -> None:
--- a/mallowvalve/membership/wire.py
+++ b/mallowvalve/membership/wire.py
@@ -1,19 +1,50 @@
+"""The datagrams of membership, MessagePack arrays behind a tag."""
+
 from __future__ import annotations
 
+from enum import IntEnum
+
 import msgspec
 
 from mallowvalve.types import Address, Locality
 
 VERSION = 3
-ALIVE, LEAVING, FAILED, LEFT = range(4)
-NOTHING, SELF, ALL = range(3)
+
+
+class State(IntEnum):
+    """How a member is; of two records of one incarnation the one of the higher state holds."""
+
+    ALIVE = 0
+    LEAVING = 1
+    FAILED = 2
+    LEFT = 3
+
+
+class Wanted(IntEnum):
+    """What is wanted back for records: nothing, the receiver's own record, or all it has."""
+
+    NOTHING = 0
+    SELF = 1
+    ALL = 2
+
+
+ALIVE = State.ALIVE
+LEAVING = State.LEAVING
+FAILED = State.FAILED
+LEFT = State.LEFT
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
+    """What is known of a member.
+
+    `addr` is its transport address and its identity, `boot` a random number of this start of its process, `incarnation`
+    its own count of changes and refutations, `web` its HTTP address, `ready` whether it takes work.
+    """
+
     addr: Address
     boot: int
     incarnation: int
-    state: int
+    state: State
     role: str
     name: str
     locality: Locality
@@ -22,10 +53,13 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
+        """Of two records of a member the one of the higher rank holds."""
         return self.incarnation, self.state, self.boot
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
+    """What begins each datagram: the protocol's version, the fleet, and who sends, in which incarnation."""
+
     version: int
     fleet: str
     sender: Address
@@ -34,7 +68,10 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1, omit_defaults=True):
-    """`total` is the digest of the sender's view; the target of a ping compares it with its own."""
+    """Asks `target` for an ack to `origin` in the origin's period `pr`.
+
+    `total` is the digest of the sender's view; the target of a ping compares it with its own.
+    """
 
     head: Head
     origin: Address
@@ -44,6 +81,8 @@
 
 
 class PingReq(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """Asks a helper to ping `target` for `origin`."""
+
     head: Head
     origin: Address
     target: Address
@@ -51,6 +90,8 @@
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=3, omit_defaults=True):
+    """`target` lives; sent to `origin`, or to `relay`, which passes it on."""
+
     head: Head
     origin: Address
     target: Address
@@ -59,6 +100,8 @@
 
 
 class RelayPing(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """A helper's ping for `origin`; the ack goes back through `relay`."""
+
     head: Head
     origin: Address
     target: Address
@@ -67,14 +110,14 @@
 
 
 class Tell(msgspec.Struct, frozen=True, array_like=True, tag=5, omit_defaults=True):
-    """Records. `ask` is what is wanted back: nothing, the receiver's own record, or all it has.
+    """Records, and what is wanted back for them.
 
     With `share` (i, m) the receiver passes the records on to the members of share i of m.
     """
 
     head: Head
     records: list[Record]
-    ask: int = NOTHING
+    ask: Wanted = Wanted.NOTHING
     share: tuple[int, int] | None = None
 
 
@@ -110,4 +153,5 @@
 
 Message = Ping | PingReq | Ack | RelayPing | Tell | Sum | Sums | Marks | Want
 encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Message).decode
+_decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
+decode = _decoder.decode
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,10 +1,25 @@
 import random
 
+import msgspec
 import pytest
 
 from mallowvalve.membership import formula
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.wire import ALIVE, FAILED, LEFT, VERSION, Ack, Head, Ping, PingReq, Record, RelayPing, Tell
+from mallowvalve.membership.wire import (
+    ALIVE,
+    FAILED,
+    LEFT,
+    VERSION,
+    Ack,
+    Head,
+    Ping,
+    PingReq,
+    Record,
+    RelayPing,
+    Tell,
+    decode,
+    encode,
+)
 from mallowvalve.types import Address, Locality
 from sim.members import Group
 
@@ -162,3 +177,15 @@
     assert g.declared() - before <= 4 * allowed
     g.world.loss = 0.0
     assert g.run_until(g.whole, 30) is not None
+
+
+@pytest.mark.parametrize("state", [-1, 4, 200])
+def test_a_record_in_no_known_state_is_garbage_and_ends_nothing(state):
+    data = encode(Tell(head(B), [record(C, state=state)]))
+    with pytest.raises(msgspec.DecodeError):
+        membership().receive(decode(data), 1.0)
+
+
+def test_a_wish_for_no_known_answer_is_garbage():
+    with pytest.raises(msgspec.DecodeError):
+        decode(encode(Tell(head(B), [record(C)], ask=3)))
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -8,7 +8,6 @@
 from mallowvalve.membership.view import BUCKETS, Digest, View
 from mallowvalve.membership.wire import (
     ALIVE,
-    ALL,
     FAILED,
     LEFT,
     Ack,
@@ -19,6 +18,7 @@
     Sums,
     Tell,
     Want,
+    Wanted,
     encode,
 )
 from mallowvalve.types import Address
@@ -87,10 +87,10 @@
 
 def test_datagrams_stay_small_and_a_storm_of_questions_is_answered_within_bounds():
     b = membership(MANY)
-    out = b.receive(Tell(head(MANY[0]), [record(MANY[0])], ALL), 100.0)
+    out = b.receive(Tell(head(MANY[0]), [record(MANY[0])], Wanted.ALL), 100.0)
     assert max(len(encode(m)) for _, m in out) <= 1200
     assert sum(len(m.records) for _, m in of(Tell, out)) >= 600
-    sent = sum(len(of(Tell, b.receive(Tell(head(a), [record(a)], ALL), 100.0))) for a in MANY[:300])
+    sent = sum(len(of(Tell, b.receive(Tell(head(a), [record(a)], Wanted.ALL), 100.0))) for a in MANY[:300])
     assert 300 <= sent <= 300 + BURST
 
 
@@ -214,15 +214,15 @@
     assert x._digest.total == y._digest.total
     x.tick(2.0 + FORGET)
     assert C not in x.view
-    out = of(Tell, y.receive(Tell(head(B), [record(B)], ALL), 20.0 + QUIET))
+    out = of(Tell, y.receive(Tell(head(B), [record(B)], Wanted.ALL), 20.0 + QUIET))
     assert C not in {r.addr for _, m in out for r in m.records}
 
 
 def test_a_new_member_asks_at_once_and_every_quarter_second_until_it_agrees():
     b = Membership(record(A), "f", [B, C], random.Random(1), 2.0, 30, 0.5)
-    assert {to for to, m in of(Tell, b.tick(0.0)) if m.ask == ALL} == {B, C}
+    assert {to for to, m in of(Tell, b.tick(0.0)) if m.ask == Wanted.ALL} == {B, C}
     assert b.timer() == 0.25
-    assert {to for to, m in of(Tell, b.tick(0.25)) if m.ask == ALL} == {B, C}
+    assert {to for to, m in of(Tell, b.tick(0.25)) if m.ask == Wanted.ALL} == {B, C}
     b.receive(Tell(head(B), [record(B), record(C)]), 0.3)
     assert of(Sum, b.tick(0.5)) and b.timer() == 0.75
     b.receive(Sum(head(B), b._digest.total, False), 0.6)
