--- a/mallowvalve/membership/detector.py
+++ b/mallowvalve/membership/detector.py
@@ -1,10 +1,13 @@
+"""The failure detector as a state machine: periods of the source's figure 1, joins, refutations and forgetting."""
+
 from __future__ import annotations
 
 import random
+from typing import Any
 
 import msgspec
 
-from mallowvalve.membership.share import Share
+from mallowvalve.membership.share import Out, Share
 from mallowvalve.membership.wire import (
     ALIVE,
     FAILED,
@@ -25,15 +28,37 @@
     Want,
     Wanted,
 )
-from mallowvalve.types import Address
+from mallowvalve.types import Address, Locality
 
 FORGET = 600.0
+"""Seconds after which one that failed or left is forgotten."""
+
 QUIET = 60.0
+"""Seconds after which one that failed or left no longer counts in digests, and is sought less often."""
+
 JOIN = 0.25
+"""Seconds between two questions of a new member to its seeds."""
+
 YOUNG = 10.0
+"""Seconds for which a new member asks its seeds, at most."""
+
 HEAL = 1.0
+"""Seconds between two rounds of telling those held as failed that they are."""
+
 ACCUSED = 8
+"""Members held as failed that are told so in one round, at most; also how many tell one that it was declared."""
+
 TRIES = 16
+"""How many of the whole group seek one that failed, in a period."""
+
+SOUGHT = 8
+"""Members held as failed that may be sought in a period, at most."""
+
+SEEK_EVERY = 4
+"""Periods between two questions to seeds that are not in the view, while others are."""
+
+SEEDS_AT_ONCE, SEEDS_ONCE_JOINED = 8, 2
+"""Seeds that a new member asks at once: before it knows anybody, and after."""
 
 
 class Membership(Share):
@@ -69,93 +94,114 @@
         period: float,
         helpers: int,
         round_trip: float,
-    ):
+    ) -> None:
+        """Period and round trip are seconds; `pr` is the number of the present period."""
         super().__init__(me, fleet, rng)
-        self.seeds = [s for s in seeds if s != me.addr]
-        self.period, self.helpers, self.round_trip = period, helpers, round_trip
+        self.seeds = [seed for seed in seeds if seed != me.addr]
+        self.period = period
+        self.helpers = helpers
+        self.round_trip = round_trip
         self.pr = 0
         self._start: float | None = None
         self._target: Record | None = None
         self._acked = False
         self._asked: float | None = None
         self._turn = 0
-        self._born = self._join_at = None
-        self._joined = self._agrees = False
+        self._born = 0.0
+        self._join_at: float | None = None
+        self._joined = False
+        self._agrees = False
         self._healed = float("-inf")
 
     def timer(self) -> float:
+        """When `tick` wants to be called next."""
         if self._start is None:
             return 0.0
         due = self._start + self.period
         if self._target is not None and not self._acked and self._asked is None:
             due = self._start + self.round_trip
-        return min(x for x in (due, self._join_at, self._flush_at) if x is not None)
+        return min(at for at in (due, self._join_at, self._flush_at) if at is not None)
 
-    def tick(self, now: float) -> list[tuple[Address, Message]]:
+    def tick(self, now: float) -> Out:
+        """What time alone brings about."""
         if self._start is None:
             self._born = self._join_at = now
             self._begin(now)
         elif now >= self._start + self.period:
-            self._end(now)
+            self._end(now, self._start)
             self._begin(now)
         elif self._target and not self._acked and self._asked is None and now >= self._start + self.round_trip:
-            self._ask(now)
+            self._ask(now, self._target.addr)
         if self._join_at is not None and now >= self._join_at:
             self._join(now)
         self._flush(now)
         return self._take()
 
-    def receive(self, m: Message, now: float) -> list[tuple[Address, Message]]:
-        if m.head.version != VERSION or m.head.fleet != self.fleet or m.head.sender == self.me.addr:
+    def receive(self, message: Message, now: float) -> Out:
+        """What a datagram brings about; one of another version or fleet is counted and dropped."""
+        head = message.head
+        if head.version != VERSION or head.fleet != self.fleet or head.sender == self.me.addr:
             self.counts.add("membership_foreign")
             return []
-        sender = m.head.sender
-        if isinstance(m, Tell):
-            self._merge(m, now)
-        self._check_sender(m.head, now)
-        match m:
-            case Ping():
-                self._send(m.origin, Ack(self._head(), m.origin, m.target, m.pr))
-                if m.total is not None:
-                    self._compare(sender, m.total)
-            case PingReq() if m.target != self.me.addr:
-                self._send(m.target, RelayPing(self._head(), m.origin, m.target, self.me.addr, m.pr))
-            case RelayPing():
-                self._send(m.relay, Ack(self._head(), m.origin, m.target, m.pr, m.relay))
-            case Ack() if m.relay == self.me.addr:
-                self._send(m.origin, Ack(self._head(), m.origin, m.target, m.pr))
-            case Ack() if (
-                m.origin == self.me.addr and m.pr == self.pr and self._target and m.target == self._target.addr
-            ):
-                self._acked = True
+        if isinstance(message, Tell):
+            self._merge(message, now)
+        self._check_sender(head, now)
+        match message:
+            case Ping() | PingReq() | RelayPing() | Ack():
+                self._probe(message)
             case Sum():
-                self._agrees = self._compare(sender, m.total)
-                if self._agrees and m.ask:
-                    self._send(sender, Sum(self._head(), m.total, False))
+                self._agrees = self._compare(head.sender, message.total)
+                if self._agrees and message.ask:
+                    self._send(head.sender, Sum(self._head(), message.total, False))
             case Sums():
-                self._show(sender, m.sums, self._join_at is not None)
+                self._show(head.sender, message.sums, self._join_at is not None)
             case Marks():
-                self._fill(m, now)
+                self._fill(message, now)
             case Want():
-                self._give(sender, m.marks, now)
+                self._give(head.sender, message.marks, now)
         return self._take()
 
-    def ready(self, ready: bool) -> list[tuple[Address, Message]]:
+    def ready(self, ready: bool) -> Out:
+        """This member takes work, or takes none."""
         if self.me.ready == ready:
             return []
         return self._renew(ready=ready)
 
-    def leave(self, final: bool) -> list[tuple[Address, Message]]:
+    def leave(self, final: bool) -> Out:
+        """This member leaves, or has left if `final`."""
         return self._renew(ready=False, state=LEFT if final else LEAVING)
 
-    def _renew(self, **fields) -> list[tuple[Address, Message]]:
+    def _renew(self, **fields: Any) -> Out:
         self._raise(self.me.incarnation + 1, **fields)
         self._spread([self.me])
         return self._take()
 
+    def _probe(self, message: Ping | PingReq | RelayPing | Ack) -> None:
+        """Every ping is acked, directly or through the helper that it came from."""
+        match message:
+            case Ping():
+                self._send(message.origin, Ack(self._head(), message.origin, message.target, message.pr))
+                if message.total is not None:
+                    self._compare(message.head.sender, message.total)
+            case PingReq() if message.target != self.me.addr:
+                relayed = RelayPing(self._head(), message.origin, message.target, self.me.addr, message.pr)
+                self._send(message.target, relayed)
+            case RelayPing():
+                ack = Ack(self._head(), message.origin, message.target, message.pr, message.relay)
+                self._send(message.relay, ack)
+            case Ack() if message.relay == self.me.addr:
+                self._send(message.origin, Ack(self._head(), message.origin, message.target, message.pr))
+            case Ack() if message.origin == self.me.addr and message.pr == self.pr:
+                if self._target and message.target == self._target.addr:
+                    self._acked = True
+
     def _begin(self, now: float) -> None:
+        """A period begins: one member, chosen uniformly, is pinged."""
         self.pr += 1
-        self._start, self._acked, self._asked, self._target = now, False, None, None
+        self._start = now
+        self._acked = False
+        self._asked = None
+        self._target = None
         self._forget(now)
         if self._join_at is None:
             self._seek(now)
@@ -164,27 +210,28 @@
         self._target = self.view[self.rng.choice(self._view.live)]
         self._send(self._target.addr, Ping(self._head(), self.me.addr, self._target.addr, self.pr, self._digest.total))
 
-    def _ask(self, now: float) -> None:
+    def _ask(self, now: float, target: Address) -> None:
+        """A round trip is over without an ack: helpers are asked to ping the target."""
         self._asked = now
-        target = self._target.addr
-        for a in self._view.some(self.rng, self.helpers, target):
-            self._send(a, PingReq(self._head(), self.me.addr, target, self.pr))
+        for helper in self._view.some(self.rng, self.helpers, target):
+            self._send(helper, PingReq(self._head(), self.me.addr, target, self.pr))
         self.counts.add("membership_asked")
 
-    def _end(self, now: float) -> None:
-        r = self._target
-        if r is None or self._acked:
+    def _end(self, now: float, start: float) -> None:
+        """A period ends; a target without an ack is declared failed, unless this member slept through it."""
+        target = self._target
+        if target is None or self._acked:
             return
         late = max(1.5 * self.round_trip, self.period - 2 * self.round_trip)
-        if self._asked is None or self._asked > self._start + late or now > self._start + self.period + self.round_trip:
+        if self._asked is None or self._asked > start + late or now > start + self.period + self.round_trip:
             self.counts.add("membership_void_period")
             return
-        r = msgspec.structs.replace(r, state=FAILED)
+        failed = msgspec.structs.replace(target, state=FAILED)
         helpers = min(self.helpers, max(0, len(self._view.live) - 1))
-        if not self._accept(r, now, f"no ack in period {self.pr}, direct or through {helpers} helpers"):
+        if not self._accept(failed, now, f"no ack in period {self.pr}, direct or through {helpers} helpers"):
             return
         self.counts.add("membership_declared")
-        self._spread([r], r.addr)
+        self._spread([failed], failed.addr)
 
     def _join(self, now: float) -> None:
         """Until it sees its seeds and agrees with a peer a new member asks four times a second, ten seconds at most."""
@@ -193,47 +240,50 @@
             self._join_at = None
             return
         self._join_at = now + JOIN
-        for s in self.rng.sample(lone, min(len(lone), 2 if self._joined else 8)):
-            self._send(s, Tell(self._head(), [self.me], Wanted.ALL))
+        for seed in self.rng.sample(lone, min(len(lone), SEEDS_ONCE_JOINED if self._joined else SEEDS_AT_ONCE)):
+            self._send(seed, Tell(self._head(), [self.me], Wanted.ALL))
         if self._view.live:
             self._send(self.rng.choice(self._view.live), Sum(self._head(), self._digest.total, True))
 
     def _lone(self) -> list[Address]:
-        return [s for s in self.seeds if s not in self.view or self.view[s].state > LEAVING]
+        """Seeds that are not alive in the view."""
+        return [seed for seed in self.seeds if seed not in self.view or self.view[seed].state > LEAVING]
 
     def _seek(self, now: float) -> None:
         """Looks for those outside: seeds that are not in the view, and members held as failed."""
         self._turn += 1
         live = self._view.live
         lone = self._lone()
-        if lone and (not live or self._turn % 4 == 0):
-            for s in lone if not live else [self.rng.choice(lone)]:
-                self._send(s, Tell(self._head(), [self.me], Wanted.ALL))
-        n = len(live) + 1
-        for a, at in self.rng.sample(list(self._seen.items()), min(len(self._seen), 8)):
-            chance = TRIES / n if now - at < QUIET else TRIES / n / 4
-            if self.view[a].state == FAILED and self.rng.random() < chance:
-                self._send(a, Sum(self._head(), self._digest.total, False))
+        if lone and (not live or self._turn % SEEK_EVERY == 0):
+            for seed in lone if not live else [self.rng.choice(lone)]:
+                self._send(seed, Tell(self._head(), [self.me], Wanted.ALL))
+        members = len(live) + 1
+        for address, since in self.rng.sample(list(self._seen.items()), min(len(self._seen), SOUGHT)):
+            chance = TRIES / members if now - since < QUIET else TRIES / members / 4
+            if self.view[address].state == FAILED and self.rng.random() < chance:
+                self._send(address, Sum(self._head(), self._digest.total, False))
 
     def _forget(self, now: float) -> None:
-        for a, at in list(self._seen.items()):
-            if now - at > FORGET:
-                self._drop(a)
-            elif now - at > QUIET:
-                self._digest.drop(a)
-
-    def _check_sender(self, h: Head, now: float) -> None:
-        r = self.view.get(h.sender)
-        if r is None:
-            self._send(h.sender, Tell(self._head(), [self.me], Wanted.SELF if self._joined else Wanted.ALL))
+        for address, since in list(self._seen.items()):
+            if now - since > FORGET:
+                self._drop(address)
+            elif now - since > QUIET:
+                self._digest.drop(address)
+
+    def _check_sender(self, head: Head, now: float) -> None:
+        """A sender that this member knows otherwise is told so, one that is newer here than known is asked."""
+        record = self.view.get(head.sender)
+        if record is None:
+            self._send(head.sender, Tell(self._head(), [self.me], Wanted.SELF if self._joined else Wanted.ALL))
             return
-        stale = (h.incarnation, h.boot) != (r.incarnation, r.boot) and h.incarnation <= r.incarnation
-        if stale or (r.state > LEAVING and h.incarnation <= r.incarnation):
-            self._send(h.sender, Tell(self._head(), [r]))
-            if r.state == FAILED and r.boot == h.boot:
-                self._heal(h.sender, now)
-        elif h.incarnation > r.incarnation:
-            self._send(h.sender, Tell(self._head(), [self.me], Wanted.SELF))
+        other_life = (head.incarnation, head.boot) != (record.incarnation, record.boot)
+        stale = other_life and head.incarnation <= record.incarnation
+        if stale or (record.state > LEAVING and head.incarnation <= record.incarnation):
+            self._send(head.sender, Tell(self._head(), [record]))
+            if record.state == FAILED and record.boot == head.boot:
+                self._heal(head.sender, now)
+        elif head.incarnation > record.incarnation:
+            self._send(head.sender, Tell(self._head(), [self.me], Wanted.SELF))
 
     def _heal(self, sender: Address, now: float) -> None:
         """One held as failed speaks, or this node hears that it was: a cut may be over.
@@ -244,55 +294,60 @@
             return
         self._healed = now
         accused = self._failed(sender)
-        for a in self.rng.sample(accused, min(ACCUSED, len(accused))):
-            self._send(a, Tell(self._head(), [self.view[a]]))
-
-    def _merge(self, m: Tell, now: float) -> None:
-        sender, back = m.head.sender, []
-        for r in m.records:
-            if r.addr == self.me.addr:
-                self._refute(r, sender, now)
+        for address in self.rng.sample(accused, min(ACCUSED, len(accused))):
+            self._send(address, Tell(self._head(), [self.view[address]]))
+
+    def _merge(self, message: Tell, now: float) -> None:
+        """Take in records, give back what is known better, and what is asked for."""
+        sender = message.head.sender
+        back = []
+        for record in message.records:
+            if record.addr == self.me.addr:
+                self._refute(record, sender, now)
                 continue
-            old = self.view.get(r.addr)
-            if self._accept(r, now, f"told by {sender}"):
+            old = self.view.get(record.addr)
+            if self._accept(record, now, f"told by {sender}"):
                 self.counts.add("membership_learned")
-                self._learned(r, old, now)
-            elif old.state > LEAVING and r.rank < old.rank and sender != r.addr:
+                self._learned(record, old, now)
+            elif old is not None and old.state > LEAVING and record.rank < old.rank and sender != record.addr:
                 back.append(old)
         if back:
             self._send(sender, Tell(self._head(), back))
-        if m.share is not None:
-            self._relay(m, sender)
-        if m.ask == Wanted.SELF:
+        if message.share is not None:
+            self._relay(message, message.share)
+        if message.ask == Wanted.SELF:
             self._send(sender, Tell(self._head(), [self.me]))
-        if m.ask == Wanted.ALL:
-            self._tell(sender, [self.me, *(self.view[a] for a in self.view if a in self._digest)], now)
+        if message.ask == Wanted.ALL:
+            known = [self.view[address] for address in self.view if address in self._digest]
+            self._tell(sender, [self.me, *known], now)
 
-    def _learned(self, r: Record, old: Record | None, now: float) -> None:
-        if r.state <= LEAVING:
+    def _learned(self, record: Record, old: Record | None, now: float) -> None:
+        if record.state <= LEAVING:
             self._joined = True
             if old is None and self._join_at is not None:
-                self._introduce(r.addr, now)
-        elif r.state == FAILED and self.rng.random() < ACCUSED / (len(self._view.live) + 1):
-            self._send(r.addr, Tell(self._head(), [r]))
+                self._introduce(record.addr, now)
+        elif record.state == FAILED and self.rng.random() < ACCUSED / (len(self._view.live) + 1):
+            self._send(record.addr, Tell(self._head(), [record]))
 
-    def _refute(self, r: Record, sender: Address, now: float) -> None:
-        if r.boot == self.me.boot and r.incarnation <= self.me.incarnation and r.state <= self.me.state:
+    def _refute(self, record: Record, sender: Address, now: float) -> None:
+        """A record of this member itself: an older one is answered, one that says worse is overcome."""
+        if record.boot == self.me.boot and record.incarnation <= self.me.incarnation and record.state <= self.me.state:
             return
-        if r.incarnation < self.me.incarnation:
+        if record.incarnation < self.me.incarnation:
             self._send(sender, Tell(self._head(), [self.me]))
             return
-        self._raise(r.incarnation + 1)
+        self._raise(record.incarnation + 1)
         self.counts.add("membership_refuted")
         self._spread([self.me], sender)
-        if r.boot != self.me.boot:
+        if record.boot != self.me.boot:
             return
         self._cast([self.me], self._failed(sender))
         self._heal(sender, now)
 
     def _failed(self, but: Address) -> list[Address]:
-        return [a for a in self._seen if a != but and self.view[a].state == FAILED]
+        return [address for address in self._seen if address != but and self.view[address].state == FAILED]
 
 
-def fresh_record(addr: Address, boot: int, role: str, name: str, locality, web: Address) -> Record:
+def fresh_record(addr: Address, boot: int, role: str, name: str, locality: Locality, web: Address) -> Record:
+    """The record of a process that has just started; `boot` is a random number."""
     return Record(addr, boot, 0, ALIVE, role, name, locality, web, False)
--- a/mallowvalve/membership/share.py
+++ b/mallowvalve/membership/share.py
@@ -1,45 +1,72 @@
+"""How what a member knows gets about: news at once, and digests for what the news missed."""
+
 from __future__ import annotations
 
 import random
+from typing import Any
 
 import msgspec
 
 from mallowvalve.membership.view import BUCKETS, Digest, View, packed, unpacked
-from mallowvalve.membership.wire import LEAVING, VERSION, Head, Marks, Message, Record, Sums, Tell, Want
+from mallowvalve.membership.wire import LEAVING, VERSION, Head, Marks, Message, Record, State, Sums, Tell, Want
 from mallowvalve.metrics import Counts
 from mallowvalve.types import Address
 
+Out = list[tuple[Address, Message]]
+"""Datagrams to send, and to whom."""
+
 ROOM = 1100
+"""Bytes of records in one datagram, so that it fits in a frame of Ethernet."""
+
+FIXED = 40
+"""Bytes of a record beside its texts, at most."""
+
 DIRECT = 64
+"""Up to so many members news go straight to each of them."""
+
 PAUSE = 0.03
+"""Seconds for which members that are new here are collected before this one introduces itself to them."""
+
 BURST, RATE = 128, 64.0
+"""Datagrams with whole records: so many at once, and so many a second."""
+
 MOST_MARKS = 130
+"""Marks in one datagram, at most."""
+
+FEWEST_SHARES = 8
+ANSWERS, JOINERS_ANSWERS = 2, 8
+"""Datagrams of marks that answer one digest: for a member, and for one that has just joined."""
+
+STATE_COUNTERS = {state: f"membership_{state.name.lower()}" for state in State}
 
 
-def size(r: Record) -> int:
+def size(record: Record) -> int:
     """Bytes a record takes in a datagram, at most."""
-    text = len(r.role) + len(r.name) + len(r.locality.region) + len(r.locality.zone) + 2 * len(r.addr.host)
-    return text + 40
+    locality = record.locality
+    texts = len(record.role) + len(record.name) + len(locality.region) + len(locality.zone)
+    return texts + 2 * len(record.addr.host) + FIXED
 
 
 def batches(records: list[Record]) -> list[list[Record]]:
-    out, room = [], 0
-    for r in records:
-        n = size(r)
-        if not out or n > room:
+    """Records in groups that fit in a datagram each."""
+    out: list[list[Record]] = []
+    room = 0
+    for record in records:
+        needed = size(record)
+        if not out or needed > room:
             out.append([])
             room = ROOM
-        out[-1].append(r)
-        room -= n
+        out[-1].append(record)
+        room -= needed
     return out
 
 
-def shares(n: int) -> int:
-    """Into how many shares a group of `n` is cut: a power of two near its root, so that nobody sends many at once."""
-    m = 8
-    while m < BUCKETS and m * m < n:
-        m *= 2
-    return m
+def shares(members: int) -> int:
+    """Into how many shares a group is cut: a power of two near its root, so that nobody sends many at once."""
+    count = FEWEST_SHARES
+    while count < BUCKETS and count * count < members:
+        count *= 2
+    return count
 
 
 class Share:
@@ -66,55 +93,64 @@
         "_filled",
     )
 
-    def __init__(self, me: Record, fleet: str, rng: random.Random):
-        self.me, self.fleet, self.rng = me, fleet, rng
+    def __init__(self, me: Record, fleet: str, rng: random.Random) -> None:
+        """Know only `me`; `why` is for the log to take: why each record came to be as it is."""
+        self.me = me
+        self.fleet = fleet
+        self.rng = rng
         self.counts = Counts()
         self.why: dict[Address, str] = {}
-        self._view, self._digest = View(), Digest()
+        self._view = View()
+        self._digest = Digest()
         self._digest.put(me)
         self._seen: dict[Address, float] = {}
-        self._out: list[tuple[Address, Message]] = []
+        self._out: Out = []
         self._untold: list[Address] = []
         self._flush_at: float | None = None
         self._told = 0
-        self._room, self._filled = float(BURST), 0.0
+        self._room = float(BURST)
+        self._filled = 0.0
 
     @property
     def view(self) -> dict[Address, Record]:
+        """What is known of the others."""
         return self._view.rows
 
     def alive(self, role: str | None = None) -> list[Record]:
         """Members alive or leaving, of one role or of any; not to be changed by the caller."""
         return self._view.alive(role)
 
-    def _raise(self, incarnation: int, **fields) -> None:
+    def _raise(self, incarnation: int, **fields: Any) -> None:
+        """This member's own record changes, under a new incarnation."""
         self.me = msgspec.structs.replace(self.me, incarnation=incarnation, **fields)
         self._digest.put(self.me)
 
-    def _accept(self, r: Record, now: float, why: str) -> bool:
-        old = self.view.get(r.addr)
-        if old is not None and r.rank <= old.rank:
+    def _accept(self, record: Record, now: float, why: str) -> bool:
+        """Take in a record if it ranks above the one held; `_seen` says since when one is failed or has left."""
+        old = self.view.get(record.addr)
+        if old is not None and record.rank <= old.rank:
             return False
-        self._view.put(r)
-        self._digest.put(r)
-        if r.state <= LEAVING:
-            self._seen.pop(r.addr, None)
-        elif old is None or old.state <= LEAVING or old.boot != r.boot:
-            self._seen[r.addr] = now
-        if old is None or (old.state, old.boot) != (r.state, r.boot):
-            self.why[r.addr] = why
-        if old is None or old.state != r.state:
-            self.counts.add(("membership_alive", "membership_leaving", "membership_failed", "membership_left")[r.state])
+        self._view.put(record)
+        self._digest.put(record)
+        if record.state <= LEAVING:
+            self._seen.pop(record.addr, None)
+        elif old is None or old.state <= LEAVING or old.boot != record.boot:
+            self._seen[record.addr] = now
+        if old is None or (old.state, old.boot) != (record.state, record.boot):
+            self.why[record.addr] = why
+        if old is None or old.state != record.state:
+            self.counts.add(STATE_COUNTERS[record.state])
         return True
 
-    def _drop(self, a: Address) -> None:
-        self._view.drop(a)
-        self._digest.drop(a)
-        self._seen.pop(a, None)
-        self.why.pop(a, None)
+    def _drop(self, address: Address) -> None:
+        self._view.drop(address)
+        self._digest.drop(address)
+        self._seen.pop(address, None)
+        self.why.pop(address, None)
 
-    def _introduce(self, a: Address, now: float) -> None:
-        self._untold.append(a)
+    def _introduce(self, address: Address, now: float) -> None:
+        """This member will soon send its record to one that is new here."""
+        self._untold.append(address)
         self._flush_at = self._flush_at or now + PAUSE
 
     def _flush(self, now: float) -> None:
@@ -122,38 +158,42 @@
             return
         self._flush_at = None
         if len(self._view.live) <= DIRECT:
-            for a in self._untold:
-                self._send(a, Tell(self._head(), [self.me]))
+            for address in self._untold:
+                self._send(address, Tell(self._head(), [self.me]))
         elif self._untold and len(self._view.live) > 2 * self._told:
             self._spread([self.me])
             self._told = len(self._view.live)
         self._untold = []
 
     def _spread(self, records: list[Record], also: Address | None = None) -> None:
+        """Send news to all that are alive, and to `also` whatever it is."""
         if also is not None and not self._view.lives(also):
             self._send(also, Tell(self._head(), records))
         self._cast(records, self._view.live)
 
     def _cast(self, records: list[Record], to: list[Address]) -> None:
         if len(to) <= DIRECT:
-            for a in to:
-                self._send(a, Tell(self._head(), records))
+            for address in to:
+                self._send(address, Tell(self._head(), records))
             return
-        m = shares(len(to))
-        cut: list[list[Address]] = [[] for _ in range(m)]
-        for a in to:
-            cut[self._digest.bucket(a) % m].append(a)
+        count = shares(len(to))
+        cut: list[list[Address]] = [[] for _ in range(count)]
+        for address in to:
+            cut[self._digest.bucket(address) % count].append(address)
         for i, members in enumerate(cut):
-            self._send(self.rng.choice(members or to), Tell(self._head(), records, share=(i, m)))
+            self._send(self.rng.choice(members or to), Tell(self._head(), records, share=(i, count)))
 
-    def _relay(self, m: Tell, sender: Address) -> None:
-        i, n = m.share
-        about = {r.addr for r in m.records}
-        for a in self._view.live:
-            if n > 0 and self._digest.bucket(a) % n == i and a != sender and a not in about:
-                self._send(a, Tell(self._head(), m.records))
+    def _relay(self, message: Tell, share: tuple[int, int]) -> None:
+        """Pass records on to the members of a share."""
+        sender = message.head.sender
+        i, count = share
+        about = {record.addr for record in message.records}
+        for address in self._view.live:
+            if count > 0 and self._digest.bucket(address) % count == i and address != sender and address not in about:
+                self._send(address, Tell(self._head(), message.records))
 
     def _compare(self, to: Address, total: int) -> bool:
+        """Whether another's digest is this one's; if not, it gets the digests of the buckets."""
         if total == self._digest.total:
             return True
         self.counts.add("membership_differed")
@@ -161,13 +201,18 @@
         return False
 
     def _show(self, to: Address, sums: bytes, much: bool) -> None:
+        """Answer digests of buckets with the marks of those that differ, in a few datagrams at most."""
         differing = self._digest.differing(unpacked(sums))
         self.rng.shuffle(differing)
-        bits, marks, left = 0, [], 8 if much else 2
+        bits = 0
+        marks: list[int] = []
+        left = JOINERS_ANSWERS if much else ANSWERS
         for i in differing:
             if marks and len(marks) + len(self._digest.buckets[i]) > MOST_MARKS:
                 self._send(to, Marks(self._head(), bits, packed(marks)))
-                bits, marks, left = 0, [], left - 1
+                bits = 0
+                marks = []
+                left -= 1
             if not left:
                 return
             bits |= 1 << i
@@ -175,20 +220,23 @@
         if bits:
             self._send(to, Marks(self._head(), bits, packed(marks)))
 
-    def _fill(self, m: Marks, now: float) -> None:
-        theirs, mine, lack = set(unpacked(m.marks)), set(), []
+    def _fill(self, message: Marks, now: float) -> None:
+        """Answer marks with the records that the sender lacks, and ask for those that this member lacks."""
+        theirs = set(unpacked(message.marks))
+        mine: set[int] = set()
+        lacking: list[Address] = []
         for i in range(BUCKETS):
-            if m.buckets >> i & 1:
+            if message.buckets >> i & 1:
                 mine.update(self._digest.buckets[i])
-                lack += [a for x, a in self._digest.buckets[i].items() if x not in theirs]
-        self._tell(m.head.sender, [self._record(a) for a in lack], now)
-        want = sorted(theirs - mine)
-        if want:
-            self._send(m.head.sender, Want(self._head(), packed(want[:MOST_MARKS])))
+                lacking += [address for its, address in self._digest.buckets[i].items() if its not in theirs]
+        self._tell(message.head.sender, [self._record(address) for address in lacking], now)
+        wanted = sorted(theirs - mine)
+        if wanted:
+            self._send(message.head.sender, Want(self._head(), packed(wanted[:MOST_MARKS])))
 
     def _give(self, to: Address, marks: bytes, now: float) -> None:
-        found = [self._digest.find(x) for x in unpacked(marks)]
-        self._tell(to, [self._record(a) for a in found if a is not None], now)
+        found = [self._digest.find(its) for its in unpacked(marks)]
+        self._tell(to, [self._record(address) for address in found if address is not None], now)
 
     def _tell(self, to: Address, records: list[Record], now: float) -> None:
         """Sends records, so many datagrams a second in all; who gets some only sees a difference and asks again."""
@@ -199,20 +247,21 @@
             self.rng.shuffle(out)
             out = out[: max(1, int(self._room))]
         self._room -= len(out)
-        for rs in out:
-            self._send(to, Tell(self._head(), rs))
+        for batch in out:
+            self._send(to, Tell(self._head(), batch))
 
-    def _record(self, a: Address) -> Record:
-        return self.me if a == self.me.addr else self.view[a]
+    def _record(self, address: Address) -> Record:
+        return self.me if address == self.me.addr else self.view[address]
 
     def _head(self) -> Head:
         return Head(VERSION, self.fleet, self.me.addr, self.me.boot, self.me.incarnation)
 
-    def _send(self, to: Address, m: Message) -> None:
-        self._out.append((to, m))
+    def _send(self, to: Address, message: Message) -> None:
+        self._out.append((to, message))
 
-    def _take(self) -> list[tuple[Address, Message]]:
-        out, self._out = self._out, []
-        for _, m in out:
-            self.counts.add(f"membership_sent_{type(m).__name__.lower()}")
+    def _take(self) -> Out:
+        out = self._out
+        self._out = []
+        for _, message in out:
+            self.counts.add(f"membership_sent_{type(message).__name__.lower()}")
         return out
--- a/mallowvalve/membership/task.py
+++ b/mallowvalve/membership/task.py
@@ -1,3 +1,5 @@
+"""The membership's socket and its clock."""
+
 from __future__ import annotations
 
 import gevent
@@ -7,13 +9,21 @@
 from mallowvalve import clock
 from mallowvalve.fault import Faults
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.share import DIRECT
-from mallowvalve.membership.wire import ALIVE, Record, decode, encode
+from mallowvalve.membership.share import DIRECT, Out
+from mallowvalve.membership.wire import ALIVE, Record, State, decode, encode
 from mallowvalve.metrics import change, vital
 from mallowvalve.types import Address
 
-NAMES = ("alive", "leaving", "failed", "left")
+NAMES = {state: state.name.lower() for state in State}
 AT_ONCE = 256
+"""Datagrams that are read before the timer is looked at again."""
+
+LARGEST = 65536
+SHORTEST_WAIT = 0.005
+"""Seconds; below it the loop would spin."""
+
+READABLE = 1
+"""The event of libev's that a socket has something to read."""
 
 
 class MembershipTask:
@@ -24,51 +34,59 @@
 
     __slots__ = ("membership", "faults", "_sock", "_job", "_known")
 
-    def __init__(self, membership: Membership, faults: Faults = Faults()):
-        self.membership, self.faults = membership, faults
-        self._known: dict[Address, tuple[int, int]] = {}
+    def __init__(self, membership: Membership, faults: Faults | None = None) -> None:
+        """Send and receive for `membership`, but what `faults` cut."""
+        self.membership = membership
+        self.faults = faults or Faults()
+        self._known: dict[Address, tuple[int, State]] = {}
 
     def __enter__(self) -> MembershipTask:
+        """Bind the member's address (UDP) and begin."""
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(self.membership.me.addr.pair)
         self._sock.setblocking(False)
         self._job = vital(gevent.spawn(self._run))
         return self
 
-    def __exit__(self, *_) -> None:
+    def __exit__(self, *_: object) -> None:
+        """Stop at once, without a word to the others."""
         gevent.kill(self._job)
         self._sock.close()
 
     def alive(self, role: str | None = None) -> list[Record]:
+        """Others that are alive or leaving, of one role or of any; not to be changed by the caller."""
         return self.membership.alive(role)
 
     def view(self) -> list[Record]:
+        """All records, this member's own first."""
         return [self.membership.me, *self.membership.view.values()]
 
     def ready(self, ready: bool) -> None:
+        """This member takes work, or takes none."""
         self._do(self.membership.ready(ready))
 
     def leave(self, final: bool) -> None:
+        """This member leaves, or has left if `final`."""
         self._do(self.membership.leave(final))
 
-    def _do(self, out: list) -> None:
-        for to, m in out:
+    def _do(self, out: Out) -> None:
+        for to, message in out:
             if self.faults.silent(self.membership.me.addr, to):
                 continue
             try:
-                self._sock.sendto(encode(m), to.pair)
+                self._sock.sendto(encode(message), to.pair)
             except OSError:
                 self.membership.counts.add("membership_send_error")
         self._log()
 
     def _run(self) -> None:
         hub = gevent.get_hub()
-        arrived = hub.loop.io(self._sock.fileno(), 1)
+        arrived = hub.loop.io(self._sock.fileno(), READABLE)
         try:
             while True:
                 wait = self.membership.timer() - clock.now()
                 if wait > 0:
-                    with gevent.Timeout(max(0.005, wait), False):
+                    with gevent.Timeout(max(SHORTEST_WAIT, wait), False):
                         hub.wait(arrived)
                 self._read(1 if clock.now() < self.membership.timer() else AT_ONCE)
                 now = clock.now()
@@ -80,29 +98,37 @@
     def _read(self, most: int) -> None:
         for _ in range(most):
             try:
-                data = self._sock.recv(65536)
+                data = self._sock.recv(LARGEST)
             except BlockingIOError:
                 return
             except OSError:
                 continue
             try:
-                m = decode(data)
+                message = decode(data)
             except msgspec.DecodeError:
                 self.membership.counts.add("membership_garbage")
                 continue
-            self._do(self.membership.receive(m, clock.now()))
+            self._do(self.membership.receive(message, clock.now()))
 
     def _log(self) -> None:
-        why, view = self.membership.why, self.membership.view
+        """Write what became of members to the log; in a large group not each that is new and alive."""
+        why = self.membership.why
+        view = self.membership.view
         if len(self._known) > len(view):
-            self._known = {a: k for a, k in self._known.items() if a in view}
+            self._known = {address: known for address, known in self._known.items() if address in view}
         while why:
-            a, text = why.popitem()
-            r = view.get(a)
-            if r is None or self._known.get(a) == (r.boot, r.state):
+            address, text = why.popitem()
+            record = view.get(address)
+            if record is None or self._known.get(address) == (record.boot, record.state):
                 continue
-            new = a not in self._known
-            self._known[a] = (r.boot, r.state)
-            if new and r.state == ALIVE and len(view) > DIRECT:
+            new = address not in self._known
+            self._known[address] = (record.boot, record.state)
+            if new and record.state == ALIVE and len(view) > DIRECT:
                 continue
-            change(f"peer_{NAMES[r.state]}", peer=str(a), name=r.name, incarnation=r.incarnation, why=text)
+            change(
+                f"peer_{NAMES[record.state]}",
+                peer=str(address),
+                name=record.name,
+                incarnation=record.incarnation,
+                why=text,
+            )
--- a/mallowvalve/membership/view.py
+++ b/mallowvalve/membership/view.py
@@ -1,7 +1,10 @@
+"""A member's view of the others, and the digests by which two members find out where their views differ."""
+
 from __future__ import annotations
 
 import random
 import struct
+from collections.abc import Collection
 from hashlib import blake2b
 from zlib import crc32
 
@@ -9,112 +12,133 @@
 from mallowvalve.types import Address
 
 BUCKETS = 64
+MARK_BYTES = 8
 
 
-def mark(r: Record) -> int:
+def mark(record: Record) -> int:
     """64 bits that tell this state of this record from any other; the low 6 are the bucket of its address."""
-    addr = f"{r.addr.host}:{r.addr.port}"
-    h = blake2b(f"{addr} {r.boot} {r.incarnation} {r.state}".encode(), digest_size=8).digest()
-    return int.from_bytes(h, "big") & ~(BUCKETS - 1) | bucket(addr)
+    address = f"{record.addr.host}:{record.addr.port}"
+    text = f"{address} {record.boot} {record.incarnation} {record.state}"
+    digest = blake2b(text.encode(), digest_size=MARK_BYTES).digest()
+    return int.from_bytes(digest, "big") & ~(BUCKETS - 1) | bucket(address)
 
 
-def bucket(addr: str) -> int:
-    return crc32(addr.encode()) % BUCKETS
+def bucket(address: str) -> int:
+    """The bucket of HOST:PORT, the same on every member."""
+    return crc32(address.encode()) % BUCKETS
 
 
-def packed(marks) -> bytes:
+def packed(marks: Collection[int]) -> bytes:
+    """Marks as they travel, 8 bytes each."""
     return struct.pack(f">{len(marks)}Q", *marks)
 
 
 def unpacked(data: bytes) -> tuple[int, ...]:
-    return struct.unpack(f">{len(data) // 8}Q", data[: len(data) // 8 * 8])
+    """Marks as they came; bytes beyond the last whole one are ignored."""
+    count = len(data) // MARK_BYTES
+    return struct.unpack(f">{count}Q", data[: count * MARK_BYTES])
 
 
 class Digest:
-    """Digests of records, by bucket and in sum, kept up to date; the order in which they came makes no difference."""
+    """Marks of records, combined by XOR in all and by bucket; the order in which they came makes no difference."""
 
     __slots__ = ("total", "sums", "buckets", "_of")
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """No record at first."""
         self.total = 0
         self.sums = [0] * BUCKETS
         self.buckets: list[dict[int, Address]] = [{} for _ in range(BUCKETS)]
         self._of: dict[Address, int] = {}
 
-    def put(self, r: Record) -> None:
-        self.drop(r.addr)
-        m = self._of[r.addr] = mark(r)
-        self._turn(m)
-        self.buckets[m % BUCKETS][m] = r.addr
-
-    def drop(self, a: Address) -> None:
-        m = self._of.pop(a, None)
-        if m is None:
+    def put(self, record: Record) -> None:
+        """Take in a record in place of the one of its address."""
+        self.drop(record.addr)
+        its = self._of[record.addr] = mark(record)
+        self._turn(its)
+        self.buckets[its % BUCKETS][its] = record.addr
+
+    def drop(self, address: Address) -> None:
+        """Forget the record of an address, if there is one."""
+        its = self._of.pop(address, None)
+        if its is None:
             return
-        self._turn(m)
-        self.buckets[m % BUCKETS].pop(m, None)
+        self._turn(its)
+        self.buckets[its % BUCKETS].pop(its, None)
 
-    def __contains__(self, a: Address) -> bool:
-        return a in self._of
+    def __contains__(self, address: Address) -> bool:
+        """Whether a record of that address is counted."""
+        return address in self._of
 
-    def bucket(self, a: Address) -> int:
-        m = self._of.get(a)
-        return bucket(f"{a.host}:{a.port}") if m is None else m % BUCKETS
+    def bucket(self, address: Address) -> int:
+        """The bucket of an address, known or not."""
+        its = self._of.get(address)
+        return bucket(f"{address.host}:{address.port}") if its is None else its % BUCKETS
 
-    def find(self, m: int) -> Address | None:
-        return self.buckets[m % BUCKETS].get(m)
+    def find(self, its: int) -> Address | None:
+        """Whose record has this mark."""
+        return self.buckets[its % BUCKETS].get(its)
 
     def differing(self, theirs: tuple[int, ...]) -> list[int]:
-        return [i for i, (x, y) in enumerate(zip(self.sums, theirs)) if x != y]
+        """Buckets whose sums differ from another's."""
+        return [i for i, (mine, other) in enumerate(zip(self.sums, theirs, strict=False)) if mine != other]
 
-    def _turn(self, m: int) -> None:
-        self.total ^= m
-        self.sums[m % BUCKETS] ^= m
+    def _turn(self, its: int) -> None:
+        self.total ^= its
+        self.sums[its % BUCKETS] ^= its
 
 
 class View:
-    """The records a member has of the others, those alive at hand for a choose in constant time."""
+    """The records a member has of the others, those alive at hand for a choice in constant time."""
 
     __slots__ = ("rows", "live", "_place", "_lists")
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Nobody at first; `live` are the addresses of those alive or leaving, in no order."""
         self.rows: dict[Address, Record] = {}
         self.live: list[Address] = []
         self._place: dict[Address, int] = {}
         self._lists: dict[str | None, list[Record]] = {}
 
-    def put(self, r: Record) -> None:
-        self.rows[r.addr] = r
+    def put(self, record: Record) -> None:
+        """Take in a record in place of the one of its address."""
+        self.rows[record.addr] = record
         self._lists.clear()
-        if r.state > LEAVING:
-            self._unlive(r.addr)
-        elif r.addr not in self._place:
-            self._place[r.addr] = len(self.live)
-            self.live.append(r.addr)
-
-    def drop(self, a: Address) -> None:
-        del self.rows[a]
+        if record.state > LEAVING:
+            self._unlive(record.addr)
+        elif record.addr not in self._place:
+            self._place[record.addr] = len(self.live)
+            self.live.append(record.addr)
+
+    def drop(self, address: Address) -> None:
+        """Forget a member that is in the view."""
+        del self.rows[address]
         self._lists.clear()
-        self._unlive(a)
+        self._unlive(address)
 
-    def lives(self, a: Address) -> bool:
-        return a in self._place
+    def lives(self, address: Address) -> bool:
+        """Whether a member is alive or leaving."""
+        return address in self._place
 
     def alive(self, role: str | None = None) -> list[Record]:
-        got = self._lists.get(role)
-        if got is None:
-            got = self._lists[role] = [r for r in self.rows.values() if r.state <= LEAVING and role in (None, r.role)]
-        return got
-
-    def some(self, rng: random.Random, n: int, but: Address | None = None) -> list[Address]:
-        """At most `n` others that are alive, chosen uniformly."""
-        chosen = rng.sample(self.live, min(n + 1, len(self.live)))
-        return [a for a in chosen if a != but][:n]
-
-    def _unlive(self, a: Address) -> None:
-        i = self._place.pop(a, None)
+        """Members alive or leaving, of one role or of any; not to be changed by the caller."""
+        found = self._lists.get(role)
+        if found is None:
+            found = [record for record in self.rows.values() if record.state <= LEAVING and role in (None, record.role)]
+            self._lists[role] = found
+        return found
+
+    def some(self, rng: random.Random, most: int, but: Address | None = None) -> list[Address]:
+        """At most `most` others that are alive, chosen uniformly."""
+        chosen = rng.sample(self.live, min(most + 1, len(self.live)))
+        return [address for address in chosen if address != but][:most]
+
+    def _unlive(self, address: Address) -> None:
+        """Take one out of `live`: the last one moves to its place."""
+        i = self._place.pop(address, None)
         if i is None:
             return
         last = self.live.pop()
-        if last != a:
-            self.live[i], self._place[last] = last, i
+        if last != address:
+            self.live[i] = last
+            self._place[last] = i
