--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from mallowvalve.control import reconfiguration
+from mallowvalve.control import lease, reconfiguration
 from mallowvalve.control.acknowledgement import Replicas
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
@@ -38,7 +38,7 @@
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
 HOLD_MOST = 1.0
-CURRENT, LAG = 0.5, 16
+LAG = 16
 TOLD_PACES = 3
 FEED, GATHER_MOST = 0.0015, 0.15
 
@@ -196,10 +196,14 @@
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
         r = self.raft
-        if r is None or not r.in_touch(now, CURRENT) or r.log.term(self.state.index) != r.term:
+        if not self.holds(lease.Answer.WATCH, now) or r.log.term(self.state.index) != r.term:
             return False
         return self.state.index + LAG >= r.told
 
+    def holds(self, kind: lease.Answer, now: float) -> bool:
+        """Whether an answer of the kind may be given by what is known here."""
+        return self.raft is not None and lease.holds(kind, self.raft.contact(), now)
+
     def want(self, w: Want, token: Any, now: float) -> None:
         if not self.leads:
             self.replies.append((token, Fed(self.leader())))
@@ -294,7 +298,7 @@
             return
         self.replicas.watch(self.state.settings, now)
         self._answer_waiting(now)
-        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, now)
+        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, self.raft.term, now)
         self._answer_wants(now)
         self._housekeep(now)
 
@@ -303,7 +307,7 @@
         for index, p in self._waiting:
             o = p.outcome
             if self._acknowledged(p, now):
-                self.replies.append((p.token, Took(o.code, o.revision, o.body)))
+                self.replies.append((p.token, Took(o.code, o.revision, o.body, term=p.term)))
             elif now >= p.limit:
                 self.replies.append((p.token, Took("undecided", o.revision)))
             else:
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -329,15 +329,16 @@
 
     def _log(self) -> None:
         decided, self.core.decided = self.core.decided, []
+        r = self.core.raft
+        term = r.term if r else 0
         for c, o in decided:
             fields = {f: str(getattr(c, f)) for f in c.__struct_fields__ if f not in ("doc", "digest")}
-            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, **fields)
-        r = self.core.raft
+            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, term=term, **fields)
         role = r.role if r else "blank"
         if role == self._role_said or role == "pre":
             return
         self._role_said = role
-        change("raft_role", role=role, term=r.term if r else 0, generation=r.group.generation if r else 0)
+        change("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
 
 
 def announced(m: Message) -> Message:
--- a/mallowvalve/control/waiting.py
+++ b/mallowvalve/control/waiting.py
@@ -80,12 +80,12 @@
     def add(self, r: Read) -> None:
         self._rows.append(r)
 
-    def answer(self, confirmed: int, state: State, now: float) -> list[tuple[Any, Took]]:
-        """Answers to the reads whose round is confirmed and whose index is applied, and to those out of time."""
+    def answer(self, confirmed: int, state: State, term: int, now: float) -> list[tuple[Any, Took]]:
+        """Answers to the reads whose round is confirmed in `term` and whose index is applied, and to those out of time."""
         out, keep = [], []
         for r in self._rows:
             if r.need <= confirmed and r.index <= state.index:
-                out.append((r.token, Took("ok", state.revision_at(r.index))))
+                out.append((r.token, Took("ok", state.revision_at(r.index), term=term)))
             elif now >= r.limit:
                 out.append((r.token, Took("undecided")))
             else:
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -75,10 +75,13 @@
 
 
 class Took(msgspec.Struct, array_like=True, frozen=True):
+    """`term` is the leader's term that the acknowledgement rests on; 0 where nothing was acknowledged."""
+
     code: str
     revision: int = 0
     body: bytes = b""
     leader: Address | None = None
+    term: int = 0
 
 
 encode = msgspec.msgpack.Encoder().encode
--- /dev/null
+++ b/mallowvalve/raft/contact.py
@@ -0,0 +1,49 @@
+"""A follower's proof of contact with a majority, counted from its own question by its own clock.
+
+Ongaro's dissertation, 6.4, lets a leader answer reads after a round of heartbeats that was sent after the question. Here
+a follower's every answer to an append is such a question: it carries a stamp of the follower's steady clock, and the
+leader echoes the newest stamp that it had when it sent a round which a majority has confirmed since. No two clocks are
+compared, and how long a message was held on its way makes the proof older, never younger.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+
+NO_STAMP = -1e9
+MOST_QUESTIONS = 256
+
+
+class Questions:
+    """What a leader keeps of one member's stamps (s of that member's clock)."""
+
+    __slots__ = ("_sure", "_waiting")
+
+    def __init__(self) -> None:
+        self._sure = NO_STAMP
+        self._waiting: deque[tuple[int, float]] = deque()
+
+    def ask(self, stamp: float, need: int) -> None:
+        """A stamp came; `need` is the first round that will be sent after it. Beyond the most, the newest isn't kept."""
+        if len(self._waiting) < MOST_QUESTIONS:
+            self._waiting.append((need, stamp))
+
+    def sure(self, confirmed: int) -> float:
+        """The newest stamp whose round, or a later one, is among the `confirmed`."""
+        while self._waiting and self._waiting[0][0] <= confirmed:
+            self._sure = self._waiting.popleft()[1]
+        return self._sure
+
+
+class Contact:
+    """What a follower knows of its own stamps; one from before this life of the machine, or from the future, is no proof."""
+
+    __slots__ = ("at", "_born")
+
+    def __init__(self, now: float) -> None:
+        self.at, self._born = NO_STAMP, now
+
+    def hear(self, sure: float, now: float) -> None:
+        """The leader echoes a stamp, which arrives now (s of the same clock)."""
+        if self._born <= sure <= now:
+            self.at = max(self.at, sure)
--- a/mallowvalve/raft/messages.py
+++ b/mallowvalve/raft/messages.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.types import Address
 
 NOOP, COMMAND, VOTERS = range(3)
@@ -73,19 +74,25 @@
 
 
 class Append(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """`sure` echoes a stamp of the receiver's that a majority has confirmed this leader after (see `contact`)."""
+
     term: int
     prev_index: int
     prev_term: int
     entries: list[Entry]
     commit: int
     seq: int
+    sure: float = NO_STAMP
 
 
 class Appended(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """`stamp` is when it was said, in seconds of the sender's own steady clock."""
+
     term: int
     ok: bool
     match: int
     seq: int
+    stamp: float = NO_STAMP
 
 
 class Install(msgspec.Struct, array_like=True, frozen=True, tag=5):
--- a/mallowvalve/raft/progress.py
+++ b/mallowvalve/raft/progress.py
@@ -4,6 +4,7 @@
 
 import msgspec
 
+from mallowvalve.raft.contact import Questions
 from mallowvalve.raft.messages import Entry, Hard, Message, Snapshot
 
 FOLLOWER, PRE, CANDIDATE, LEADER = "follower", "pre", "candidate", "leader"
@@ -23,10 +24,11 @@
 
 
 class Progress:
-    __slots__ = ("next", "match", "seq", "floor", "heard", "snapshot_at")
+    __slots__ = ("next", "match", "seq", "floor", "heard", "snapshot_at", "questions")
 
     def __init__(self, next: int, now: float):
         self.next, self.match, self.seq, self.floor, self.heard, self.snapshot_at = next, 0, 0, 0, now, -1e9
+        self.questions = Questions()
 
 
 class Ready(msgspec.Struct):
--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -3,6 +3,7 @@
 import random
 
 from mallowvalve.metrics import Counts
+from mallowvalve.raft.contact import Contact
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import (
     NOOP,
@@ -60,6 +61,7 @@
         "_term_start",
         "_paced_at",
         "told",
+        "_contact",
         "_all_at",
         "_now",
     )
@@ -81,7 +83,7 @@
         self.term, self.vote = max(term, log.snapshot.term), vote
         self.role, self.leader = FOLLOWER, ""
         self.commit = self.marked = max(log.base, min(commit, log.last))
-        self.told, self.rounds = 0, Rounds()
+        self.told, self.rounds, self._contact = 0, Rounds(), Contact(now)
         self.counts = Counts()
         self.nudge = self.halted = self.mark = False
         self._voices: set[str] = set()
@@ -115,11 +117,9 @@
             return self._election_at
         return min(self._heartbeat_at, self._all_at, self._paced_at if self.nudge else NEVER)
 
-    def in_touch(self, now: float, span: float) -> bool:
-        """Whether a leader spoke to this voter, or a quorum answered this leader, within the span (s)."""
-        if self.leads:
-            return now - self.rounds.confirmed_at() <= span
-        return bool(self.leader) and now - self._heard <= span
+    def contact(self) -> float:
+        """When (s) it last asked what a quorum has answered since; never from when an answer came."""
+        return self.rounds.asked_at() if self.leads else self._contact.at
 
     def progress(self) -> dict[str, Progress]:
         return self._progress
@@ -306,7 +306,8 @@
                 self._early.append((i, Install(self.term, self.log.snapshot, self.rounds.seq)))
             return
         es = self.log.since(p.next - 1)
-        m = Append(self.term, p.next - 1, self.log.term(p.next - 1), es, self.commit, self.rounds.seq)
+        sure = p.questions.sure(self.rounds.confirmed)
+        m = Append(self.term, p.next - 1, self.log.term(p.next - 1), es, self.commit, self.rounds.seq, sure)
         if es:
             p.next = es[-1].index + 1
         self._early.append((i, m))
@@ -314,6 +315,7 @@
     def _on_append(self, src: str, m: Append, now: float) -> None:
         self._follow(m.term, src, now)
         self._heard = now
+        self._contact.hear(m.sure, now)
         if m.prev_index < self.log.base:
             es = [e for e in m.entries if e.index > self.log.base]
             prev = self.log.base
@@ -321,7 +323,7 @@
             es, prev = m.entries, m.prev_index
             if self.log.term(prev) != m.prev_term:
                 hint = min(prev - 1, self.log.last)
-                self._late.append((src, Appended(self.term, False, max(hint, self.commit), m.seq)))
+                self._late.append((src, Appended(self.term, False, max(hint, self.commit), m.seq, now)))
                 return
         for e in es:
             had = self.log.term(e.index)
@@ -335,13 +337,14 @@
             self._fresh.append(e)
         match = max(prev, es[-1].index if es else 0)
         self.commit, self.told = max(self.commit, min(m.commit, match)), max(self.told, m.commit)
-        self._late.append((src, Appended(self.term, True, match, m.seq)))
+        self._late.append((src, Appended(self.term, True, match, m.seq, now)))
 
     def _on_appended(self, src: str, m: Appended, now: float) -> None:
         p = self._progress.get(src)
         if not self.leads or p is None:
             return
         p.seq, p.heard = max(p.seq, m.seq), now
+        p.questions.ask(m.stamp, self.rounds.seq + 1)
         self._confirm()
         if not m.ok:
             if m.seq >= p.floor:
@@ -364,7 +367,7 @@
         self._follow(m.term, src, now)
         self._heard = now
         if not m.snapshot.state:
-            self._late.append((src, Appended(self.term, True, self.commit, m.seq)))
+            self._late.append((src, Appended(self.term, True, self.commit, m.seq, now)))
             return
         if m.snapshot.index > self.commit:
             self.log.compact(m.snapshot)
@@ -372,7 +375,7 @@
             self._install = m.snapshot
             self._fresh = list(self.log.entries)
             self._saved = self.log.base
-        self._late.append((src, Appended(self.term, True, max(m.snapshot.index, self.log.base), m.seq)))
+        self._late.append((src, Appended(self.term, True, max(m.snapshot.index, self.log.base), m.seq, now)))
 
     def _confirm(self) -> None:
         self.rounds.confirm(self.log.voters.agreed(lambda i: self.rounds.seq if i == self.me else self._seq(i)))
--- a/mallowvalve/raft/rounds.py
+++ b/mallowvalve/raft/rounds.py
@@ -4,21 +4,24 @@
 
 from collections import deque
 
+from mallowvalve.raft.contact import NO_STAMP
+
 
 class Rounds:
     """Times are seconds of the leader's own steady clock, taken when a round was sent, never when it was answered."""
 
-    __slots__ = ("seq", "confirmed", "_sent", "_began_at")
+    __slots__ = ("seq", "confirmed", "_sent", "_began", "_began_at")
 
     def __init__(self) -> None:
-        self.seq = self.confirmed = 0
+        self.seq = self.confirmed = self._began = 0
         self._sent: deque[tuple[int, float]] = deque()
         self._began_at = -1e9
 
     def begin(self, now: float) -> None:
         """A term begins: the votes that won it count as a confirmation of now."""
         self._sent = deque([(self.seq, now)])
-        self.confirmed, self._began_at = self.seq, now
+        self.confirmed = self._began = self.seq
+        self._began_at = now
 
     def send(self, now: float) -> None:
         self.seq += 1
@@ -33,3 +36,7 @@
     def confirmed_at(self) -> float:
         """When the newest confirmed round was sent (s)."""
         return next((t for s, t in reversed(self._sent) if s <= self.confirmed), self._began_at)
+
+    def asked_at(self) -> float:
+        """As `confirmed_at`, but the votes, which may have been held on their way, confirm nothing: never before a round."""
+        return self.confirmed_at() if self.confirmed > self._began else NO_STAMP
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -10,6 +10,7 @@
 from mallowvalve import clock
 from mallowvalve.control import snapshot_fetch, store, wire
 from mallowvalve.control.core import Core
+from mallowvalve.control.lease import Answer
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.control.snapshot import founding, load
 from mallowvalve.control.snapshot_fetch import SETTINGS, Puller
@@ -17,7 +18,7 @@
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.main import Doors
-from mallowvalve.raft.messages import Append, Ask, Entry, Envelope, Group, Hard, Voters
+from mallowvalve.raft.messages import Append, Ask, Entry, Envelope, Group, Hard, Voice, Voters
 from mallowvalve.raft.raft import DOUBT, FIRST, Times
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.transport.task import Transport
@@ -170,13 +171,20 @@
     assert mine.pull(c.addr, SETTINGS, lambda l: False).is_err()
 
 
+def loyal(c, now):
+    """Whether it refuses a pre-vote because it hears a leader."""
+    c.receive(Envelope(G, "b", "a", B, Ask(c.raft.term + 1, True, 9, 9)), now)
+    return [m.granted for _, m in c.raft.ready(now).late if isinstance(m, Voice)] == [False]
+
+
 def test_a_follower_whose_leader_hung_up_waits_less_unless_it_speaks_again():
     c = core(AB)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
+    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1, 0.9)), 1.0)
     c.gone(A, 1.05)
-    assert c.raft.timer() >= 2.0 and c.raft.in_touch(1.1, 1.0)
+    assert c.raft.timer() >= 2.0 and loyal(c, 1.1)
     c.gone(B, 1.1)
-    assert 1.1 + DOUBT <= c.raft.timer() <= 1.1 + 2 * DOUBT and not c.raft.in_touch(1.1, 1.0)
+    assert 1.1 + DOUBT <= c.raft.timer() <= 1.1 + 2 * DOUBT and not loyal(c, 1.1)
+    assert c.holds(Answer.WATCH, 1.1) and not c.holds(Answer.WATCH, 1.5)
     c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 2)), 1.2)
     assert c.raft.timer() >= 2.2 and c.raft.leader == "b"
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -170,7 +170,7 @@
     c.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
 
     def heard(m):
-        c.receive(Envelope(G, "b", "a", B, m), 0.1)
+        c.receive(Envelope(G, "b", "a", B, msgspec.structs.replace(m, sure=0.05)), 0.1)
         c.saved(c.ready(0.1), 0.1)
         return c.current(0.2)
 
