--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -29,6 +29,7 @@
 from mallowvalve.control.waiting import CommitNote, Parked, Pending, Read, Reads, turns_settings, waits_for
 from mallowvalve.control.wire import Fed, Took, Want, Who
 from mallowvalve.metrics import Counts
+from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Group, Hard, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
@@ -195,14 +196,16 @@
 
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
-        r = self.raft
-        if not self.holds(lease.Answer.WATCH, now) or r.log.term(self.state.index) != r.term:
-            return False
-        return self.state.index + LAG >= r.told
+        r, i = self.raft, self.state.index if self.state is not None else 0
+        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + LAG >= r.told
+
+    def contact(self) -> float:
+        """When (s) this process asked what a majority has confirmed since."""
+        return self.raft.contact() if self.raft is not None else NO_STAMP
 
     def holds(self, kind: lease.Answer, now: float) -> bool:
         """Whether an answer of the kind may be given by what is known here."""
-        return self.raft is not None and lease.holds(kind, self.raft.contact(), now)
+        return lease.holds(kind, self.contact(), now)
 
     def want(self, w: Want, token: Any, now: float) -> None:
         if not self.leads:
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -85,7 +85,11 @@
     if p.directory is None:
         return None
     app = web.make_app()
-    directory.add_routes(app, node, task.tree, lambda: task.core.state.settings.evacuated if task.core.state else {})
+
+    def evacuated() -> dict[str, int]:
+        return task.core.state.settings.evacuated if task.core.state else {}
+
+    directory.add_routes(app, node, task.tree, evacuated, task.core.contact)
     return web.Server(p.directory, app, node.counts, p.connections)
 
 
--- a/mallowvalve/control/replica.py
+++ b/mallowvalve/control/replica.py
@@ -77,6 +77,11 @@
     def revision(self) -> int:
         return self.state.settings.revision if self.state else 0
 
+    @property
+    def sure(self) -> float:
+        """When (s) it asked what a majority has confirmed since."""
+        return self._sure
+
     def fresh(self, now: float) -> bool:
         return self.state is not None and now - self._sure <= WINDOW
 
--- a/mallowvalve/membership/detector.py
+++ b/mallowvalve/membership/detector.py
@@ -147,7 +147,8 @@
         return self._renew(ready=ready)
 
     def leave(self, final: bool) -> list[tuple[Address, Message]]:
-        return self._renew(ready=False, state=LEFT if final else LEAVING)
+        """One that leaves and was ready still serves those who come, until the end."""
+        return self._renew(ready=self.me.ready and not final, state=LEFT if final else LEAVING)
 
     def _renew(self, **fields) -> list[tuple[Address, Message]]:
         self._raise(self.me.incarnation + 1, **fields)
