--- a/mallowvalve/membership/detector.py
+++ b/mallowvalve/membership/detector.py
@@ -168,8 +168,11 @@
         return self._renew(ready=ready)
 
     def leave(self, final: bool) -> Out:
-        """This member leaves, or has left if `final`."""
-        return self._renew(ready=False, state=LEFT if final else LEAVING)
+        """This member leaves, or has left if `final`.
+
+        One that leaves and was ready still serves those who come, until the end.
+        """
+        return self._renew(ready=self.me.ready and not final, state=LEFT if final else LEAVING)
 
     def _renew(self, **fields: Any) -> Out:
         self._raise(self.me.incarnation + 1, **fields)
