--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -11,6 +11,7 @@
 from mallowvalve.control.acknowledgement import Replicas
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
+from mallowvalve.control.outcome import UNAPPLIED
 from mallowvalve.control.snapshot import cut, cut_settings, load
 from mallowvalve.control.state import (
     Change,
@@ -313,7 +314,7 @@
             self.replies.append((self._pending.pop(i).token, Took("undecided")))
 
     def _acknowledged(self, p: Pending, now: float) -> bool:
-        if p.waits == "commit" or p.outcome.code == "invalid":
+        if p.waits == "commit" or p.outcome.code in UNAPPLIED:
             return True
         if not self.replicas.held_elsewhere(p.need, now, p.settings):
             return False
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -1,6 +1,7 @@
 from __future__ import annotations
 
 import random
+import secrets
 
 import gevent
 import msgspec
@@ -13,6 +14,7 @@
 from mallowvalve.configuration.model import Tree
 from mallowvalve.control import wire
 from mallowvalve.control.replica import HOLD, Replica
+from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS, Puller
 from mallowvalve.control.snapshot_transfer import Label
 from mallowvalve.control.state import Change, command
@@ -36,7 +38,19 @@
 
 
 class ReplicaTask:
-    __slots__ = ("node", "replica", "puller", "_jobs", "_rng", "_fetching", "_met", "_shunned", "_sought", "held")
+    __slots__ = (
+        "node",
+        "replica",
+        "puller",
+        "_jobs",
+        "_rng",
+        "_fetching",
+        "_met",
+        "_shunned",
+        "_sought",
+        "held",
+        "_session",
+    )
 
     def __init__(self, node: Node):
         self.node = node
@@ -49,6 +63,7 @@
         self._met: Address | None = None
         self._shunned: dict[Address, float] = {}
         self._sought = -1e9
+        self._session = Session(lambda: secrets.randbits(64))
         self.held = Event()
         on = node.transport.on
         on("round", lambda s, b: wire.encode(self.replica.tell(wire.round_(b))), quick=True)
@@ -91,20 +106,23 @@
     def offer(self, command: bytes, limit: float) -> wire.Took:
         """Offers a command that may be given more than once, in short attempts: a dead leader's machine answers nothing."""
         end = clock.now() + limit
+        call = Call(self._session, command, end)
         while (left := end - clock.now()) > 0:
             to = self.control()
             if to is None:
                 gevent.sleep(min(0.05, left))
                 continue
             left = min(left, ATTEMPT)
-            r = self.node.transport.call(to, "offer", wire.encode(wire.Offer(command, left)), left)
+            data = call.data(self.replica.clock(now := clock.now()), now)
+            r = self.node.transport.call(to, "offer", wire.encode(wire.Offer(data, left)), left)
             if r.is_err():
+                call.heard(wire.Took("undecided"), clock.now())
                 self._forget(to)
                 gevent.sleep(min(0.05, left))
                 continue
-            t = wire.took(r.ok_value)
+            t = call.heard(wire.took(r.ok_value), clock.now())
             if t.code not in AGAIN:
-                return t
+                return call.ended(t, AGAIN)
             self.replica.leader = t.leader
             gevent.sleep(min(0.05, left))
         return wire.Took("undecided")
--- /dev/null
+++ b/mallowvalve/control/sessions.py
@@ -0,0 +1,199 @@
+"""Commands applied once and never late: the origin of each, and the memory of what was said to it.
+
+After Ongaro's dissertation, 6.3 (sessions, sequence numbers, stored answers), with a time in place of a session's
+registration: memory is bounded by `not_after`. All times are the fleet's clock in ms, as log entries carry it.
+"""
+
+from __future__ import annotations
+
+import heapq
+import struct
+from collections.abc import Callable
+
+import msgspec
+
+from mallowvalve.control.outcome import Code, Outcome
+from mallowvalve.control.wire import Took
+
+GRACE_MS = 10_000
+"""For how long after its `not_after` a command's outcome is kept."""
+AHEAD_MOST_MS = 600_000
+"""A `not_after` further ahead of its entry's time is a fault; the product's longest call has 8 s."""
+KEPT_MOST, KEPT_BYTES = 20_000, 4 << 20
+CORRECTED_S = 10.0
+"""For how long (s) a process goes by the time it was told when its own estimate had been wrong."""
+NUMBER_MOST = (1 << 32) - 1
+
+MARK = 0xC1
+"""The first byte of a header: msgpack never uses it, so a command without a header is known."""
+_header = struct.Struct(">BQIQ")
+HEADER_BYTES = _header.size
+_clock = msgspec.msgpack.Decoder(int).decode
+encode_clock = msgspec.msgpack.Encoder().encode
+
+
+class Origin(msgspec.Struct, frozen=True, array_like=True):
+    """`session` is 64 random bits of one life of a process, `number` rises by one with each of its calls."""
+
+    session: int
+    number: int
+    not_after: int
+
+
+def seal(origin: Origin, command: bytes) -> bytes:
+    """An encoded command under the header that names its origin."""
+    return _header.pack(MARK, origin.session, origin.number, origin.not_after) + command
+
+
+def body_at(data: bytes) -> int:
+    """Where the command itself begins."""
+    return HEADER_BYTES if data[:1] == b"\xc1" else 0
+
+
+def unseal(data: bytes) -> tuple[Origin | None, bytes]:
+    """The origin, if there is one, and the encoded command."""
+    at = body_at(data)
+    if not at:
+        return None, data
+    _, session, number, not_after = _header.unpack_from(data)
+    return Origin(session, number, not_after), data[at:]
+
+
+class Kept(msgspec.Struct, frozen=True, array_like=True):
+    """What was said to a command."""
+
+    origin: Origin
+    outcome: Outcome
+
+
+class Times(msgspec.Struct, frozen=True, array_like=True):
+    """`latest` is the newest time of an entry judged; origins whose `not_after` is up to `floor` may be forgotten."""
+
+    latest: int = 0
+    floor: int = 0
+
+
+class Sessions:
+    """Outcomes by session and number. Replicated: judged by the times that entries carry, and by nothing else.
+
+    One that was fed only the entries that were applied elsewhere holds a part of the rows and no later times, so it
+    applies whatever was applied there.
+    """
+
+    __slots__ = ("latest", "floor", "rows", "_order", "_bytes")
+
+    def __init__(self) -> None:
+        """Starts with nothing known."""
+        self.latest = self.floor = 0
+        self.rows: dict[tuple[int, int], Kept] = {}
+        self._order: list[tuple[int, int, int]] = []
+        self._bytes = 0
+
+    @property
+    def times(self) -> Times:
+        """What a snapshot carries beside the rows."""
+        return Times(self.latest, self.floor)
+
+    def judge(self, o: Origin, at: int) -> Outcome | Code | None:
+        """The outcome stored, the code of a refusal, or None for a command to apply in an entry of the time `at`."""
+        self.latest = max(self.latest, at)
+        self.floor = max(self.floor, self.latest - GRACE_MS)
+        self._forget()
+        had = self.rows.get((o.session, o.number))
+        if had is not None:
+            return had.outcome
+        if o.not_after <= self.floor:
+            return Code.FORGOTTEN
+        if o.not_after < self.latest:
+            return Code.LATE
+        return Code.AHEAD if o.not_after > at + AHEAD_MOST_MS else None
+
+    def keep(self, o: Origin, outcome: Outcome) -> None:
+        """Stores what was said to a command just applied."""
+        self._put(Kept(o, outcome))
+        while len(self.rows) > KEPT_MOST or self._bytes > KEPT_BYTES and len(self.rows) > 1:
+            self.floor = max(self.floor, self._order[0][0])
+            self._forget()
+
+    def adopt(self, times: Times) -> None:
+        """Takes over a snapshot's times; its rows follow."""
+        self.latest, self.floor = times.latest, times.floor
+
+    def adopt_rows(self, rows: list[Kept]) -> None:
+        """Takes over rows of a snapshot."""
+        for row in rows:
+            self._put(row)
+
+    def _put(self, row: Kept) -> None:
+        o = row.origin
+        self.rows[o.session, o.number] = row
+        self._bytes += len(row.outcome.body)
+        heapq.heappush(self._order, (o.not_after, o.session, o.number))
+
+    def _forget(self) -> None:
+        while self._order and self._order[0][0] <= self.floor:
+            _, session, number = heapq.heappop(self._order)
+            self._bytes -= len(self.rows.pop((session, number)).outcome.body)
+
+
+class Session:
+    """A process's own side: numbers its calls and estimates the fleet's clock for them."""
+
+    __slots__ = ("_draw", "_id", "_number", "_told")
+
+    def __init__(self, draw: Callable[[], int]) -> None:
+        """`draw` gives 64 random bits, anew for each life and when the numbers are used up."""
+        self._draw = draw
+        self._id, self._number = draw(), 0
+        self._told: tuple[int, float] | None = None
+
+    def origin(self, estimate: int, now: float, limit: float) -> Origin:
+        """The next call's; `estimate` is the fleet's clock (ms) as known here, `now` and `limit` are in s."""
+        if self._number == NUMBER_MOST:
+            self._id, self._number = self._draw(), 0
+        self._number += 1
+        told = self._told
+        if told is not None and now - told[1] < CORRECTED_S:
+            estimate = told[0] + int((now - told[1]) * 1000)
+        return Origin(self._id, self._number, max(0, estimate + int(limit * 1000)))
+
+    def told(self, clock: int, now: float) -> None:
+        """The estimate was wrong: an entry's time was `clock` (ms)."""
+        self._told = clock, now
+
+
+class Call:
+    """One call of a caller: each offer of it has the same origin, unless that is known to have had no effect."""
+
+    __slots__ = ("_session", "_command", "_end", "_sealed", "_maybe")
+
+    def __init__(self, session: Session, command: bytes, end: float) -> None:
+        """`end` is when the caller is given up (s)."""
+        self._session, self._command, self._end = session, command, end
+        self._sealed, self._maybe = b"", False
+
+    def data(self, estimate: int, now: float) -> bytes:
+        """What to offer."""
+        if not self._sealed:
+            self._sealed = seal(self._session.origin(estimate, now, self._end - now), self._command)
+        return self._sealed
+
+    def heard(self, t: Took, now: float) -> Took:
+        """What an offer's answer says of the call: after one that may have run, a late one is undecided.
+
+        Untimely at first, nothing ran: the call goes on under a new number, by the time that the answer tells.
+        """
+        self._maybe = self._maybe or t.code == "undecided"
+        if t.code == Code.FORGOTTEN:
+            return Took("forgotten")
+        if t.code not in (Code.LATE, Code.AHEAD):
+            return t
+        if self._maybe:
+            return Took("forgotten")
+        self._session.told(_clock(t.body), now)
+        self._sealed = b""
+        return Took("leader", leader=t.leader)
+
+    def ended(self, t: Took, again: tuple[str, ...]) -> Took:
+        """The last word of a call: what may have run never ends as refused."""
+        return Took("undecided") if t.code == Code.FORGOTTEN or self._maybe and t.code in again else t
--- a/mallowvalve/control/snapshot.py
+++ b/mallowvalve/control/snapshot.py
@@ -9,6 +9,8 @@
 from result import Err, Ok, Result
 
 from mallowvalve.configuration.items import Item
+from mallowvalve.control import sessions
+from mallowvalve.control.sessions import Kept
 from mallowvalve.control.state import Settings, State, encode
 from mallowvalve.coordination import plain
 from mallowvalve.coordination.state import Event, Held
@@ -31,9 +33,11 @@
     compacted: int
     items_revision: int = 0
     registry_revision: int = 0
+    settings_times: sessions.Times = sessions.Times()
+    times: sessions.Times = sessions.Times()
 
 
-HEAD, ROWS, KEPT, ASKS, KEYS, EVENTS, ITEMS, REGISTRY, PLAIN = range(9)
+HEAD, ROWS, KEPT, ASKS, KEYS, EVENTS, ITEMS, REGISTRY, PLAIN, SETTINGS_SESSIONS, SESSIONS = range(11)
 _kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
 _part = {
     k: msgspec.msgpack.Decoder(t).decode
@@ -47,6 +51,8 @@
         ITEMS: list[Item],
         REGISTRY: list[tuple[str, Upstream]],
         PLAIN: plain.PlainSnapshot,
+        SETTINGS_SESSIONS: list[Kept],
+        SESSIONS: list[Kept],
     }.items()
 }
 
@@ -63,20 +69,27 @@
         s.coordination.compacted,
         s.items.revision,
         s.registry.revision,
+        s.settings_sessions.times,
+        s.sessions.times,
     )
     coordination = s.plain.snapshot()
     return chain(_begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.parts(coordination, SLICE, PIECE)))
 
 
 def cut_settings(s: State) -> Iterator[bytes]:
-    """The settings part alone: settings, items and registry."""
-    head = Head(s.generation, s.index, s.clock, s.settings, {}, {}, 0, s.items.revision, s.registry.revision)
+    """The settings part alone: settings, items and registry, and what was said to the commands that make them."""
+    times = s.settings_sessions.times
+    head = Head(s.generation, s.index, s.clock, s.settings, {}, {}, 0, s.items.revision, s.registry.revision, times)
     return _begun(head, s)
 
 
 def _begun(head: Head, s: State) -> Iterator[bytes]:
     first = encode((HEAD, head))
-    parts = ((ITEMS, s.items.rows.copy().values()), (REGISTRY, s.registry.rows.copy().items()))
+    parts = (
+        (ITEMS, s.items.rows.copy().values()),
+        (REGISTRY, s.registry.rows.copy().items()),
+        (SETTINGS_SESSIONS, s.settings_sessions.rows.copy().values()),
+    )
     return chain([first], (encode((kind, part)) for kind, rows in parts for part in slices(rows)))
 
 
@@ -87,6 +100,7 @@
         (ASKS, s.asks.rows.copy().items()),
         (KEYS, s.coordination.keys.copy().items()),
         (EVENTS, s.coordination.events.copy()),
+        (SESSIONS, s.sessions.rows.copy().values()),
     )
     return (encode((kind, part)) for kind, rows in parts for part in slices(rows))
 
@@ -122,7 +136,7 @@
 
 
 def _large(r) -> int:
-    v = r[1] if isinstance(r, tuple) else r
+    v = r[1] if isinstance(r, tuple) else getattr(r, "outcome", r)
     body = (
         v[0]
         if isinstance(v, tuple)
@@ -163,6 +177,10 @@
             s.registry.rows.update(part)
         elif kind == PLAIN:
             s.plain.adopt(part)
+        elif kind == SETTINGS_SESSIONS:
+            s.settings_sessions.adopt_rows(part)
+        elif kind == SESSIONS:
+            s.sessions.adopt_rows(part)
         elif not s.ledger.keep_again(part):
             return Err("a kept answer without its row")
         return Ok(None)
@@ -177,4 +195,6 @@
         s.index, s.clock, s.settings = h.index, h.clock, h.settings
         s.coordination.locks, s.coordination.numbers, s.coordination.compacted = h.locks, h.numbers, h.compacted
         s.items.revision, s.registry.revision = h.items_revision, h.registry_revision
+        s.settings_sessions.adopt(h.settings_times)
+        s.sessions.adopt(h.times)
         return Ok(None)
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -5,6 +5,8 @@
 import msgspec
 
 from mallowvalve.configuration.items import Amend, Items
+from mallowvalve.control.outcome import Code, Outcome
+from mallowvalve.control.sessions import Sessions, body_at, encode_clock, unseal
 from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Take, Write
 from mallowvalve.coordination.state import Coordination, Lock, Next, Put, Renew, Said, Unlock
 from mallowvalve.ledger.asks import Asked, Asks
@@ -55,24 +57,24 @@
 SETTINGS = (Change, Evacuate, Enrol, Strike, Seats, Amend, Registered)
 COORDINATION = (Lock, Renew, Unlock, Next, Put, Take, Extend, Free, Count, Write)
 encode = msgspec.msgpack.Encoder().encode
-command = msgspec.msgpack.Decoder(Command).decode
+_command = msgspec.msgpack.Decoder(Command).decode
+
+
+def command(data: bytes) -> Command:
+    """A command as it was offered, with an origin or without."""
+    return _command(unseal(data)[1])
 
 
 def tag_of(data: bytes) -> bytes:
     """The tag of an encoded command, read off its first bytes."""
-    return data[2 : 2 + (data[1] & 0x1F)] if len(data) > 1 else b""
+    at = body_at(data)
+    return data[at + 2 : at + 2 + (data[at + 1] & 0x1F)] if len(data) > at + 1 else b""
 
 
 def tags(kinds: tuple[type, ...]) -> frozenset[bytes]:
     return frozenset(k.__struct_config__.tag.encode() for k in kinds)
 
 
-class Outcome(msgspec.Struct, array_like=True, frozen=True):
-    code: str
-    revision: int
-    body: bytes = b""
-
-
 class Seat(msgspec.Struct, array_like=True, frozen=True):
     boot: int
     locality: Locality
@@ -116,12 +118,15 @@
         "items",
         "registry",
         "plain",
+        "sessions",
+        "settings_sessions",
     )
 
     def __init__(self, generation: int):
         self.generation, self.index, self.clock = generation, 0, 0
         self.settings, self.ledger, self.coordination, self.asks = Settings(), Ledger(), Coordination(), Asks()
         self.items, self.registry, self.plain = Items(), Registry(), Plain()
+        self.sessions, self.settings_sessions = Sessions(), Sessions()
 
     @property
     def revision(self) -> int:
@@ -138,6 +143,7 @@
     def graft(self, other: State) -> None:
         """Takes over the settings part of a state that went on further."""
         self.settings, self.items, self.registry = other.settings, other.items, other.registry
+        self.settings_sessions = other.settings_sessions
         self.index, self.clock = max(self.index, other.index), max(self.clock, other.clock)
 
     def apply(self, index: int, at: int, data: bytes) -> Outcome:
@@ -145,7 +151,20 @@
         self.clock = max(self.clock, at)
         if not data:
             return Outcome("ok", self.revision)
-        c = command(data)
+        origin, body = unseal(data)
+        c = _command(body)
+        if origin is None:
+            return self._keyed(c)
+        memory = self.settings_sessions if isinstance(c, SETTINGS) else self.sessions
+        said = memory.judge(origin, at)
+        if isinstance(said, Code):
+            return Outcome(said, self.settings.revision, encode_clock(memory.latest))
+        if said is None:
+            said = self._keyed(c)
+            memory.keep(origin, said)
+        return said
+
+    def _keyed(self, c: Command) -> Outcome:
         key = key_of(c)
         if not key:
             return self._do(c)
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -1,6 +1,7 @@
 from __future__ import annotations
 
 import random
+import secrets
 from collections.abc import Iterator
 
 import gevent
@@ -17,6 +18,7 @@
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.core import Core
 from mallowvalve.control.replica_task import AGAIN
+from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
 from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
@@ -49,6 +51,7 @@
         "_waits",
         "_over",
         "_hint",
+        "_session",
     )
 
     def __init__(self, node: Node, disk_log: DiskLog, loaded: store.Loaded):
@@ -75,6 +78,7 @@
         self._waits: set[AsyncResult] = set()
         self._over = False
         self._hint: Address | None = None
+        self._session = Session(lambda: secrets.randbits(64))
         self.founder = FoundTask(self)
         node.transport.gone = lambda a: self.put(lambda now: self.core.gone(a, now))
         on = node.transport.on
@@ -110,14 +114,14 @@
 
     def offer(self, command: bytes, limit: float, attempt: float = 60.0) -> wire.Took:
         """Offers a keyed command to whoever leads until the limit; what may have run never ends as refused."""
-        end, maybe = clock.now() + limit, False
-        t = wire.Took("leader")
-        while t.code in AGAIN and (left := end - clock.now()) > 0 and not self._over:
-            t = self._offer_once(command, min(left, attempt))
+        end = clock.now() + limit
+        call, t = Call(self._session, command, end), wire.Took("leader")
+        while t.code in AGAIN and (left := end - (now := clock.now())) > 0 and not self._over:
+            data = call.data(self.core.clock.since(now), now)
+            t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
             if t.code in AGAIN:
-                maybe = maybe or t.code == "undecided"
                 gevent.sleep(min(0.05, max(0.0, end - clock.now())))
-        return wire.Took("undecided") if maybe and t.code in AGAIN else t
+        return call.ended(t, AGAIN)
 
     def _offer_once(self, command: bytes, limit: float) -> wire.Took:
         """A control process that is blank or whose disk refuses holds no command back: another one is asked."""
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -2,6 +2,8 @@
 from result import Ok
 
 from mallowvalve.control import wire
+from mallowvalve.control.fleet_clock import FleetClock
+from mallowvalve.control.sessions import Session
 from mallowvalve.control.snapshot import dump, load
 from mallowvalve.control.state import Change, Evacuate, State, encode
 from mallowvalve.control.task import ControlTask
@@ -88,7 +90,8 @@
 
     t = ControlTask.__new__(ControlTask)
     t._over = False
-    t.node, t.stalled, t.core, t._hint = Node, True, type("C", (), {"raft": object()}), None
+    t.node, t.stalled, t._hint = Node, True, None
+    t.core, t._session = type("C", (), {"raft": object(), "clock": FleetClock()}), Session(lambda: 7)
     assert t.offer(b"x", 1.0).revision == 5 and asked == [("other", "offer")]
     assert t.read(1.0).code == "leader" and len(asked) == 1
 
@@ -98,5 +101,6 @@
     monkeypatch.setattr(ControlTask, "_offer_once", lambda self, c, left: ends.pop() if ends else Took("leader"))
     t = ControlTask.__new__(ControlTask)
     t._over = False
+    t.core, t._session = type("C", (), {"clock": FleetClock()}), Session(lambda: 7)
     assert t.offer(b"", 0.12, 0.05).code == "undecided"
     assert t.offer(b"", 0.06, 0.05).code == "leader"
