--- a/mallowvalve/configuration/item_request.py
+++ b/mallowvalve/configuration/item_request.py
@@ -20,11 +20,13 @@
     ServiceItem,
     decode,
     plain_host,
+    twice,
 )
 from mallowvalve.finding import Finding, Findings
 
 AIM_OVER_MS = 60_000.0
 NAME_BYTES = 1024
+VERSION_LEAST, VERSION_MOST = -(1 << 63), (1 << 63) - 1
 
 
 class Gone(msgspec.Struct, frozen=True, kw_only=True):
@@ -73,7 +75,7 @@
             gone = _gone(kind, one, place, found)
             if gone is not None:
                 items.append(Item(kind, getattr(gone, "name", ""), gone.version, None))
-    found += _twice(items)
+    found += twice(items) + _places_twice(items)
     return Err(found) if found else Ok(Amend(items))
 
 
@@ -98,10 +100,10 @@
     doc = finding.read_into(found, shape, _known(shape, data.ok_value), place) if data.is_ok() else None
     if doc is not None and kind in PARTS:
         _name(doc.name, f"{place}.name", found)
-    return doc
+    return doc if doc is not None and _version(doc.version, place, found) else None
 
 
-def _twice(items: list[Item]) -> Findings:
+def _places_twice(items: list[Item]) -> Findings:
     """Routes of one call that could not stand beside each other, whatever else stands."""
     found: Findings = []
     newest: dict[str, HostRoute] = {}
@@ -130,6 +132,8 @@
         if len(found) == before:
             found.append(Finding(place, f"not understood: {e}"))
         return None
+    if not _version(doc.version, place, found):
+        return None
     if kind not in KINDS:
         return doc
     if kind != LIMITS:
@@ -148,6 +152,13 @@
     return data
 
 
+def _version(version: int, place: str, found: Findings) -> bool:
+    fits = VERSION_LEAST <= version <= VERSION_MOST
+    if not fits:
+        found.append(Finding(f"{place}.version", "want a whole number of 64 bits"))
+    return fits
+
+
 def _name(name: str, place: str, found: Findings) -> None:
     if not 0 < len(name) <= NAME_BYTES:
         found.append(Finding(place, f"want 1 to {NAME_BYTES} characters"))
--- a/mallowvalve/configuration/items.py
+++ b/mallowvalve/configuration/items.py
@@ -1,4 +1,7 @@
-"""Settings as items, each with a version of its own: the highest holds, whether it sets or drops."""
+"""Settings as items, each with a version of its own: the highest holds, whether it sets or drops.
+
+One version has one content: the same again is acknowledged, another one under it is a conflict.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 import msgspec
 from result import Err, Ok, Result
 
+from mallowvalve.configuration.same import same_json
 from mallowvalve.finding import Finding, Findings
 
 
@@ -74,6 +78,8 @@
 
 PARTS = ("routes", "services")
 LIMITS = "limits"
+SHOWN_BYTES = 2000
+"""How much of the item that holds a conflict shows."""
 
 
 class Items:
@@ -98,17 +104,21 @@
 
         `revision` becomes the items' own where anything changes.
         """
-        turn = self._turn(c)
-        if turn.found:
-            return turn.found
+        turn = self.judge(c)
+        if not turn.found and not turn.clashes:
+            self.take(turn, revision)
+        return turn.found or turn.clashes
+
+    def take(self, turn: Turn, revision: int) -> None:
+        """Takes in a call that was judged here and had no finding."""
         for i in turn.items:
             self._put(i, turn.docs.get((i.kind, i.name)))
             self.revision = revision
-        return []
 
     def check(self, c: Amend) -> Findings:
         """What would keep the call from being taken as things stand; nothing is changed."""
-        return self._turn(c).found
+        turn = self.judge(c)
+        return turn.found or turn.clashes
 
     def news(self, c: Amend) -> bool:
         """Whether the call holds anything newer than what is known."""
@@ -172,8 +182,10 @@
         self.hosts.setdefault(host, {})[r.prefix] = r
         self._deep[host] = max(self._deep.get(host, 0), len(r.prefix))
 
-    def _turn(self, c: Amend) -> Turn:
-        found: Findings = []
+    def judge(self, c: Amend) -> Turn:
+        """What would come of the call as things stand; nothing is changed."""
+        found = twice(c.items)
+        clashes: Findings = []
         docs: dict[tuple[str, str], Doc] = {}
         newest: dict[tuple[str, str], Item] = {}
         given = {i.name for i in c.items if i.kind == "services"}
@@ -183,6 +195,9 @@
             if had is None or i.version > had.version:
                 newest[key] = i
                 docs.pop(key, None)
+            elif i.version == had.version and had is self.rows.get(key) and not same_content(i, had):
+                clashes.append(clash(had))
+                continue
             elif i.kind != "routes" or i.doc is None:
                 continue
             if i.doc is None or i.kind not in KINDS:
@@ -196,7 +211,7 @@
                 found += self._strange(doc.ok_value, given)
         if not found:
             found = self._whole(newest, docs)
-        return Turn(list(newest.values()), docs, found)
+        return Turn(list(newest.values()), docs, found, sorted(set(clashes)))
 
     def _strange(self, r: HostRoute, given: set[str]) -> Findings:
         """An overtaken route changes nothing, but one whose service never was could not have stood at any time."""
@@ -233,9 +248,12 @@
 
 
 class Turn(msgspec.Struct):
+    """A call judged: `found` is what could never stand, `clashes` names versions that hold something else already."""
+
     items: list[Item]
     docs: dict[tuple[str, str], HostRoute | ServiceItem | Limits]
     found: Findings
+    clashes: Findings
 
 
 Doc = HostRoute | ServiceItem | Limits
@@ -250,6 +268,37 @@
         return Err([Finding(f"{i.kind}.{i.name}", f"not understood: {e}")])
 
 
+def same_content(a: Item, b: Item) -> bool:
+    """Whether two items say the same: decoded, with the defaults filled in; a JSON value in a kind that is not used."""
+    if a.doc == b.doc or a.doc is None or b.doc is None:
+        return a.doc == b.doc
+    if a.kind not in KINDS:
+        return same_json(a.doc, b.doc)
+    return decode(a) == decode(b)
+
+
+def version_place(i: Item) -> str:
+    """The place of an item's version, for a finding."""
+    return ".".join(part for part in (i.kind, i.name, "version") if part)
+
+
+def clash(held: Item) -> Finding:
+    """What holds under a version that something else was sent for."""
+    text = "a drop" if held.doc is None else held.doc[:SHOWN_BYTES].decode(errors="replace")
+    return Finding(version_place(held), f"{held.version} holds already, with other content: {text}")
+
+
+def twice(items: list[Item]) -> Findings:
+    """Items that one call gives two contents under one version."""
+    first: dict[tuple[str, str, int], Item] = {}
+    found = {
+        Finding(version_place(i), f"{i.version} is given two contents in this call")
+        for i in items
+        if not same_content(first.setdefault((i.kind, i.name, i.version), i), i)
+    }
+    return sorted(found)
+
+
 @lru_cache(4096)
 def plain_host(host: str) -> str:
     """A host as it is compared: lower case, without a port and a last dot."""
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -8,6 +8,7 @@
 from mallowvalve.configuration.item_request import read
 from mallowvalve.configuration.items import LIMITS, Amend, Items
 from mallowvalve.control.api import ATTEMPT, LIMIT, Api
+from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import Evacuate, encode
 from mallowvalve.finding import Finding, Findings
 
@@ -15,11 +16,21 @@
 _findings = msgspec.msgpack.Decoder(Findings).decode
 
 
+def _refusal(items: Items, c: Amend) -> tuple[int, Findings] | None:
+    """The status and findings of a call that these items refuse."""
+    turn = items.judge(c)
+    if turn.found:
+        return 400, turn.found
+    return (409, turn.clashes) if turn.clashes else None
+
+
 class ItemApi(Api):
     def offer(self, req, resp, c: Amend | Evacuate) -> None:
         t = self.task.offer(encode(c), LIMIT, ATTEMPT)
-        if t.code == "invalid":
+        if t.code == Code.INVALID:
             return web.turn_away(req, resp, 400, _findings(t.body))
+        if t.code == Code.CONFLICT:
+            return web.turn_away(req, resp, 409, _findings(t.body))
         if t.code != "ok":
             return self.reject(req, resp, t)
         web.say(resp, {"revision": t.revision})
@@ -46,12 +57,12 @@
         if r.is_err():
             return web.turn_away(req, resp, 400, r.err_value)
         c, s = r.ok_value, self.task.core.state
-        if s is not None and s.items.check(c):
+        if s is not None and _refusal(s.items, c) is not None:
             if self.confirm(req, resp) is None:
                 return
-            found = self.task.core.state.items.check(c)
-            if found:
-                return web.turn_away(req, resp, 400, found)
+            refusal = _refusal(self.task.core.state.items, c)
+            if refusal is not None:
+                return web.turn_away(req, resp, *refusal)
         elif s is not None and not s.items.news(c):
             c = Amend([])
         self.offer(req, resp, c)
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -226,9 +226,12 @@
         return Outcome("ok", self.revision)
 
     def _amend(self, c: Amend) -> Outcome:
-        found = self.items.apply(c, self.revision)
-        if found:
-            return Outcome("invalid", self.settings.revision, encode(found))
+        turn = self.items.judge(c)
+        if turn.found:
+            return Outcome(Code.INVALID, self.settings.revision, encode(turn.found))
+        if turn.clashes:
+            return Outcome(Code.CONFLICT, self.settings.revision, encode(turn.clashes))
+        self.items.take(turn, self.revision)
         if self.items.revision == self.revision:
             self.settings.revision = self.revision
         return Outcome("ok", self.settings.revision)
--- a/tests/test_http_items.py
+++ b/tests/test_http_items.py
@@ -9,6 +9,7 @@
 from mallowvalve.configuration.item_request import read
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import http_items, http_operators
+from mallowvalve.control.snapshot import dump, load
 from mallowvalve.control.state import State, command, encode
 from mallowvalve.control.wire import Took
 from tests.test_items import call, route, service
@@ -130,3 +131,44 @@
     assert len(t.offered) == 4 and t.state.turned == 3
     r = c.simulate_post("/evacuations/z9")
     assert r.status_code == 404 and r.json["findings"][0]["place"] == "zone" and len(t.offered) == 4
+
+
+def test_one_version_has_one_content_whichever_node_is_asked_and_however_much_it_lags(control):
+    t, c = control
+    old = t.state
+    first, other = call([route("r", 5)], [service("s", 5)]), call([route("r", 5, limit_ms=9)], [service("s", 5)])
+    assert c.simulate_patch("/items", body=first).status_code == 200
+    for state in (old, t.leader):
+        t.state = state
+        assert c.simulate_patch("/items", body=first).status_code == 200
+        t.state, before = state, t.leader.items.rows.copy()
+        r = c.simulate_patch("/items", body=other)
+        assert r.status_code == 409 and [f["place"] for f in r.json["findings"]] == ["routes.r.version"]
+        assert '"limit_ms": 1500' in r.json["findings"][0]["text"] and r.json["outcome"] == "not-run"
+        assert t.leader.items.rows == before
+    assert c.simulate_patch("/items", body=call([route("r", 6)])).status_code == 200
+    t.state = State(3)
+    assert c.simulate_patch("/items", body=other).status_code == 200, "an overtaken one is acknowledged as before"
+
+
+def test_a_node_that_lags_behind_an_overtaking_does_not_refuse_what_the_leader_takes(control):
+    t, c = control
+    assert c.simulate_patch("/items", body=call([route("r", 5)], [service("s", 5)])).status_code == 200
+    t.leader = load(dump(t.leader))
+    assert t.leader.items.apply(read(call([route("r", 7)])).unwrap(), 99) == []
+    assert c.simulate_patch("/items", body=call([route("r", 5, limit_ms=9)])).status_code == 200
+
+
+@pytest.mark.parametrize(
+    "body, place",
+    [
+        (b'{"set": {"services": [{"name": "s"}]}}', "set.services[0].version"),
+        (call([], [service("s", 2**64)]), "set.services[0].version"),
+        (call([], [service("s", 1), service("s", 1, connections=1)]), "services.s.version"),
+    ],
+)
+def test_orders_with_bad_versions_are_refused_with_their_place_and_change_nothing(control, body, place):
+    t, c = control
+    r = c.simulate_patch("/items", body=body)
+    assert r.status_code == 400 and [f["place"] for f in r.json["findings"]] == [place]
+    assert not t.offered and not t.leader.items.rows
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -97,7 +97,7 @@
         amend([route("q", 9, service="t")], limits={"version": 4, "idle_ms": 9000}),
         amend(limits={"version": 2, "idle_ms": 1000}),
         amend([], [service("u", 8)], drop={"services": [{"name": "u", "version": 9}]}),
-        amend([route("r", 3, service="s")]),
+        amend([route("r", 2, service="s")]),
         amend([], [service("s", 4, connections=20)]),
     ]
     want = compiled(items(base, *steps))
@@ -111,18 +111,36 @@
         assert got[1:] == want[1:]
 
 
-def test_an_equal_or_lower_version_changes_nothing_whatever_it_says():
+def test_a_lower_version_or_the_same_again_changes_nothing():
     i = items(amend([route("r", 5)], [service()]))
     before, n = compiled(i), i.revision
     for again in (
-        amend([route("r", 5, limit_ms=9)]),
+        amend([route("r", 5)]),
+        amend([route("r", 5, limit_ms=1500.0, tries=2)]),
         amend([route("r", 4, prefix="/z/")]),
-        amend(drop={"routes": [{"name": "r", "version": 5}]}),
+        amend(drop={"routes": [{"name": "r", "version": 4}]}),
     ):
         assert not i.news(again) and i.apply(again, 99) == []
     assert compiled(i) == before and i.revision == n
 
 
+def test_an_equal_version_with_other_content_changes_nothing_and_says_what_holds():
+    i = items(amend([route("r", 5)], [service()], limits={"version": 5}))
+    before, n = compiled(i), i.revision
+    for other, place in (
+        (amend([route("r", 5, limit_ms=9)]), "routes.r.version"),
+        (amend(drop={"routes": [{"name": "r", "version": 5}]}), "routes.r.version"),
+        (amend([], [service("s", 1, connections=11)]), "services.s.version"),
+        (amend(limits={"version": 5, "idle_ms": 9}), "limits.version"),
+        (amend([route("q", 9), route("r", 5, service="s", limit_ms=9)], [service("t", 9)]), "routes.r.version"),
+    ):
+        (found,) = i.apply(other, 99)
+        assert found.place == place and "5 holds" in found.text or "1 holds" in found.text
+        assert i.check(other) == [found]
+    assert compiled(i) == before and i.revision == n
+    assert '"limit_ms": 1500' in i.apply(amend([route("r", 5, limit_ms=9)]), 99)[0].text
+
+
 def test_a_turned_down_call_leaves_nothing_behind():
     i = items(amend([route("r", 1)], [service()]))
     before = compiled(i)
@@ -234,7 +252,7 @@
     for good in (
         amend([route("n", prefix="/x/"), route("r", 4, prefix="/y/")]),
         amend([route("n", 2, prefix="/y/"), route("r", 5, prefix="/x/")]),
-        amend(drop={"services": [{"name": "t", "version": 3}]}),
+        amend(drop={"services": [{"name": "t", "version": 2}]}),
         amend([route("q", 4)], drop={"services": [{"name": "t", "version": 4}]}),
         amend([route("q", 3, service="t")]),
         amend([route("r", 1, prefix="/q/")]),
@@ -304,3 +322,53 @@
     assert x.apply(read(b'{"set":{"tenants":[{"name":"t","version":1}]}}').unwrap(), 2) == [] and x.revision == 1
     assert x.apply(read(b'{"drop":{"tenants":[{"name":"t","version":3}]}}').unwrap(), 3) == []
     assert x.standing("tenants") == [] and x.kinds()[-1] == "quota"
+
+
+@pytest.mark.parametrize(
+    "a, b, same",
+    [
+        ('{"version": 3, "x": [1, {"y": 2}]}', ' {"x":[1.0,{"y":2}],"version":3}', True),
+        ('{"version": 3, "x": 1}', '{"version": 3, "x": true}', False),
+        ('{"version": 3, "x": [1, 2]}', '{"version": 3, "x": [2, 1]}', False),
+        ('{"version": 3, "x": [1]}', '{"version": 3, "x": [1, 2]}', False),
+        ('{"version": 3}', '{"version": 3, "x": null}', False),
+        ('{"version": 3, "x": "\\u0041"}', '{"version": 3, "x": "A"}', True),
+    ],
+)
+def test_a_kind_that_is_not_used_is_compared_by_its_json_value(a, b, same):
+    i = Items()
+    first, second = (read(f'{{"set": {{"notes": {text}}}}}'.encode()).unwrap() for text in (a, b))
+    assert i.apply(first, 1) == [] and (i.apply(second, 2) == []) == same and i.revision == 1
+
+
+def test_defaults_and_unknown_fields_make_no_other_content():
+    i = Items()
+    assert i.apply(read(b'{"set": {"services": [{"name": "s", "version": 1}]}}').unwrap(), 1) == []
+    again = b'{"set": {"services": [{"version": 1, "name": "s", "status": "/health", "connections": 0, "new": 1}]}}'
+    assert i.apply(read(again).unwrap(), 2) == [] and i.revision == 1
+
+
+def test_the_same_item_twice_in_a_call_must_say_the_same():
+    assert read(call([route("r", 5), route("r", 5)], [service()])).is_ok()
+    for bad in (
+        call([route("r", 5), route("r", 5, limit_ms=9)], [service()]),
+        call([route("r", 5)], [service()], drop={"routes": [{"name": "r", "version": 5}]}),
+    ):
+        assert places(read(bad)) == ["routes.r.version"]
+    two = [Item("notes", "n", 1, b'{"version": 1, "x": 1}'), Item("notes", "n", 1, b'{"version": 1, "x": 2}')]
+    assert [f.place for f in Items().apply(Amend(two), 1)] == ["notes.n.version"], "judged by the leader as well"
+
+
+@pytest.mark.parametrize("version", [2**63, -(2**63) - 1, 2**64, 2**70])
+def test_a_version_beyond_64_bits_is_refused(version):
+    assert places(read(call([route("r", version)]))) == ["set.routes[0].version"]
+    assert places(read(call(drop={"routes": [{"name": "r", "version": version}]}))) == ["drop.routes[0].version"]
+    assert places(read(call(limits={"version": version}))) == ["set.limits.version"]
+    assert places(read(b'{"set": {"notes": {"version": %d}}}' % version)) == ["set.notes.version"]
+
+
+def test_an_item_without_a_version_is_refused():
+    assert places(read(b'{"set": {"services": [{"name": "s"}]}}')) == ["set.services[0].version"]
+    assert places(read(b'{"drop": {"services": [{"name": "s"}]}}')) == ["drop.services[0].version"]
+    assert places(read(b'{"set": {"limits": {}}}')) == ["set.limits.version"]
+    assert places(read(b'{"set": {"notes": [{"name": "n"}]}}')) == ["set.notes[0].version"]
