--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -13,15 +13,19 @@
 from mallowvalve import clock
 from mallowvalve.control import store, wire
 from mallowvalve.control.bootstrap import Decision, Found, Judge, Start, Wipe, decide, heard_enough, sources
+from mallowvalve.control.leave import Leave
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS
 from mallowvalve.control.state import State
+from mallowvalve.membership.wire import ALIVE
 from mallowvalve.metrics import change
 from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
 from mallowvalve.types import Address
 
 FOUND_EVERY, BLANK_EVERY = 0.5, 0.15
 HERE = 1.0
+ASK = 0.8
+LEAVE_ASK, LEAVE_AGAIN = 0.3, 0.1
 CALM = 5
 FEW = 4
 ID = 12
@@ -46,7 +50,7 @@
     def run(self) -> None:
         for turn in itertools.count():
             if self.control.core.leader() is not None and turn % CALM:
-                self._say_here()
+                self.say_here()
                 gevent.sleep(HERE)
                 continue
             calm = self.control.core.leader() is not None
@@ -54,7 +58,7 @@
             if calm and isinstance(v, Found):
                 answers, v = self._look(False)
             self._act(self._judge.hear(v, clock.now()), answers)
-            self._say_here()
+            self.say_here()
             joins = any(w.group is not None for w in answers)
             gevent.sleep(HERE if self.control.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
 
@@ -79,13 +83,13 @@
             others = set(random.sample(sorted(others), FEW))
         to = {r.addr for r in alive if r.role == "control"} | set(p.seeds) | others
         if self.control.core.raft is not None:
-            to |= set(self.control.core.raft.log.voters.voters.values())
+            to |= set(self.control.core.raft.log.voters.electors().values())
         best = [w for w in self._ask(to - {p.transport})]
-        known = {a for w in best if w.voters for a in w.voters.voters.values()}
+        known = {a for w in best if w.voters for a in w.voters.electors().values()}
         return best + self._ask(known - to - {p.transport})
 
-    def _ask(self, to: set[Address]) -> list[wire.Who]:
-        jobs = [gevent.spawn(self.control.node.transport.call, a, "who", b"", 0.8) for a in sorted(to)]
+    def _ask(self, to: set[Address], limit: float = ASK) -> list[wire.Who]:
+        jobs = [gevent.spawn(self.control.node.transport.call, a, "who", b"", limit) for a in sorted(to)]
         gevent.joinall(jobs)
         out = []
         for j in jobs:
@@ -181,7 +185,20 @@
         done.get()
         change("wiped_to_rejoin")
 
-    def _say_here(self) -> None:
+    def leave(self, limit: float) -> None:
+        """Waits until this member's vote and copy are needed no more (`Leave`), for `limit` seconds at most."""
+        begun, leave = clock.now(), Leave(self.control.core.id)
+        while clock.now() - begun < limit:
+            leader = self.control.core.leader()
+            others = [leader] if leader not in (None, self.control.node.settings.transport) else []
+            control = [r.addr for r in self.control.node.membership.alive("control") if r.state == ALIVE]
+            if leave.over(self.control.core.raft, self._ask(set(others), LEAVE_ASK), control):
+                break
+            self.say_here()
+            gevent.sleep(LEAVE_AGAIN)
+        change("left_core", seconds=round(clock.now() - begun, 2), why=leave.why)
+
+    def say_here(self) -> None:
         body = wire.encode(msgspec.structs.replace(self.control.who(), seeds=[], voters=None))
         leader = self.control.core.leader()
         for a in [leader] if leader is not None else [r.addr for r in self.control.node.membership.alive("control")]:
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -55,6 +55,7 @@
         "counts",
         "replies",
         "decided",
+        "members",
         "seen",
         "clock",
         "_pending",
@@ -90,7 +91,8 @@
         self.counts = Counts()
         self.decided: list[tuple[Any, Outcome]] = []
         self.replies: list[tuple[Any, Took | Fed]] = []
-        self.seen: dict[str, reconfiguration.Seen] = {}
+        self.members = reconfiguration.Members()
+        self.seen = self.members.seen
         self.replicas = Replicas(locality)
         self._pending: dict[int, Pending] = {}
         self._waiting: deque[tuple[int, Pending]] = deque()
@@ -141,16 +143,15 @@
         return self.raft.log.voters.address(self.raft.leader)
 
     def who(self, role: str, seeds: list[Address]) -> Who:
-        r = self.raft
+        r, m, me = self.raft, self.members, (role, self.id, self.addr, self.locality, seeds)
         if r is None:
-            return Who(role, self.id, self.addr, self.locality, seeds, True, None, 0, None, None)
-        i = self.state.index
-        return Who(role, self.id, self.addr, self.locality, seeds, False, r.group, i, r.log.voters_at(i), self.leader())
+            return Who(*me, True, None, 0, None, None, boot=m.boot, leaving=m.leaving)
+        i, leader = self.state.index, self.leader()
+        return Who(*me, False, r.group, i, r.log.voters_at(i), leader, boot=m.boot, leaving=m.leaving)
 
     def here(self, w: Who, now: float) -> None:
         if w.role == "control" and (w.group is None or self.raft and w.group == self.raft.group):
-            self.seen[w.id] = reconfiguration.Seen(w.addr, w.locality, now)
-            self.seen = {i: s for i, s in self.seen.items() if now - s.at < 2 * reconfiguration.FORGOTTEN}
+            self.members.hear(w, now)
 
     def timer(self, now: float) -> float:
         if self.raft is None:
@@ -370,10 +371,10 @@
         if now - self._ticked > 1.0 and self.state.coordination.restless():
             self._ticked = now
             self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
-        if now - self._grown < 0.1:
+        if now - self._grown < reconfiguration.LOOK:
             return
         self._grown = now
-        v = reconfiguration.next_voters(self.raft, self.seen, now)
+        v = self.members.next_voters(self.raft, now)
         if v is not None and self.raft.change_voters(v, self.clock.read(now)) is not None:
             self.counts.add("raft_changes")
         if self._seating > self.raft.commit:
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -106,4 +106,4 @@
         task.hand_over()
 
     with node, task, registry, Memory(node, disk_log.disk), directory_pages or contextlib.nullcontext():
-        node.run(lambda: task.core.leader() is not None and not task.stalled, leave)
+        node.run(lambda: task.core.leader() is not None and not task.stalled, leave, task.founder.leave)
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -1,69 +1,158 @@
+"""Which voters and learners the core is to have next, by what its leader knows of the members.
+
+A voter that is lost or leaving is swapped for a learner that has caught up, in one change, which Raft makes through a
+joint configuration. What begins a swap, and how soon (s):
+
+- `LEAVING`: the member said goodbye; at the next look of the leader, `LOOK` apart.
+- `REPLACED`: another member has its address; at the next look.
+- `DEPARTED`: the failure detector says that its process failed or left, and Raft has not heard it for `CONFIRM`; the
+  detector's verdict takes `detector.detect` (3.0) at most. With a swap of two rounds this stays below the time that a
+  successor has before it counts as safe (`catch-up-s`, 4), so the next loss inside `fault-budget` meets a core that is
+  whole again. `CONFIRM` keeps a verdict that is wrong, or about a process that is back, from costing a seat.
+- `SILENT`: Raft has not heard it for `GONE`; the fallback for a member that the detector knows nothing of.
+
+`FORGOTTEN` is how long a silent learner is kept: it costs one message a heartbeat, and nothing waits for it.
+"""
+
 from __future__ import annotations
 
+import enum
+
 import msgspec
 
+from mallowvalve.control.wire import Who
 from mallowvalve.raft.messages import Voters
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 
 MOST = 5
+LOOK = 0.1
+CONFIRM = 1.0
 GONE = 5.0
 FORGOTTEN = 30.0
 LAG = 64
 
 
 class Seen(msgspec.Struct, frozen=True):
+    """What a member last said of itself, and when (s); `boot` tells its process from the next at its address."""
+
     addr: Address
     locality: Locality
     at: float
-
-
-def next_voters(raft: Raft, seen: dict[str, Seen], now: float) -> Voters | None:
-    v = raft.log.voters
-    taken = {s.addr: i for i, s in sorted(seen.items(), key=lambda x: x[1].at)}
-    for i, s in sorted(seen.items()):
-        if v.address(i) is None and taken[s.addr] == i and now - s.at < GONE:
-            return Voters(v.voters, {**v.learners, i: s.addr})
-        if v.address(i) is not None and v.address(i) != s.addr:
-            return Voters(_moved(v.voters, i, s.addr), _moved(v.learners, i, s.addr))
-    gone = {i for i in v.everyone() if i != raft.me and _silent(raft, i, now) or taken.get(v.address(i), i) != i}
-    ripe = [i for i in v.learners if i not in gone and _caught_up(raft, i, now) and i in seen]
-    for i in sorted(gone & v.learners.keys()):
-        if taken.get(v.learners[i], i) != i or _silent(raft, i, now, FORGOTTEN):
-            return Voters(v.voters, _without(v.learners, i))
-    dead = sorted(gone & v.voters.keys())
-    alive = len(v.voters) - len(dead)
-    if dead and ripe and alive >= (len(v.voters) - 1) // 2 + 1:
-        return Voters(_without(v.voters, dead[0]), v.learners)
-    if ripe and len(v.voters) < _target(v, ripe):
-        i = min(ripe, key=lambda i: _crowd(v, seen, seen[i].locality) + (i,))
-        return Voters({**v.voters, i: v.learners[i]}, _without(v.learners, i))
-    return None
-
-
-def _target(v: Voters, ripe: list[str]) -> int:
-    n = min(MOST, len(v.voters) + len(ripe))
-    return n if n % 2 else n - 1
-
-
-def _crowd(v: Voters, seen: dict[str, Seen], at: Locality) -> tuple[int, int]:
-    places = [seen[i].locality for i in v.voters if i in seen]
-    return sum(p.region == at.region for p in places), sum(p == at for p in places)
-
-
-def _silent(raft: Raft, i: str, now: float, limit: float = GONE) -> bool:
+    boot: int = 0
+    leaving: bool = False
+
+
+class Loss(enum.Enum):
+    """Why a member is taken for lost; only one that is `LEAVING` still votes."""
+
+    LEAVING = enum.auto()
+    REPLACED = enum.auto()
+    DEPARTED = enum.auto()
+    SILENT = enum.auto()
+
+
+class Members:
+    """What is known of the members beside Raft: their own words, and the failure detector's verdicts.
+
+    `departed` has the boot of the process at each address that the detector says failed or left.
+    """
+
+    __slots__ = ("seen", "departed", "boot", "leaving")
+
+    def __init__(self) -> None:
+        self.seen: dict[str, Seen] = {}
+        self.departed: dict[Address, int] = {}
+        self.boot, self.leaving = 0, False
+
+    def hear(self, who: Who, now: float) -> None:
+        """A member said that it is here, or with `leaving` that it is about to go."""
+        self.seen[who.id] = Seen(who.addr, who.locality, now, who.boot, who.leaving)
+        for i in [i for i, s in self.seen.items() if now - s.at >= 2 * FORGOTTEN]:
+            del self.seen[i]
+
+    def next_voters(self, raft: Raft, now: float) -> Voters | None:
+        """The configuration to change to, if any; while one is under way only an address may change."""
+        voters = raft.log.voters
+        taken = {s.addr: i for i, s in sorted(self.seen.items(), key=lambda x: x[1].at)}
+        came = self._came(voters, taken, now)
+        if came is not None or voters.old:
+            return came
+        lost = {i: why for i in voters.everyone() if (why := self._loss(raft, i, taken, now)) is not None}
+        for i in sorted(lost.keys() & voters.learners.keys()):
+            if lost[i] is Loss.REPLACED or _silent(raft, i, now, FORGOTTEN):
+                return Voters(voters.voters, _without(voters.learners, i))
+        ripe = [i for i in voters.learners if i not in lost and i in self.seen and _caught_up(raft, i, now)]
+        return self._swap(voters, lost, ripe) or self._growth(voters, lost, ripe)
+
+    def _came(self, voters: Voters, taken: dict[Address, str], now: float) -> Voters | None:
+        """A member at another address, or one that is new."""
+        for i, s in sorted(self.seen.items()):
+            if voters.address(i) not in (None, s.addr) and now - s.at < GONE:
+                parts = (voters.voters, voters.learners, voters.old)
+                return Voters(*({k: s.addr if k == i else a for k, a in part.items()} for part in parts))
+        for i, s in sorted(self.seen.items()):
+            new = voters.address(i) is None and taken[s.addr] == i and now - s.at < GONE and not s.leaving
+            if new and not voters.old:
+                return Voters(voters.voters, {**voters.learners, i: s.addr})
+        return None
+
+    def _loss(self, raft: Raft, i: str, taken: dict[Address, str], now: float) -> Loss | None:
+        address, seen = raft.log.voters.address(i), self.seen.get(i)
+        if taken.get(address, i) != i:
+            return Loss.REPLACED
+        verdict = address in self.departed and (seen is None or seen.boot in (0, self.departed[address]))
+        if verdict and _silent(raft, i, now, CONFIRM):
+            return Loss.DEPARTED
+        if _silent(raft, i, now, GONE):
+            return Loss.SILENT
+        leaving = self.leaving if i == raft.me else seen is not None and seen.leaving
+        return Loss.LEAVING if leaving else None
+
+    def _swap(self, voters: Voters, lost: dict[str, Loss], ripe: list[str]) -> Voters | None:
+        """One lost voter for one learner, the dead before the leaving, if most of the voters then are alive."""
+        out = min(lost.keys() & voters.voters.keys(), key=lambda i: (lost[i] is Loss.LEAVING, i), default=None)
+        if out is None or not ripe:
+            return None
+        kept = _without(voters.voters, out)
+        i = min(ripe, key=lambda i: (*self._crowd(kept, i), i))
+        alive = 1 + sum(lost.get(k) in (None, Loss.LEAVING) for k in kept)
+        if 2 * alive <= len(kept) + 1:
+            return None
+        return Voters({**kept, i: voters.learners[i]}, _without(voters.learners, i))
+
+    def _growth(self, voters: Voters, lost: dict[str, Loss], ripe: list[str]) -> Voters | None:
+        """More voters, an odd number of `MOST` at most, in one change."""
+        if lost.keys() & voters.voters.keys():
+            return None
+        target = min(MOST, len(voters.voters) + len(ripe))
+        target -= target % 2 == 0
+        grown, left = dict(voters.voters), list(ripe)
+        while len(grown) < target:
+            i = min(left, key=lambda i: (*self._crowd(grown, i), i))
+            left.remove(i)
+            grown[i] = voters.learners[i]
+        if len(grown) == len(voters.voters):
+            return None
+        return Voters(grown, {k: a for k, a in voters.learners.items() if k not in grown})
+
+    def _crowd(self, ids: dict[str, Address], i: str) -> tuple[int, int]:
+        """How many of these share the region, and the zone, of the member."""
+        at = self.seen[i].locality
+        places = [self.seen[k].locality for k in ids if k in self.seen]
+        return sum(p.region == at.region for p in places), sum(p == at for p in places)
+
+
+def _silent(raft: Raft, i: str, now: float, limit: float) -> bool:
     p = raft.progress().get(i)
-    return p is not None and now - p.heard > limit
+    return i != raft.me and p is not None and now - p.heard > limit
 
 
 def _caught_up(raft: Raft, i: str, now: float) -> bool:
+    """Whether it answers, and lacks no more than what comes in a moment; the change itself waits for the rest."""
     p = raft.progress().get(i)
-    return p is not None and p.match > 0 and p.match + LAG >= raft.log.last and now - p.heard < 1.0
+    return p is not None and p.match > 0 and p.match + LAG >= raft.log.last and now - p.heard < CONFIRM
 
 
 def _without(d: dict[str, Address], i: str) -> dict[str, Address]:
     return {k: a for k, a in d.items() if k != i}
-
-
-def _moved(d: dict[str, Address], i: str, a: Address) -> dict[str, Address]:
-    return {k: a if k == i else old for k, old in d.items()}
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -20,6 +20,7 @@
 from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
 from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
+from mallowvalve.membership.wire import FAILED, LEFT
 from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
 from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, encode, envelope
@@ -28,6 +29,7 @@
 from mallowvalve.types import Address
 
 STORE_AGAIN = 2.0
+VERDICTS = 0.25
 
 
 class ControlTask:
@@ -62,6 +64,7 @@
             p.acks,
             Times(pace=p.pace, election=p.election),
         )
+        self.core.members.boot = node.boot
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, clock.now())
         self._box: Queue = Queue()
@@ -86,7 +89,8 @@
         on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), quick=True)
 
     def __enter__(self) -> ControlTask:
-        self._jobs = [vital(gevent.spawn(self._run)), vital(gevent.spawn(self.founder.run))]
+        jobs = (self._run, self.founder.run, self._watch)
+        self._jobs = [vital(gevent.spawn(job)) for job in jobs]
         return self
 
     def __exit__(self, *_) -> None:
@@ -162,7 +166,22 @@
         return t or wire.Took("undecided")
 
     def hand_over(self) -> None:
+        """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
+        self.core.members.leaving = True
         self.put(lambda now: self.core.raft and self.core.raft.hand_over())
+        self.founder.say_here()
+
+    def _watch(self) -> None:
+        """Shows the leader's machine what the failure detector says of its members."""
+        while True:
+            gevent.sleep(VERDICTS)
+            raft = self.core.raft
+            if raft is None or not raft.leads:
+                continue
+            view = self.node.membership.membership.view
+            records = [view[a] for a in raft.log.voters.everyone().values() if a in view]
+            found = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
+            self.put(lambda now, found=found: setattr(self.core.members, "departed", found))
 
     def _offer(self, o: wire.Offer) -> wire.Took:
         if self._over:
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -7,7 +7,10 @@
 
 
 class Who(msgspec.Struct, array_like=True, frozen=True):
-    """`index` counts for what is held: all, or without `whole` the settings part only."""
+    """`index` counts for what is held: all, or without `whole` the settings part only.
+
+    `boot` tells this process from the next at its address; `leaving` is a control process's goodbye.
+    """
 
     role: str
     id: str
@@ -20,6 +23,8 @@
     voters: Voters | None
     leader: Address | None
     whole: bool = True
+    boot: int = 0
+    leaving: bool = False
 
 
 class Want(msgspec.Struct, array_like=True, frozen=True):
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -30,6 +30,7 @@
 
 
 PAGES = 64
+MARGIN = 0.15
 
 
 class HeartbeatDoc(msgspec.Struct):
@@ -177,7 +178,8 @@
     def allowed(self, service: str) -> bool:
         return self._allowed(service)
 
-    def run(self, ready, leaving=lambda: None) -> None:
+    def run(self, ready, leaving=lambda: None, finish=lambda limit: None) -> None:
+        """Runs until the process is told to stop; then drains, and lets `finish` take what is left of the grace (s)."""
         before = None
         while not self.stopping.wait(timeout=0.2 if before else 0.05):
             now = bool(ready())
@@ -185,10 +187,12 @@
                 change("ready" if now else "unready", name=self.settings.name)
                 before = now
             self.membership.ready(now)
+        end = clock.now() + self.settings.polite * (1 - MARGIN)
         self.membership.leave(final=False)
         leaving()
-        linger, finish = (0.5, 0.4) if self.settings.role == "proxy" else (0.1, 0.2)
-        self.server.drain(self.settings.polite * linger, self.settings.polite * finish)
+        linger, last = (0.5, 0.4) if self.settings.role == "proxy" else (0.1, 0.2)
+        self.server.drain(self.settings.polite * linger, self.settings.polite * last)
+        finish(max(0.0, end - clock.now()))
         self.membership.leave(final=True)
 
     def is_ready(self) -> bool:
--- a/sim/control.py
+++ b/sim/control.py
@@ -6,7 +6,9 @@
 
 from mallowvalve.control import store, wire
 from mallowvalve.control.bootstrap import Found, Judge, Start, Wipe, decide, heard_enough
+from mallowvalve.control.bootstrap_task import LEAVE_AGAIN, LEAVE_ASK
 from mallowvalve.control.core import Core
+from mallowvalve.control.leave import Leave, Why
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW
 from mallowvalve.control.snapshot_transfer import read_want
@@ -19,6 +21,8 @@
 from sim.replica import SimShelf, pull
 from sim.world import Node, World
 
+DETECT = 3.0
+
 
 class ControlNode(Node):
     role = "control"
@@ -30,15 +34,19 @@
         self.disk_log = DiskLog.open(disk, "sim", self._fresh_id(), segment_bytes=20_000).unwrap()
         loaded = store.load(self.disk_log).unwrap()
         self.core = Core(self.disk_log.identity.id, addr, locality, self.rng)
+        self.core.members.boot = self.life
+        self._absent: dict[Address, float] = {}
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
         self._busy = self._saving = self._pulling = False
+        self.left: Why | None = None
         self.shelf = SimShelf()
         self._box: list = []
         self._judge_over = Judge()
         self._answers: list = []
         self.every(0.02, lambda: self._put(lambda: None))
         self.every(0.5, self._gather)
+        self.every(0.25, self._detect)
 
     def _fresh_id(self) -> str:
         return f"{self.rng.getrandbits(64):016x}"
@@ -175,11 +183,52 @@
             if a is not None:
                 self.cast(a, "raft", encode(Envelope(group, self.core.id, to, self.addr, m)))
 
+    def _detect(self) -> None:
+        """The failure detector's part: a process that is gone or frozen for `DETECT` seconds has failed."""
+        if self.core.raft is None:
+            return
+        present = set(self.peers()) - self.world.frozen.keys()
+        at = {a for a in self.core.raft.log.voters.everyone().values() if a not in present}
+        self._absent = {a: self._absent.get(a, self.now) for a in at}
+        failed = [a for a, since in self._absent.items() if self.now - since >= DETECT]
+        boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
+        self._put(lambda: setattr(self.core.members, "departed", {a: boots.get(a, 0) for a in failed}))
+
+    def leave(self, limit: float) -> None:
+        """A polite stop: hands over, says goodbye, and ends as the daemon does, `limit` seconds from now at most."""
+        self.core.members.leaving = True
+        self._put(lambda: self.core.raft and self.core.raft.hand_over())
+        self._go(Leave(self.core.id), self.now + limit)
+
+    def _go(self, leave: Leave, end: float) -> None:
+        leader = self.core.leader()
+        if self.now >= end or leave.over(self.core.raft, [], self._others()):
+            return self._ends(leave)
+        self._put(lambda: self.core.here(self._who(), self.now))
+        for a in self._others():
+            self.cast(a, "here", wire.encode(self._who()))
+        if leader not in (None, self.addr):
+            self.call(leader, "who", b"", LEAVE_ASK, lambda d: d and self._told(leave, wire.who(d)))
+        self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
+
+    def _told(self, leave: Leave, w: wire.Who) -> None:
+        if leave.over(self.core.raft, [w], self._others()):
+            self._ends(leave)
+
+    def _ends(self, leave: Leave) -> None:
+        self.left = leave.why
+        self.crash()
+        self.disk.crash()
+
+    def _others(self) -> list[Address]:
+        nodes = (self.world.nodes[a] for a in self.peers() if a != self.addr)
+        return [n.addr for n in nodes if isinstance(n, ControlNode) and not n.core.members.leaving]
+
     def _gather(self) -> None:
         self._answers = []
         to = set(self.peers()) | set(self.seeds)
         if self.core.raft is not None:
-            to |= set(self.core.raft.log.voters.voters.values())
+            to |= set(self.core.raft.log.voters.electors().values())
         asked = to - {self.addr}
         for a in sorted(asked):
             self.call(a, "who", b"", 0.3, lambda d: self._heard(d, asked))
@@ -196,7 +245,7 @@
             return
         w = wire.who(data)
         self._answers.append(w)
-        more = set(w.voters.voters.values()) - asked - {self.addr} if w.voters else set()
+        more = set(w.voters.electors().values()) - asked - {self.addr} if w.voters else set()
         for a in sorted(more):
             asked.add(a)
             self.call(a, "who", b"", 0.14, lambda d: self._heard(d, asked))
