--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -9,6 +9,7 @@
 
 from mallowvalve.control import lease, reconfiguration
 from mallowvalve.control.acknowledgement import Replicas
+from mallowvalve.control.brought_state import BroughtState
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
 from mallowvalve.control.outcome import UNAPPLIED
@@ -32,7 +33,7 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Group, Hard, Snapshot, Voters
+from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Hard, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
 from mallowvalve.raft.raft import Raft
 from mallowvalve.settings import Acks
@@ -101,7 +102,7 @@
         self._parked: dict[Address, Parked] = {}
         self._reads = Reads()
         self._led = False
-        self._brought: tuple[Group, int, State] | None = None
+        self._brought = BroughtState()
         self._ticked = self._grown = -1e9
         self._seating = 0
         self._looked, self._look_at = (0, 0), -1e9
@@ -225,7 +226,7 @@
 
     def saved(self, r: Ready, now: float) -> None:
         if r.install is not None:
-            self.state = self._loaded_for(r.install)
+            self.state = self._brought.take(r.install)
             self._news = News(self.state.turned)
             self.clock.restart(self.state.clock, now)
         self.raft.saved(r)
@@ -256,15 +257,7 @@
 
     def bring(self, p: Snapshot, s: State) -> None:
         """A state built beside the machine from the pieces of a snapshot that is about to be installed."""
-        self._brought = (p.group, p.index, s)
-
-    def _loaded_for(self, p: Snapshot) -> State:
-        group, index, s = self._brought or (None, 0, None)
-        self._brought = None
-        if (group, index) != (p.group, p.index):
-            s = load(p.state, p.group.generation)
-        s.index = p.index
-        return s
+        self._brought.put(p, s)
 
     def compact(self, p: Snapshot) -> None:
         self.raft.log.compact(p)
