--- a/mallowvalve/control/bootstrap.py
+++ b/mallowvalve/control/bootstrap.py
@@ -54,17 +54,16 @@
 
 
 def decide(me: Who, answers: list[Who], first_generation: int, unborn: bool) -> Decision:
-    known = [w for w in answers if w.group is not None and w.voters is not None]
+    """What to do by what others answer, and by what this process holds itself: it may know more than all of them."""
+    known = [w for w in [*answers, me] if w.group is not None and w.voters is not None]
     best = max(known, key=lambda w: (w.group.generation, w.index), default=None)
     if best is None:
         return _first(me, answers, first_generation) if me.blank else Wait("alone")
-    if me.group is not None and best.group.generation < me.group.generation:
-        return Wait("newest")
     if me.group is not None and best.group.generation == me.group.generation:
         strangers = [w for w in known if w.group.generation == me.group.generation and w.group != me.group]
         if strangers and unborn and any(w.role == "control" and w.leader for w in strangers):
             return Wipe()
-        return Wait("member") if me.id in best.voters.voters else _renew(me, answers, known, best)
+        return Wait("member") if me.id in best.voters.electors() else _renew(me, answers, known, best)
     return _join(me, known, best) or (_renew(me, answers, known, best) if me.blank else Wait("behind"))
 
 
@@ -101,12 +100,15 @@
 
 
 def _renew(me: Who, answers: list[Who], known: list[Who], best: Who) -> Decision:
+    """Founds anew if most voters of the newest configuration, and of each set of a joint one, came back empty."""
     control = [w for w in [*answers, me] if w.role == "control"]
     alive, at = {w.id for w in control}, {w.addr: w for w in control}
     last = best.voters.voters
-    lost = {i: at[a] for i, a in last.items() if i not in alive and a in at}
-    if 2 * len(lost) <= len(last):
-        return Wait(f"{len(lost)} of {len(last)} voters came back empty")
+    lost = {i: at[a] for i, a in best.voters.electors().items() if i not in alive and a in at}
+    for part in (last, best.voters.old):
+        gone = len(part.keys() & lost.keys())
+        if part and 2 * gone <= len(part):
+            return Wait(f"{gone} of {len(part)} voters came back empty")
     founder = min(w.addr for w in lost.values())
     if founder != me.addr:
         return Wait(f"{founder} founds anew")
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -92,3 +92,18 @@
     assert [j.hear(decide(me, others, 7, False), n * 0.5) for n in range(4)] == [None] * 4
     wiped = [who("y", B), who("z", C), replica()]
     assert decide(who("x", A), wiped, 7, False).base == replica()
+
+
+def test_a_member_that_knows_more_than_all_who_answer_does_not_found_on_their_older_voters():
+    newer = Voters({"c": C, "x": A, "y": B})
+    me = who("x", A, blank=False, index=12, voters=newer)
+    assert decide(me, [who("z", B), replica(5)], 7, False) == Wait("member")
+
+
+def test_a_joint_configuration_is_lost_only_with_most_of_both_sets():
+    joint = Voters({"b": B, "c": C, "d": D}, {}, {"a": A, "b": B, "c": C})
+    held = who("", P[0], blank=False, role="proxy", index=9, seeds=[], voters=joint)
+    assert isinstance(decide(who("x", A), [held, who("y", B)], 7, False), Wait)
+    assert isinstance(decide(who("x", C), [held, who("y", D)], 7, False), Wait)
+    v = decide(who("x", B), [held, who("y", C)], 7, False)
+    assert isinstance(v, Found) and v.voters.voters == {"x": B, "y": C, "d": D}
