--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -7,10 +7,11 @@
 
 import msgspec
 
-from mallowvalve.control import reconfiguration
+from mallowvalve.control import lease, reconfiguration
 from mallowvalve.control.acknowledgement import Replicas
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
+from mallowvalve.control.outcome import UNAPPLIED
 from mallowvalve.control.snapshot import cut, cut_settings, load
 from mallowvalve.control.state import (
     Change,
@@ -29,6 +30,7 @@
 from mallowvalve.control.waiting import CommitNote, Parked, Pending, Read, Reads, turns_settings, waits_for
 from mallowvalve.control.wire import Fed, Took, Want, Who
 from mallowvalve.metrics import Counts
+from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Group, Hard, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
@@ -38,7 +40,7 @@
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
 HOLD_MOST = 1.0
-CURRENT, LAG = 0.5, 16
+LAG = 16
 TOLD_PACES = 3
 FEED, GATHER_MOST = 0.0015, 0.15
 
@@ -196,10 +198,16 @@
 
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
-        r = self.raft
-        if r is None or not r.in_touch(now, CURRENT) or r.log.term(self.state.index) != r.term:
-            return False
-        return self.state.index + LAG >= r.told
+        r, i = self.raft, self.state.index if self.state is not None else 0
+        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + LAG >= r.told
+
+    def contact(self) -> float:
+        """When (s) this process asked what a majority has confirmed since."""
+        return self.raft.contact() if self.raft is not None else NO_STAMP
+
+    def holds(self, kind: lease.Answer, now: float) -> bool:
+        """Whether an answer of the kind may be given by what is known here."""
+        return lease.holds(kind, self.contact(), now)
 
     def want(self, w: Want, token: Any, now: float) -> None:
         if not self.leads:
@@ -295,7 +303,7 @@
             return
         self.replicas.watch(self.state.settings, now)
         self._answer_waiting(now)
-        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, now)
+        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, self.raft.term, now)
         self._answer_wants(now)
         self._housekeep(now)
 
@@ -304,7 +312,7 @@
         for index, p in self._waiting:
             o = p.outcome
             if self._acknowledged(p, now):
-                self.replies.append((p.token, Took(o.code, o.revision, o.body)))
+                self.replies.append((p.token, Took(o.code, o.revision, o.body, term=p.term)))
             elif now >= p.limit:
                 self.replies.append((p.token, Took("undecided", o.revision)))
             else:
@@ -314,7 +322,7 @@
             self.replies.append((self._pending.pop(i).token, Took("undecided")))
 
     def _acknowledged(self, p: Pending, now: float) -> bool:
-        if p.waits == "commit" or p.outcome.code == "invalid":
+        if p.waits == "commit" or p.outcome.code in UNAPPLIED:
             return True
         if not self.replicas.held_elsewhere(p.need, now, p.settings):
             return False
