--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -145,11 +145,9 @@
         return self.raft.log.voters.address(self.raft.leader)
 
     def who(self, role: str, seeds: list[Address]) -> Who:
-        r, m, me = self.raft, self.members, (role, self.id, self.addr, self.locality, seeds)
-        if r is None:
-            return Who(*me, True, None, 0, None, None, boot=m.boot, leaving=m.leaving)
-        i, leader = self.state.index, self.leader()
-        return Who(*me, False, r.group, i, r.log.voters_at(i), leader, boot=m.boot, leaving=m.leaving)
+        r, m, i = self.raft, self.members, self.state.index if self.state else 0
+        held = (False, r.group, i, r.log.voters_at(i), self.leader()) if r else (True, None, 0, None, None)
+        return Who(role, self.id, self.addr, self.locality, seeds, *held, boot=m.boot, leaving=m.leaving)
 
     def here(self, w: Who, now: float) -> None:
         if w.role == "control" and (w.group is None or self.raft and w.group == self.raft.group):
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -67,7 +67,7 @@
 
 def commits(f):
     lead = f.leader()
-    return lead is not None and lead.core.raft.in_touch(f.world.now, 1.0)
+    return lead is not None and f.world.now - lead.core.raft.contact() <= 1.0
 
 
 def joins(f):
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -63,7 +63,7 @@
 def commits(f):
     """A leader that a majority confirmed within the last second."""
     lead = f.leader()
-    return lead is not None and lead.core.raft.in_touch(f.world.now, 1.0)
+    return lead is not None and f.world.now - lead.core.raft.contact() <= 1.0
 
 
 def settled_fleet(seed, cores):
