--- a/mallowvalve/configuration/items.py
+++ b/mallowvalve/configuration/items.py
@@ -191,13 +191,14 @@
         given = {i.name for i in c.items if i.kind == "services"}
         for i in c.items:
             key = i.kind, i.name
-            had = newest.get(key) or self.rows.get(key)
+            held = self.rows.get(key)
+            if held is not None and held.version == i.version and not same_content(i, held):
+                clashes.append(clash(held))
+                continue
+            had = newest.get(key) or held
             if had is None or i.version > had.version:
                 newest[key] = i
                 docs.pop(key, None)
-            elif i.version == had.version and had is self.rows.get(key) and not same_content(i, had):
-                clashes.append(clash(had))
-                continue
             elif i.kind != "routes" or i.doc is None:
                 continue
             if i.doc is None or i.kind not in KINDS:
