--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -179,17 +179,16 @@
         return self._sealed
 
     def heard(self, t: Took, now: float) -> Took:
-        """What an offer's answer says of the call: after one that may have run, a late one is undecided.
+        """What an offer's answer says of the call: after one that may have run, an untimely one is undecided.
 
-        Untimely at first, nothing ran: the call goes on under a new number, by the time that the answer tells.
+        Untimely at first, nothing ran, even if the state may have forgotten others of that time: the call goes on under
+        a new number, by the time that the answer tells.
         """
         self._maybe = self._maybe or t.code == "undecided"
-        if t.code == Code.FORGOTTEN:
-            return Took("forgotten")
-        if t.code not in (Code.LATE, Code.AHEAD):
+        if t.code not in (Code.LATE, Code.AHEAD, Code.FORGOTTEN):
             return t
         if self._maybe:
-            return Took("forgotten")
+            return Took(Code.FORGOTTEN)
         self._session.told(_clock(t.body), now)
         self._sealed = b""
         return Took("leader", leader=t.leader)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -26,7 +26,7 @@
 from mallowvalve.ledger.ledger import Claim
 from mallowvalve.settings import Acks
 from mallowvalve.upstreams.registry import Registered
-from tests.test_core import alone, step
+from tests.test_core import alone, go_on, step
 from tests.test_registry import up
 
 SERVICE = Item("services", "s", 1, b'{"name":"s","version":1}')
@@ -175,16 +175,22 @@
 class Lossy(ControlTask):
     """A control process whose first offers reach the leader, but whose answers are lost."""
 
-    __slots__ = ("leading", "lose", "now")
+    __slots__ = ("leading", "lose", "now", "sealed", "late")
 
     def __init__(self, lose: int):
         self.leading, self.lose, self.now = alone(), lose, 8.0
+        self.sealed, self.late = [], False
+        go_on(self.leading, 5.2, self.now)
         estimate = FleetClock()
         estimate.restart(self.leading.clock.read(self.now), clock.now())
         self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
     def _offer_once(self, command: bytes, limit: float) -> Took:
         w = AsyncResult()
+        self.sealed.append(command)
+        if self.late:
+            go_on(self.leading, self.now, self.now + 5.0)
+            self.now += 5.0
         self.leading.propose(command, w, self.now + 9.0, self.now)
         told = {}
         while w not in told:
@@ -203,6 +209,26 @@
     assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=Word) == Word("ok", 2)
 
 
+@pytest.mark.parametrize("wrong", [-2500, -3_600_000, AHEAD_MOST_MS + 60_000], ids=["behind", "hour behind", "ahead"])
+def test_a_process_whose_estimate_is_wrong_learns_the_time_and_its_call_is_applied_once(wrong):
+    t = Lossy(0)
+    t.core.clock.restart(t.leading.clock.read(t.now) + wrong, clock.now())
+    took = t.offer(encode(Count("n")), 2.0)
+    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=Word) == Word("ok", 1)
+    assert unseal(t.sealed[-1])[0].number == 2 and len(t.sealed) == 2
+    took = t.offer(encode(Count("n")), 2.0)
+    assert took.code == "ok" and len(t.sealed) == 3, "the next call goes by what was learnt"
+
+
+def test_a_call_that_stays_late_ends_as_never_applied_and_one_that_may_have_run_as_undecided():
+    t = Lossy(0)
+    t.late = True
+    assert t.offer(encode(Count("n")), 0.2).code == "leader" and t.leading.state.plain.numbers == {}
+    t = Lossy(1)
+    t.late = True
+    assert t.offer(encode(Count("n")), 0.2).code == "undecided" and t.leading.state.plain.numbers == {}
+
+
 class Offers(RuleBasedStateMachine):
     """Calls offered in any order, doubled and delayed past everything, to a leader whose clock may run behind.
 
