--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -22,6 +22,7 @@
 from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
 from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
+from mallowvalve.membership.wire import FAILED, LEFT
 from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
 from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, encode, envelope
@@ -30,6 +31,7 @@
 from mallowvalve.types import Address
 
 STORE_AGAIN = 2.0
+VERDICTS = 0.25
 
 
 class ControlTask:
@@ -65,6 +67,7 @@
             p.acks,
             Times(pace=p.pace, election=p.election),
         )
+        self.core.members.boot = node.boot
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, clock.now())
         self._box: Queue = Queue()
@@ -90,7 +93,8 @@
         on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), quick=True)
 
     def __enter__(self) -> ControlTask:
-        self._jobs = [vital(gevent.spawn(self._run)), vital(gevent.spawn(self.founder.run))]
+        jobs = (self._run, self.founder.run, self._watch)
+        self._jobs = [vital(gevent.spawn(job)) for job in jobs]
         return self
 
     def __exit__(self, *_) -> None:
@@ -166,7 +170,22 @@
         return t or wire.Took("undecided")
 
     def hand_over(self) -> None:
+        """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
+        self.core.members.leaving = True
         self.put(lambda now: self.core.raft and self.core.raft.hand_over())
+        self.founder.say_here()
+
+    def _watch(self) -> None:
+        """Shows the leader's machine what the failure detector says of its members."""
+        while True:
+            gevent.sleep(VERDICTS)
+            raft = self.core.raft
+            if raft is None or not raft.leads:
+                continue
+            view = self.node.membership.membership.view
+            records = [view[a] for a in raft.log.voters.everyone().values() if a in view]
+            found = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
+            self.put(lambda now, found=found: setattr(self.core.members, "departed", found))
 
     def _offer(self, o: wire.Offer) -> wire.Took:
         if self._over:
@@ -333,15 +352,16 @@
 
     def _log(self) -> None:
         decided, self.core.decided = self.core.decided, []
+        r = self.core.raft
+        term = r.term if r else 0
         for c, o in decided:
             fields = {f: str(getattr(c, f)) for f in c.__struct_fields__ if f not in ("doc", "digest")}
-            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, **fields)
-        r = self.core.raft
+            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, term=term, **fields)
         role = r.role if r else "blank"
         if role == self._role_said or role == "pre":
             return
         self._role_said = role
-        change("raft_role", role=role, term=r.term if r else 0, generation=r.group.generation if r else 0)
+        change("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
 
 
 def announced(m: Message) -> Message:
