--- a/mallowvalve/directory/main.py
+++ b/mallowvalve/directory/main.py
@@ -13,9 +13,8 @@
 from mallowvalve.directory import answer
 from mallowvalve.finding import Finding
 from mallowvalve.node import Node
-from mallowvalve.proxy.choose import emptied
 from mallowvalve.settings import Settings
-from mallowvalve.types import Address, Locality
+from mallowvalve.types import Address, Locality, emptied
 
 LIFE_MS, LIFE_S = 3000, 2
 NOBODY_S = 1
