--- a/mallowvalve/upstreams/board.py
+++ b/mallowvalve/upstreams/board.py
@@ -1,3 +1,5 @@
+"""The upstreams where nodes tell each other of them: the newest heartbeat of each, and when it was heard."""
+
 from __future__ import annotations
 
 from typing import Literal
@@ -8,93 +10,131 @@
 from mallowvalve.types import Address, Locality
 
 SILENT = 8.0
+"""Seconds without a heartbeat after which an upstream takes no work."""
+
 TOMBSTONE = 600.0
+"""Seconds without a heartbeat after which an upstream is forgotten, so that no late one brings it back."""
+
+NEVER = -1e9
+UNKNOWN = (-1, -1)
+
+HeartbeatState = Literal["ready", "leaving", "gone"]
+Status = Literal["ready", "leaving", "gone", "silent"]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
+    """What an upstream says of itself.
+
+    `incarnation` tells its starts apart, `sequence` counts its heartbeats since, `usage` is its own measure of load.
+    """
+
     service: str
     instance: str
     incarnation: int
     sequence: int
     usage: float
-    state: Literal["ready", "leaving", "gone"]
+    state: HeartbeatState
     locality: Locality
     address: Address
 
     @property
     def name(self) -> str:
+        """SERVICE/INSTANCE."""
         return f"{self.service}/{self.instance}"
 
     @property
     def rank(self) -> tuple[int, int]:
+        """Of two heartbeats of an upstream the one of the higher rank is newer."""
         return self.incarnation, self.sequence
 
 
 class Aged(msgspec.Struct, frozen=True, array_like=True):
+    """A heartbeat as nodes pass it on, and how long ago it was heard (s)."""
+
     heartbeat: Heartbeat
     age: float
 
 
 class Row:
+    """An upstream: its newest heartbeat, when it was heard, since when it is there, and when it last broke off (s)."""
+
     __slots__ = ("heartbeat", "heard", "since", "broken")
 
-    def __init__(self, heartbeat: Heartbeat, heard: float, since: float):
-        self.heartbeat, self.heard, self.since, self.broken = heartbeat, heard, since, -1e9
+    def __init__(self, heartbeat: Heartbeat, heard: float, since: float) -> None:
+        """One that has not broken off yet."""
+        self.heartbeat = heartbeat
+        self.heard = heard
+        self.since = since
+        self.broken = NEVER
 
 
 class Board:
+    """All upstreams that this node has heard of; `now` is seconds of this node's clock everywhere."""
+
     __slots__ = ("rows", "counts")
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Nobody at first; `rows` is by SERVICE/INSTANCE."""
         self.rows: dict[str, Row] = {}
         self.counts = Counts()
 
-    def hear(self, b: Heartbeat, now: float, age: float = 0.0) -> bool:
-        r = self.rows.get(b.name)
+    def hear(self, heartbeat: Heartbeat, now: float, age: float = 0.0) -> bool:
+        """Take in a heartbeat that was heard `age` seconds ago; false if it says nothing new.
+
+        Leaving is final for an incarnation, and gone more so.
+        """
+        row = self.rows.get(heartbeat.name)
         heard = now - age
-        if r is None:
-            self.rows[b.name] = Row(b, heard, heard)
+        if row is None:
+            self.rows[heartbeat.name] = Row(heartbeat, heard, heard)
             self.counts.add("heartbeat_new")
             return True
-        if b.rank <= r.heartbeat.rank:
+        if heartbeat.rank <= row.heartbeat.rank:
             return False
-        if b.incarnation > r.heartbeat.incarnation:
-            self.rows[b.name] = Row(b, heard, heard)
+        if heartbeat.incarnation > row.heartbeat.incarnation:
+            self.rows[heartbeat.name] = Row(heartbeat, heard, heard)
             self.counts.add("heartbeat_reborn")
             return True
-        if r.heartbeat.state != "ready" and b.state == "ready" or r.heartbeat.state == "gone":
+        if row.heartbeat.state != "ready" and heartbeat.state == "ready" or row.heartbeat.state == "gone":
             self.counts.add("heartbeat_after_leaving")
             return False
-        if heard - r.heard > SILENT:
-            r.since = heard
-        r.heartbeat, r.heard = b, max(r.heard, heard)
+        if heard - row.heard > SILENT:
+            row.since = heard
+        row.heartbeat = heartbeat
+        row.heard = max(row.heard, heard)
         return True
 
     def usable(self, service: str, now: float) -> list[Row]:
+        """Upstreams of a service that are ready and not silent."""
         return [
-            r
-            for r in self.rows.values()
-            if r.heartbeat.service == service and r.heartbeat.state == "ready" and now - r.heard < SILENT
+            row
+            for row in self.rows.values()
+            if row.heartbeat.service == service and row.heartbeat.state == "ready" and now - row.heard < SILENT
         ]
 
-    def all(self, now: float) -> list[tuple[Heartbeat, str, float]]:
-        return [(r.heartbeat, self.status(r, now), now - r.heard) for _, r in sorted(self.rows.items())]
+    def all(self, now: float) -> list[tuple[Heartbeat, Status, float]]:
+        """Every upstream by name: its heartbeat, its status, and how long ago it was heard (s)."""
+        return [(row.heartbeat, self.status(row, now), now - row.heard) for _, row in sorted(self.rows.items())]
 
-    def status(self, r: Row, now: float) -> str:
-        if r.heartbeat.state != "ready":
-            return r.heartbeat.state
-        return "silent" if now - r.heard >= SILENT else "ready"
+    def status(self, row: Row, now: float) -> Status:
+        """The upstream's own state, or silent."""
+        if row.heartbeat.state != "ready":
+            return row.heartbeat.state
+        return "silent" if now - row.heard >= SILENT else "ready"
 
     def digest(self) -> dict[str, tuple[int, int]]:
-        return {n: r.heartbeat.rank for n, r in self.rows.items()}
+        """The rank of each upstream's heartbeat, for `newer_than` of another node."""
+        return {name: row.heartbeat.rank for name, row in self.rows.items()}
 
     def newer_than(self, digest: dict[str, tuple[int, int]], now: float) -> list[Aged]:
+        """What another node lacks."""
         return [
-            Aged(r.heartbeat, max(0.0, now - r.heard))
-            for n, r in self.rows.items()
-            if r.heartbeat.rank > digest.get(n, (-1, -1))
+            Aged(row.heartbeat, max(0.0, now - row.heard))
+            for name, row in self.rows.items()
+            if row.heartbeat.rank > digest.get(name, UNKNOWN)
         ]
 
     def forget(self, now: float) -> None:
-        for n in [n for n, r in self.rows.items() if now - r.heard > TOMBSTONE]:
-            del self.rows[n]
+        """Drop those that were silent for long."""
+        for name in [name for name, row in self.rows.items() if now - row.heard > TOMBSTONE]:
+            del self.rows[name]
--- a/mallowvalve/upstreams/liveness.py
+++ b/mallowvalve/upstreams/liveness.py
@@ -7,24 +7,43 @@
 import msgspec
 from msgspec.structs import replace
 
-from mallowvalve.upstreams.registry import Registered, Registry, Upstream
+from mallowvalve.types import Address, Locality
+from mallowvalve.upstreams.registry import Registered, Registry, State, Upstream
 
 COLD_MOVED_MS = 200
+"""A cold upstream that says it stays so for longer is news from so many ms on."""
+
 FORGET = 60.0
+"""Seconds of silence after which an upstream's row is dropped."""
+
 PAUSE = 2.0
+"""A leader that did not judge for so long (s) begins to listen anew."""
+
+MISSED = 3
+"""Heartbeats missed in a row that are a silence."""
+
 MOST = 200_000
+"""Instances that are remembered, at most."""
+
+NOT_SEEN = -1
 
 
 class Heard(msgspec.Struct, array_like=True, frozen=True):
+    """One line of a node's report to the leader: who was heard how long ago."""
+
     instance: str
     age_ms: int
 
 
 class Last:
+    """When an upstream was last heard here (s), and the number of that heartbeat."""
+
     __slots__ = ("at", "sequence")
 
-    def __init__(self, at: float, sequence: int):
-        self.at, self.sequence = at, sequence
+    def __init__(self, at: float, sequence: int) -> None:
+        """Heard at `at`."""
+        self.at = at
+        self.sequence = sequence
 
 
 class Liveness:
@@ -36,66 +55,71 @@
 
     __slots__ = ("heartbeat_every", "silent", "_last", "_acked", "_led", "_judged", "_clock", "_clock_at")
 
-    def __init__(self, heartbeat: float = 1.5):
-        self.heartbeat_every, self.silent = heartbeat, 3 * heartbeat
+    def __init__(self, heartbeat: float = 1.5) -> None:
+        """Nobody heard yet; upstreams are expected every `heartbeat` seconds."""
+        self.heartbeat_every = heartbeat
+        self.silent = MISSED * heartbeat
         self._last: dict[str, Last] = {}
-        self._acked: set[tuple[str, str]] = set()
+        self._acked: set[tuple[str, State]] = set()
         self._led: float | None = None
         self._judged = 0.0
-        self._clock, self._clock_at = 0, 0.0
+        self._clock = 0
+        self._clock_at = 0.0
 
     def clock(self, seen: int, now: float) -> int:
         """The fleet's clock (ms), by the newest command seen and the time since; it may be behind, not ahead."""
         if seen != self._clock:
-            self._clock, self._clock_at = seen, now
+            self._clock = seen
+            self._clock_at = now
         return self._clock + int((now - self._clock_at) * 1000)
 
-    def heartbeat(self, u: Upstream, registry: Registry, clock: int, now: float) -> Upstream | None:
-        """Notes the heartbeat; what is to be offered for it, or None for a plain one. `cold_until` says how much longer."""
-        last = self._last.get(u.instance)
-        if last is not None and u.sequence < last.sequence:
+    def heartbeat(self, upstream: Upstream, registry: Registry, clock: int, now: float) -> Upstream | None:
+        """Note a heartbeat; what is to be offered for it, or None for a plain one.
+
+        `cold_until` of the upstream says how much longer it stays cold (ms).
+        """
+        last = self._last.get(upstream.instance)
+        if last is not None and upstream.sequence < last.sequence:
             return None
-        row = registry.rows.get(u.instance)
+        row = registry.rows.get(upstream.instance)
         if row is None:
-            self._note(u.instance, now, u.sequence)
-            return u
-        if row.state == "gone" or u.sequence < row.sequence:
+            self._note(upstream.instance, now, upstream.sequence)
+            return upstream
+        if row.state == "gone" or upstream.sequence < row.sequence:
             return None
-        self._note(u.instance, now, u.sequence)
+        self._note(upstream.instance, now, upstream.sequence)
         if row.state == "leaving":
-            return u if u.state == "leaving" and not self.is_acked(u) else None
-        same = (u.state, u.service, u.address, u.locality, u.slots) == (
-            row.state,
-            row.service,
-            row.address,
-            row.locality,
-            row.slots,
-        )
-        if not same:
-            return u
-        if u.cold_until > 0 and clock + u.cold_until > row.cold_until + COLD_MOVED_MS:
-            return u
+            return upstream if upstream.state == "leaving" and not self.is_acked(upstream) else None
+        if _said(upstream) != _said(row):
+            return upstream
+        if upstream.cold_until > 0 and clock + upstream.cold_until > row.cold_until + COLD_MOVED_MS:
+            return upstream
         return None
 
-    def acked(self, u: Upstream) -> None:
+    def acked(self, upstream: Upstream) -> None:
         """A notice that it leaves or is gone was acknowledged by this node: what repeats it is plain."""
-        self._acked.add((u.instance, u.state))
+        self._acked.add((upstream.instance, upstream.state))
 
-    def is_acked(self, u: Upstream) -> bool:
-        return (u.instance, u.state) in self._acked
+    def is_acked(self, upstream: Upstream) -> bool:
+        """Whether this node acknowledged such a notice of it."""
+        return (upstream.instance, upstream.state) in self._acked
 
     def report(self, since: float, now: float) -> list[Heard]:
-        return [Heard(i, int((now - x.at) * 1000)) for i, x in self._last.items() if x.at > since]
+        """Who was heard here after `since`, for the leader."""
+        return [Heard(i, int((now - last.at) * 1000)) for i, last in self._last.items() if last.at > since]
 
     def told(self, heard: list[Heard], now: float) -> None:
-        for h in heard:
-            at, x = now - max(0, h.age_ms) / 1000, self._last.get(h.instance)
-            if x is None:
-                self._note(h.instance, at, -1)
-            elif at > x.at:
-                x.at = at
+        """The leader takes in another node's report."""
+        for line in heard:
+            at = now - max(0, line.age_ms) / 1000
+            last = self._last.get(line.instance)
+            if last is None:
+                self._note(line.instance, at, NOT_SEEN)
+            elif at > last.at:
+                last.at = at
 
     def follow(self) -> None:
+        """This node does not lead: it judges nobody, and listens anew when it does."""
         self._led = None
 
     def judge(self, registry: Registry, now: float) -> Registered | None:
@@ -105,36 +129,54 @@
         self._judged = now
         if now - self._led < self.silent:
             return None
-        ages = {i: now - max(self._led, x.at if (x := self._last.get(i)) else self._led) for i in registry.rows}
+        ages = self._ages(registry, self._led, now)
         held = self._mass(registry, ages)
-        silent, forget = [], []
-        for i, u in registry.rows.items():
-            if u.state == "ready" and ages[i] >= self.silent * (2 if u.service in held else 1):
-                silent.append(replace(u, state="silent", cold_until=0))
-            elif u.state in ("silent", "leaving") and ages[i] >= FORGET:
-                forget.append(i)
+        silent = []
+        forget = []
+        for instance, row in registry.rows.items():
+            age = ages[instance]
+            if row.state == "ready" and age >= self.silent * (2 if row.service in held else 1):
+                silent.append(replace(row, state="silent", cold_until=0))
+            elif row.state in ("silent", "leaving") and age >= FORGET:
+                forget.append(instance)
         return Registered(silent, "", forget) if silent or forget else None
 
     def prune(self, registry: Registry, now: float) -> None:
-        self._acked = {a for a in self._acked if a[0] in registry.rows}
+        """Forget what concerns nobody in the registry any more."""
+        self._acked = {acked for acked in self._acked if acked[0] in registry.rows}
         if len(self._last) > len(registry.rows):
-            old = [i for i, x in self._last.items() if i not in registry.rows and now - x.at > FORGET]
-            for i in old:
-                del self._last[i]
+            outside = [i for i, last in self._last.items() if i not in registry.rows and now - last.at > FORGET]
+            for instance in outside:
+                del self._last[instance]
+
+    def _ages(self, registry: Registry, led: float, now: float) -> dict[str, float]:
+        """Seconds since each upstream was heard, or since this node leads if that is shorter."""
+        ages = {}
+        for instance in registry.rows:
+            last = self._last.get(instance)
+            ages[instance] = now - (led if last is None else max(led, last.at))
+        return ages
 
     def _mass(self, registry: Registry, ages: dict[str, float]) -> set[str]:
         """Services of which more than half have missed a heartbeat at once: those would follow within one more."""
-        every, late = Counter(), Counter()
-        for i, u in registry.rows.items():
-            if u.state in ("ready", "silent"):
-                every[u.service] += 1
-            if u.state == "ready" and ages[i] >= self.silent - self.heartbeat_every:
-                late[u.service] += 1
-        return {s for s, n in late.items() if 2 * n > every[s] and n > 1}
+        every: Counter[str] = Counter()
+        late: Counter[str] = Counter()
+        for instance, row in registry.rows.items():
+            if row.state in ("ready", "silent"):
+                every[row.service] += 1
+            if row.state == "ready" and ages[instance] >= self.silent - self.heartbeat_every:
+                late[row.service] += 1
+        return {service for service, count in late.items() if 2 * count > every[service] and count > 1}
 
     def _note(self, instance: str, at: float, sequence: int) -> None:
-        x = self._last.get(instance)
-        if x is not None:
-            x.at, x.sequence = max(x.at, at), max(x.sequence, sequence)
+        last = self._last.get(instance)
+        if last is not None:
+            last.at = max(last.at, at)
+            last.sequence = max(last.sequence, sequence)
         elif len(self._last) < MOST:
             self._last[instance] = Last(at, sequence)
+
+
+def _said(upstream: Upstream) -> tuple[State, str, Address, Locality, int]:
+    """What a heartbeat says that is news if it differs."""
+    return upstream.state, upstream.service, upstream.address, upstream.locality, upstream.slots
--- a/mallowvalve/upstreams/registry.py
+++ b/mallowvalve/upstreams/registry.py
@@ -10,7 +10,12 @@
 from mallowvalve.types import Address, Locality
 
 TOMBSTONE_MS = 60_000
+"""How long one that is gone stays known, so that a late heartbeat does not bring it back."""
+
 MOST, MOST_SERVICES, MOST_GONE = 100_000, 4096, 10_000
+"""Upstreams, services and upstreams that are gone, at most."""
+
+State = Literal["ready", "silent", "leaving", "gone"]
 
 
 class Upstream(msgspec.Struct, frozen=True, array_like=True):
@@ -25,14 +30,17 @@
     address: Address
     locality: Locality
     slots: int
-    state: Literal["ready", "silent", "leaving", "gone"]
+    state: State
     sequence: int = 0
     since: int = 0
     cold_until: int = 0
 
 
 class Registered(msgspec.Struct, frozen=True, array_like=True, tag="registered"):
-    """`forget` names rows to drop without a trace, if they are silent or leaving still."""
+    """A command: changes of upstreams, and rows to drop without a trace if they are silent or leaving still.
+
+    `ask` is the key under which it is decided once, if it has one.
+    """
 
     changes: list[Upstream]
     ask: str = ""
@@ -44,74 +52,84 @@
 
     __slots__ = ("rows", "revision")
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Nobody at first; `rows` is by instance, `revision` counts the commands that changed something."""
         self.rows: dict[str, Upstream] = {}
         self.revision = 0
 
-    def apply(self, c: Registered, clock: int) -> None:
+    def apply(self, command: Registered, clock: int) -> None:
+        """Take in a command at the time of its entry (ms of the fleet's clock); the same on every node."""
         before = len(self.rows)
         self._lapse(clock)
         changed = len(self.rows) != before
-        for u in c.changes:
-            changed |= self._change(u, clock)
-        for i in c.forget:
-            row = self.rows.get(i)
+        for upstream in command.changes:
+            changed |= self._change(upstream, clock)
+        for instance in command.forget:
+            row = self.rows.get(instance)
             if row is not None and row.state in ("silent", "leaving"):
-                del self.rows[i]
+                del self.rows[instance]
                 changed = True
         self.revision += changed
 
     def ready(self, service: str) -> list[Upstream]:
-        return [u for u in self.rows.values() if u.state == "ready" and u.service == service]
+        """The upstreams of a service that are ready."""
+        return [row for row in self.rows.values() if row.state == "ready" and row.service == service]
 
     def full(self, service: str) -> bool:
         """Whether there is no room for one more upstream of this service."""
         if len(self.rows) < MOST_SERVICES:
             return False
-        services = {u.service for u in self.rows.values()}
+        services = {row.service for row in self.rows.values()}
         return len(self.rows) >= MOST or service not in services and len(services) >= MOST_SERVICES
 
-    def _change(self, u: Upstream, clock: int) -> bool:
-        old = self.rows.get(u.instance)
+    def _change(self, upstream: Upstream, clock: int) -> bool:
+        """One change; whether it changed anything."""
+        old = self.rows.get(upstream.instance)
         if old is not None and old.state == "gone":
             return False
-        if u.state == "gone":
-            return self._bury(old or u, clock)
+        if upstream.state == "gone":
+            return self._bury(old or upstream, clock)
         if old is None:
-            return u.state != "silent" and not self.full(u.service) and self._enter(u, clock, clock, 0)
-        if u.sequence < old.sequence or old.state == "leaving":
+            if upstream.state == "silent" or self.full(upstream.service):
+                return False
+            return self._enter(upstream, clock, clock, 0)
+        if upstream.sequence < old.sequence or old.state == "leaving":
             return False
-        if u.state == "silent":
+        if upstream.state == "silent":
             if old.state != "ready":
                 return False
-            self.rows[u.instance] = replace(old, state="silent")
+            self.rows[upstream.instance] = replace(old, state="silent")
             return True
-        return self._enter(u, clock, old.since, old.cold_until)
+        return self._enter(upstream, clock, old.since, old.cold_until)
 
-    def _enter(self, u: Upstream, clock: int, since: int, cold_until: int) -> bool:
-        old = self.rows.get(u.instance)
-        cold = max(cold_until, clock + u.cold_until) if u.cold_until > 0 else cold_until
-        new = replace(u, since=since, cold_until=cold)
+    def _enter(self, upstream: Upstream, clock: int, since: int, cold_until: int) -> bool:
+        """A row as the upstream says; it stays cold for the longer of what was known and what it says."""
+        old = self.rows.get(upstream.instance)
+        cold = max(cold_until, clock + upstream.cold_until) if upstream.cold_until > 0 else cold_until
+        new = replace(upstream, since=since, cold_until=cold)
         if old is not None and replace(new, sequence=old.sequence) == old:
             return False
-        if old is None or old.address != u.address:
-            self._take_over(u, clock)
-        self.rows[u.instance] = new
+        if old is None or old.address != upstream.address:
+            self._take_over(upstream, clock)
+        self.rows[upstream.instance] = new
         return True
 
-    def _take_over(self, u: Upstream, clock: int) -> None:
-        for o in [o for o in self.rows.values() if o.address == u.address and o.instance != u.instance]:
-            if o.state != "gone":
-                self._bury(o, clock)
+    def _take_over(self, upstream: Upstream, clock: int) -> None:
+        """Whoever had this address before is gone."""
+        others = [row for row in self.rows.values() if row.address == upstream.address]
+        for other in others:
+            if other.instance != upstream.instance and other.state != "gone":
+                self._bury(other, clock)
 
-    def _bury(self, u: Upstream, clock: int) -> bool:
-        self.rows[u.instance] = replace(u, state="gone", since=clock, cold_until=0)
+    def _bury(self, upstream: Upstream, clock: int) -> bool:
+        self.rows[upstream.instance] = replace(upstream, state="gone", since=clock, cold_until=0)
         return True
 
     def _lapse(self, clock: int) -> None:
-        gone = [u for u in self.rows.values() if u.state == "gone"]
-        old = [u for u in gone if clock - u.since > TOMBSTONE_MS]
+        """Forget those that are gone for long, and the earliest of too many."""
+        gone = [row for row in self.rows.values() if row.state == "gone"]
+        old = [row for row in gone if clock - row.since > TOMBSTONE_MS]
         if len(gone) - len(old) > MOST_GONE:
-            old = sorted(gone, key=lambda u: (u.since, u.instance))[: len(gone) - MOST_GONE]
-        for u in old:
-            del self.rows[u.instance]
+            old = sorted(gone, key=lambda row: (row.since, row.instance))[: len(gone) - MOST_GONE]
+        for row in old:
+            del self.rows[row.instance]
--- a/mallowvalve/upstreams/task.py
+++ b/mallowvalve/upstreams/task.py
@@ -1,3 +1,5 @@
+"""Heartbeats told from node to node: each at once, and by a digest with one other node a round."""
+
 from __future__ import annotations
 
 import random
@@ -14,59 +16,72 @@
 from mallowvalve.upstreams.board import Aged, Board, Heartbeat, Row
 
 ROUND = 1.0
+"""Seconds between two exchanges with another node, on average; each wait is 0.8 to 1.2 of it."""
+
 encode = msgspec.msgpack.Encoder().encode
 _aged = msgspec.msgpack.Decoder(list[Aged]).decode
 _digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
 
 
 class HeartbeatTask:
+    """Owns the board and the greenlet that keeps it alike on all nodes; `board` is not to be changed by others."""
+
     __slots__ = ("board", "membership", "transport", "_lock", "_job", "_rng", "_known")
 
-    def __init__(self, membership: MembershipTask, transport: Transport):
-        self.board, self.membership, self.transport = Board(), membership, transport
-        self._lock, self._rng = RLock(), random.Random()
+    def __init__(self, membership: MembershipTask, transport: Transport) -> None:
+        """Exchange with the members of `membership` over `transport`."""
+        self.board = Board()
+        self.membership = membership
+        self.transport = transport
+        self._lock = RLock()
+        self._rng = random.Random()
         self._known: dict[str, tuple[int, str]] = {}
         transport.on("heartbeats", self._heartbeats, quick=True)
         transport.on("digest", self._on_digest, quick=True)
 
     def __enter__(self) -> HeartbeatTask:
+        """Begin to exchange."""
         self._job = vital(gevent.spawn(self._run))
         return self
 
-    def __exit__(self, *_) -> None:
+    def __exit__(self, *_: object) -> None:
+        """Exchange no more."""
         self._job.kill()
 
-    def hear(self, b: Heartbeat) -> bool:
+    def hear(self, heartbeat: Heartbeat) -> bool:
+        """Take in an upstream's own heartbeat and tell it to all nodes; false if it says nothing new."""
         with self._lock:
-            fresh = self.board.hear(b, clock.now())
+            fresh = self.board.hear(heartbeat, clock.now())
         if fresh:
-            body = encode([Aged(b, 0.0)])
-            for r in self.membership.alive():
-                self.transport.cast(r.addr, "heartbeats", body)
-            self._log(b)
+            body = encode([Aged(heartbeat, 0.0)])
+            for record in self.membership.alive():
+                self.transport.cast(record.addr, "heartbeats", body)
+            self._log(heartbeat)
         return fresh
 
     def usable(self, service: str) -> list[Row]:
+        """Upstreams of a service that are ready and not silent."""
         with self._lock:
             return self.board.usable(service, clock.now())
 
     def forget(self, now: float) -> None:
+        """Drop those that were silent for long, and log what became silent."""
         with self._lock:
             self.board.forget(now)
-            self._known = {n: k for n, k in self._known.items() if n in self.board.rows}
-            for r in self.board.rows.values():
-                self._log(r.heartbeat, self.board.status(r, now))
+            self._known = {name: known for name, known in self._known.items() if name in self.board.rows}
+            for row in self.board.rows.values():
+                self._log(row.heartbeat, self.board.status(row, now))
 
     def _heartbeats(self, _sender: Address, body: bytes) -> None:
         self._merge(_aged(body))
 
     def _merge(self, aged: list[Aged]) -> None:
         now = clock.now()
-        for a in aged:
+        for one in aged:
             with self._lock:
-                fresh = self.board.hear(a.heartbeat, now, a.age)
+                fresh = self.board.hear(one.heartbeat, now, one.age)
             if fresh:
-                self._log(a.heartbeat)
+                self._log(one.heartbeat)
 
     def _on_digest(self, _sender: Address, body: bytes) -> bytes:
         with self._lock:
@@ -79,25 +94,30 @@
             with self._lock:
                 body = encode(self.board.digest())
             peers = self.membership.alive()
-            if not peers:
-                continue
-            r = self.transport.call(self._rng.choice(peers).addr, "digest", body, ROUND)
-            if r.is_ok():
-                try:
-                    self._merge(_aged(r.ok_value))
-                except msgspec.DecodeError:
-                    self.transport.counts.add("heartbeat_garbage")
-
-    def _log(self, b: Heartbeat, status: str = "") -> None:
-        now = (b.incarnation, status or b.state)
-        if self._known.get(b.name) == now:
+            if peers:
+                self._exchange(self._rng.choice(peers).addr, body)
+
+    def _exchange(self, peer: Address, digest: bytes) -> None:
+        """Take in what a peer knows better."""
+        answer = self.transport.call(peer, "digest", digest, ROUND)
+        if answer.is_err():
+            return
+        try:
+            self._merge(_aged(answer.unwrap()))
+        except msgspec.DecodeError:
+            self.transport.counts.add("heartbeat_garbage")
+
+    def _log(self, heartbeat: Heartbeat, status: str = "") -> None:
+        """Write what became of an upstream to the log, once."""
+        now = (heartbeat.incarnation, status or heartbeat.state)
+        if self._known.get(heartbeat.name) == now:
             return
-        self._known[b.name] = now
+        self._known[heartbeat.name] = now
         change(
             f"upstream_{now[1]}",
-            upstream=b.name,
-            service=b.service,
-            instance=b.instance,
-            incarnation=b.incarnation,
-            address=str(b.address),
+            upstream=heartbeat.name,
+            service=heartbeat.service,
+            instance=heartbeat.instance,
+            incarnation=heartbeat.incarnation,
+            address=str(heartbeat.address),
         )
