--- a/mallowvalve/admin/__init__.py
+++ b/mallowvalve/admin/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' command line."""
--- a/mallowvalve/admin/main.py
+++ b/mallowvalve/admin/main.py
@@ -1,45 +1,64 @@
+"""The command `mallowvalve admin`."""
+
 from __future__ import annotations
 
 import json
 import sys
 from pathlib import Path
+from typing import Any
 from urllib.parse import quote
 
 import click
+from result import Err
 
 from mallowvalve.admin.call import call_at
 from mallowvalve.types import Address
 
+OK = 200
+UNAVAILABLE = 503
+WAIT = 12.0
+"""Seconds for an answer of a control process, longer than it takes for any."""
+
+LOOK_WAIT = 3.0
+"""Seconds for an answer of any node to what it remembers."""
+
 
-def addresses(_ctx, _param, values) -> list[Address]:
-    read = [Address.read(v) for v in values]
-    bad = [f"{v}: {r.err_value}" for v, r in zip(values, read) if r.is_err()]
+def addresses(_ctx: click.Context, _param: click.Parameter, values: tuple[str, ...]) -> list[Address]:
+    """Options HOST:PORT read, for click."""
+    read = [(value, Address.read(value)) for value in values]
+    bad = [f"{value}: {result.err_value}" for value, result in read if isinstance(result, Err)]
     if bad:
         raise click.BadParameter("; ".join(bad))
-    return [r.ok_value for r in read]
+    return [result.unwrap() for _, result in read]
 
 
-def ask(ctx, method: str, path: str, body=None) -> dict:
-    last = (0, "no address given", {})
+def ask(ctx: click.Context, method: str, path: str, body: Any = None) -> Any:
+    """The body of the first answer that is no 503; one that is not 200 ends the program with code 1."""
+    status = 0
+    data: Any = "no address given"
     for at in ctx.obj["at"]:
-        last = call_at(*at.pair, method, path, body, limit=12.0)
-        status, data, headers = last
-        leader = Address.read(headers.get("mallow-leader", "")) if status == 503 else None
-        if leader is not None and leader.is_ok():
-            last = call_at(*leader.ok_value.pair, method, path, body, limit=12.0)
-            status, data, headers = last
-        if status and status != 503:
+        status, data = _ask_at(at, method, path, body)
+        if status not in (0, UNAVAILABLE):
             break
-    status, data, _ = last
-    if status != 200:
+    if status != OK:
         findings = data.get("findings", []) if isinstance(data, dict) else [{"place": "call", "text": str(data)}]
-        for f in findings:
-            click.echo(f"{f['place']}: {f['text']}", err=True)
+        for one in findings:
+            click.echo(f"{one['place']}: {one['text']}", err=True)
         sys.exit(1)
     return data
 
 
-def read_json(file: str):
+def _ask_at(at: Address, method: str, path: str, body: Any) -> tuple[int, Any]:
+    """One process, and the leader that it names if it cannot answer itself."""
+    status, data, headers = call_at(*at.pair, method, path, body, limit=WAIT)
+    leader = Address.read(headers.get("mallow-leader", "")) if status == UNAVAILABLE else None
+    if leader is not None and leader.is_ok():
+        status, data, _ = call_at(*leader.unwrap().pair, method, path, body, limit=WAIT)
+    return status, data
+
+
+def read_json(file: str) -> Any:
+    """A file's JSON; a file that cannot be read ends the program with code 2."""
     try:
         return json.loads(Path(file).read_text())
     except (OSError, ValueError) as e:
@@ -47,7 +66,8 @@
         sys.exit(2)
 
 
-def show(data) -> None:
+def show(data: Any) -> None:
+    """Print an answer."""
     click.echo(json.dumps(data, indent=2, sort_keys=True))
 
 
@@ -61,7 +81,7 @@
     help="HOST:PORT of a control process's web, may be given again",
 )
 @click.pass_context
-def admin(ctx, at) -> None:
+def admin(ctx: click.Context, at: list[Address]) -> None:
     """What operators do: apply, read, evacuate, give back, look."""
     ctx.obj = {"at": at}
 
@@ -70,7 +90,7 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--base", type=int, help="the revision this change was made from")
 @click.pass_context
-def apply(ctx, file, base) -> None:
+def apply(ctx: click.Context, file: str, base: int | None) -> None:
     """Replace the settings tree by FILE (JSON)."""
     show(ask(ctx, "PUT", "/config", {"doc": read_json(file), "base": base}))
 
@@ -79,14 +99,14 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--base", type=int, required=True, help="the revision the patch was planned on")
 @click.pass_context
-def patch(ctx, file, base) -> None:
+def patch(ctx: click.Context, file: str, base: int) -> None:
     """Apply FILE (JSON Patch) to the settings tree of revision BASE."""
     show(ask(ctx, "PATCH", "/config", {"patch": read_json(file), "base": base}))
 
 
 @admin.command()
 @click.pass_context
-def read(ctx) -> None:
+def read(ctx: click.Context) -> None:
     """Show the settings tree and its revision."""
     show(ask(ctx, "GET", "/config"))
 
@@ -94,7 +114,7 @@
 @admin.command()
 @click.argument("zone")
 @click.pass_context
-def evacuate(ctx, zone) -> None:
+def evacuate(ctx: click.Context, zone: str) -> None:
     """Take all work out of a zone or region."""
     show(ask(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": True}))
 
@@ -102,7 +122,7 @@
 @admin.command("give-back")
 @click.argument("zone")
 @click.pass_context
-def give_back(ctx, zone) -> None:
+def give_back(ctx: click.Context, zone: str) -> None:
     """Let work return to an evacuated zone or region."""
     show(ask(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": False}))
 
@@ -110,7 +130,7 @@
 @admin.command()
 @click.argument("proxy")
 @click.pass_context
-def strike(ctx, proxy) -> None:
+def strike(ctx: click.Context, proxy: str) -> None:
     """Take PROXY (its transport address, as `leader` lists it) off the roster.
 
     Dead proxies go by themselves after 15 s while most others confirm. Strike by hand only when more than half are
@@ -122,8 +142,8 @@
 @admin.command("found-anew")
 @click.option("--accept", required=True, help="the sentence that names the risk")
 @click.pass_context
-def found_anew(ctx, accept) -> None:
-    """Found a new generation at a blank control process when most voters are gone for good and no proof of it can be had.
+def found_anew(ctx: click.Context, accept: str) -> None:
+    """Found a new generation at a blank control process: most voters are gone for good, and no proof of it can be had.
 
     Changes acknowledged by voters that cannot be reached may be lost: the state is the highest that any reachable
     core, proxy or directory holds. Voters of the old generation that come back rejoin empty.
@@ -135,14 +155,14 @@
 @click.argument("thing")
 @click.option("--most", default=40, help="lines to show")
 @click.pass_context
-def explain(ctx, thing, most) -> None:
+def explain(ctx: click.Context, thing: str, most: int) -> None:
     """What the whole fleet decided about THING, when and why, the latest last.
 
-    THING is a node's name or transport address, an upstream's instance, service or address, a revision, a change's key, a
-    zone, a tenant, a route or a request's target. Every node that the asked ones know is asked.
+    THING is a node's name or transport address, an upstream's instance, service or address, a revision, a change's key,
+    a zone, a tenant, a route or a request's target. Every node that the asked ones know is asked.
     """
-    nodes = {n["web"] for n in ask(ctx, "GET", "/-/nodes")["nodes"] if n["status"] in ("alive", "leaving")}
-    rows = [r for at in sorted(nodes) for r in told_by(Address.read(at).ok_value, thing)]
+    nodes = {node["web"] for node in ask(ctx, "GET", "/-/nodes")["nodes"] if node["status"] in ("alive", "leaving")}
+    rows = [row for at in sorted(nodes) for row in told_by(Address.read(at).unwrap(), thing)]
     for ago, line in sorted(rows, reverse=True)[-most:]:
         click.echo(f"{ago / 1000:9.1f} s ago  {line}")
     if not rows:
@@ -150,20 +170,18 @@
 
 
 def told_by(at: Address, thing: str) -> list[tuple[int, str]]:
-    about, out = quote(thing, safe=""), []
-    status, data, _ = call_at(*at.pair, "GET", f"/-/changes?about={about}", limit=3.0)
-    name = data["name"] if status == 200 else str(at)
-    for c in data["changes"] if status == 200 else []:
-        more = ", ".join(f"{k} {v}" for k, v in c.items() if k not in ("ago_ms", "what") and v not in ("", None))
-        out.append((c["ago_ms"], f"{name:10} {c['what']}: {more}"))
-    status, data, _ = call_at(*at.pair, "GET", f"/-/rejections?about={about}", limit=3.0)
-    for b in data["rejections"] if status == 200 and isinstance(data, dict) else []:
-        out.append(
-            (
-                b["ago_ms"],
-                f"{name:10} rejected {b['target']} of {b['tenant']}: {b['status']} {b['outcome']}, {b['why']}",
-            )
-        )
+    """What one node remembers about a thing: how long ago (ms), and a line that says it."""
+    about = quote(thing, safe="")
+    out = []
+    status, data, _ = call_at(*at.pair, "GET", f"/-/changes?about={about}", limit=LOOK_WAIT)
+    name = data["name"] if status == OK else str(at)
+    for change in data["changes"] if status == OK else []:
+        fields = [f"{k} {v}" for k, v in change.items() if k not in ("ago_ms", "what") and v not in ("", None)]
+        out.append((change["ago_ms"], f"{name:10} {change['what']}: {', '.join(fields)}"))
+    status, data, _ = call_at(*at.pair, "GET", f"/-/rejections?about={about}", limit=LOOK_WAIT)
+    for one in data["rejections"] if status == OK and isinstance(data, dict) else []:
+        verdict = f"{one['status']} {one['outcome']}, {one['why']}"
+        out.append((one["ago_ms"], f"{name:10} rejected {one['target']} of {one['tenant']}: {verdict}"))
     return out
 
 
@@ -175,7 +193,7 @@
     ("counts", "/-/counts", "Counters; on a proxy, why requests were rejected."),
 ):
 
-    def _command(ctx, _path=path):
+    def _command(ctx: click.Context, _path: str = path) -> None:
         show(ask(ctx, "GET", _path))
 
     admin.command(name, help=text)(click.pass_context(_command))
--- a/mallowvalve/planner/__init__.py
+++ b/mallowvalve/planner/__init__.py
@@ -0,0 +1,1 @@
+"""What a change of the settings tree would move, before it is applied."""
--- a/mallowvalve/planner/main.py
+++ b/mallowvalve/planner/main.py
@@ -1,3 +1,5 @@
+"""The command `mallowvalve planner`."""
+
 from __future__ import annotations
 
 import json
@@ -5,6 +7,7 @@
 import click
 
 from mallowvalve.admin.main import addresses, ask, read_json, show
+from mallowvalve.types import Address
 
 
 @click.command()
@@ -20,15 +23,17 @@
 @click.option("--json", "as_json", is_flag=True, help="the whole plan as JSON")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.pass_context
-def planner(ctx, at, base, as_json, file) -> None:
+def planner(ctx: click.Context, at: list[Address], base: int | None, as_json: bool, file: str) -> None:
     """Show what FILE, a settings tree or a JSON Patch, would move. Nothing is applied."""
     ctx.obj = {"at": at}
     data = read_json(file)
-    if isinstance(data, list) and base is None:
+    is_patch = isinstance(data, list)
+    if is_patch and base is None:
         base = ask(ctx, "GET", "/config")["revision"]
-    got = ask(ctx, "POST", "/plan", {"patch" if isinstance(data, list) else "doc": data, "base": base})
+    got = ask(ctx, "POST", "/plan", {"patch" if is_patch else "doc": data, "base": base})
     if as_json:
-        return show(got)
+        show(got)
+        return
     click.echo(f"base {got['base']}, {len(got['moves'])} moves")
-    for m in got["moves"]:
-        click.echo(f"{m['place']}: {m['what']}: {json.dumps(m['before'])} -> {json.dumps(m['after'])}")
+    for move in got["moves"]:
+        click.echo(f"{move['place']}: {move['what']}: {json.dumps(move['before'])} -> {json.dumps(move['after'])}")
--- a/mallowvalve/planner/plan.py
+++ b/mallowvalve/planner/plan.py
@@ -1,5 +1,9 @@
+"""The plan of a change: what differs for services, tenants and routes, and whom tenants' work may reach."""
+
 from __future__ import annotations
 
+from collections.abc import Mapping
+
 import msgspec
 
 from mallowvalve.configuration.model import Plan, Tree
@@ -7,6 +11,8 @@
 
 
 class Move(msgspec.Struct, frozen=True, order=True):
+    """One difference: where, what, and the values on both sides."""
+
     place: str
     what: str
     before: object = None
@@ -14,12 +20,15 @@
 
 
 class Seen(msgspec.Struct, frozen=True):
+    """An upstream that is ready just now."""
+
     service: str
     instance: str
     locality: Locality
 
 
-def plan(old: Tree, new: Tree, upstreams: list[Seen], evacuated: dict[str, int]) -> list[Move]:
+def plan(old: Tree, new: Tree, upstreams: list[Seen], evacuated: Mapping[str, int]) -> list[Move]:
+    """All differences between two trees, given the upstreams and evacuations of now."""
     return [
         *_services(old, new, upstreams),
         *_tenants(old, new),
@@ -30,30 +39,37 @@
 
 def _services(old: Tree, new: Tree, upstreams: list[Seen]) -> list[Move]:
     out = []
-    for n in sorted(old.doc.services.keys() | new.doc.services.keys()):
-        a, b = old.doc.services.get(n), new.doc.services.get(n)
-        if a != b:
-            live = sum(u.service == n for u in upstreams)
-            what = "added" if a is None else f"removed, {live} upstreams live" if b is None else "changed"
-            out.append(Move(f"services.{n}", what, a, b))
+    for name in sorted(old.doc.services.keys() | new.doc.services.keys()):
+        before = old.doc.services.get(name)
+        after = new.doc.services.get(name)
+        if before == after:
+            continue
+        if before is None:
+            what = "added"
+        elif after is None:
+            live = sum(upstream.service == name for upstream in upstreams)
+            what = f"removed, {live} upstreams live"
+        else:
+            what = "changed"
+        out.append(Move(f"services.{name}", what, before, after))
     return out
 
 
 def _tenants(old: Tree, new: Tree) -> list[Move]:
     out = []
-    for t in sorted(old.cell_of.keys() | new.cell_of.keys()):
-        a, b = old.cell_of.get(t), new.cell_of.get(t)
-        if a != b:
-            out.append(
-                Move(
-                    f"tenants.{t}", "added" if a is None else "removed" if b is None else "moves to another cell", a, b
-                )
-            )
-        if a is None or b is None:
+    for tenant in sorted(old.cell_of.keys() | new.cell_of.keys()):
+        place = f"tenants.{tenant}"
+        before = old.cell_of.get(tenant)
+        after = new.cell_of.get(tenant)
+        if before != after:
+            what = "added" if before is None else "removed" if after is None else "moves to another cell"
+            out.append(Move(place, what, before, after))
+        if before is None or after is None:
             continue
-        ha, hb = old.homes(t), new.homes(t)
-        if ha != hb:
-            out.append(Move(f"tenants.{t}", "homes change", _names(ha), _names(hb)))
+        homes_before = old.homes(tenant)
+        homes_after = new.homes(tenant)
+        if homes_before != homes_after:
+            out.append(Move(place, "homes change", _names(homes_before), _names(homes_after)))
     return out
 
 
@@ -61,55 +77,70 @@
     return "anywhere" if homes is None else sorted(homes)
 
 
-def _flat(t: Tree) -> dict[str, Plan]:
-    return {p.route: p for ps in t.plans.values() for p in ps}
+def _flat(tree: Tree) -> dict[str, Plan]:
+    return {plan.route: plan for plans in tree.plans.values() for plan in plans}
 
 
 def _routes(old: Tree, new: Tree) -> list[Move]:
-    out, a, b = [], _flat(old), _flat(new)
-    for n in sorted(a.keys() | b.keys()):
-        place = f"routes.{n}"
-        if n not in a or n not in b:
-            out.append(
-                Move(
-                    place,
-                    "removed" if n in a else "added",
-                    n in a and a[n].service or None,
-                    n in b and b[n].service or None,
-                )
-            )
-            continue
-        for f in ("cell", "service", "kind", "order"):
-            if getattr(a[n], f) != getattr(b[n], f):
-                out.append(Move(place, f"{f} changes", getattr(a[n], f), getattr(b[n], f)))
-        if old.doc.routes[n].match != new.doc.routes[n].match:
-            out.append(Move(place, "match changes", old.doc.routes[n].match, new.doc.routes[n].match))
-        for f in a[n].policy.__struct_fields__:
-            x, y = getattr(a[n].policy, f), getattr(b[n].policy, f)
-            if x != y:
-                out.append(Move(place, f"policy {f} changes", x, y))
+    out = []
+    before = _flat(old)
+    after = _flat(new)
+    for name in sorted(before.keys() | after.keys()):
+        place = f"routes.{name}"
+        if name not in after:
+            out.append(Move(place, "removed", before[name].service, None))
+        elif name not in before:
+            out.append(Move(place, "added", None, after[name].service))
+        else:
+            out += _plan_moves(place, before[name], after[name])
+            match_before = old.doc.routes[name].match
+            match_after = new.doc.routes[name].match
+            if match_before != match_after:
+                out.append(Move(place, "match changes", match_before, match_after))
+            out += _policy_moves(place, before[name], after[name])
     return out
 
 
-def _reach(old: Tree, new: Tree, upstreams: list[Seen], evacuated: dict[str, int]) -> list[Move]:
+def _plan_moves(place: str, before: Plan, after: Plan) -> list[Move]:
+    fields = ("cell", "service", "kind", "order")
+    values = [(field, getattr(before, field), getattr(after, field)) for field in fields]
+    return [Move(place, f"{field} changes", x, y) for field, x, y in values if x != y]
+
+
+def _policy_moves(place: str, before: Plan, after: Plan) -> list[Move]:
+    fields = before.policy.__struct_fields__
+    values = [(field, getattr(before.policy, field), getattr(after.policy, field)) for field in fields]
+    return [Move(place, f"policy {field} changes", x, y) for field, x, y in values if x != y]
+
+
+def _reach(old: Tree, new: Tree, upstreams: list[Seen], evacuated: Mapping[str, int]) -> list[Move]:
     out = []
-    for t in sorted(old.cell_of.keys() | new.cell_of.keys()):
-        a, b = _of(old, t, upstreams, evacuated), _of(new, t, upstreams, evacuated)
-        for service in sorted(a.keys() | b.keys()):
-            x, y = a.get(service, frozenset()), b.get(service, frozenset())
-            if x != y:
-                out.append(Move(f"tenants.{t}", f"upstreams of {service} change", sorted(x - y), sorted(y - x)))
-            if x and not y and service in b:
-                out.append(Move(f"tenants.{t}", f"{service} has no upstream left", len(x), 0))
+    for tenant in sorted(old.cell_of.keys() | new.cell_of.keys()):
+        place = f"tenants.{tenant}"
+        before = _of(old, tenant, upstreams, evacuated)
+        after = _of(new, tenant, upstreams, evacuated)
+        for service in sorted(before.keys() | after.keys()):
+            reach_before = before.get(service, frozenset())
+            reach_after = after.get(service, frozenset())
+            if reach_before != reach_after:
+                what = f"upstreams of {service} change"
+                out.append(Move(place, what, sorted(reach_before - reach_after), sorted(reach_after - reach_before)))
+            if reach_before and not reach_after and service in after:
+                out.append(Move(place, f"{service} has no upstream left", len(reach_before), 0))
     return out
 
 
-def _of(t: Tree, tenant: str, upstreams: list[Seen], evacuated: dict[str, int]) -> dict[str, frozenset[str]]:
-    if tenant not in t.cell_of:
+def _of(tree: Tree, tenant: str, upstreams: list[Seen], evacuated: Mapping[str, int]) -> dict[str, frozenset[str]]:
+    """The instances that a tenant's work may reach, by service."""
+    if tenant not in tree.cell_of:
         return {}
-    services = {p.service for p in t.plans[t.cell_of[tenant]]}
-    homes = t.homes(tenant)
+    services = {plan.service for plan in tree.plans[tree.cell_of[tenant]]}
+    homes = tree.homes(tenant)
     return {
-        s: frozenset(u.instance for u in upstreams if u.service == s and reachable(u.locality, homes, evacuated))
-        for s in services
+        service: frozenset(
+            upstream.instance
+            for upstream in upstreams
+            if upstream.service == service and reachable(upstream.locality, homes, evacuated)
+        )
+        for service in services
     }
