--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -16,7 +16,7 @@
 import mallowvalve.{role}.main
 print(*sorted(sys.modules))
 """
-NOT_THERE = {"lark", "mallowvalve.routing.maker", *(f"mallowvalve.{t}.main" for t in TOOLS)}
+NOT_THERE = {"lark", "prometheus_client", "mallowvalve.routing.maker", *(f"mallowvalve.{t}.main" for t in TOOLS)}
 
 
 @pytest.mark.parametrize("role", ["proxy", "control", "directory"])
