--- a/mallowvalve/standins/main.py
+++ b/mallowvalve/standins/main.py
@@ -1,23 +1,28 @@
+"""The command `mallowvalve standins`."""
+
 from __future__ import annotations
 
-import json
 import sys
+from typing import Any
 
 import click
+import msgspec
+from result import Err
 
 from mallowvalve.standins import client, upstream
 from mallowvalve.types import Address
 
 
-def address(_ctx, _param, value):
-    many = value if isinstance(value, tuple) else (value,)
-    out = []
-    for v in many:
-        r = Address.read(v)
-        if r.is_err():
-            raise click.BadParameter(f"{v}: {r.err_value}")
-        out.append(r.ok_value)
-    return out if isinstance(value, tuple) else out[0]
+def address(_ctx: click.Context, _param: click.Parameter, value: str | tuple[str, ...]) -> Any:
+    """An option HOST:PORT read, or each of several, for click."""
+    texts = value if isinstance(value, tuple) else (value,)
+    read = []
+    for text in texts:
+        result = Address.read(text)
+        if isinstance(result, Err):
+            raise click.BadParameter(f"{text}: {result.err_value}")
+        read.append(result.ok_value)
+    return read if isinstance(value, tuple) else read[0]
 
 
 @click.group()
@@ -33,7 +38,9 @@
 @click.option("--tell", multiple=True, callback=address, help="web addresses of nodes that take heartbeats")
 @click.option("--journal", default="/dev/null")
 @click.option("--work", default=0.005, help="seconds a request takes on average")
-def upstream_command(service, instance, at, locality, tell, journal, work) -> None:
+def upstream_command(
+    service: str, instance: str, at: Address, locality: str, tell: list[Address], journal: str, work: float
+) -> None:
     """An upstream that heartbeats, answers, journals what it ran and signs off."""
     upstream.serve(upstream.Upstream(service, instance, at, locality, tell, journal, work))
 
@@ -48,11 +55,21 @@
 @click.option("--seed", default=1)
 @click.option("--seconds", default=1e9)
 @click.option("--relentless", is_flag=True, help="retry at once, again and again, without marking it")
-def clients_command(directory, locality, shares, clients, rate, journal, seed, seconds, relentless) -> None:
+def clients_command(
+    directory: list[Address],
+    locality: tuple[str, ...],
+    shares: str,
+    clients: int,
+    rate: float,
+    journal: str,
+    seed: int,
+    seconds: float,
+    relentless: bool,
+) -> None:
     """Clients that ask a directory, keep connections open and retry within a limit."""
     try:
-        rows = [client.Share(*s) for s in json.loads(shares)]
-    except (ValueError, TypeError) as e:
+        rows = msgspec.json.decode(shares, type=list[client.Share])
+    except msgspec.DecodeError as e:
         click.echo(f"shares: {e}", err=True)
         sys.exit(2)
     client.serve(directory, list(locality), rows, clients, rate, journal, seed, seconds, relentless)
--- a/mallowvalve/standins/upstream.py
+++ b/mallowvalve/standins/upstream.py
@@ -1,3 +1,5 @@
+"""A stand-in upstream: it heartbeats, answers, writes down what it ran, signs off, and misbehaves when told to."""
+
 from __future__ import annotations
 
 import contextlib
@@ -5,6 +7,7 @@
 import random
 import signal
 import time
+from typing import Any
 
 import falcon
 import gevent
@@ -16,13 +19,34 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.types import Address
 
+EVERY = 1.5
+"""Seconds between two heartbeats, at least; up to one more at random."""
+
+TOLD_AT_ONCE = 2
+"""Nodes that each heartbeat goes to."""
+
+LEAVE = 3.2
+"""Seconds from the notice that it leaves until it refuses."""
+
+LATE = 6.0
+"""Seconds by which a late answer is late."""
+
+CONNECTIONS = 4096
+
 
 class Upstream:
+    """What an upstream does; `serve` gives it a server."""
+
     def __init__(
         self, service: str, instance: str, at: Address, locality: str, tell: list[Address], journal: str, work: float
-    ):
-        self.service, self.instance, self.at, self.locality = service, instance, at, locality
-        self.tell, self.work = tell, work
+    ) -> None:
+        """Heartbeat to nodes of `tell`, take `work` s for a request on average, write lines of JSON to `journal`."""
+        self.service = service
+        self.instance = instance
+        self.at = at
+        self.locality = locality
+        self.tell = tell
+        self.work = work
         self.incarnation = int(time.time() * 1000)
         self.sequence = 0
         self.state = "ready"
@@ -34,6 +58,7 @@
         self.fault_share = 0.0
 
     def heartbeat(self) -> None:
+        """Say how it is to some of the nodes; those that do not answer are let be."""
         self.sequence += 1
         body = json.dumps(
             {
@@ -47,50 +72,36 @@
                 "address": str(self.at),
             }
         )
-        for a in self.rng.sample(self.tell, min(2, len(self.tell))):
+        for node in self.rng.sample(self.tell, min(TOLD_AT_ONCE, len(self.tell))):
             with contextlib.suppress(Exception):
-                c = HTTPClient(a.host, a.port, connection_timeout=1.0, network_timeout=1.0)
-                c.post("/-/heartbeats", body=body, headers={"Content-Type": "application/json"}).read()
-                c.close()
+                connection = HTTPClient(node.host, node.port, connection_timeout=1.0, network_timeout=1.0)
+                connection.post("/-/heartbeats", body=body, headers={"Content-Type": "application/json"}).read()
+                connection.close()
 
-    def status(self, req: falcon.Request, resp: falcon.Response) -> None:
+    def status(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
+        """Who it is, for proxies that open a connection."""
         web.say(
             resp,
             {"service": self.service, "instance": self.instance, "incarnation": self.incarnation, "state": self.state},
         )
 
-    def run(self, req: falcon.Request, resp: falcon.Response, **_) -> None:
+    def run(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
+        """Answer a request after some time, or misbehave."""
         self.busy += 1
         try:
             body = req.bounded_stream.read()
-            key = req.get_header("Mallow-Key") or ""
-            self.journal.write(
-                json.dumps(
-                    {
-                        "at": time.time(),
-                        "service": self.service,
-                        "instance": self.instance,
-                        "locality": self.locality,
-                        "tenant": req.get_header("Mallow-Tenant"),
-                        "key": key,
-                        "path": req.path,
-                        "method": req.method,
-                        "replica": req.get_header("Play-Id"),
-                        "state": self.state,
-                    }
-                )
-                + "\n"
-            )
+            self._write(req)
             gevent.sleep(self.work * (0.5 + self.rng.random()))
             if self.fault and self.rng.random() < self.fault_share:
-                return self._misbehave(req, resp)
+                self._misbehave(req)
+                return
             web.say(
                 resp,
                 {
                     "by": self.instance,
                     "service": self.service,
                     "path": req.path,
-                    "key": key,
+                    "key": req.get_header("Mallow-Key") or "",
                     "id": req.get_header("Play-Id"),
                     "length": len(body),
                 },
@@ -98,50 +109,75 @@
         finally:
             self.busy -= 1
 
-    def _misbehave(self, req, resp) -> None:
-        s = req.env["mallow.socket"]
+    def _write(self, req: falcon.Request) -> None:
+        row = {
+            "at": time.time(),
+            "service": self.service,
+            "instance": self.instance,
+            "locality": self.locality,
+            "tenant": req.get_header("Mallow-Tenant"),
+            "key": req.get_header("Mallow-Key") or "",
+            "path": req.path,
+            "method": req.method,
+            "replica": req.get_header("Play-Id"),
+            "state": self.state,
+        }
+        self.journal.write(json.dumps(row) + "\n")
+
+    def _misbehave(self, req: falcon.Request) -> None:
+        """Send garbage, half an answer, or none late, and break off."""
+        connection = req.env["mallow.socket"]
         if self.fault == "garbage":
-            s.sendall(b"\x00\x01garbage\r\n\r\n")
+            connection.sendall(b"\x00\x01garbage\r\n\r\n")
         elif self.fault == "half":
-            s.sendall(b'HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n{"by":')
+            head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n"
+            connection.sendall(head + b'{"by":')
         elif self.fault == "late":
-            gevent.sleep(6.0)
+            gevent.sleep(LATE)
         with contextlib.suppress(OSError):
-            s.shutdown(socket.SHUT_RDWR)
-        s.close()
-
-    def faults(self, req: falcon.Request, resp: falcon.Response) -> None:
-        d = req.get_media()
-        self.fault, self.fault_share = d["fault"], float(d["share"])
+            connection.shutdown(socket.SHUT_RDWR)
+        connection.close()
+
+    def faults(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
+        """From now on misbehave for a share of the requests."""
+        said = req.get_media()
+        self.fault = said["fault"]
+        self.fault_share = float(said["share"])
         web.say(resp, {"ok": True})
 
 
-class PlayHandler(web.Handler):
-    def get_environ(self):
-        env = super().get_environ()
-        env["mallow.socket"] = self.socket
-        return env
+class StandinHandler(web.Handler):
+    """Hands the socket to the application, so that it can break off."""
+
+    def get_environ(self) -> dict[str, Any]:
+        """The environment with `mallow.socket`."""
+        environ: dict[str, Any] = super().get_environ()
+        environ["mallow.socket"] = self.socket
+        return environ
+
 
+class StandinServer(web.Server):
+    """A server whose application may break off."""
 
-class PlayServer(web.Server):
-    handler_class = PlayHandler
+    handler_class = StandinHandler
 
 
-def serve(u: Upstream) -> None:
+def serve(upstream: Upstream) -> None:
+    """Run an upstream until a signal; then it says that it leaves, drains, and says that it is gone."""
     app = web.make_app()
-    app.add_sink(u.run, "/")
-    app.add_sink(u.status, "/health")
-    app.add_sink(u.faults, "/-/faults")
-    for sig in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(sig, u.stopping.set)
-    server = PlayServer(u.at, app, Counts(), 4096)
+    app.add_sink(upstream.run, "/")
+    app.add_sink(upstream.status, "/health")
+    app.add_sink(upstream.faults, "/-/faults")
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signum, upstream.stopping.set)
+    server = StandinServer(upstream.at, app, Counts(), CONNECTIONS)
     with server:
-        while not u.stopping.is_set():
-            u.heartbeat()
-            u.stopping.wait(timeout=1.5 + u.rng.random())
-        u.state = "leaving"
-        u.heartbeat()
-        gevent.sleep(3.2)
+        while not upstream.stopping.is_set():
+            upstream.heartbeat()
+            upstream.stopping.wait(timeout=EVERY + upstream.rng.random())
+        upstream.state = "leaving"
+        upstream.heartbeat()
+        gevent.sleep(LEAVE)
         server.drain(0.0, 1.0)
-        u.state = "gone"
-        u.heartbeat()
+        upstream.state = "gone"
+        upstream.heartbeat()
