--- a/mallowvalve/admin/main.py
+++ b/mallowvalve/admin/main.py
@@ -71,8 +71,7 @@
     click.echo(json.dumps(data, indent=2, sort_keys=True))
 
 
-@click.group()
-@click.option(
+at_option = click.option(
     "--at",
     multiple=True,
     required=True,
@@ -80,6 +79,10 @@
     envvar="MALLOWVALVE_AT",
     help="HOST:PORT of a control process's web, may be given again",
 )
+
+
+@click.group()
+@at_option
 @click.pass_context
 def admin(ctx: click.Context, at: list[Address]) -> None:
     """What operators do: apply, read, evacuate, give back, look."""
--- a/mallowvalve/planner/main.py
+++ b/mallowvalve/planner/main.py
@@ -6,19 +6,12 @@
 
 import click
 
-from mallowvalve.admin.main import addresses, ask, read_json, show
+from mallowvalve.admin.main import ask, at_option, read_json, show
 from mallowvalve.types import Address
 
 
 @click.command()
-@click.option(
-    "--at",
-    multiple=True,
-    required=True,
-    callback=addresses,
-    envvar="MALLOWVALVE_AT",
-    help="HOST:PORT of a control process's web",
-)
+@at_option
 @click.option("--base", type=int, help="the revision the change was made from; needed for a patch")
 @click.option("--json", "as_json", is_flag=True, help="the whole plan as JSON")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
