--- a/mallowvalve/transport/task.py
+++ b/mallowvalve/transport/task.py
@@ -1,169 +1,82 @@
+"""A node's transport: lines to its peers, and the server that answers theirs.
+
+What it promises. A call, and a cast, is handled by its peer at most once: a line never sends a frame twice, and a
+server passes over a frame whose id does not rise on its connection. A call has one outcome: the answer to that very
+call, or a `Failure`. After one whose `may_have_run` is true the peer may have handled the call, or may yet do so: a
+frame that left can rest in the system's buffers for `UNACKED_MS`, and longer in a peer that is frozen. Who calls again
+then makes a second call; a command that must take effect once carries its own session, number and not-after. Frames on
+one connection keep their order; nothing is promised across connections, nor that a cast arrives.
+"""
+
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable
-from socket import TCP_USER_TIMEOUT
 
 import gevent
 from gevent import socket
-from gevent.event import AsyncResult
 from gevent.pool import Pool
-from gevent.queue import Empty, Full, Queue
+from gevent.queue import Full, Queue
 from gevent.server import StreamServer
-from result import Err, Ok, Result
+from result import Err, Result
 
 from mallowvalve import clock
 from mallowvalve.fault import Faults
 from mallowvalve.metrics import Counts
+from mallowvalve.transport.calls import Failure
 from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, seal
+from mallowvalve.transport.line import OUTBOX, READ_BYTES, Line, tune
 from mallowvalve.types import Address
 
 Handler = Callable[[Address, bytes], bytes | None]
-OUTBOX = 4096
-REDIAL, REDIAL_MOST = 0.03, 0.25
-UNACKED_MS = 3000
 IDLE = 60.0
-
-
-def tune(sock) -> None:
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKED_MS)
-
-
-class Line:
-    __slots__ = ("to", "hello", "counts", "faults", "used", "_again", "_box", "_waits", "_next", "_job", "_sock")
-
-    def __init__(self, to: Address, hello: Hello, counts: Counts, faults: Faults):
-        self.to, self.hello, self.counts, self.faults = to, hello, counts, faults
-        self._box: Queue = Queue(OUTBOX)
-        self._waits: dict[int, AsyncResult] = {}
-        self._next = 0
-        self._again = REDIAL
-        self.used = 0.0
-        self._sock = None
-        self._job = gevent.spawn(self._run)
-
-    def put(self, kind: str, body: bytes, wait: AsyncResult | None = None) -> int:
-        self._next += 1
-        if wait is not None:
-            self._waits[self._next] = wait
-        try:
-            self._box.put_nowait(Frame(kind, self._next, False, body))
-        except Full:
-            self.counts.add("transport_overflow")
-            self._fail("overflow")
-        return self._next
-
-    def forget(self, n: int) -> None:
-        self._waits.pop(n, None)
-
-    def close(self) -> None:
-        self._job.kill()
-        self._drop("closed")
-
-    def _run(self) -> None:
-        while True:
-            f = self._box.get()
-            if self.faults.apart(self.hello.sender, self.to):
-                continue
-            if self._sock is None and not self._dial():
-                self._drop("unreachable")
-                gevent.sleep(self._again)
-                self._again = min(2 * self._again, REDIAL_MOST)
-                continue
-            buf = [seal(f)]
-            while len(buf) < 64:
-                try:
-                    buf.append(seal(self._box.get_nowait()))
-                except Empty:
-                    break
-            try:
-                self.counts.add("transport_frames", len(buf))
-                self.counts.add("transport_bytes", sum(map(len, buf)))
-                self._sock.sendall(b"".join(buf))
-            except (OSError, AttributeError):
-                self._drop("broken")
-
-    def _dial(self) -> bool:
-        try:
-            self._sock = socket.create_connection(self.to.pair, timeout=1.0)
-            self._sock.settimeout(None)
-            tune(self._sock)
-            self._sock.sendall(seal(self.hello))
-        except OSError:
-            return False
-        self._again = REDIAL
-        gevent.spawn(self._listen, self._sock)
-        return True
-
-    def _listen(self, sock) -> None:
-        cut = Cutter(self.hello.fleet, greeted=True)
-        while True:
-            try:
-                data = sock.recv(65536)
-            except OSError:
-                data = b""
-            r = cut.feed(data) if data else Err("closed")
-            if isinstance(r, Err):
-                break
-            for f in r.ok_value:
-                w = self._waits.pop(f.id, None)
-                if w is not None and not self.faults.apart(self.hello.sender, self.to):
-                    w.set(Ok(f.body))
-        if self._sock is sock:
-            self._drop("closed")
-
-    def _drop(self, why: str) -> None:
-        s, self._sock = self._sock, None
-        if s is not None:
-            s.close()
-        while not self._box.empty():
-            self._box.get_nowait()
-        self._fail(why)
-
-    def _fail(self, why: str) -> None:
-        waits, self._waits = self._waits, {}
-        for w in waits.values():
-            w.set(Err(why))
+"""Lines unused for so long (s) are closed when a new one is made."""
+HANDLERS_AT_ONCE = 1024
 
 
 class Transport:
+    """Calls and casts to peers, and the handlers of theirs; a context manager that listens while it is open."""
+
     __slots__ = ("me", "fleet", "counts", "faults", "gone", "_on", "_lines", "_server", "_pool", "_here")
 
-    def __init__(self, me: Address, fleet: str, counts: Counts, faults: Faults = Faults()):
-        self.me, self.fleet, self.counts, self.faults = me, fleet, counts, faults
+    def __init__(self, me: Address, fleet: str, counts: Counts, faults: Faults | None = None):
+        """`gone` is told when the last connection from a peer has ended."""
+        self.me = me
+        self.fleet = fleet
+        self.counts = counts
+        self.faults = faults if faults is not None else Faults()
         self._on: dict[str, tuple[Handler, bool]] = {}
         self._lines: dict[Address, Line] = {}
-        self._pool = Pool(1024)
+        self._pool = Pool(HANDLERS_AT_ONCE)
         self._here: Counter[Address] = Counter()
-        self.gone: Callable[[Address], None] = lambda a: None
+        self.gone: Callable[[Address], None] = lambda peer: None
 
     def on(self, kind: str, handler: Handler, quick: bool = False) -> None:
+        """Handle frames of a kind; a quick handler never waits, and runs where the frame was read.
+
+        A handler answers with bytes, or None for no answer; ValueError from it counts as a body not understood.
+        """
         self._on[kind] = (handler, quick)
 
     def __enter__(self) -> Transport:
+        """Listen."""
         self._server = StreamServer(self.me.pair, self._serve)
         self._server.start()
         return self
 
-    def __exit__(self, *_) -> None:
+    def __exit__(self, *_: object) -> None:
+        """Stop listening and close each line."""
         self._server.stop(timeout=0.1)
         for line in self._lines.values():
             line.close()
 
     def cast(self, to: Address, kind: str, body: bytes) -> None:
-        self._line(to, clock.now()).put(kind, body)
+        """Send without an answer, at most once."""
+        self._line(to, clock.now()).cast(kind, body)
 
-    def call(self, to: Address, kind: str, body: bytes, limit: float) -> Result[bytes, str]:
-        w = AsyncResult()
-        line = self._line(to, clock.now())
-        n = line.put(kind, body, w)
-        try:
-            return w.get(timeout=limit)
-        except gevent.Timeout:
-            return Err("limit")
-        finally:
-            line.forget(n)
+    def call(self, to: Address, kind: str, body: bytes, limit: float) -> Result[bytes, Failure]:
+        """Send at most once and wait for the answer, at most `limit` seconds."""
+        return self._line(to, clock.now()).call(kind, body, limit)
 
     def _line(self, to: Address, now: float) -> Line:
         line = self._lines.get(to)
@@ -174,84 +87,92 @@
         return line
 
     def _close_idle(self, now: float) -> None:
-        for a in [a for a, x in self._lines.items() if now - x.used > IDLE]:
-            self._lines.pop(a).close()
+        for peer in [peer for peer, line in self._lines.items() if now - line.used > IDLE]:
+            self._lines.pop(peer).close()
 
-    def _serve(self, sock, _addr) -> None:
+    def _serve(self, sock: socket.socket, _addr: object) -> None:
         tune(sock)
-        box: Queue = Queue(OUTBOX)
-        writer = gevent.spawn(self._write, sock, box)
+        outbox: Queue = Queue(OUTBOX)
+        writer = gevent.spawn(self._write, sock, outbox)
         try:
             with sock:
-                self._read(sock, box)
+                self._read(sock, outbox)
         finally:
             writer.kill()
 
-    def _write(self, sock, box: Queue) -> None:
+    def _write(self, sock: socket.socket, outbox: Queue) -> None:
         try:
             while True:
-                data = seal(box.get())
+                data = seal(outbox.get())
                 self.counts.add("transport_frames")
                 self.counts.add("transport_bytes", len(data))
                 sock.sendall(data)
         except OSError:
             self.counts.add("transport_unanswered")
 
-    def _read(self, sock, box: Queue) -> None:
+    def _read(self, sock: socket.socket, outbox: Queue) -> None:
         heard: set[Address] = set()
         try:
-            self._hear(sock, box, heard)
+            self._hear(sock, outbox, heard)
         finally:
-            for a in heard:
-                self._here[a] -= 1
-                if self._here[a] <= 0:
-                    del self._here[a]
-                    self.gone(a)
-
-    def _hear(self, sock, box: Queue, heard: set[Address]) -> None:
-        cut, sender = Cutter(self.fleet), None
+            for peer in heard:
+                self._here[peer] -= 1
+                if self._here[peer] <= 0:
+                    del self._here[peer]
+                    self.gone(peer)
+
+    def _hear(self, sock: socket.socket, outbox: Queue, heard: set[Address]) -> None:
+        cutter = Cutter(self.fleet)
+        sender, last_id = self.me, 0
         while True:
             try:
-                data = sock.recv(65536)
+                data = sock.recv(READ_BYTES)
             except OSError:
                 return
             if not data:
                 return
-            r = cut.feed(data)
-            if isinstance(r, Err):
-                self.counts.add(f"transport_{r.err_value}")
+            frames = cutter.feed(data)
+            if isinstance(frames, Err):
+                self.counts.add(f"transport_{frames.err_value}")
                 return
-            for f in r.ok_value:
-                if isinstance(f, Hello):
-                    sender = f.sender
-                    if sender not in heard:
-                        heard.add(sender)
-                        self._here[sender] += 1
-                    continue
-                if self.faults.apart(sender, self.me):
-                    continue
-                self._handle(sender, f, box)
-
-    def _handle(self, sender: Address, f: Frame, box: Queue) -> None:
-        h = self._on.get(f.kind)
-        if h is None:
+            for frame in frames.ok_value:
+                if isinstance(frame, Hello):
+                    sender = frame.sender
+                    heard.add(sender)
+                    self._here[sender] += 1
+                elif self._is_new(frame, last_id) and not self.faults.apart(sender, self.me):
+                    self._handle(sender, frame, outbox)
+                    last_id = frame.id
+
+    def _is_new(self, frame: Frame, last_id: int) -> bool:
+        if frame.answer:
+            self.counts.add("transport_stray")
+        elif frame.id <= last_id:
+            self.counts.add("transport_doubled")
+        else:
+            return True
+        return False
+
+    def _handle(self, sender: Address, frame: Frame, outbox: Queue) -> None:
+        registered = self._on.get(frame.kind)
+        if registered is None:
             self.counts.add("transport_unknown")
             return
-        act, quick = h
+        handler, quick = registered
         if quick:
-            self._answer(act, sender, f, box)
+            self._answer(handler, sender, frame, outbox)
             return
-        self._pool.spawn(self._answer, act, sender, f, box)
+        self._pool.spawn(self._answer, handler, sender, frame, outbox)
 
-    def _answer(self, act: Handler, sender: Address, f: Frame, box: Queue) -> None:
+    def _answer(self, handler: Handler, sender: Address, frame: Frame, outbox: Queue) -> None:
         try:
-            body = act(sender, f.body)
+            body = handler(sender, frame.body)
         except ValueError:
             self.counts.add("transport_garbage")
             return
         if body is None:
             return
         try:
-            box.put_nowait(Frame(f.kind, f.id, True, body))
+            outbox.put_nowait(Frame(frame.kind, frame.id, True, body))
         except Full:
             self.counts.add("transport_unanswered")
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -5,6 +5,7 @@
 
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
+from mallowvalve.transport import line
 from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, seal
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
@@ -90,3 +91,68 @@
         for i in range(0, len(data), step):
             out += c.feed(data[i : i + step]).unwrap()
         assert [type(m) for m in out] == [Hello, Frame, Frame] and out[1].body == b"x" * 100
+
+
+class HeldDial:
+    """Connections are made only after `go`, so that frames wait before they leave."""
+
+    def __init__(self, monkeypatch):
+        self.go = Event()
+        self._connect = socket.create_connection
+        monkeypatch.setattr(line.socket, "create_connection", self.connect)
+
+    def connect(self, *args, **more):
+        self.go.wait(10)
+        return self._connect(*args, **more)
+
+
+def kept_bodies(node: Transport) -> list[bytes]:
+    got: list[bytes] = []
+    node.on("offer", lambda sender, body: got.append(body) or body, quick=True)
+    return got
+
+
+def test_a_call_that_was_given_up_before_it_left_is_never_sent(two, monkeypatch):
+    x, y = two
+    dial, got = HeldDial(monkeypatch), kept_bodies(y)
+    assert x.call(y.me, "offer", b"given up", 0.05).err_value == "limit"
+    later = gevent.spawn(x.call, y.me, "offer", b"later", 5)
+    gevent.idle()
+    dial.go.set()
+    assert later.get().unwrap() == b"later" and got == [b"later"]
+
+
+def test_a_call_too_many_fails_alone(two, monkeypatch):
+    x, y = two
+    monkeypatch.setattr(line, "OUTBOX", 2)
+    dial, got = HeldDial(monkeypatch), kept_bodies(y)
+    calls = [gevent.spawn(x.call, y.me, "offer", bytes([65 + i]), 5) for i in range(6)]
+    gevent.idle()
+    dial.go.set()
+    results = [c.get() for c in calls]
+    answered = [r.ok_value for r in results if r.is_ok()]
+    assert answered == got and len(got) >= 2
+    assert {r.err_value for r in results if r.is_err()} == {"overflow"}
+
+
+def test_a_callers_own_timeout_is_not_taken_for_the_calls_limit(two):
+    x, y = two
+    y.on("never", lambda sender, body: None)
+    with pytest.raises(gevent.Timeout), gevent.Timeout(0.05):
+        x.call(y.me, "never", b"", 5)
+
+
+def test_a_frame_that_comes_twice_on_a_connection_is_handled_once(two):
+    x, y = two
+    got = kept_bodies(y)
+    first, second = seal(Frame("offer", 1, False, b"a")), seal(Frame("offer", 2, False, b"b"))
+    with socket.create_connection(y.me.pair, timeout=5) as s:
+        s.sendall(
+            seal(Hello(VERSION, "f", x.me)) + first + first + second + first + seal(Frame("offer", 3, True, b"c"))
+        )
+        data, cutter, answers = b"", Cutter("f", greeted=True), []
+        while len(answers) < 2:
+            data = s.recv(65536)
+            answers += cutter.feed(data).unwrap()
+    assert got == [b"a", b"b"] and [a.id for a in answers] == [1, 2]
+    assert y.counts.get("transport_doubled") == 2 and y.counts.get("transport_stray") == 1
