--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -7,9 +7,10 @@
 import msgspec
 from result import Err, Ok, Result
 
-from mallowvalve import web
+from mallowvalve import clock, web
 from mallowvalve.control import http_operators, http_plain, http_upstreams, store
 from mallowvalve.control.bootstrap_task import ID
+from mallowvalve.control.lease import Answer
 from mallowvalve.control.registry_task import RegistryTask
 from mallowvalve.control.task import ControlTask
 from mallowvalve.directory import main as directory
@@ -84,7 +85,11 @@
     if p.directory is None:
         return None
     app = web.make_app()
-    directory.add_routes(app, node, task.tree, lambda: task.core.state.settings.evacuated if task.core.state else {})
+
+    def evacuated() -> dict[str, int]:
+        return task.core.state.settings.evacuated if task.core.state else {}
+
+    directory.add_routes(app, node, task.tree, evacuated, task.core.contact)
     return web.Server(p.directory, app, node.counts, p.connections)
 
 
@@ -106,4 +111,4 @@
         task.hand_over()
 
     with node, task, registry, Memory(node, disk_log.disk), directory_pages or contextlib.nullcontext():
-        node.run(lambda: task.core.leader() is not None and not task.stalled, leave)
+        node.run(lambda: task.core.holds(Answer.HEARTBEAT, clock.now()) and not task.stalled, leave, task.founder.leave)
