--- a/mallowvalve/proxy/front.py
+++ b/mallowvalve/proxy/front.py
@@ -1,7 +1,8 @@
 from __future__ import annotations
 
-from collections import deque
+from bisect import insort
 from collections.abc import Callable
+from operator import itemgetter
 
 import gevent
 from gevent.event import Event
@@ -30,28 +31,33 @@
 
 
 class Rooms:
-    """Who waits for a place at a service, the first to come first."""
+    """Who waits for a place at a service: the most urgent first (priority 0), and of these the first to come."""
 
     __slots__ = ("_waiting",)
 
     def __init__(self):
-        self._waiting: dict[str, deque[Event]] = {}
+        """Nobody waits."""
+        self._waiting: dict[str, list[tuple[int, Event]]] = {}
 
-    def wait(self, service: str, left: float) -> bool:
+    def wait(self, service: str, left: float, priority: int = 0) -> bool:
+        """Whether a place became free within `left` seconds."""
         if left <= 0:
             return False
-        e, q = Event(), self._waiting.setdefault(service, deque())
-        q.append(e)
+        waiter = priority, Event()
+        queue = self._waiting.setdefault(service, [])
+        insort(queue, waiter, key=itemgetter(0))
         try:
-            return e.wait(timeout=left)
+            return waiter[1].wait(timeout=left)
         finally:
-            if e in q:
-                q.remove(e)
+            if waiter in queue:
+                queue.remove(waiter)
 
     def freed(self, service: str) -> None:
-        q = self._waiting.get(service)
-        if q:
-            q.popleft().set()
+        """Tell the first in the queue, if any."""
+        queue = self._waiting.get(service)
+        if queue:
+            _, event = queue.pop(0)
+            event.set()
 
 
 class Front:
@@ -101,7 +107,7 @@
                 self.tries.counts.add("upstream_connections", r.is_ok())
                 return r
             case Room():
-                return self.rooms.wait(s.service, s.end - clock.now())
+                return self.rooms.wait(s.service, s.end - clock.now(), s.priority)
 
     def _body(self, env: dict, s: Body) -> Result[bytes, tuple[int, str, str]]:
         length = env["mallow.head"].length
--- a/mallowvalve/proxy/idle.py
+++ b/mallowvalve/proxy/idle.py
@@ -71,7 +71,11 @@
     def give(self, connection: Idle, used_at: float) -> None:
         """Idle from now on; it was last used at `used_at`, which may be a while ago for one taken and not sent on."""
         connection.since = used_at
-        insort(self._idle.setdefault(connection.heartbeat.instance, []), connection, key=lambda c: c.since)
+        idle = self._idle.setdefault(connection.heartbeat.instance, [])
+        if not idle or idle[-1].since <= used_at:
+            idle.append(connection)
+        else:
+            insort(idle, connection, key=lambda c: c.since)
 
     def tidy(self, ready: Container[str], now: float) -> None:
         """Close those to upstreams not in `ready`, and those that rested for too long."""
--- a/mallowvalve/proxy/steps.py
+++ b/mallowvalve/proxy/steps.py
@@ -43,8 +43,11 @@
 
 
 class Room(msgspec.Struct, frozen=True):
+    """Waits until a place at a service may be free; of those who wait, the most urgent (0) is told first."""
+
     service: str
     end: float
+    priority: int = 0
 
 
 class Open(msgspec.Struct, frozen=True):
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -275,7 +275,7 @@
             return False
         w[s] = w.get(s, 0) + 1
         try:
-            yield Room(s, end)
+            yield Room(s, end, t.route.priority)
         finally:
             w[s] -= 1
             if not w[s]:
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -3,12 +3,14 @@
 import itertools
 import re
 
+import gevent
 import pytest
 from gevent.event import Event
 from gevent.server import StreamServer
 
 from mallowvalve import clock
 from mallowvalve.configuration.items import Limits
+from mallowvalve.proxy.front import Rooms
 from tests.test_front import ANSWER, Client, req, set_up
 
 __all__ = ["set_up"]
@@ -111,3 +113,21 @@
                 break
         assert len(up.got) - before == answered
         client.sock.close()
+
+
+def test_the_most_urgent_is_told_first_of_a_free_place_and_of_these_the_first_to_come():
+    rooms, told = Rooms(), []
+
+    def wait(name: str, priority: int) -> None:
+        if rooms.wait("s", 5, priority):
+            told.append(name)
+
+    jobs = [gevent.spawn(wait, name, int(name[0])) for name in ("2a", "1a", "2b", "0a", "1b")]
+    gevent.idle()
+    for job in jobs:
+        rooms.freed("s")
+        gevent.idle()
+    gevent.joinall(jobs, timeout=5)
+    assert told == ["0a", "1a", "1b", "2a", "2b"]
+    assert not rooms.wait("s", 0.01, 0)
+    rooms.freed("s")
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -15,6 +15,8 @@
 
 GAPS = [0.0, 0.6, 2.5]
 """Pauses (s) before a request: none, short of and beyond what the connections for unrepeatable requests may rest."""
+LIMIT, SLACK = 1.0, 0.01
+"""The routes' time, and what its last reads and writes may take beyond it (s)."""
 TURNS = [(b, kind, gap) for b in BEHAVIOURS for kind in ("read", "try") for gap in GAPS]
 
 
@@ -39,10 +41,12 @@
         wire.now += gap
         wire.script = [behaviour, *again]
         name = f"{chr(97 + i)}0"
+        began = wire.now
         if kind == "read":
             reply = wire.carry(ask(f"/r/{i}", mark=name))
         else:
             reply = wire.carry(ask(f"/o/{i}", "POST", mark=name, length=20))
+        assert wire.now - began <= LIMIT + SLACK
         check_exchange(wire, name, kind, reply)
     return wire
 
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -363,3 +363,10 @@
     assert rested.since == 0.1 and p.sent()[0].connection.since > 3.0
     p.run(TRY)
     assert p.sent()[1].connection is not rested
+
+
+def test_what_waits_for_a_place_says_how_urgent_it_is():
+    p = Played(upstreams=0)
+    p.b.route("u", "/u/", "read", service="s", priority=2)
+    assert p.run(ask("/u/1")).status == 503
+    assert {s.priority for s in p.steps if isinstance(s, Room)} == {2}
