--- a/mallowvalve/proxy/budget.py
+++ b/mallowvalve/proxy/budget.py
@@ -1,3 +1,5 @@
+"""How many repeats a proxy may send to a service, so that failures do not multiply the load."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -8,7 +10,10 @@
 
 
 class Budget:
-    """Each first try earns a share of a repeat; little can be saved up, so a fall of traffic leaves no hoard to spend."""
+    """Each first try earns a share of a repeat.
+
+    Little can be saved up, so that a fall of traffic leaves no hoard to spend.
+    """
 
     __slots__ = ("_first", "_earned")
 
--- a/mallowvalve/proxy/call.py
+++ b/mallowvalve/proxy/call.py
@@ -1,3 +1,5 @@
+"""A request of a tenant, read and checked before anything is sent."""
+
 from __future__ import annotations
 
 import hashlib
@@ -63,6 +65,7 @@
 
 
 def understand(a: Ask, tree: Tree, seen: int, now: float) -> Result[Call, Refused]:
+    """The request with the plan of its route; `now` and `end` on the proxy's own clock (s)."""
     path = unquote(a.target.partition("?")[0], errors="surrogateescape")
     if not clean(a.target, path):
         return Err((400, "path", "must be absolute, without . or .. parts, empty parts or encoded slashes"))
@@ -87,6 +90,7 @@
 
 
 def check_body(a: Ask, body: bytes) -> Refused | None:
+    """Why a body is refused: shorter than said, or not the JSON that it says it is."""
     if a.length is not None and len(body) != a.length:
         return 400, "body", "shorter than its length"
     kind = a.headers.get("content-type", "").partition(";")[0].strip().lower()
@@ -100,6 +104,7 @@
 
 
 def clean(target: str, path: str) -> bool:
+    """Whether a path means the same to all who read it: absolute, no dots, no empty parts, no encoded slashes."""
     if not target.startswith("/") or "#" in target or "\\" in path or "%2f" in target.lower():
         return False
     parts = path.split("/")[1:]
@@ -107,9 +112,11 @@
 
 
 def digest(method: str, target: str, body: bytes) -> str:
+    """What a key is bound to."""
     return hashlib.blake2b(b"\0".join((method.encode(), target.encode(), body)), digest_size=16).hexdigest()
 
 
 def name_of(client: str, tenant: str, method: str, target: str, body: bytes) -> bytes:
+    """By which a repeat of a request that failed is known."""
     parts = (client.encode(), tenant.encode(), method.encode(), target.encode(), body)
     return hashlib.blake2b(b"\0".join(parts), digest_size=16).digest()
--- a/mallowvalve/proxy/choose.py
+++ b/mallowvalve/proxy/choose.py
@@ -1,3 +1,5 @@
+"""Which upstream of a service takes the next request of a tenant."""
+
 from __future__ import annotations
 
 import math
@@ -12,16 +14,20 @@
 
 
 def warmth(r: Row, ramp_ms: int, now: float) -> float:
+    """The share of its full load that an upstream bears so soon after its start, at least `COLD`."""
     if ramp_ms <= 0:
         return 1.0
     return max(COLD, min(1.0, (now - r.since) * 1000 / ramp_ms))
 
 
 def cap(r: Row, policy: Policy, proxies: int, now: float) -> int:
+    """How many requests one of so many proxies may have at an upstream at once."""
     return max(1, math.ceil(policy.width * warmth(r, policy.ramp_ms, now) / max(1, proxies)))
 
 
 class Chooser:
+    """Draws two upstreams by how warm they are and takes the one with the lesser load; near ones first if asked to."""
+
     __slots__ = ("near", "rng", "busy")
 
     def __init__(self, near: Locality, rng: random.Random):
@@ -41,7 +47,7 @@
             if ring is rings[-1] or self.rng.random() * warmest <= max(w):
                 break
         a, b = self.rng.choices(ring, w, k=2)
-        return min((a, b), key=lambda r: self._usage(r))
+        return min((a, b), key=self._usage)
 
     def _rings(self, rows: list[Row]) -> list[list[Row]]:
         """By distance; where only cold ones are near, the warmer farther ones bear their share."""
--- a/mallowvalve/proxy/connection.py
+++ b/mallowvalve/proxy/connection.py
@@ -1,5 +1,8 @@
+"""A connection to an upstream of a tenant's service, which says first who it is."""
+
 from __future__ import annotations
 
+import errno
 from collections.abc import Iterator
 
 import gevent
@@ -9,7 +12,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.proxy.steps import Answer
+from mallowvalve.proxy.steps import NO_STATUS, OK, Answer
 from mallowvalve.upstreams.board import Heartbeat
 
 WHOLE = 256 << 10
@@ -31,23 +34,31 @@
 
 
 class Identity(msgspec.Struct):
+    """What an upstream says of itself on its status path."""
+
     service: str
     instance: str
     incarnation: int
 
 
 class Strict(HTTPSocketResponse):
+    """With no id in an answer, bytes after it make it doubtful whose it is: the exchange fails."""
+
     def _on_message_begin(self) -> None:
-        if self.message_complete and self.get_code() >= 200:
+        if self.message_complete and self.get_code() >= OK:
             raise HTTPProtocolViolationError("bytes after the answer")
         super()._on_message_begin()
 
 
 class Connection:
+    """One exchange at a time; opened only when the upstream that answers is the one that was meant."""
+
     __slots__ = ("heartbeat", "sock", "since")
 
     def __init__(self, heartbeat: Heartbeat, sock):
-        self.heartbeat, self.sock, self.since = heartbeat, sock, clock.now()
+        self.heartbeat = heartbeat
+        self.sock = sock
+        self.since = clock.now()
 
     @classmethod
     def open(cls, heartbeat: Heartbeat, status: str, end: float) -> Result[Connection, str]:
@@ -99,7 +110,7 @@
         except BlockingIOError:
             return False
         except OSError as e:
-            return getattr(e, "errno", None) != 11
+            return getattr(e, "errno", None) != errno.EAGAIN
         finally:
             self.sock.setblocking(True)
 
@@ -110,7 +121,7 @@
         if r.is_err():
             return f"status: {r.err_value}"
         a = r.ok_value
-        if a.status != 200 or a.body is None:
+        if a.status != OK or a.body is None:
             return f"status: answered {a.status}"
         try:
             who = msgspec.json.decode(a.body, type=Identity)
@@ -123,7 +134,7 @@
 
     def _receive(self, method: str) -> Result[Answer, str]:
         r = Strict(self.sock, method=method)
-        if not 200 <= r.status_code < 600:
+        if not OK <= r.status_code < NO_STATUS:
             return Err(f"garbage: status {r.status_code}")
         length, chunked = r.get("content-length"), r.get("transfer-encoding")
         bodiless = method == "HEAD" or r.status_code in (204, 304)
--- a/mallowvalve/proxy/connections.py
+++ b/mallowvalve/proxy/connections.py
@@ -1,3 +1,5 @@
+"""The idle connections to the upstreams of tenants' services."""
+
 from __future__ import annotations
 
 from typing import Protocol
@@ -8,6 +10,8 @@
 
 
 class Kept(Protocol):
+    """A connection: `since` when it was last given back or opened (s)."""
+
     heartbeat: Heartbeat
     since: float
 
--- a/mallowvalve/proxy/front.py
+++ b/mallowvalve/proxy/front.py
@@ -1,3 +1,5 @@
+"""The entrance of a proxy: does for a request on a host route what needs sockets and the loop."""
+
 from __future__ import annotations
 
 from bisect import insort
@@ -12,7 +14,8 @@
 from mallowvalve.proxy.link import Link
 from mallowvalve.proxy.serve import Stream
 from mallowvalve.proxy.steps import Ask, Await, Body, Exchange, Open, Reply, Room, Step
-from mallowvalve.proxy.tries import HOP, Tries
+from mallowvalve.proxy.tries import Tries
+from mallowvalve.proxy.trip import HOP
 
 SKIP = HOP
 REASONS = {
--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -10,13 +10,14 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.budget import Sliding
 from mallowvalve.proxy.idle import Links
-from mallowvalve.proxy.spot import BREAK, BREAK_MOST, Spot, Zone
-from mallowvalve.proxy.steps import Answer
+from mallowvalve.proxy.spot import BREAK, BREAK_MOST, NEVER, Spot, Zone
+from mallowvalve.proxy.steps import GATEWAY_TIMEOUT, MISDIRECTED, SERVER_ERROR, Answer
 from mallowvalve.settings import Settings
 from mallowvalve.types import Locality, emptied
 
 FILL, FAR = 0.85, (0.0, 0.1, 0.5)
 FULL = 0.2
+DRAWN = 2
 QUEUED = 2
 COLD_SHARE = 0.9
 WRONG = 5.0
@@ -60,6 +61,8 @@
 
 
 class Hosts:
+    """The upstreams of host routes as this proxy knows them, its places at them, their budgets and connections."""
+
     __slots__ = (
         "replica",
         "settings",
@@ -115,7 +118,7 @@
                 continue
             s = self._two(good, now, share)
             f = s.fill(now, share) + s.ill(now)
-            if f > FILL and len(good) > 2:
+            if f > FILL and len(good) > DRAWN:
                 f, s = min(((x.fill(now, share) + x.ill(now), x) for x in good), key=lambda g: g[0])
             if f <= FILL:
                 return s, True
@@ -143,13 +146,13 @@
             s.cold_next = now + self._period(s, item)
 
     def heard(self, s: Spot, a: Answer, took: float, now: float) -> None:
-        s.pause, s.broken_until = BREAK, -1e9
+        s.pause, s.broken_until = BREAK, NEVER
         s.zone.heard(took)
         s.mute = now if s.busy > 1 else None
         s.latency += 0.2 * (took - s.latency)
         t = self.settings.terms
-        if not (a.status == 421 or t.not_run and t.not_run.lower() in a.said):
-            s.judged(a.status < 500 or a.status == 504, now)
+        if not (a.status == MISDIRECTED or t.not_run and t.not_run.lower() in a.said):
+            s.judged(a.status < SERVER_ERROR or a.status == GATEWAY_TIMEOUT, now)
         usage = a.said.get(t.usage.lower()) if t.usage else None
         if usage is not None:
             self._usage(s, usage, now)
@@ -178,7 +181,7 @@
         s.since = max(0, s.since - 1)
 
     def turned_away(self, s: Spot, status: int, now: float) -> None:
-        if status == 421:
+        if status == MISDIRECTED:
             s.wrong_until = now + WRONG
             return
         s.full_until = now + FULL
@@ -187,7 +190,7 @@
         own = s.up.slots + QUEUED
         if item is not None and item.connections > 0:
             own = min(own, max(1, item.connections // self._proxies))
-        if s.base_at < -1e8:
+        if s.base_at <= NEVER:
             own = min(own, max(1, -(-2 * s.up.slots // self._share)))
         return own
 
@@ -241,7 +244,7 @@
         self._rings = {k: sorted(by.items()) for k, by in rings.items()}
 
     def _lifted(self, out: dict[str, int], now: float) -> None:
-        """Upstreams of a zone that was evacuated may have become cold, and the heartbeat that says so may be on its way."""
+        """Upstreams of a zone given back may have become cold, and the heartbeat that says so may be on its way."""
         before, self._out = self._out, out
         for zone in before.keys() - out.keys():
             for s in self.spots.values():
--- a/mallowvalve/proxy/idle.py
+++ b/mallowvalve/proxy/idle.py
@@ -11,12 +11,12 @@
 SURE = 1.0
 """What cannot be sent again goes only on a connection that was used so recently (s)."""
 CAUTION, CAUTION_SHARE, CAUTION_LEAST = 30.0, 0.5, 0.2
-"""After one was forgotten at rest: for how long (s) all are trusted less, for which share of its rest, and at least (s)."""
+"""After one was forgotten at rest: how long (s) all are trusted less, to which share of its rest, and at least (s)."""
 _ALWAYS, _NEVER = 1e9, -1e9
 
 
 class Idle(Protocol):
-    """A connection: `since` when it last carried an answer or was opened (s), `life` for how long its upstream keeps it."""
+    """A connection: `since` when it was last used or opened, `life` for how long its upstream keeps it (s)."""
 
     heartbeat: Upstream
     since: float
--- a/mallowvalve/proxy/link.py
+++ b/mallowvalve/proxy/link.py
@@ -1,3 +1,5 @@
+"""A connection to an upstream of a host route: one exchange at a time over a socket."""
+
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -23,13 +25,17 @@
 
 
 class Link:
-    """A connection to an upstream of a host route; who answers there is checked by the `expect` header of each request."""
+    """A connection to an upstream of a host route, which is checked by the `expect` header of each request."""
 
     __slots__ = ("heartbeat", "sock", "since", "life", "mark", "reader", "cut_off")
 
     def __init__(self, up: Upstream, sock, mark: str):
-        self.heartbeat, self.sock, self.mark = up, sock, mark
-        self.since, self.life, self.reader = clock.now(), LIFE, None
+        self.heartbeat = up
+        self.sock = sock
+        self.mark = mark
+        self.since = clock.now()
+        self.life = LIFE
+        self.reader: Reader | None = None
         self.cut_off = False
 
     @classmethod
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -1,3 +1,5 @@
+"""The proxy's process: its parts put together."""
+
 from __future__ import annotations
 
 import contextlib
@@ -22,7 +24,7 @@
 
 
 class Doors:
-    """A front with pages apart listens only once settings are held: who is turned away at the door tries elsewhere at once."""
+    """A front with pages apart listens only once settings are held: who finds no listener tries elsewhere at once."""
 
     __slots__ = ("node", "replica", "_job")
 
@@ -68,6 +70,7 @@
 
 
 def run(settings: Settings) -> None:
+    """Run a proxy until it is told to stop."""
     node = Node(settings)
     replica = ReplicaTask(node)
     pool = Pool(node.heartbeats.board, replica.replica, settings.locality, random.Random(), clock.now)
--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/path.py
@@ -1,3 +1,5 @@
+"""The way of a tenant's request, step by step, without sockets."""
+
 from __future__ import annotations
 
 from collections import deque
@@ -12,6 +14,8 @@
 from mallowvalve.proxy.call import Call, check_body, understand
 from mallowvalve.proxy.pool import Lease, Pool
 from mallowvalve.proxy.steps import (
+    SERVER_ERROR,
+    UNAVAILABLE,
     Answer,
     Ask,
     Body,
@@ -36,6 +40,8 @@
 
 
 class Sent(msgspec.Struct):
+    """A request that was sent: its place, and the answer if a whole one came."""
+
     lease: Lease
     answer: Answer | None
 
@@ -241,7 +247,7 @@
 
     def _answer(self, c: Call, lease: Lease, a: Answer) -> Reply:
         self.counts.add("answers")
-        if a.status >= 500:
+        if a.status >= SERVER_ERROR:
             self.repeats.failed(c.name, self.now())
         if a.rest is None:
             lease.back(keep=a.keep)
@@ -289,7 +295,7 @@
         self.counts.add(f"rejected_{status}_{place.lower()}")
         self._note("", a.headers.get("mallow-tenant", "")[:64], a.target, status, outcome, f"{place}: {text}")
         close = self._emptied is not None or place == "body"
-        return Reply(status, outcome, [Finding(place, text)], 1 if status == 503 else None, close)
+        return Reply(status, outcome, [Finding(place, text)], 1 if status == UNAVAILABLE else None, close)
 
     def _note(self, route: str, tenant: str, target: str, status: int, outcome: str, why: str) -> Rejected:
         self.rejections.append(Rejected(self.now(), route, tenant, target[:200], status, outcome, why))
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/pool.py
@@ -1,3 +1,5 @@
+"""The upstreams that a proxy may use for tenants, and its places at them."""
+
 from __future__ import annotations
 
 import random
--- a/mallowvalve/proxy/reader.py
+++ b/mallowvalve/proxy/reader.py
@@ -1,7 +1,11 @@
+"""Reads answers of upstreams from bytes, without sockets."""
+
 from __future__ import annotations
 
 from geventhttpclient._parser import HTTPParseError, HTTPResponseParser
 
+from mallowvalve.proxy.steps import NO_STATUS, OK
+
 WHOLE = 256 << 10
 
 
@@ -78,12 +82,12 @@
             self._name = None
         self._value = ""
         code = self.get_code()
-        if code < 200 or self.done:
+        if code < OK or self.done:
             return False
         said: dict[str, str] = {}
-        for k, v in self._fields:
-            k = k.lower()
-            said[k] = f"{said[k]}, {v}" if k in said else v
+        for field, value in self._fields:
+            name = field.lower()
+            said[name] = f"{said[name]}, {value}" if name in said else value
         if not self.mark or said.get(self.mark) == self.ask:
             self._ours = True
             self.status, self.headers, self.said = code, self._fields, said
@@ -96,7 +100,7 @@
             and not self.bodiless
         ):
             self.why = self.why or "garbage: an answer of unknown length"
-        if code >= 600:
+        if code >= NO_STATUS:
             self.why = self.why or f"garbage: status {code}"
         return self.bodiless
 
@@ -105,7 +109,7 @@
             self.body += data
 
     def _on_message_complete(self) -> None:
-        if self.get_code() < 200 or self.done:
+        if self.get_code() < OK or self.done:
             return
         if self._ours and not self.why:
             self.done, self._ours, self.keep = True, False, self.should_keep_alive()
--- a/mallowvalve/proxy/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -1,3 +1,5 @@
+"""Repeats of requests that failed here or at another proxy, and were not marked by their clients."""
+
 from __future__ import annotations
 
 from collections import OrderedDict
@@ -21,7 +23,7 @@
 
 
 class Repeats:
-    """Knows a repeat that its client did not mark: each rejection or failure answered here makes one like request a repeat."""
+    """Knows a repeat that its client did not mark: each failure answered here makes one like request a repeat."""
 
     __slots__ = ("_failed",)
 
--- a/mallowvalve/proxy/serve.py
+++ b/mallowvalve/proxy/serve.py
@@ -1,3 +1,5 @@
+"""Does for a tenant's request what needs sockets and the loop."""
+
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
@@ -23,6 +25,8 @@
 
 
 class Rejections:
+    """The page of the last rejections."""
+
     def __init__(self, path: Path):
         self.path = path
 
@@ -122,7 +126,8 @@
             resp.set_header("Mallow-Repeat", "1")
         a = r.answer
         if a is None:
-            return web.reject(resp, r.status, r.outcome, r.findings, r.retry_after)
+            web.reject(resp, r.status, r.outcome, r.findings, r.retry_after)
+            return
         resp.status = a.status
         for k, v in a.headers:
             if k.lower() == "content-type":
@@ -138,6 +143,8 @@
 
 
 class Stream:
+    """The rest of an answer; its place is given back when it ends, or is left."""
+
     __slots__ = ("lease", "rest")
 
     def __init__(self, lease, a: Answer):
--- a/mallowvalve/proxy/spot.py
+++ b/mallowvalve/proxy/spot.py
@@ -4,6 +4,8 @@
 
 from mallowvalve.upstreams.registry import Upstream
 
+NEVER = -1e9
+"""A time before all others."""
 HALF = 0.4
 FRESH = 0.3
 BREAK, BREAK_MOST = 0.5, 4.0
@@ -19,7 +21,7 @@
     __slots__ = ("first", "sent", "latency")
 
     def __init__(self):
-        self.first, self.sent, self.latency = -1e9, 0, 0.1
+        self.first, self.sent, self.latency = NEVER, 0, 0.1
 
     def sending(self, now: float) -> None:
         if now - self.first > DARK_MOST:
@@ -27,7 +29,7 @@
         self.sent += 1
 
     def heard(self, took: float) -> None:
-        self.first, self.sent = -1e9, 0
+        self.first, self.sent = NEVER, 0
         self.latency += 0.1 * (took - self.latency)
 
     def dark(self, now: float) -> bool:
@@ -63,13 +65,13 @@
 
     def __init__(self, up: Upstream, zone: Zone | None = None):
         self.up, self.zone, self.busy = up, zone or Zone(), 0
-        self.base, self.base_at, self.since = 0.0, -1e9, 0
-        self.full_until = self.broken_until = self.wrong_until = -1e9
+        self.base, self.base_at, self.since = 0.0, NEVER, 0
+        self.full_until = self.broken_until = self.wrong_until = NEVER
         self.pause = BREAK
         self.mute: float | None = None
         self.latency = 0.1
         self.opening: list[float] = []
-        self.cold_until, self.cold_end, self.cold_next = 0, -1e9, -1e9
+        self.cold_until, self.cold_end, self.cold_next = 0, NEVER, NEVER
         self.cold_k, self.cold_at = 0, (-1, -1)
         self._ill = self._ill_at = 0.0
 
@@ -87,7 +89,7 @@
         self._ill, self._ill_at = WELL * ill if well else min(1.0, ill + ILL), now
 
     def load(self, now: float, share: int) -> float:
-        if self.base_at < -1e8:
+        if self.base_at <= NEVER:
             return float(self.busy * share)
         return max(float(self.busy), self.base * 0.5 ** ((now - self.base_at) / HALF) + self.since)
 
--- a/mallowvalve/proxy/steps.py
+++ b/mallowvalve/proxy/steps.py
@@ -11,8 +11,15 @@
 from mallowvalve.upstreams.board import Heartbeat
 from mallowvalve.upstreams.registry import Upstream
 
+OK, REDIRECT, TOO_SLOW, MISDIRECTED = 200, 300, 408, 421
+SERVER_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 500, 503, 504
+NO_STATUS = 600
+"""What begins here is no status of HTTP."""
+
 
 class Ask(msgspec.Struct):
+    """A request as it came from a client; header names in lower case, and as they came in `pairs`."""
+
     method: str
     target: str
     headers: dict[str, str]
@@ -22,11 +29,15 @@
 
 
 class Body(msgspec.Struct, frozen=True):
+    """Reads the body of a request until `end`, of at most `most` bytes."""
+
     end: float
     most: int | None = None
 
 
 class Offer(msgspec.Struct, frozen=True):
+    """Offers a command to the ledger, and waits `limit` seconds for its word."""
+
     command: Claim | Done | Release
     limit: float
 
@@ -39,6 +50,8 @@
 
 
 class Pause(msgspec.Struct, frozen=True):
+    """Goes on after `wait` seconds."""
+
     wait: float
 
 
@@ -79,6 +92,8 @@
 
 
 class Answer(msgspec.Struct):
+    """An upstream's answer, its body whole or as `rest` to be streamed. `keep`: its connection may be used again."""
+
     status: int
     headers: list[tuple[str, str]]
     body: bytes | None
@@ -89,6 +104,8 @@
 
 
 class Rejected(msgspec.Struct):
+    """What was answered here instead of an upstream's answer, for the page of rejections."""
+
     at: float
     route: str
     tenant: str
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -1,34 +1,35 @@
+"""The way of a request on a host route, step by step, without sockets."""
+
 from __future__ import annotations
 
 import random
 from collections.abc import Callable, Generator
 
-import msgspec
 from result import Err, Ok, Result
 
 from mallowvalve.configuration.items import HostRoute
 from mallowvalve.control.replica import Replica
-from mallowvalve.finding import Finding
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.host import Hosts, Place
-from mallowvalve.proxy.steps import Answer, Ask, Await, Body, Exchange, Open, Reply, Room, Step
+from mallowvalve.proxy.steps import (
+    MISDIRECTED,
+    OK,
+    REDIRECT,
+    SERVER_ERROR,
+    TOO_SLOW,
+    Answer,
+    Ask,
+    Await,
+    Body,
+    Exchange,
+    Open,
+    Reply,
+    Room,
+    Step,
+)
+from mallowvalve.proxy.trip import HOP, Trip, bare, own
 from mallowvalve.settings import Settings, Terms
 
-HOP = frozenset(
-    (
-        "connection",
-        "keep-alive",
-        "proxy-connection",
-        "transfer-encoding",
-        "te",
-        "trailer",
-        "upgrade",
-        "content-length",
-        "expect",
-        "proxy-authenticate",
-        "proxy-authorization",
-    )
-)
 PROMISE = frozenset((408, 421, 429, 503))
 NOT_RUN, UNKNOWN = "not-run", "unknown"
 OPEN, TRIAL = 0.4, 0.2
@@ -41,25 +42,7 @@
 IDLE, AT_ONCE = 0.2, 0.2
 EARLY, PATIENT = 2.0, 0.45
 STAY = 0.75
-
-
-class Trip(msgspec.Struct):
-    """A request on a host route; what was decided for it is decided again before anything is sent."""
-
-    ask: Ask
-    host: str
-    path: str
-    route: HostRoute
-    service: str
-    at: float
-    end: float
-    mark: str = ""
-    body: bytes = b""
-    lines: str = ""
-    tried: set = msgspec.field(default_factory=set)
-    sent: int = 0
-    opens: int = 0
-    ran: bool = False
+LIMIT_DIGITS = 12
 
 
 class Tries:
@@ -93,18 +76,19 @@
         now: Callable[[], float],
         rng: random.Random,
     ):
-        self.replica, self.hosts, self.settings, self.counts, self.now, self.rng = (
-            replica,
-            hosts,
-            settings,
-            counts,
-            now,
-            rng,
-        )
+        self.replica = replica
+        self.hosts = hosts
+        self.settings = settings
+        self.counts = counts
+        self.now = now
+        self.rng = rng
         self.until: Callable[[], float | None] = lambda: None
-        t: Terms = settings.terms
-        self._ask, self._limit, self._not_run, self._seal = (x.lower() for x in (t.ask, t.limit, t.not_run, t.seal))
-        self._drop = HOP | {self._limit, t.expect.lower()}
+        terms: Terms = settings.terms
+        self._ask = terms.ask.lower()
+        self._limit = terms.limit.lower()
+        self._not_run = terms.not_run.lower()
+        self._seal = terms.seal.lower()
+        self._drop = HOP | {self._limit, terms.expect.lower()}
 
     def knows(self, host: str) -> bool:
         return self.replica.state is not None and bool(self.replica.state.items.hosts.get(bare(host)))
@@ -123,7 +107,7 @@
             got = yield Body(t.end, self.replica.state.items.limits.body_bytes)
             if got.is_err():
                 status, place, text = got.err_value
-                return own(status, NOT_RUN, place, text, 1.0 if status == 408 else None, close=True)
+                return own(status, NOT_RUN, place, text, 1.0 if status == TOO_SLOW else None, close=True)
             if a.length is not None and len(got.ok_value) != a.length:
                 return own(400, NOT_RUN, "body", "shorter than its length", close=True)
             t.body = got.ok_value
@@ -137,9 +121,9 @@
         return self.replica.state is not None and self.replica.state.items.revision > 0
 
     def _until_told(self, a: Ask, at: float) -> Generator[Step, object, None]:
-        """A proxy that has just started has its settings in a moment; who came too early waits for less than half of its time."""
+        """A proxy that has just started has its settings in a moment; who came too early waits for a part of it."""
         text = a.headers.get(self._limit, "")
-        left = int(text) / 1000 if text.isascii() and text.isdigit() and len(text) <= 12 else EARLY
+        left = int(text) / 1000 if text.isascii() and text.isdigit() and len(text) <= LIMIT_DIGITS else EARLY
         end = at + PATIENT * min(left, EARLY)
         while not self._told() and (now := self.now()) < end:
             yield Room("", min(end, now + LOOK))
@@ -159,7 +143,7 @@
         limit = route.limit_ms
         text = a.headers.get(self._limit) if self._limit else None
         if text is not None:
-            if not text.isascii() or not text.isdigit() or len(text) > 12:
+            if not text.isascii() or not text.isdigit() or len(text) > LIMIT_DIGITS:
                 return Err(own(400, NOT_RUN, self.settings.terms.limit, "want whole milliseconds"))
             limit = min(limit, float(text))
         until = self.until()
@@ -195,6 +179,7 @@
             raise
 
     def _place(self, t: Trip) -> Generator[Step, object, Place | Reply]:
+        """A place at an upstream with a connection that may be sent on at once, or why there is none."""
         held = t.at + HELD * min(t.route.aim_ms or t.route.limit_ms, t.route.limit_ms) / 1000
         held = max(held, self.now() + LOOK)
         while True:
@@ -210,24 +195,12 @@
             place = Place(self.hosts, spot)
             if place.reuse(t.route.kind != "read", now):
                 return place
-            spot.opening.append(now)
-            try:
-                r = yield Open(spot.up, "", min(t.end, now + (TRIAL if spot.doubted else OPEN)))
-            except BaseException:
-                place.back(keep=False)
-                raise
-            finally:
-                spot.opening.remove(now)
-            now = self.now()
-            if r.is_err():
-                self.counts.add("upstream_open_failed")
-                place.back(keep=False)
-                self.hosts.failed(spot, now)
+            if not (yield from self._open(t, place)):
                 t.opens += 1
                 if t.opens >= OPENS:
                     return self._end(t, "no connection to the upstreams tried")
                 continue
-            place.connection = r.ok_value
+            now = self.now()
             no = self._judge(t, now)
             if no is None and self.hosts.fits(spot, t.service, t.route.homes, now):
                 return place
@@ -235,6 +208,25 @@
             if no is not None:
                 return no
 
+    def _open(self, t: Trip, place: Place) -> Generator[Step, object, bool]:
+        """Whether a new connection could be made; if not, the place is given back."""
+        began, spot = self.now(), place.spot
+        spot.opening.append(began)
+        try:
+            r = yield Open(spot.up, "", min(t.end, began + (TRIAL if spot.doubted else OPEN)))
+        except BaseException:
+            place.back(keep=False)
+            raise
+        finally:
+            spot.opening.remove(began)
+        if r.is_ok():
+            place.connection = r.ok_value
+            return True
+        self.counts.add("upstream_open_failed")
+        place.back(keep=False)
+        self.hosts.failed(spot, self.now())
+        return False
+
     def _judge(self, t: Trip, now: float) -> Reply | None:
         """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
         state = self.replica.state
@@ -298,17 +290,17 @@
             return self._again(t, r.err_value)
         a: Answer = r.ok_value
         self.hosts.heard(spot, a, now - sent_at, now)
-        if a.status == 421 or self._not_run and self._not_run in a.said:
+        if a.status == MISDIRECTED or self._not_run and self._not_run in a.said:
             self.counts.add("upstream_turned_away")
             self.hosts.turned_away(spot, a.status, now)
-            place.back(keep=a.keep and a.status != 421)
+            place.back(keep=a.keep and a.status != MISDIRECTED)
             return self._again(t, "the upstream turned it away")
         t.ran = True
-        if 200 <= a.status < 300 and self._seal and self._seal not in a.said:
+        if OK <= a.status < REDIRECT and self._seal and self._seal not in a.said:
             place.back(keep=False)
             self.hosts.failed(spot, now)
             return self._again(t, "garbage: a success without a seal")
-        if a.status >= 500 and t.route.kind == "read" and t.sent < t.route.tries and t.end - now > LEAST:
+        if a.status >= SERVER_ERROR and t.route.kind == "read" and t.sent < t.route.tries and t.end - now > LEAST:
             place.back(keep=a.keep)
             return None
         if a.status in PROMISE:
@@ -324,7 +316,8 @@
     def _broke(self, place: Place, sent_at: float, now: float) -> None:
         """A connection long idle that breaks at once was forgotten; that says nothing of its upstream."""
         if place.idle is None or place.idle < IDLE or now - sent_at > AT_ONCE:
-            return self.hosts.failed(place.spot, now)
+            self.hosts.failed(place.spot, now)
+            return
         self.counts.add("upstream_forgot_connection")
         self.hosts.links.forgotten(place.idle, now)
 
@@ -387,11 +380,3 @@
         if terms.expect:
             head += f"{terms.expect}: {place.spot.up.instance}\r\n"
         return (head + "\r\n").encode("latin-1") + t.body
-
-
-def own(status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False) -> Reply:
-    return Reply(status, outcome, [Finding(place, text)], after, close)
-
-
-def bare(host: str) -> str:
-    return host.rpartition(":")[0].lower() if ":" in host else host.lower()
--- /dev/null
+++ b/mallowvalve/proxy/trip.py
@@ -0,0 +1,54 @@
+"""A request on a host route, and the answers that a proxy gives of its own."""
+
+from __future__ import annotations
+
+import msgspec
+
+from mallowvalve.configuration.items import HostRoute
+from mallowvalve.finding import Finding
+from mallowvalve.proxy.steps import Ask, Reply
+
+HOP = frozenset(
+    (
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "transfer-encoding",
+        "te",
+        "trailer",
+        "upgrade",
+        "content-length",
+        "expect",
+        "proxy-authenticate",
+        "proxy-authorization",
+    )
+)
+
+
+class Trip(msgspec.Struct):
+    """A request on a host route; what was decided for it is decided again before anything is sent."""
+
+    ask: Ask
+    host: str
+    path: str
+    route: HostRoute
+    service: str
+    at: float
+    end: float
+    mark: str = ""
+    body: bytes = b""
+    lines: str = ""
+    tried: set = msgspec.field(default_factory=set)
+    sent: int = 0
+    opens: int = 0
+    ran: bool = False
+
+
+def own(status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False) -> Reply:
+    """An answer of the proxy's own; `after`: when to come back (s)."""
+    return Reply(status, outcome, [Finding(place, text)], after, close)
+
+
+def bare(host: str) -> str:
+    """A host without its port, in lower case."""
+    return host.rpartition(":")[0].lower() if ":" in host else host.lower()
