--- /dev/null
+++ b/verification/histories.py
@@ -0,0 +1,171 @@
+"""Recorded histories: what callers asked and were told, and the file format they are kept in.
+
+A file holds one operation a line, as JSON. Its fields:
+
+- `kind`: `lock`, `number`, `key` or `item`; `name`: of the object. Kind and name together are one partition.
+- `caller`: who asked; shown in findings only.
+- `call`: an object with the field `type`:
+  `take` (`holder`, `until`: the time in s up to which the holder relied on the lock), `extend` (`holder`, `token`,
+  `until`), `free` (`holder`, `token`), `draw`, `put` (`value`, null to remove it; `base`, the revision it rests on or
+  null), `read` (`shows_value`: false where the reader was told only a revision), `amend` (`version`, `content`).
+- `begun`, `ended`: in seconds of one clock; `ended` is absent while there is no answer.
+- `outcome`: `done`, `refused` (with a promise: it had no effect and never will) or `unknown` (it may have taken
+  effect at any time after `begun`, or never).
+- `number`: the answer's token, number, revision or version; `value`: the answer's value or content.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+from enum import StrEnum
+from pathlib import Path
+
+import msgspec
+from result import Err, Ok, Result
+
+from mallowvalve.finding import Finding, Findings
+
+
+class Kind(StrEnum):
+    """What kind of object an operation is on."""
+
+    LOCK = "lock"
+    NUMBER = "number"
+    KEY = "key"
+    ITEM = "item"
+
+
+class Outcome(StrEnum):
+    """What its caller knows of an operation."""
+
+    DONE = "done"
+    REFUSED = "refused"
+    UNKNOWN = "unknown"
+
+
+class Take(msgspec.Struct, frozen=True, tag="take"):
+    """Take a lock; the holder relies on it up to `until` (s)."""
+
+    holder: str
+    until: float
+
+
+class Extend(msgspec.Struct, frozen=True, tag="extend"):
+    """Lengthen a hold to `until` (s)."""
+
+    holder: str
+    token: int
+    until: float
+
+
+class Free(msgspec.Struct, frozen=True, tag="free"):
+    """Give a lock back."""
+
+    holder: str
+    token: int
+
+
+class Draw(msgspec.Struct, frozen=True, tag="draw"):
+    """Draw the next number."""
+
+
+class Put(msgspec.Struct, frozen=True, tag="put"):
+    """Put a value into a key, or remove it (None), if the key is at revision `base` (None: whatever it is at)."""
+
+    value: str | None
+    base: int | None = None
+
+
+class Read(msgspec.Struct, frozen=True, tag="read"):
+    """Read a key or an item."""
+
+    shows_value: bool = True
+
+
+class Amend(msgspec.Struct, frozen=True, tag="amend"):
+    """Give an item a content under a version."""
+
+    version: int
+    content: str | None
+
+
+Call = Take | Extend | Free | Draw | Put | Read | Amend
+
+
+class Operation(msgspec.Struct, frozen=True, omit_defaults=True):
+    """One call and what its caller was told; times in seconds of one clock."""
+
+    kind: Kind
+    name: str
+    caller: str
+    call: Call
+    begun: float
+    ended: float | None
+    outcome: Outcome
+    number: int = 0
+    value: str | None = None
+
+    @property
+    def unknown(self) -> bool:
+        """Whether it may or may not have taken effect."""
+        return self.outcome is Outcome.UNKNOWN
+
+    @property
+    def latest(self) -> float:
+        """The latest time (s) at which it can have taken effect."""
+        return math.inf if self.unknown or self.ended is None else self.ended
+
+    def __str__(self) -> str:
+        """One line for findings."""
+        end = "..." if self.ended is None else f"{self.ended:.3f}"
+        asked = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
+        told = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
+        return f"[{self.begun:.3f}, {end}] {self.caller} {type(self.call).__name__.lower()} {asked} -> {told}"
+
+
+_decode = msgspec.json.Decoder(Operation).decode
+_encode = msgspec.json.Encoder().encode
+
+
+def write(path: Path, operations: Iterable[Operation]) -> None:
+    """Write a history, one operation a line."""
+    path.write_bytes(b"".join(_encode(o) + b"\n" for o in operations))
+
+
+def load(path: Path) -> Result[list[Operation], Findings]:
+    """Return a recorded history, or findings that name each line which is not understood."""
+    operations: list[Operation] = []
+    found: Findings = []
+    for n, line in enumerate(path.read_bytes().splitlines(), 1):
+        if not line.strip():
+            continue
+        try:
+            operation = _decode(line)
+        except (msgspec.DecodeError, UnicodeDecodeError) as e:
+            found.append(Finding(f"{path.name}:{n}", str(e)))
+            continue
+        wrong = _wrong(operation)
+        if wrong:
+            found.append(Finding(f"{path.name}:{n}", wrong))
+        operations.append(operation)
+    return Err(found) if found else Ok(operations)
+
+
+def _wrong(operation: Operation) -> str:
+    """What makes an operation impossible to judge, or nothing."""
+    if operation.call.__class__ not in CALLS[operation.kind]:
+        return f"a {operation.kind} has no {type(operation.call).__name__.lower()}"
+    if operation.ended is None and not operation.unknown:
+        return f"{operation.outcome} without its end"
+    if operation.ended is not None and operation.ended < operation.begun:
+        return "ended before it began"
+    return ""
+
+
+CALLS: dict[Kind, tuple[type, ...]] = {
+    Kind.LOCK: (Take, Extend, Free),
+    Kind.NUMBER: (Draw,),
+    Kind.KEY: (Put, Read),
+    Kind.ITEM: (Amend, Read),
+}
--- /dev/null
+++ b/verification/specifications.py
@@ -0,0 +1,259 @@
+"""Sequential specifications of what the control side keeps for its callers: locks, numbers, keys and items.
+
+A specification says what a single-threaded object would answer: given a state and an operation that was confirmed (or
+one whose outcome is unknown), `step` returns the state after it, or `None` where no correct object could have given
+that answer. States are immutable and hashable, for the search remembers them.
+
+Each is *sound*: what a correct system may answer is never called wrong. Where an answer leaves something open, the
+specification takes the more permissive reading and its docstring says which.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol, TypeVar
+
+import msgspec
+
+from verification.histories import Amend, Draw, Extend, Free, Kind, Operation, Put, Read, Take
+
+State = TypeVar("State")
+
+
+class Specification(Protocol[State]):
+    """The sequential object that one partition of a history is held against."""
+
+    def initial(self) -> State:
+        """Return the state before any operation."""
+        ...
+
+    def step(self, state: State, operation: Operation, now: float) -> tuple[State, float] | None:
+        """Return the state after `operation` and the earliest time (s) it can have taken effect, or None if illegal.
+
+        `now` is the earliest time that the operations before it and its own call allow, in seconds.
+        """
+        ...
+
+    def needed(self, operations: list[Operation]) -> list[Operation]:
+        """Return the operations that the search must consider.
+
+        An operation without a known outcome may be left out where "it never took effect" allows every answer that
+        "it took effect" allows, so that leaving it out changes no verdict.
+        """
+        ...
+
+
+class Holding(msgspec.Struct, frozen=True):
+    """A lock's state: its newest token, who holds it, the tokens of the unbroken hold, and the promise's end (s)."""
+
+    newest: int = 0
+    holder: str | None = None
+    tokens: tuple[int, ...] = ()
+    until: float = 0.0
+
+
+class LockSpecification:
+    """A lock with fencing tokens whose hold lapses by time.
+
+    What a holder may rely on is a lower bound: the lock is its own until `until`, the time of its *call* plus the time
+    it asked for (the service counts from when the command took effect, which is later). So another's take can have
+    taken effect only at that time or later, or after a free. A lapse alone never forces anything: a hold that nobody
+    followed may still be extended, as the service's own end lies later by an unknown amount. A take by the holder
+    itself is allowed at any time and lengthens the hold. A free with another token than the newest changes nothing.
+
+    Tokens rise strictly; gaps are allowed. Takes and extensions without a known outcome are left out: they only forbid.
+    """
+
+    def initial(self) -> Holding:
+        """Return a lock that nobody ever held."""
+        return Holding()
+
+    def step(self, state: Holding, operation: Operation, now: float) -> tuple[Holding, float] | None:
+        """Return the lock after the operation and when it can have been, or None."""
+        match operation.call:
+            case Take():
+                return self._take(state, operation, operation.call, now)
+            case Extend():
+                return self._extend(state, operation.call, now)
+            case Free(holder=holder, token=token):
+                if state.holder != holder or state.tokens[-1] != token:
+                    return state, now
+                return Holding(state.newest), now
+        return None
+
+    def needed(self, operations: list[Operation]) -> list[Operation]:
+        """Leave out takes and extensions that may not have been."""
+        return [o for o in operations if not o.unknown or isinstance(o.call, Free)]
+
+    def _take(self, state: Holding, operation: Operation, call: Take, now: float) -> tuple[Holding, float] | None:
+        token = operation.number
+        if token <= state.newest:
+            return None
+        if state.holder == call.holder:
+            return Holding(token, call.holder, (*state.tokens, token), max(state.until, call.until)), now
+        if state.holder is not None:
+            now = max(now, state.until)
+        if now > operation.latest:
+            return None
+        return Holding(token, call.holder, (token,), call.until), now
+
+    def _extend(self, state: Holding, call: Extend, now: float) -> tuple[Holding, float] | None:
+        if state.holder != call.holder or call.token not in state.tokens:
+            return None
+        return Holding(state.newest, state.holder, state.tokens, max(state.until, call.until)), now
+
+
+class NumberSpecification:
+    """A counter whose answers rise strictly; gaps are allowed, so a draw without a known outcome is left out."""
+
+    def initial(self) -> int:
+        """Return the number before the first one given, below all numbers."""
+        return 0
+
+    def step(self, state: int, operation: Operation, now: float) -> tuple[int, float] | None:
+        """Return the number given, if it is above the last one."""
+        if not isinstance(operation.call, Draw) or operation.number <= state:
+            return None
+        return operation.number, now
+
+    def needed(self, operations: list[Operation]) -> list[Operation]:
+        """Leave out draws that may not have been: they only leave gaps."""
+        return [o for o in operations if not o.unknown]
+
+
+class Cell(msgspec.Struct, frozen=True):
+    """A key's state.
+
+    `shown` is the revision a reader is told (0 without a value), or None while it is not known because the outcome of
+    the put that gave it is not; `floor` is the highest revision that the key certainly has passed.
+    """
+
+    value: str | None = None
+    shown: int | None = 0
+    floor: int = 0
+
+
+class KeySpecification:
+    """A key with a value and a revision that rises strictly with each put.
+
+    A put on a base takes effect only if the key is at that revision. A confirmed put of the value that the key already
+    has may be answered with the revision it has (a repeat is known by its content). A read shows value and revision
+    together; a reader that was told only a revision is held to that. Revisions may have gaps, since a group or the
+    whole store counts them.
+    """
+
+    def initial(self) -> Cell:
+        """Return a key without a value."""
+        return Cell()
+
+    def step(self, state: Cell, operation: Operation, now: float) -> tuple[Cell, float] | None:
+        """Return the key after a put or a read, or None."""
+        call = operation.call
+        after = None
+        if isinstance(call, Put):
+            after = self._put(state, operation, call)
+        elif isinstance(call, Read):
+            after = self._read(state, operation, call)
+        return None if after is None else (after, now)
+
+    def needed(self, operations: list[Operation]) -> list[Operation]:
+        """Leave out puts of unknown outcome that nobody saw: neither their value nor a revision nobody else gave."""
+        values: set[str | None] = set()
+        given: set[int] = set()
+        used: set[int] = set()
+        for o in operations:
+            match o.call:
+                case Read(shows_value=True):
+                    values.add(o.value)
+                case Read():
+                    used.add(o.number)
+                case Put(base=base):
+                    used.add(base or 0)
+                    if not o.unknown:
+                        given.add(o.number)
+        unexplained = bool(used - given - {0})
+        return [
+            o
+            for o in operations
+            if not o.unknown or isinstance(o.call, Put) and (unexplained or o.call.value in values)
+        ]
+
+    def _put(self, state: Cell, operation: Operation, call: Put) -> Cell | None:
+        revision = operation.number
+        if not operation.unknown and call.value == state.value and _same(state, revision):
+            return Cell(state.value, revision, max(state.floor, revision))
+        if call.base is not None and not _same(state, call.base):
+            return None
+        floor = state.floor if call.base is None else max(state.floor, call.base)
+        if operation.unknown:
+            return Cell(call.value, None if call.value is not None else 0, floor)
+        if revision <= floor:
+            return None
+        return Cell(call.value, revision if call.value is not None else 0, revision)
+
+    def _read(self, state: Cell, operation: Operation, call: Read) -> Cell | None:
+        if call.shows_value and operation.value != state.value:
+            return None
+        if call.shows_value and state.value is None:
+            return state
+        if not _same(state, operation.number):
+            return None
+        return Cell(state.value, operation.number, max(state.floor, operation.number))
+
+
+def _same(state: Cell, revision: int) -> bool:
+    """Whether the key may be at this revision; one that a put of unknown outcome gave lies above what went before."""
+    return revision == state.shown if state.shown is not None else revision > state.floor
+
+
+class Kept(msgspec.Struct, frozen=True):
+    """An item's state: the version and content in force, and the content confirmed under each version."""
+
+    version: int = 0
+    content: str | None = None
+    seen: tuple[tuple[int, str | None], ...] = ()
+
+
+class ItemSpecification:
+    """An item whose highest version wins.
+
+    The same version with the same content is confirmed again and changes nothing; with another content it must not be
+    confirmed, also where a higher version is in force by then. An order below the version in force may be confirmed as
+    overtaken and changes nothing. A read shows the version and content in force.
+    """
+
+    def initial(self) -> Kept:
+        """Return an item that was never given."""
+        return Kept()
+
+    def step(self, state: Kept, operation: Operation, now: float) -> tuple[Kept, float] | None:
+        """Return the item after an order or a read, or None."""
+        call = operation.call
+        if isinstance(call, Read):
+            same = (operation.number, operation.value) == (state.version, state.content)
+            return (state, now) if same else None
+        if not isinstance(call, Amend):
+            return None
+        before = dict(state.seen)
+        if before.get(call.version, call.content) != call.content:
+            return None
+        seen = tuple(sorted((before | {call.version: call.content}).items()))
+        if call.version > state.version:
+            return Kept(call.version, call.content, seen), now
+        return Kept(state.version, state.content, seen), now
+
+    def needed(self, operations: list[Operation]) -> list[Operation]:
+        """Leave out orders of unknown outcome whose version no reader saw."""
+        seen = {(o.number, o.value) for o in operations if isinstance(o.call, Read)}
+        return [
+            o
+            for o in operations
+            if not o.unknown or isinstance(o.call, Amend) and (o.call.version, o.call.content) in seen
+        ]
+
+
+SPECIFICATIONS: dict[Kind, Specification] = {
+    Kind.LOCK: LockSpecification(),
+    Kind.NUMBER: NumberSpecification(),
+    Kind.KEY: KeySpecification(),
+    Kind.ITEM: ItemSpecification(),
+}
