--- a/mallowvalve/localfleet/history.py
+++ b/mallowvalve/localfleet/history.py
@@ -6,6 +6,9 @@
 
 import msgspec
 
+from verification import histories, linearizability
+from verification.histories import Draw, Kind, Operation, Outcome, Put, Read, Take, outcome_of
+
 
 class Op(msgspec.Struct):
     """`said` is ok, a refusal's code, or undecided; revision, base and at are the store's own."""
@@ -45,7 +48,37 @@
 
 
 def check(h: History) -> list[str]:
-    return [*in_order(h), *reads(h), *bases(h), *refused(h), *one_holder(h), *watches(h)]
+    return [*in_order(h), *reads(h), *bases(h), *refused(h), *one_holder(h), *watches(h), *orders(h)]
+
+
+def orders(h: History) -> list[str]:
+    """Whether each key, number and lock answered as a single one would have, by the times of its calls alone."""
+    return linearizability.check(operations(h)).findings()
+
+
+def operations(h: History) -> list[Operation]:
+    """Return the calls as the checker of histories takes them; a lock is relied on to the end of its hold."""
+    ends = {(x.name, x.token): x.end for x in h.holds}
+    return [_operation(o, ends) for o in h.ops]
+
+
+def _operation(o: Op, ends: dict[tuple[str, int], float]) -> Operation:
+    kind: Kind
+    call: histories.Call
+    match o.kind:
+        case "take":
+            kind, call = Kind.LOCK, Take(o.who, ends.get((o.name, o.revision), o.begun))
+        case "number":
+            kind, call = Kind.NUMBER, Draw()
+        case "put":
+            kind, call = Kind.KEY, Put(o.value, o.base)
+        case _:
+            kind, call = Kind.KEY, Read()
+    outcome = outcome_of(o.said)
+    number = o.at if o.kind == "read" else o.revision
+    value = o.value if o.kind == "read" else None
+    ended = None if outcome is Outcome.UNKNOWN else o.ended
+    return Operation(kind, o.name, o.who, call, o.begun, ended, outcome, number, value)
 
 
 def _made(h: History) -> list[Op]:
--- a/sim/history.py
+++ b/sim/history.py
@@ -6,6 +6,8 @@
 
 from mallowvalve.localfleet import history
 from mallowvalve.localfleet.judge import Offered
+from verification import linearizability
+from verification.histories import Recorder
 
 IN_FORCE = 3.0
 
@@ -69,13 +71,14 @@
         self.puts: list[tuple[float, float, int, str]] = []
         self.watched: list[tuple[float, str, int, str]] = []
         self.compacted: list[tuple[float, str, int]] = []
+        self.recorder = Recorder()
 
     def figures(self) -> dict[str, int]:
         reads = ("answer", "not-run", "undecided", "unknown", "silence")
         return (
             {k: len(v) for k, v in vars(self).items() if isinstance(v, list)}
             | {f"reads_{o}": sum(t[3] == o for t in self.reads_told) for o in reads}
-            | {"kept": len(self.coord.ops)}
+            | {"kept": len(self.coord.ops), "recorded": len(self.recorder.operations)}
             | {
                 f"told_{o}": sum(t[3] == o for t in self.told)
                 for o in ("done", "not-run", "undecided", "unknown", "silence")
@@ -93,6 +96,7 @@
         *one_holder(h),
         *numbers_rise(h),
         *watchers_miss_nothing(h),
+        *linearizability.check(h.recorder.operations).findings(),
     ]
 
 
--- a/verification/histories.py
+++ b/verification/histories.py
@@ -163,6 +163,37 @@
     return ""
 
 
+REFUSALS = ("conflict", "missing", "lost", "held", "gone", "late")
+
+
+def outcome_of(code: str) -> Outcome:
+    """What a service's answer says of a command; every code that is not known to be a promise leaves it open."""
+    if code == "ok":
+        return Outcome.DONE
+    return Outcome.REFUSED if code in REFUSALS else Outcome.UNKNOWN
+
+
+class Recorder:
+    """A history under way: calls are written down when they are made, and again when they are answered."""
+
+    __slots__ = ("operations",)
+
+    def __init__(self) -> None:
+        """Begin an empty history."""
+        self.operations: list[Operation] = []
+
+    def called(self, kind: Kind, name: str, caller: str, call: Call, begun: float) -> int:
+        """Write down a call (s) that has no answer yet; returns its place."""
+        self.operations.append(Operation(kind, name, caller, call, begun, None, Outcome.UNKNOWN))
+        return len(self.operations) - 1
+
+    def answered(self, place: int, ended: float, outcome: Outcome, number: int = 0) -> None:
+        """Write down the answer (s) of a call; one of unknown outcome stays without its end."""
+        if outcome is not Outcome.UNKNOWN:
+            was = self.operations[place]
+            self.operations[place] = msgspec.structs.replace(was, ended=ended, outcome=outcome, number=number)
+
+
 CALLS: dict[Kind, tuple[type, ...]] = {
     Kind.LOCK: (Take, Extend, Free),
     Kind.NUMBER: (Draw,),
