--- a/sim/disk.py
+++ b/sim/disk.py
@@ -3,14 +3,17 @@
 import errno
 import random
 
+HALF = 0.5
+
 
 class SimDisk:
-    """Files of one machine: what was not synced is lost or torn at a crash."""
+    """Files of one machine: what was not synced is lost or torn at a crash, and a removed file may be back."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.files: dict[str, bytearray] = {}
         self.safe: dict[str, int] = {}
+        self.removed: dict[str, bytes] = {}
         self.full = False
         self.stall = 0.0
 
@@ -38,12 +41,19 @@
             raise OSError(errno.ENOSPC, "no space left")
         self.files[name] = bytearray(b"".join(parts))
         self.safe[name] = len(self.files[name])
+        self.removed.clear()
 
     def remove(self, name: str) -> None:
-        self.files.pop(name, None)
-        self.safe.pop(name, None)
+        had, safe = self.files.pop(name, None), self.safe.pop(name, 0)
+        if had is not None:
+            self.removed[name] = bytes(had[:safe])
 
     def crash(self) -> None:
+        """The power goes: each removal since the last `put`, which synced the folder, is kept or lost by itself."""
+        for n, data in self.removed.items():
+            if self.rng.random() < HALF:
+                self.files[n], self.safe[n] = bytearray(data), len(data)
+        self.removed.clear()
         for n in list(self.files):
             safe = self.safe.get(n, 0)
             torn = self.rng.randint(safe, len(self.files[n]))
@@ -56,3 +66,4 @@
     def wipe(self) -> None:
         self.files.clear()
         self.safe.clear()
+        self.removed.clear()
