--- a/sim/control.py
+++ b/sim/control.py
@@ -13,6 +13,8 @@
 from mallowvalve.control.state import State
 from mallowvalve.control.task import announced
 from mallowvalve.raft.messages import Envelope, Group, Hard, Install, Snapshot, encode, envelope
+from mallowvalve.raft.progress import Times
+from mallowvalve.settings import Acks
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
@@ -22,6 +24,7 @@
 
 class ControlNode(Node):
     role = "control"
+    acks, times = Acks(), Times()
 
     def __init__(self, world: World, addr: Address, locality: Locality, seeds: list[Address], disk: SimDisk, peers):
         super().__init__(world, addr)
@@ -29,7 +32,7 @@
         self.rng = random.Random(world.rng.random())
         self.disk_log = DiskLog.open(disk, "sim", self._fresh_id(), segment_bytes=20_000).unwrap()
         loaded = store.load(self.disk_log).unwrap()
-        self.core = Core(self.disk_log.identity.id, addr, locality, self.rng)
+        self.core = Core(self.disk_log.identity.id, addr, locality, self.rng, self.acks, self.times)
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
         self._busy = self._saving = self._pulling = False
@@ -63,6 +66,11 @@
             case "piece":
                 answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
 
+    def broken(self, peer: Address) -> None:
+        """A peer's connections ended: the machine is told, as the daemon tells it."""
+        super().broken(peer)
+        self._put(lambda: self.core.gone(peer, self.now))
+
     def _label(self, what: bytes):
         if what == NOW:
             return self.shelf.offer(self.core.snapshot(), self.now)
--- /dev/null
+++ b/sim/door.py
@@ -0,0 +1,315 @@
+"""A core machine with its pages: the steps that the daemon's tasks take for a call, over simulated messages.
+
+The pages under `mallowvalve/control` wait in greenlets; here the same steps are callbacks around the same machines
+(`Core`, `Items`, `Plain`, `Liveness`), with the pages' own limits.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from mallowvalve.configuration.items import Amend
+from mallowvalve.control import http_plain, registry_task, wire
+from mallowvalve.control.api import ATTEMPT, LIMIT
+from mallowvalve.control.replica_task import AGAIN
+from mallowvalve.control.state import Evacuate
+from mallowvalve.control.state import encode as encode_command
+from mallowvalve.control.wire import Took
+from mallowvalve.coordination.plain import Word
+from mallowvalve.raft.progress import Times
+from mallowvalve.settings import Acks
+from mallowvalve.types import Address
+from mallowvalve.upstreams.liveness import Heard, Liveness
+from mallowvalve.upstreams.registry import Registered, Upstream
+from sim import pages
+from sim.control import ControlNode
+from sim.pages import CONFLICT, INVALID, OK, UNAVAILABLE, UNDECIDED, Answer
+
+READ_LIMIT = 2.0
+HEARTBEAT = 1.0
+AGAIN_AFTER, SLACK = 0.05, 0.5
+_word = http_plain._word
+_heard = registry_task._heard
+Heard_ = Callable[[Took], None]
+
+
+class DoorNode(ControlNode):
+    """A `ControlNode` that also answers the pages of operators, applications and upstreams."""
+
+    acks, times = Acks(settings="held", coordination="commit"), Times(pace=0.01, election=0.6)
+
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.liveness = Liveness(HEARTBEAT)
+        self._touched = self.now
+        self._reported, self._told = 0.0, None
+        self._judging = False
+        self.every(registry_task.JUDGE, self._look_at_upstreams)
+
+    def handle(self, kind, src, body, answer) -> None:
+        match kind:
+            case "page":
+                self._page(pages.page(body), lambda a: answer(pages.encode(a)))
+            case "heard":
+                answer(self._on_heard(body))
+            case _:
+                super().handle(kind, src, body, answer)
+
+    def leave(self) -> None:
+        """A polite stop begins: as the daemon's `hand_over`."""
+        self._put(lambda: self.core.raft and self.core.raft.hand_over())
+
+    def _page(self, p: pages.Page, say: Callable[[Answer], None]) -> None:
+        match p:
+            case pages.PatchItems():
+                self._patch(Amend(p.items), say)
+            case pages.TurnZone():
+                self._order(Evacuate(p.zone, p.on), say)
+            case pages.ReadSettings():
+                self._confirmed(READ_LIMIT, say, self._settings)
+            case pages.Coordinate():
+                self._coordinate(p.command, say)
+            case pages.ReadCell():
+                self._confirmed_again(self.now + http_plain.LIMIT, say, lambda: self._cell(p.name))
+            case pages.Watch():
+                self._watch(p, say)
+            case pages.Beat():
+                self._beat(p.upstream, say)
+            case pages.End():
+                self._end(p.upstream, say)
+
+    # Operators.
+
+    def _patch(self, c: Amend, say) -> None:
+        s = self.core.state
+        if s is not None and s.items.check(c):
+            return self._confirmed(READ_LIMIT, say, lambda: self._judged(c, say))
+        if s is not None and not s.items.news(c):
+            c = Amend([])
+        self._order(c, say)
+
+    def _judged(self, c: Amend, say) -> Answer | None:
+        if self.core.state.items.check(c):
+            return Answer(INVALID)
+        return self._order(c, say)
+
+    def _order(self, c: Amend | Evacuate, say) -> None:
+        def took(t: Took) -> None:
+            if t.code == "ok":
+                say(Answer(OK))
+            elif t.code == "invalid":
+                say(Answer(INVALID))
+            elif t.code == "conflict":
+                say(Answer(CONFLICT))
+            else:
+                say(self._rejected(t))
+
+        self.offer(encode_command(c), LIMIT, ATTEMPT, took)
+
+    def _rejected(self, t: Took) -> Answer:
+        return Answer(UNAVAILABLE if t.code in ("leader", "replaced") else UNDECIDED, b"", t.leader)
+
+    def _settings(self) -> Answer:
+        s = self.core.state
+        rows = [i for i in s.items.rows.values() if i.doc is not None]
+        states = {u.instance: u.state for u in s.registry.rows.values()}
+        return Answer(OK, pages.encode(pages.SettingsSeen(rows, sorted(s.settings.evacuated), states)))
+
+    # Plain coordination.
+
+    def _coordinate(self, c, say) -> None:
+        def took(t: Took) -> None:
+            if t.code != "ok":
+                return say(self._rejected(t))
+            w: Word = _word(t.body)
+            say(Answer(OK if w.code == "ok" else CONFLICT, t.body))
+
+        self.offer(encode_command(c), http_plain.LIMIT, http_plain.ATTEMPT, took)
+
+    def _cell(self, name: str) -> Answer:
+        value, revision = self.core.state.plain.cells.get(name, (None, 0))
+        return Answer(OK, pages.encode(pages.CellSeen(value, revision)))
+
+    def _watch(self, p: pages.Watch, say) -> None:
+        if self.core.state is not None and p.after and self.core.current(self.now):
+            return say(self._events(p))
+        self._confirmed_again(self.now + http_plain.LIMIT, say, lambda: self._events(p))
+
+    def _events(self, p: pages.Watch) -> Answer:
+        plain = self.core.state.plain
+        if p.after == 0 and plain.revision(p.group):
+            return Answer(OK, pages.encode(pages.Events([], plain.revision(p.group))))
+        got = plain.since(p.group, p.after)
+        if got is None:
+            return Answer(OK, pages.encode(pages.Events([], plain.revision(p.group), True)))
+        if got[1] < p.after:
+            return Answer(UNAVAILABLE)
+        return Answer(OK, pages.encode(pages.Events(*got)))
+
+    # Upstreams.
+
+    def _beat(self, u: Upstream, say) -> None:
+        s = self.core.state
+        if s is None:
+            return say(Answer(UNAVAILABLE))
+        c = self.liveness.heartbeat(u, s.registry, self.liveness.clock(s.clock, self.now), self.now)
+        if c is None:
+            return say(Answer(OK if self._in_touch() else UNAVAILABLE))
+        if c.instance not in s.registry.rows and s.registry.full(c.service):
+            return say(Answer(UNAVAILABLE))
+        self._notice(c, say, c.state == "leaving")
+
+    def _end(self, u: Upstream, say) -> None:
+        s = self.core.state
+        if s is None:
+            return say(Answer(UNAVAILABLE))
+        row = s.registry.rows.get(u.instance)
+        if row is not None and row.state == "gone" and self.liveness.is_acked(row):
+            return say(Answer(OK if self._in_touch() else UNAVAILABLE))
+        self._notice(u, say, True)
+
+    def _notice(self, u: Upstream, say, noted: bool) -> None:
+        def took(t: Took) -> None:
+            if t.code != "ok":
+                return say(Answer(UNAVAILABLE))
+            if noted:
+                self.liveness.acked(u)
+            say(Answer(OK))
+
+        self.offer(
+            encode_command(Registered([u])), registry_task.LIMIT - registry_task.GATHER, registry_task.ATTEMPT, took
+        )
+
+    def _in_touch(self) -> bool:
+        return self.core.leads or self.now - self._touched < registry_task.OUT
+
+    def _look_at_upstreams(self) -> None:
+        s = self.core.state
+        if s is None:
+            return
+        self.liveness.clock(s.clock, self.now)
+        self.liveness.prune(s.registry, self.now)
+        if self.core.leads:
+            self._touched = self.now
+            return self._judge_upstreams(s.registry)
+        self.liveness.follow()
+        if self.now - self._reported >= registry_task.REPORT and self.core.leader() is not None:
+            self._report(self.core.leader())
+
+    def _judge_upstreams(self, registry) -> None:
+        c = self.liveness.judge(registry, self.now)
+        if c is None or self._judging:
+            return
+        self._judging = True
+
+        def took(_: Took) -> None:
+            self._judging = False
+
+        self.offer(encode_command(c), registry_task.LIMIT, registry_task.ATTEMPT, took)
+
+    def _report(self, to: Address) -> None:
+        now = self.now
+        since = self._reported if to == self._told else now - self.liveness.silent
+        self._reported = now
+
+        def heard(data: bytes | None) -> None:
+            taken = data == registry_task.TAKEN
+            self._told = to if taken else None
+            self._touched = self.now if taken else self._touched
+
+        body = pages.encode(self.liveness.report(since, now))
+        self.call(to, "heard", body, registry_task.REPORT, heard)
+
+    def _on_heard(self, body: bytes) -> bytes:
+        heard: list[Heard] = _heard(body)
+        if not self.core.leads:
+            return b""
+        self.liveness.told(heard, self.now)
+        return registry_task.TAKEN
+
+    # What the daemon's task does for all pages.
+
+    def offer(self, command: bytes, limit: float, attempt: float, then: Heard_) -> None:
+        """As `ControlTask.offer`: to whoever leads until the limit (s); what may have run never ends as refused."""
+        self._offer_again(command, self.now + limit, attempt, False, then)
+
+    def _offer_again(self, command: bytes, end: float, attempt: float, maybe: bool, then: Heard_) -> None:
+        left = end - self.now
+        if left <= 0:
+            return then(Took("undecided" if maybe else "leader"))
+
+        def heard(t: Took) -> None:
+            if t.code not in AGAIN:
+                return then(t)
+            m = maybe or t.code == "undecided"
+            self.wake(AGAIN_AFTER, lambda: self._offer_again(command, end, attempt, m, then))
+
+        self._offer_once(command, min(left, attempt), heard)
+
+    def _offer_once(self, command: bytes, limit: float, heard: Heard_) -> None:
+        body = wire.encode(wire.Offer(command, limit))
+
+        def local(t: Took) -> None:
+            if t.code != "leader" or t.leader in (None, self.addr):
+                return heard(t)
+            self.call(t.leader, "offer", body, limit, lambda d: heard(_took(d)))
+
+        if self.core.raft is None:
+            others = [a for a in self.seeds if a != self.addr]
+            return local(Took("leader", leader=self.rng.choice(others)))
+        self._ask_own(lambda token: self.core.propose(command, token, self.now + limit, self.now), limit, local)
+
+    def _ask_own(self, act: Callable, limit: float, then: Heard_) -> None:
+        """Gives the own machine something to answer; nothing in time is undecided."""
+        open_ = [True]
+
+        def once(t: Took) -> None:
+            if open_:
+                open_.clear()
+                then(t)
+
+        self._put(lambda: act(lambda data: once(_took(data))))
+        self.wake(limit + SLACK, lambda: once(Took("undecided")))
+
+    def _read_once(self, limit: float, then: Heard_) -> None:
+        """As `ControlTask.read`: confirmed by whoever leads, then waited for until it is applied here."""
+        end = self.now + limit
+
+        def applied(t: Took) -> None:
+            if t.code != "ok" or self.core.state is not None and self.core.state.revision >= t.revision:
+                return then(t)
+            if self.now > end:
+                return then(Took("undecided"))
+            self.wake(0.01, lambda: applied(t))
+
+        def local(t: Took) -> None:
+            if t.code != "leader" or t.leader in (None, self.addr):
+                return then(t)
+            self.call(t.leader, "read", b"", limit, lambda d: applied(_took(d)))
+
+        self._ask_own(lambda token: self.core.read(token, self.now + limit, self.now), limit, local)
+
+    def _confirmed(self, limit: float, say, show: Callable[[], Answer | None]) -> None:
+        def took(t: Took) -> None:
+            a = show() if t.code == "ok" and self.core.state is not None else self._rejected(t)
+            if a is not None:
+                say(a)
+
+        self._read_once(limit, took)
+
+    def _confirmed_again(self, end: float, say, show: Callable[[], Answer]) -> None:
+        """As `http_plain.Page.confirm`: asked again until the limit."""
+        left = end - self.now
+
+        def took(t: Took) -> None:
+            if t.code == "ok" and self.core.state is not None:
+                return say(show())
+            if end - self.now <= http_plain.PAUSE:
+                return say(self._rejected(t))
+            self.wake(http_plain.PAUSE, lambda: self._confirmed_again(end, say, show))
+
+        self._read_once(min(left, http_plain.ATTEMPT), took)
+
+
+def _took(data: bytes | None) -> Took:
+    return wire.took(data) if data is not None else Took("undecided")
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -18,6 +18,8 @@
 
 
 class Fleet:
+    pools = (("boards", 6), ("runs", 6), ("spare", 3))
+
     def __init__(
         self,
         seed: int,
@@ -42,7 +44,7 @@
         self.core = list(self.controls)
         for a in self.controls:
             self.disks[a] = SimDisk(random.Random(self.rng.random()))
-        for service, n in (("boards", 6), ("runs", 6), ("spare", 3)):
+        for service, n in self.pools:
             for i in range(n):
                 self.upstream(f"{service}-{i}", self._address("4", len(self.upstreams)))
         for a in self.controls + self.proxies + self.directory_server:
--- a/sim/run.py
+++ b/sim/run.py
@@ -8,17 +8,23 @@
 import click
 
 from sim.storms import STORMS, play
+from sim.worst_days import DAYS, play_day
+
+MOST_SAID = 4
 
 
 def one(job: tuple[str, int, int, int]) -> tuple[str, int, list[str], dict]:
     name, seed, cores, proxies = job
-    found, figures = play(name, seed, cores=cores, proxies=proxies)
+    """A storm of the fleet, or a day of the core; these days choose their own size but for `--cores` where it is free."""
+    found, figures = play_day(name, seed, cores) if name in DAYS else play(name, seed, cores=cores, proxies=proxies)
     gc.collect()
     return name, seed, found, figures
 
 
 @click.command()
-@click.option("--storm", "storms", multiple=True, type=click.Choice(sorted(STORMS)), help="all if none is given")
+@click.option(
+    "--storm", "storms", multiple=True, type=click.Choice(sorted([*STORMS, *DAYS])), help="all if none is given"
+)
 @click.option("--first", default=1, help="first seed")
 @click.option("--seeds", default=10, help="how many seeds a storm")
 @click.option("--cores", default=6)
@@ -28,17 +34,19 @@
     """Play seeded storms against the real machines and check every promise."""
     bad = runs = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for name in storms or STORMS:
+        for name in storms or [*STORMS, *DAYS]:
             total: Counter = Counter()
             worst = wrong = 0
+            most: dict[str, int] = {}
             work = [(name, n, cores, proxies) for n in range(first, first + seeds)]
             for _, seed, found, fig in pool.map(one, work):
-                for f in found[:4]:
+                for f in found[:MOST_SAID]:
                     click.echo(f"{name} seed {seed}: {f}")
                 wrong += bool(found)
                 total.update(fig)
                 worst = max(worst, fig.get("back_ms", 0))
-            click.echo(line(name, total, worst, wrong))
+                most = {k: max(v, most.get(k, 0)) for k, v in fig.items()}
+            click.echo(day_line(name, total, most, wrong) if name in DAYS else line(name, total, worst, wrong))
             bad, runs = bad + wrong, runs + len(work)
     click.echo(f"{runs} runs, {bad} with findings")
     sys.exit(1 if bad else 0)
@@ -52,5 +60,27 @@
     )
 
 
+def day_line(name: str, c: Counter, most: dict[str, int], wrong: int) -> str:
+    """Totals of a day over its seeds, and its worst times."""
+    kinds = (
+        "orders",
+        "confirmed",
+        "refused",
+        "reads",
+        "zones",
+        "notices",
+        "held",
+        "counted",
+        "puts",
+        "events",
+        "beats",
+    )
+    counts = ", ".join(f"{k} {c[k]}" for k in kinds)
+    return (
+        f"{name}: findings in {wrong}; {counts}; losses {c['losses']}, worst {most.get('worst_loss_ms', 0) / 1000:.1f} s; "
+        f"catch-ups {c['catch_ups']}, worst {most.get('worst_catch_up_ms', 0) / 1000:.1f} s; index {most.get('index', 0)}"
+    )
+
+
 if __name__ == "__main__":
     main()
--- a/sim/world.py
+++ b/sim/world.py
@@ -6,6 +6,8 @@
 
 from mallowvalve.types import Address
 
+STRAY_LEAST, STRAY_SPREAD = 1.0, 20.0
+
 
 class World:
     """Seeded network and clock; nothing in it reads the machine's own."""
@@ -17,6 +19,10 @@
         self.nodes: dict[Address, object] = {}
         self.cuts: set[tuple[Address, Address]] = set()
         self.frozen: dict[Address, list[Callable]] = {}
+        self.silent: set[tuple[Address, Address]] = set()
+        self.stray_from: dict[Address, float] = {}
+        self._held: dict[tuple[Address, Address], list[tuple[Callable, int]]] = {}
+        self._resets: dict[tuple[Address, Address], int] = {}
         self.sent = self.delivered = self.lives = 0
         self._heap: list = []
         self._n = 0
@@ -35,7 +41,11 @@
             if self.rng.random() < self.loss:
                 continue
             wait = 0.0005 + self.rng.random() ** 3 * self.slow
-            self.after(wait, lambda: self._arrive(src, dst, deliver))
+            stray = self.stray_from.get(src, 0.0)
+            if stray and self.rng.random() < stray:
+                wait += STRAY_LEAST + self.rng.random() * STRAY_SPREAD
+            life = self._resets.get((src, dst), 0)
+            self.after(wait, lambda: self._arrive(src, dst, deliver, life))
 
     def run(self, until: float) -> None:
         while self._heap and self._heap[0][0] <= until:
@@ -58,7 +68,26 @@
                 self.cut(a, b)
 
     def heal(self) -> None:
+        """Ends all cuts and silences; what a silence held is delivered now, in its order."""
         self.cuts.clear()
+        self.silent.clear()
+        held, self._held = self._held, {}
+        for (src, dst), some in held.items():
+            for i, (deliver, life) in enumerate(some):
+                self.after(0.001 * i, lambda s=src, t=dst, d=deliver, n=life: self._arrive(s, t, d, n))
+
+    def hush(self, src: Address, dst: Address) -> None:
+        """A silence one way: what is sent is held, as in the buffers of a connection, until `heal`."""
+        self.silent.add((src, dst))
+
+    def reset(self, a: Address, b: Address) -> None:
+        """Breaks the connections between two machines: what is under way either way is lost, and both notice."""
+        for pair in ((a, b), (b, a)):
+            self._resets[pair] = self._resets.get(pair, 0) + 1
+            self._held.pop(pair, None)
+        for here, there in ((a, b), (b, a)):
+            if here in self.nodes:
+                self._act_on(here, None, lambda h=here, t=there: self.nodes[h].broken(t))
 
     def freeze(self, a: Address) -> None:
         self.frozen.setdefault(a, [])
@@ -70,7 +99,12 @@
     def up(self, a: Address) -> bool:
         return a in self.nodes
 
-    def _arrive(self, src: Address, dst: Address, deliver: Callable) -> None:
+    def _arrive(self, src: Address, dst: Address, deliver: Callable, life: int) -> None:
+        if self._resets.get((src, dst), 0) != life:
+            return
+        if (src, dst) in self.silent:
+            self._held.setdefault((src, dst), []).append((deliver, life))
+            return
         if (src, dst) in self.cuts or dst not in self.nodes:
             return
         self.delivered += 1
@@ -92,6 +126,7 @@
         world.lives += 1
         self.world, self.addr, self.life = world, addr, world.lives
         self._calls: dict[int, Callable] = {}
+        self._called: dict[int, Address] = {}
         self._call = 0
         world.nodes[addr] = self
 
@@ -122,6 +157,7 @@
         self._call += 1
         n, me = self._call, self.addr
         self._calls[n] = then
+        self._called[n] = to
 
         def answer(data: bytes, src: Address = to) -> None:
             self.world.send(src, me, lambda node: node._answered(self.life, n, data))
@@ -133,8 +169,14 @@
         if life != self.life:
             return
         then = self._calls.pop(n, None)
+        self._called.pop(n, None)
         if then is not None:
             then(data)
 
+    def broken(self, peer: Address) -> None:
+        """The connections to a peer were reset: calls to it end without an answer, as the transport ends them."""
+        for n in [n for n, to in self._called.items() if to == peer]:
+            self._answered(self.life, n, None)
+
     def handle(self, kind: str, src: Address, body: bytes, answer: Callable | None) -> None:
         raise NotImplementedError
