--- a/sim/worst_days.py
+++ b/sim/worst_days.py
@@ -6,7 +6,8 @@
 
 from sim.callers import RacingOperator, SettingsReader
 from sim.core_fleet import CoreFleet
-from sim.orders import CatchUp, check, figures
+from sim.order_checks import check
+from sim.orders import CatchUp, figures
 
 CUT_S = 20.0
 CATCH_UP_S = 4.0
