--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -7,10 +7,11 @@
 
 import msgspec
 
-from mallowvalve.control import reconfiguration
+from mallowvalve.control import lease, reconfiguration
 from mallowvalve.control.acknowledgement import Replicas
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
+from mallowvalve.control.outcome import UNAPPLIED
 from mallowvalve.control.snapshot import cut, cut_settings, load
 from mallowvalve.control.state import (
     Change,
@@ -29,6 +30,7 @@
 from mallowvalve.control.waiting import CommitNote, Parked, Pending, Read, Reads, turns_settings, waits_for
 from mallowvalve.control.wire import Fed, Took, Want, Who
 from mallowvalve.metrics import Counts
+from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Group, Hard, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
@@ -38,7 +40,7 @@
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
 HOLD_MOST = 1.0
-CURRENT, LAG = 0.5, 16
+LAG = 16
 TOLD_PACES = 3
 FEED, GATHER_MOST = 0.0015, 0.15
 
@@ -55,6 +57,7 @@
         "counts",
         "replies",
         "decided",
+        "members",
         "seen",
         "clock",
         "_pending",
@@ -90,7 +93,8 @@
         self.counts = Counts()
         self.decided: list[tuple[Any, Outcome]] = []
         self.replies: list[tuple[Any, Took | Fed]] = []
-        self.seen: dict[str, reconfiguration.Seen] = {}
+        self.members = reconfiguration.Members()
+        self.seen = self.members.seen
         self.replicas = Replicas(locality)
         self._pending: dict[int, Pending] = {}
         self._waiting: deque[tuple[int, Pending]] = deque()
@@ -141,16 +145,15 @@
         return self.raft.log.voters.address(self.raft.leader)
 
     def who(self, role: str, seeds: list[Address]) -> Who:
-        r = self.raft
+        r, m, me = self.raft, self.members, (role, self.id, self.addr, self.locality, seeds)
         if r is None:
-            return Who(role, self.id, self.addr, self.locality, seeds, True, None, 0, None, None)
-        i = self.state.index
-        return Who(role, self.id, self.addr, self.locality, seeds, False, r.group, i, r.log.voters_at(i), self.leader())
+            return Who(*me, True, None, 0, None, None, boot=m.boot, leaving=m.leaving)
+        i, leader = self.state.index, self.leader()
+        return Who(*me, False, r.group, i, r.log.voters_at(i), leader, boot=m.boot, leaving=m.leaving)
 
     def here(self, w: Who, now: float) -> None:
         if w.role == "control" and (w.group is None or self.raft and w.group == self.raft.group):
-            self.seen[w.id] = reconfiguration.Seen(w.addr, w.locality, now)
-            self.seen = {i: s for i, s in self.seen.items() if now - s.at < 2 * reconfiguration.FORGOTTEN}
+            self.members.hear(w, now)
 
     def timer(self, now: float) -> float:
         if self.raft is None:
@@ -195,10 +198,16 @@
 
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
-        r = self.raft
-        if r is None or not r.in_touch(now, CURRENT) or r.log.term(self.state.index) != r.term:
-            return False
-        return self.state.index + LAG >= r.told
+        r, i = self.raft, self.state.index if self.state is not None else 0
+        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + LAG >= r.told
+
+    def contact(self) -> float:
+        """When (s) this process asked what a majority has confirmed since."""
+        return self.raft.contact() if self.raft is not None else NO_STAMP
+
+    def holds(self, kind: lease.Answer, now: float) -> bool:
+        """Whether an answer of the kind may be given by what is known here."""
+        return lease.holds(kind, self.contact(), now)
 
     def want(self, w: Want, token: Any, now: float) -> None:
         if not self.leads:
@@ -294,7 +303,7 @@
             return
         self.replicas.watch(self.state.settings, now)
         self._answer_waiting(now)
-        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, now)
+        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, self.raft.term, now)
         self._answer_wants(now)
         self._housekeep(now)
 
@@ -303,7 +312,7 @@
         for index, p in self._waiting:
             o = p.outcome
             if self._acknowledged(p, now):
-                self.replies.append((p.token, Took(o.code, o.revision, o.body)))
+                self.replies.append((p.token, Took(o.code, o.revision, o.body, term=p.term)))
             elif now >= p.limit:
                 self.replies.append((p.token, Took("undecided", o.revision)))
             else:
@@ -313,7 +322,7 @@
             self.replies.append((self._pending.pop(i).token, Took("undecided")))
 
     def _acknowledged(self, p: Pending, now: float) -> bool:
-        if p.waits == "commit" or p.outcome.code == "invalid":
+        if p.waits == "commit" or p.outcome.code in UNAPPLIED:
             return True
         if not self.replicas.held_elsewhere(p.need, now, p.settings):
             return False
@@ -370,10 +379,10 @@
         if now - self._ticked > 1.0 and self.state.coordination.restless():
             self._ticked = now
             self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
-        if now - self._grown < 0.1:
+        if now - self._grown < reconfiguration.LOOK:
             return
         self._grown = now
-        v = reconfiguration.next_voters(self.raft, self.seen, now)
+        v = self.members.next_voters(self.raft, now)
         if v is not None and self.raft.change_voters(v, self.clock.read(now)) is not None:
             self.counts.add("raft_changes")
         if self._seating > self.raft.commit:
