--- a/sim/control.py
+++ b/sim/control.py
@@ -15,6 +15,8 @@
 from mallowvalve.control.state import State
 from mallowvalve.control.task import announced
 from mallowvalve.raft.messages import Envelope, Group, Hard, Install, Snapshot, encode, envelope
+from mallowvalve.raft.progress import Times
+from mallowvalve.settings import Acks
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
@@ -26,6 +28,7 @@
 
 class ControlNode(Node):
     role = "control"
+    acks, times = Acks(), Times()
 
     def __init__(self, world: World, addr: Address, locality: Locality, seeds: list[Address], disk: SimDisk, peers):
         super().__init__(world, addr)
@@ -33,7 +36,7 @@
         self.rng = random.Random(world.rng.random())
         self.disk_log = DiskLog.open(disk, "sim", self._fresh_id(), segment_bytes=20_000).unwrap()
         loaded = store.load(self.disk_log).unwrap()
-        self.core = Core(self.disk_log.identity.id, addr, locality, self.rng)
+        self.core = Core(self.disk_log.identity.id, addr, locality, self.rng, self.acks, self.times)
         self.core.members.boot = self.life
         self._absent: dict[Address, float] = {}
         if loaded.snapshot is not None:
@@ -71,6 +74,11 @@
             case "piece":
                 answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
 
+    def broken(self, peer: Address) -> None:
+        """A peer's connections ended: the machine is told, as the daemon tells it."""
+        super().broken(peer)
+        self._put(lambda: self.core.gone(peer, self.now))
+
     def _label(self, what: bytes):
         if what == NOW:
             return self.shelf.offer(self.core.snapshot(), self.now)
