--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -13,6 +13,9 @@
 from mallowvalve.finding import Finding, Findings
 
 CALL_BYTES = 8 << 20
+EFFECT = 1.0
+"""Evacuations have no version: a caller that got no answer for this long (s) calls another process, and what it was
+answered there must not be undone by what it said here."""
 _findings = msgspec.msgpack.Decoder(Findings).decode
 
 
@@ -25,8 +28,8 @@
 
 
 class ItemApi(Api):
-    def offer(self, req, resp, c: Amend | Evacuate) -> None:
-        t = self.task.offer(encode(c), LIMIT, ATTEMPT)
+    def offer(self, req, resp, c: Amend | Evacuate, effect: float | None = None) -> None:
+        t = self.task.offer(encode(c), LIMIT, ATTEMPT, effect)
         if t.code == Code.INVALID:
             return web.turn_away(req, resp, 400, _findings(t.body))
         if t.code == Code.CONFLICT:
@@ -83,7 +86,7 @@
             known = {z for r in self.task.tree().doc.regions.values() for z in r.zones}
             if zone not in known and zone not in s.evacuated:
                 return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {zone[:200]!r}")])
-        self.offer(req, resp, Evacuate(zone, on))
+        self.offer(req, resp, Evacuate(zone, on), EFFECT)
 
 
 def add_routes(app, task) -> None:
--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -168,7 +168,7 @@
     __slots__ = ("_session", "_command", "_end", "_sealed", "_maybe")
 
     def __init__(self, session: Session, command: bytes, end: float) -> None:
-        """`end` is when the caller is given up (s)."""
+        """`end` is when the command is to take effect at the latest (s)."""
         self._session, self._command, self._end = session, command, end
         self._sealed, self._maybe = b"", False
 
@@ -193,6 +193,10 @@
         self._sealed = b""
         return Took("leader", leader=t.leader)
 
+    def is_over(self, now: float) -> bool:
+        """Whether it can take no effect any more, and nothing that was offered may have."""
+        return now >= self._end and not self._maybe
+
     def ended(self, t: Took, again: tuple[str, ...]) -> Took:
         """The last word of a call: what may have run never ends as refused."""
         return Took("undecided") if t.code == Code.FORGOTTEN or self._maybe and t.code in again else t
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -116,15 +116,19 @@
     def check(self, doc: dict) -> Result[Tree, Findings]:
         return gevent.get_hub().threadpool.apply(build, (doc,))
 
-    def offer(self, command: bytes, limit: float, attempt: float = 60.0) -> wire.Took:
-        """Offers a keyed command to whoever leads until the limit; what may have run never ends as refused."""
-        end = clock.now() + limit
-        call, t = Call(self._session, command, end), wire.Took("leader")
+    def offer(self, command: bytes, limit: float, attempt: float = 60.0, effect: float | None = None) -> wire.Took:
+        """Offers a command to whoever leads until the limit; what may have run never ends as refused.
+
+        All in s. It takes effect within `effect` or never; the rest of the limit is for its acknowledgement.
+        """
+        begun = clock.now()
+        end, call, t = begun + limit, Call(self._session, command, begun + (effect or limit)), wire.Took("leader")
         while t.code in AGAIN and (left := end - (now := clock.now())) > 0 and not self._over:
             data = call.data(self.core.clock.since(now), now)
             t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
-            if t.code in AGAIN:
-                gevent.sleep(min(0.05, max(0.0, end - clock.now())))
+            if t.code not in AGAIN or call.is_over(clock.now()):
+                break
+            gevent.sleep(min(0.05, max(0.0, end - clock.now())))
         return call.ended(t, AGAIN)
 
     def _offer_once(self, command: bytes, limit: float) -> wire.Took:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -229,6 +229,29 @@
     assert t.offer(encode(Count("n")), 0.2).code == "undecided" and t.leading.state.plain.numbers == {}
 
 
+class Leaderless(ControlTask):
+    """A control process that hears of no leader; each look for one takes `PAUSE` s."""
+
+    __slots__ = ("sealed",)
+
+    def __init__(self):
+        self.sealed, estimate = [], FleetClock()
+        estimate.restart(0, clock.now())
+        self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
+
+    def _offer_once(self, command: bytes, limit: float) -> Took:
+        self.sealed.append(unseal(command)[0])
+        return Took("leader")
+
+
+def test_an_order_without_a_version_is_not_offered_once_its_caller_may_have_called_another_process():
+    t = Leaderless()
+    began = clock.now()
+    assert t.offer(encode(Evacuate("z", False)), 30.0, 3.0, 0.1).code == "leader"
+    assert clock.now() - began < 15.0, "not until the acknowledgement's limit"
+    assert {o.not_after for o in t.sealed} <= set(range(80, 200)) and len({o.number for o in t.sealed}) == 1
+
+
 class Offers(RuleBasedStateMachine):
     """Calls offered in any order, doubled and delayed past everything, to a leader whose clock may run behind.
 
