--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -1,6 +1,7 @@
 from __future__ import annotations
 
 import random
+import secrets
 from collections.abc import Iterator
 
 import gevent
@@ -17,9 +18,11 @@
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.core import Core
 from mallowvalve.control.replica_task import AGAIN
+from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
 from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
+from mallowvalve.membership.wire import FAILED, LEFT
 from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
 from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, encode, envelope
@@ -28,6 +31,7 @@
 from mallowvalve.types import Address
 
 STORE_AGAIN = 2.0
+VERDICTS = 0.25
 
 
 class ControlTask:
@@ -49,6 +53,7 @@
         "_waits",
         "_over",
         "_hint",
+        "_session",
     )
 
     def __init__(self, node: Node, disk_log: DiskLog, loaded: store.Loaded):
@@ -62,6 +67,7 @@
             p.acks,
             Times(pace=p.pace, election=p.election),
         )
+        self.core.members.boot = node.boot
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, clock.now())
         self._box: Queue = Queue()
@@ -75,6 +81,7 @@
         self._waits: set[AsyncResult] = set()
         self._over = False
         self._hint: Address | None = None
+        self._session = Session(lambda: secrets.randbits(64))
         self.founder = FoundTask(self)
         node.transport.gone = lambda a: self.put(lambda now: self.core.gone(a, now))
         on = node.transport.on
@@ -86,7 +93,8 @@
         on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), quick=True)
 
     def __enter__(self) -> ControlTask:
-        self._jobs = [vital(gevent.spawn(self._run)), vital(gevent.spawn(self.founder.run))]
+        jobs = (self._run, self.founder.run, self._watch)
+        self._jobs = [vital(gevent.spawn(job)) for job in jobs]
         return self
 
     def __exit__(self, *_) -> None:
@@ -108,16 +116,20 @@
     def check(self, doc: dict) -> Result[Tree, Findings]:
         return gevent.get_hub().threadpool.apply(build, (doc,))
 
-    def offer(self, command: bytes, limit: float, attempt: float = 60.0) -> wire.Took:
-        """Offers a keyed command to whoever leads until the limit; what may have run never ends as refused."""
-        end, maybe = clock.now() + limit, False
-        t = wire.Took("leader")
-        while t.code in AGAIN and (left := end - clock.now()) > 0 and not self._over:
-            t = self._offer_once(command, min(left, attempt))
-            if t.code in AGAIN:
-                maybe = maybe or t.code == "undecided"
-                gevent.sleep(min(0.05, max(0.0, end - clock.now())))
-        return wire.Took("undecided") if maybe and t.code in AGAIN else t
+    def offer(self, command: bytes, limit: float, attempt: float = 60.0, effect: float | None = None) -> wire.Took:
+        """Offers a command to whoever leads until the limit; what may have run never ends as refused.
+
+        All in s. It takes effect within `effect` or never; the rest of the limit is for its acknowledgement.
+        """
+        begun = clock.now()
+        end, call, t = begun + limit, Call(self._session, command, begun + (effect or limit)), wire.Took("leader")
+        while t.code in AGAIN and (left := end - (now := clock.now())) > 0 and not self._over:
+            data = call.data(self.core.clock.since(now), now)
+            t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
+            if t.code not in AGAIN or call.is_over(clock.now()):
+                break
+            gevent.sleep(min(0.05, max(0.0, end - clock.now())))
+        return call.ended(t, AGAIN)
 
     def _offer_once(self, command: bytes, limit: float) -> wire.Took:
         """A control process that is blank or whose disk refuses holds no command back: another one is asked."""
@@ -162,7 +174,22 @@
         return t or wire.Took("undecided")
 
     def hand_over(self) -> None:
+        """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
+        self.core.members.leaving = True
         self.put(lambda now: self.core.raft and self.core.raft.hand_over())
+        self.founder.say_here()
+
+    def _watch(self) -> None:
+        """Shows the leader's machine what the failure detector says of its members."""
+        while True:
+            gevent.sleep(VERDICTS)
+            raft = self.core.raft
+            if raft is None or not raft.leads:
+                continue
+            view = self.node.membership.membership.view
+            records = [view[a] for a in raft.log.voters.everyone().values() if a in view]
+            found = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
+            self.put(lambda now, found=found: setattr(self.core.members, "departed", found))
 
     def _offer(self, o: wire.Offer) -> wire.Took:
         if self._over:
@@ -329,15 +356,16 @@
 
     def _log(self) -> None:
         decided, self.core.decided = self.core.decided, []
+        r = self.core.raft
+        term = r.term if r else 0
         for c, o in decided:
             fields = {f: str(getattr(c, f)) for f in c.__struct_fields__ if f not in ("doc", "digest")}
-            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, **fields)
-        r = self.core.raft
+            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, term=term, **fields)
         role = r.role if r else "blank"
         if role == self._role_said or role == "pre":
             return
         self._role_said = role
-        change("raft_role", role=role, term=r.term if r else 0, generation=r.group.generation if r else 0)
+        change("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
 
 
 def announced(m: Message) -> Message:
--- /dev/null
+++ b/sim/orders.py
@@ -0,0 +1,193 @@
+"""What operators, applications and upstreams of the core were told; times in simulated seconds."""
+
+from __future__ import annotations
+
+import msgspec
+
+from mallowvalve.types import Address
+from sim import pages
+
+
+class Order(msgspec.Struct):
+    """One call of an operator: an item's version and content (None: dropped). `said` is a status, 0 for no answer."""
+
+    who: str
+    name: str
+    version: int
+    content: str | None
+    begun: float
+    ended: float
+    said: int
+
+
+class ItemsRead(msgspec.Struct):
+    """A confirmed read: name to version and content of what stood, zones evacuated, states of upstreams."""
+
+    begun: float
+    ended: float
+    by: str
+    rows: dict[str, tuple[int, str]]
+    evacuated: list[str]
+    upstreams: dict[str, str]
+
+
+class ZoneOrder(msgspec.Struct):
+    """An evacuation or its end, over all its calls: acknowledged, or given up undecided. One operator a zone."""
+
+    zone: str
+    on: bool
+    begun: float
+    ended: float
+    acked: bool
+
+
+class Notice(msgspec.Struct):
+    """An upstream's acknowledged word that it is `leaving` or `gone`."""
+
+    instance: str
+    state: str
+    acked: float
+
+
+class TakeCall(msgspec.Struct):
+    """One intent to take a lock, over all its calls. A holder's name is used for one intent only."""
+
+    name: str
+    holder: str
+    begun: float
+    ended: float
+    said: int
+    hold_s: float
+    token: int = 0
+    freed: float | None = None
+
+
+class Held(msgspec.Struct):
+    """A holder's own belief that it holds a lock, counted from when its call was sent."""
+
+    name: str
+    holder: str
+    start: float
+    end: float
+    token: int
+
+
+class Counted(msgspec.Struct):
+    """One call for a number; value 0 where it was not told."""
+
+    name: str
+    begun: float
+    ended: float
+    value: int
+    refused: bool = False
+
+
+class CellCall(msgspec.Struct):
+    """A put or read of a key. A put's value is used once; `revision` is what was answered, 0 for none."""
+
+    kind: str
+    name: str
+    value: str | None
+    begun: float
+    ended: float
+    said: int
+    revision: int
+    base: int | None = None
+
+
+class Event(msgspec.Struct):
+    """One event that a watcher was shown."""
+
+    watcher: str
+    revision: int
+    name: str
+    value: str
+    at: float
+
+
+class WatchSeen(msgspec.Struct):
+    """What one answer to a watch said it was whole up to."""
+
+    by: Address
+    begun: float
+    revision: int
+
+
+class Said(msgspec.Struct):
+    """A success that a core machine told somebody: an `order`, a `read` or a `beat`."""
+
+    by: Address
+    kind: str
+    begun: float
+    at: float
+
+
+class Cut(msgspec.Struct):
+    """A span in which these machines had no two-way path to most of the voters."""
+
+    machines: list[Address]
+    began: float
+    ended: float
+
+
+class CatchUp(msgspec.Struct):
+    """A machine that came back at `began` and held at `ended` (None: not yet) what was committed as it came."""
+
+    machine: Address
+    how: str
+    began: float
+    index: int
+    ended: float | None = None
+
+
+class Loss(msgspec.Struct):
+    """A member lost within the budget; `confirmed` is when an order begun afterwards was first confirmed."""
+
+    what: str
+    at: float
+    confirmed: float | None = None
+
+
+class Orders:
+    """All that the users of a core were told in one run."""
+
+    def __init__(self) -> None:
+        self.orders: list[Order] = []
+        self.reads: list[ItemsRead] = []
+        self.zones: list[ZoneOrder] = []
+        self.notices: list[Notice] = []
+        self.takes: list[TakeCall] = []
+        self.held: list[Held] = []
+        self.numbers: list[Counted] = []
+        self.cells: list[CellCall] = []
+        self.events: list[Event] = []
+        self.watched: list[WatchSeen] = []
+        self.said: list[Said] = []
+        self.cuts: list[Cut] = []
+        self.catch_ups: list[CatchUp] = []
+        self.losses: list[Loss] = []
+        self.most_index = 0
+
+
+def figures(o: Orders) -> dict[str, int]:
+    """Counts and worst times (ms) of a run."""
+    caught = [c.ended - c.began for c in o.catch_ups if c.ended is not None]
+    back = [x.confirmed - x.at for x in o.losses if x.confirmed is not None]
+    return {
+        "orders": len(o.orders),
+        "confirmed": sum(x.said == pages.OK for x in o.orders),
+        "refused": sum(x.said in (pages.CONFLICT, pages.INVALID) for x in o.orders),
+        "reads": len(o.reads),
+        "zones": sum(z.acked for z in o.zones),
+        "notices": len(o.notices),
+        "held": len(o.held),
+        "counted": sum(n.value > 0 for n in o.numbers),
+        "puts": sum(c.kind == "put" and c.said == pages.OK for c in o.cells),
+        "events": len(o.events),
+        "beats": sum(s.kind == "beat" for s in o.said),
+        "losses": len(o.losses),
+        "worst_loss_ms": int(1000 * max(back, default=0)),
+        "catch_ups": len(caught),
+        "worst_catch_up_ms": int(1000 * max(caught, default=0)),
+        "index": o.most_index,
+    }
