--- a/verification/bounds.py
+++ b/verification/bounds.py
@@ -18,6 +18,7 @@
     crashes: int = 0
     wipes: int = 0
     changes: int = 0
+    greetings: int = 0
     repeats: int = 0
     reads: int = 0
     silences: int = 0
--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -37,6 +37,7 @@
     """
 
     __slots__ = ("bounds", "kind", "machine", "members", "flights", "spent", "record", "_shared")
+    checks: type[Record] = Record
 
     def __init__(
         self, bounds: Bounds, machine: type[Raft] = Raft, seed: int | None = None, member: type[Member] = Member
@@ -44,13 +45,13 @@
         """With no `seed` the members' random numbers are all 0, which the breadth-first search needs."""
         self.bounds, self.machine, self.kind = bounds, machine, member
         names = [f"n{number}" for number in range(bounds.members)]
-        first = Snapshot(GROUP, 0, 0, Voters({name: address(name) for name in names}), [b""])
+        first = member.first(GROUP, Voters({name: address(name) for name in names}))
         self.members: dict[str, Member] = {}
         for number in range(bounds.members + bounds.spares):
             self._add(f"n{number}", first, seed)
         self.flights: dict[Flight, Message] = {}
         self.spent: dict[str, int] = {}
-        self.record = Record()
+        self.record = self.checks()
         self._shared: set[str] = set()
         if bounds.led:
             self._lead_first()
@@ -115,7 +116,7 @@
         member = self._own(step.to)
         if member.unsaved is not None:
             raise ImpossibleError(step.to)
-        return member.step(lambda raft: raft.receive(step.sender, message, member.now))
+        return member.receive(step.sender, message)
 
     def _take(self, step: steps.Deliver | steps.Lose, keep: bool) -> Message:
         flight = (step.sender, step.to, step.message)
@@ -167,7 +168,7 @@
         for name in list(self.members):
             member = self._own(name)
             member.now += step.ms / 1000
-            if member.unsaved is not None:
+            if member.unsaved is not None or name == step.frozen:
                 continue
             self._send(name, member.step())
             broken = self.record.check(self.members, member)
@@ -240,7 +241,7 @@
 
     def _pass_options(self) -> Iterator[steps.Step]:
         if self.bounds.shared_clock and self._left("passes"):
-            yield from (steps.Pass(ms) for ms in PASSES)
+            yield from (steps.Pass(ms, frozen) for ms in PASSES for frozen in ("", *self.members))
 
     def _silence_options(self) -> Iterator[steps.Step]:
         if not self.bounds.shared_clock and self._left("silences"):
@@ -269,6 +270,12 @@
         command = f"c{self.spent.get('commands', 0)}"
         yield from (steps.Propose(member.id, command) for member in self.leaders("commands"))
 
+    def _offer_options(self) -> Iterator[steps.Step]:
+        yield from ()
+
+    def _here_options(self) -> Iterator[steps.Step]:
+        yield from ()
+
     def _read_options(self) -> Iterator[steps.Step]:
         yield from (steps.Read(member.id) for member in self.leaders("reads") if member.raft.settled)
 
--- /dev/null
+++ b/verification/control_member.py
@@ -0,0 +1,159 @@
+"""A member with the whole control machine: Raft, the replicated state with its sessions, leases and reconfiguration."""
+
+from __future__ import annotations
+
+import contextlib
+
+import msgspec
+from msgspec.structs import replace
+
+from mallowvalve.control import store
+from mallowvalve.control.core import Core
+from mallowvalve.control.snapshot import founding, load
+from mallowvalve.control.wire import Took, Who
+from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, Voters
+from mallowvalve.raft.raft import Raft
+from mallowvalve.settings import Acks
+from mallowvalve.storage.log import DiskLog
+from mallowvalve.types import Address, Locality, Revision
+from verification.disk import PowerDisk
+from verification.identity import digest
+from verification.member import FLEET, TIMES, Answered, Member, Sent
+
+ACKS = Acks(settings="commit", coordination="commit")
+HERE = Locality("region", "zone")
+HOST, PORT = "10.0.0.1", 7001
+ROLE = "control"
+
+
+class Reply(msgspec.Struct, frozen=True):
+    """What a member said to a frame of a caller's call."""
+
+    call: int
+    frame: int
+    unheard: bool
+    took: Took
+
+
+class Frame(msgspec.Struct, frozen=True):
+    """The token of a frame that was offered."""
+
+    call: int
+    frame: int
+    unheard: bool
+
+
+class Floor(msgspec.Struct, frozen=True):
+    """The token of a read: what had been acknowledged when it was asked."""
+
+    index: int
+
+
+class View:
+    """The applied state as the checks see it: its index, and a digest of all that calls did to it."""
+
+    __slots__ = ("index", "history")
+
+    def __init__(self, core: Core):
+        """The state that the machine holds now."""
+        state = core.state
+        self.index = state.index
+        rows = sorted((key, kept.outcome) for key, kept in state.sessions.rows.items())
+        events = list(state.coordination.events)
+        self.history = digest(
+            [state.clock, sorted(state.coordination.keys.items()), events, rows, state.sessions.times]
+        )
+
+
+class ControlMember(Member):
+    """Runs a `Core` over the disk log; `replies` are for the callers, and emptied by who hands them on."""
+
+    __slots__ = ("core", "replies", "boot")
+
+    @staticmethod
+    def first(group: Group, voters: Voters) -> Snapshot:
+        """The snapshot that all members begin from."""
+        return founding(group, voters, None)
+
+    def _start(self, disk: PowerDisk) -> None:
+        self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
+        loaded = store.load(self.disk_log).unwrap()
+        self.core = Core(self.id, address(self.id), HERE, self.rng, ACKS, TIMES)
+        self.core.start(loaded.snapshot, loaded.hard, loaded.entries, self.now)
+        self.raft: Raft = self.core.raft
+        self.reached, self.unsaved = 0, None
+        self.acknowledged, self.answers = [], []
+        self.replies: list[Reply] = []
+        self._key = None
+        self._hold(loaded.hard)
+        self._look()
+
+    def step(self, act=lambda raft: None) -> Sent:
+        """Does something to the machine, and gives the messages that need not wait for the disk."""
+        act(self.raft)
+        self.core.tick(self.now)
+        ready = self.core.ready(self.now)
+        if ready.hard is None and not ready.entries and ready.install is None:
+            return ready.early + self._after(ready)
+        self.unsaved = ready, self.raft.hard()
+        return ready.early
+
+    def receive(self, sender: str, message: Message) -> Sent:
+        """Takes in a message; the state of a snapshot is built beside the machine first, as its daemon does."""
+        if isinstance(message, Install) and message.snapshot.state and message.snapshot.index > self.raft.commit:
+            snapshot = message.snapshot
+            self.core.bring(snapshot, load(snapshot.state, snapshot.group.generation))
+        envelope = Envelope(self.raft.group, sender, self.id, address(sender), message)
+        return self.step(lambda raft: self.core.receive(envelope, self.now))
+
+    def offer(self, data: bytes, frame: Frame, limit: float) -> Sent:
+        """A frame of a call comes; `limit` is when its answer is given up (s)."""
+        return self.step(lambda raft: self.core.propose(data, frame, limit, self.now))
+
+    def read(self, floor: int) -> Sent:
+        """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
+        return self.step(lambda raft: self.core.read(Floor(floor), float("inf"), self.now))
+
+    def here(self, who: Who) -> Sent:
+        """Hears of another member."""
+        return self.step(lambda raft: self.core.here(who, self.now))
+
+    def who(self, leaving: bool) -> Who:
+        """What it says of itself."""
+        return replace(self.core.who(ROLE, []), leaving=leaving)
+
+    def compact(self) -> None:
+        """Writes a snapshot of the state, and the log turns to it."""
+        head, pieces = self.core.snapshot()
+        snapshot = replace(head, state=list(pieces))
+        tail = [entry for entry in self.raft.log.entries if entry.index > snapshot.index]
+        store.turn(self.disk_log, snapshot, store.head(self.raft.hard(), tail))
+        self.core.compact(snapshot)
+        self._hold(self.raft.hard())
+
+    def current(self) -> bool:
+        """Whether it would answer watches from what it holds."""
+        return self.core.current(self.now)
+
+    def _after(self, ready) -> Sent:
+        self.core.saved(ready, self.now)
+        self._look()
+        replies, self.core.replies = self.core.replies, []
+        for token, took in replies:
+            if isinstance(token, Frame):
+                self.replies.append(Reply(token.call, token.frame, token.unheard, took))
+            elif took.code == "ok":
+                self.answers.append(Answered(token.index, Revision(took.revision).index))
+        return ready.late
+
+    def _look(self) -> None:
+        with contextlib.suppress(AttributeError):
+            if self.applied.index == self.core.state.index:
+                return
+        self.applied = View(self.core)
+        self.reached = max(self.reached, self.applied.index)
+
+
+def address(name: str) -> Address:
+    """The address of a member, by the number in its name."""
+    return Address(HOST, PORT + int(name[1:]))
--- a/verification/member.py
+++ b/verification/member.py
@@ -18,7 +18,7 @@
 from mallowvalve.control import store
 from mallowvalve.control.waiting import Read, Reads
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import COMMAND, Entry, Hard, Message, Snapshot
+from mallowvalve.raft.messages import COMMAND, Entry, Group, Hard, Message, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
 from mallowvalve.raft.raft import Raft
 from mallowvalve.storage.log import DiskLog
@@ -104,6 +104,11 @@
         store.turn(DiskLog.open(disk, FLEET, id).unwrap(), snapshot, store.head(Hard(snapshot.group, 0, ""), []))
         self._start(disk)
 
+    @staticmethod
+    def first(group: Group, voters: Voters) -> Snapshot:
+        """The snapshot that all members begin from."""
+        return Snapshot(group, 0, 0, voters, [b""])
+
     def _start(self, disk: PowerDisk) -> None:
         self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
         loaded = store.load(self.disk_log).unwrap()
@@ -153,6 +158,10 @@
             self.disk_log.disk.fail_at = None
         self._start(self.disk_log.disk)
 
+    def receive(self, sender: str, message: Message) -> Sent:
+        """Takes in a message."""
+        return self.step(lambda raft: raft.receive(sender, message, self.now))
+
     def propose(self, data: bytes) -> Sent:
         """Offers a command to the machine."""
 
--- a/verification/steps.py
+++ b/verification/steps.py
@@ -11,10 +11,11 @@
     member: str
 
 
-class Pass(msgspec.Struct, frozen=True, tag="pass"):
-    """All clocks move on together."""
+class Pass(msgspec.Struct, frozen=True, tag="pass", omit_defaults=True):
+    """All clocks move on together; all but a frozen member see it at once, that one at its next step."""
 
     ms: int
+    frozen: str = ""
 
 
 class Silence(msgspec.Struct, frozen=True, tag="silence"):
@@ -82,6 +83,26 @@
     learners: tuple[str, ...]
 
 
+class Offer(msgspec.Struct, frozen=True, tag="offer", omit_defaults=True):
+    """A caller's command comes to a member: its next frame, or one sent before that was doubled or held on its way.
+
+    With `unheard` the caller never gets the answer.
+    """
+
+    member: str
+    call: int
+    frame: int
+    unheard: bool = False
+
+
+class Here(msgspec.Struct, frozen=True, tag="here", omit_defaults=True):
+    """The member hears from another that it is there, or that it is `leaving`."""
+
+    member: str
+    other: str
+    leaving: bool = False
+
+
 class HandOver(msgspec.Struct, frozen=True, tag="hand-over"):
     """A leader is asked to let another lead."""
 
@@ -95,7 +116,21 @@
 
 
 Step = (
-    Timeout | Pass | Silence | Deliver | Lose | Save | Crash | Wipe | Propose | Read | Reconfigure | HandOver | Compact
+    Timeout
+    | Pass
+    | Silence
+    | Deliver
+    | Lose
+    | Save
+    | Crash
+    | Wipe
+    | Propose
+    | Offer
+    | Here
+    | Read
+    | Reconfigure
+    | HandOver
+    | Compact
 )
 Trace = list[Step]
 
--- a/verification/weather.py
+++ b/verification/weather.py
@@ -16,6 +16,8 @@
     steps.Timeout: 100,
     steps.Pass: 90,
     steps.Propose: 40,
+    steps.Offer: 60,
+    steps.Here: 30,
     steps.Read: 40,
     steps.Crash: 20,
     steps.Compact: 25,
