--- /dev/null
+++ b/verification/control_faults.py
@@ -0,0 +1,86 @@
+"""Protections of the control machine taken out one at a time: sessions, not-after, leases."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from msgspec.structs import replace
+
+from mallowvalve.control import core, lease
+from mallowvalve.control.core import Core
+from mallowvalve.control.outcome import Code, Outcome
+from mallowvalve.control.sessions import Kept, Origin, Sessions
+from mallowvalve.raft.contact import Contact
+from mallowvalve.raft.raft import Raft
+from verification.bounds import UNBOUNDED, WALK
+from verification.control_cluster import ControlCluster
+from verification.faults import STALE, STATE, Fault
+
+CONTROL = replace(WALK, shared_clock=True, passes=UNBOUNDED)
+WATCHING = replace(CONTROL, crashes=0, compactions=0, reads=0, repeats=0)
+CALLING = replace(CONTROL, reads=0, repeats=0)
+ONCE, NOT_AFTER, STALE_WATCH = "once", "not after", "stale watch"
+EXACT = ((core, "LAG", 0),)
+"""With it a watch may lag by no entry, so that short logs show what long ones would."""
+
+_judge = Sessions.judge
+
+
+def _keep_nothing(sessions: Sessions, origin: Origin, outcome: Outcome) -> None:
+    """A memory of nothing."""
+
+
+def _adopt_nothing(sessions: Sessions, rows: list[Kept]) -> None:
+    """A snapshot that brings no memory."""
+
+
+def _never_late(sessions: Sessions, origin: Origin, at: int) -> Outcome | Code | None:
+    """A judgement that takes the late for timely."""
+    if (origin.session, origin.number) in sessions.rows:
+        return _judge(sessions, origin, at)
+    return _judge(sessions, replace(origin, not_after=max(sessions.latest, at)), at)
+
+
+def _from_arrival(contact: Contact, sure: float, now: float) -> None:
+    """Contact that is counted from when the leader's word came."""
+    contact.at = now
+
+
+def _always_in_touch(raft: Raft) -> float:
+    """A leader, or a follower, that takes itself to be in touch for ever."""
+    return raft._now
+
+
+def _current_in_any_term(machine: Core, now: float) -> bool:
+    """Watches served from a state of an earlier term."""
+    return machine.holds(lease.Answer.WATCH, now) and machine.state.index + core.LAG >= machine.raft.told
+
+
+def _leads_at_once(machine: Core) -> bool:
+    """A leader that answers before it has applied what former ones acknowledged."""
+    return machine.raft is not None and machine.raft.leads
+
+
+def _fault(name: str, breaks: tuple[str, ...], *patches: tuple[Any, str, Any], bounds=CALLING) -> Fault:
+    return Fault(name, breaks, patches=patches, bounds=bounds, cluster=ControlCluster)
+
+
+CONTROL_FAULTS = (
+    _fault("outcomes kept by session and number", (ONCE,), (Sessions, "keep", _keep_nothing)),
+    _fault("sessions in the snapshot", (STATE, ONCE), (Sessions, "adopt_rows", _adopt_nothing)),
+    _fault("no effect after the not-after", (NOT_AFTER,), (Sessions, "judge", _never_late)),
+    _fault(
+        "contact counted from the question", (STALE_WATCH,), (Contact, "hear", _from_arrival), *EXACT, bounds=WATCHING
+    ),
+    _fault("watches only while in touch", (STALE_WATCH,), (Raft, "contact", _always_in_touch), *EXACT, bounds=WATCHING),
+    _fault(
+        "watches from a state of the term",
+        (STALE_WATCH,),
+        (Core, "current", _current_in_any_term),
+        *EXACT,
+        bounds=WATCHING,
+    ),
+    _fault(
+        "a leader answers once it has applied all", (STALE,), (Core, "leads", property(_leads_at_once)), bounds=CONTROL
+    ),
+)
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -81,7 +81,7 @@
         self.core = Core(self.id, address(self.id), HERE, self.rng, ACKS, TIMES)
         self.core.start(loaded.snapshot, loaded.hard, loaded.entries, self.now)
         self.raft: Raft = self.core.raft
-        self.reached, self.unsaved = 0, None
+        self.reached, self.unsaved, self.voters = 0, None, None
         self.acknowledged, self.answers = [], []
         self.replies: list[Reply] = []
         self._key = None
@@ -90,6 +90,7 @@
 
     def step(self, act=lambda raft: None) -> Sent:
         """Does something to the machine, and gives the messages that need not wait for the disk."""
+        self.begin()
         act(self.raft)
         self.core.tick(self.now)
         ready = self.core.ready(self.now)
--- a/verification/invariants.py
+++ b/verification/invariants.py
@@ -40,7 +40,7 @@
 
     def check(self, members: Members, touched: Member) -> str | None:
         """Checks all that the last step, at one member, can have broken."""
-        return (
+        broken = (
             self.election_safety(touched)
             or self.log_matching(members, touched)
             or self.state_machine_safety(members, touched)
@@ -48,6 +48,8 @@
             or self.one_change_at_a_time(touched)
             or self.fresh_reads(touched)
         )
+        touched.voters = None
+        return broken
 
     def election_safety(self, touched: Member) -> str | None:
         """At most one leader is elected in a term."""
@@ -77,8 +79,9 @@
             if not log.base < index <= log.last:
                 return f"state machine safety: {touched.id} applied entry {index}, which nobody committed"
             self.committed.append((log.get(index), touched.raft.term))
-            if not _quorum(_holders(members, index, log.get(index).term) | self.gone, log.voters):
-                return f"commit without a quorum: entry {index} is not on the disks of a quorum of {_seats(log.voters)}"
+            voters = touched.voters or log.voters
+            if not _quorum(_holders(members, index, log.get(index).term) | self.gone, voters):
+                return f"commit without a quorum: entry {index} is not on the disks of a quorum of {_seats(voters)}"
         had = self.histories.setdefault(applied, touched.applied.history)
         if had != touched.applied.history:
             return f"state machine safety: {touched.id} has another state at {applied}"
--- a/verification/member.py
+++ b/verification/member.py
@@ -88,6 +88,7 @@
         "applied",
         "held",
         "reached",
+        "voters",
         "unsaved",
         "reads",
         "proposed",
@@ -118,6 +119,7 @@
         self.raft = self.machine(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMES, hard.commit)
         self.applied = Applied(snapshot)
         self.reached = 0
+        self.voters: Voters | None = None
         self.unsaved: tuple[Ready, Hard] | None = None
         self.reads, self.proposed = Reads(), {}
         self.acknowledged: list[int] = []
@@ -129,7 +131,7 @@
 
     def step(self, act: Callable[[Raft], Any] = lambda raft: None) -> Sent:
         """Does something to the machine, and gives the messages that need not wait for the disk."""
-        self._key = None
+        self.begin()
         act(self.raft)
         self.raft.tick(self.now)
         ready = self.raft.ready(self.now)
@@ -138,9 +140,14 @@
         self.unsaved = ready, self.raft.hard()
         return ready.early
 
+    def begin(self) -> None:
+        """Notes the voters in force before a step: by them it commits, also if it then goes on to others."""
+        self._key = None
+        self.voters = self.voters or self.raft.log.voters
+
     def save(self) -> Sent:
         """The disk has it all; gives the messages that waited for it."""
-        self._key = None
+        self.begin()
         ready, hard = self.unsaved
         store.save(self.disk_log, ready, hard)
         self.unsaved = None
