--- a/mallowvalve/control/snapshot_fetch.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -79,6 +79,10 @@
                 return Err(why)
         return g.done()
 
+    def holds(self) -> bool:
+        """Whether somebody is fetching a snapshot here, so that the log that follows it is still wanted."""
+        return self._shelf.holds(clock.now())
+
     def _piece(self, to: Address, g: Gather, want: bytes, limit: float) -> str | None:
         r = self.transport.call(to, "piece", want, limit)
         if r.is_err():
--- a/mallowvalve/control/snapshot_transfer.py
+++ b/mallowvalve/control/snapshot_transfer.py
@@ -13,6 +13,7 @@
 
 KEPT = 2
 IDLE = 30.0
+ASKED, HOLD = 2.0, 20.0
 AGAIN = 8
 YOUNG = 2.0
 
@@ -47,7 +48,12 @@
 
 
 class Shelf:
-    """The snapshots a node hands out; few, and not for long after the last piece was asked for."""
+    """The snapshots a node hands out; few, and not for long after the last piece was asked for.
+
+    A newer one takes the place of the one that was asked for least recently. Whoever fetches one goes on from there by
+    the log, so the log is kept while one is asked for (`ASKED` seconds ago at most), but not for longer than `HOLD`
+    seconds from its first label: a slow one then ends its transfer, and fetches a second.
+    """
 
     __slots__ = ("_kept", "_cut")
 
@@ -59,7 +65,7 @@
         self.forget(now)
         self._kept.pop((p.group, p.index, settings), None)
         while len(self._kept) >= KEPT:
-            del self._kept[next(iter(self._kept))]
+            del self._kept[min(self._kept, key=lambda k: self._kept[k][1])]
         self._kept[p.group, p.index, settings] = (p, now)
         self._cut = {k: self._cut.get(k, now) for k in self._kept}
         return label(p, settings)
@@ -82,11 +88,40 @@
         data = kept[0].state[w.n]
         return Piece(w.group, w.index, w.n, zlib.crc32(data), data, w.settings)
 
+    def holds(self, now: float) -> bool:
+        """Whether the log after some whole snapshot must stay for those who fetch it."""
+        return any(
+            not settings and now - at < ASKED and now - self._cut[group, index, settings] < HOLD
+            for (group, index, settings), (_, at) in self._kept.items()
+        )
+
     def forget(self, now: float) -> None:
         for k in [k for k, (_, at) in self._kept.items() if now - at > IDLE]:
             del self._kept[k]
 
 
+class Fetching:
+    """Which announced snapshot a member is fetching, and how many newer ones were announced meanwhile."""
+
+    __slots__ = ("index", "overtaken")
+
+    def __init__(self) -> None:
+        self.index = self.overtaken = 0
+
+    def announced(self, index: int) -> bool:
+        """Whether to begin a transfer now; one that is under way goes on, whatever is announced."""
+        begins = not self.index
+        if index > self.index:
+            self.overtaken += not begins
+            self.index = index
+        return begins
+
+    def end(self) -> int:
+        """The transfer came to its end; returns how often it was overtaken."""
+        overtaken, self.index, self.overtaken = self.overtaken, 0, 0
+        return overtaken
+
+
 class Gather:
     """Takes in the pieces of one label in order, and nothing else; a lost one is asked for again."""
 
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -20,6 +20,7 @@
 from mallowvalve.control.replica_task import AGAIN
 from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
+from mallowvalve.control.snapshot_transfer import Fetching
 from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
 from mallowvalve.membership.wire import FAILED, LEFT
@@ -46,7 +47,7 @@
         "_tree",
         "puller",
         "_saving",
-        "_pulling",
+        "_fetching",
         "_stored",
         "disk",
         "founder",
@@ -75,7 +76,8 @@
         self._role_said = ""
         self._tree: tuple[int, Tree] = (0, EMPTY)
         self.puller = Puller(node.transport, self.core.snapshot, self.core.base, self.core.settings)
-        self._saving = self._pulling = False
+        self._saving = False
+        self._fetching = Fetching()
         self._stored: dict[tuple[Group, int], str] = {}
         self.disk = RLock()
         self._waits: set[AsyncResult] = set()
@@ -216,11 +218,11 @@
         self.put(lambda now: self.core.receive(e, now))
         if (
             isinstance(e.body, Install)
-            and not self._pulling
             and self.core.raft
+            and e.group == self.core.raft.group
             and e.body.snapshot.index > self.core.raft.commit
+            and self._fetching.announced(e.body.snapshot.index)
         ):
-            self._pulling = True
             gevent.spawn(self._install, e)
 
     def _install(self, e: Envelope) -> None:
@@ -236,7 +238,7 @@
             m = msgspec.structs.replace(e.body, snapshot=p)
             self.put(lambda now: self._show(msgspec.structs.replace(e, body=m), s, name, now))
         finally:
-            self._pulling = False
+            self.node.counts.add("snapshots_overtaken", self._fetching.end())
 
     def _show(self, e: Envelope, s: State, name: str, now: float) -> None:
         raft = self.core.raft
@@ -292,7 +294,7 @@
             self.persist(lambda: store.save(self.disk_log, r, self.core.raft.hard(), stored))
             self._send(group, r.late)
             self.core.saved(r, clock.now())
-            if self.disk_log.full() and not self._saving:
+            if self.disk_log.full() and not self._saving and not self.puller.holds():
                 self._saving = True
                 gevent.spawn(self._compact, *self.core.snapshot())
         replies, self.core.replies = self.core.replies, []
--- a/sim/control.py
+++ b/sim/control.py
@@ -11,7 +11,7 @@
 from mallowvalve.control.leave import Leave, Why
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW
-from mallowvalve.control.snapshot_transfer import read_want
+from mallowvalve.control.snapshot_transfer import Fetching, read_want
 from mallowvalve.control.state import State
 from mallowvalve.control.task import announced
 from mallowvalve.raft.messages import Envelope, Group, Hard, Install, Snapshot, encode, envelope
@@ -38,7 +38,8 @@
         self._absent: dict[Address, float] = {}
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
-        self._busy = self._saving = self._pulling = False
+        self._busy = self._saving = self._joining = False
+        self._fetching = Fetching()
         self.left: Why | None = None
         self.shelf = SimShelf()
         self._box: list = []
@@ -81,15 +82,15 @@
         self._put(lambda: self.core.receive(e, self.now))
         if (
             not isinstance(e.body, Install)
-            or self._pulling
             or self.core.raft is None
+            or e.group != self.core.raft.group
             or e.body.snapshot.index <= self.core.raft.commit
+            or not self._fetching.announced(e.body.snapshot.index)
         ):
             return
-        self._pulling = True
 
         def came(got) -> None:
-            self._pulling = False
+            self.core.counts.add("snapshots_overtaken", self._fetching.end())
             if got is not None:
                 self._put(lambda: self._show(e, *got))
 
@@ -139,7 +140,7 @@
         if self.core.raft is raft:
             self._send(raft.group, r.late)
             self.core.saved(r, self.now)
-            if self.disk_log.full() and not self._saving:
+            if self.disk_log.full() and not self._saving and not self.shelf.holds(self.now):
                 self._compact()
         self._reply()
 
@@ -263,12 +264,18 @@
                 lambda got: got and self._found_anew(v, got[1], answers),
                 lambda l: (l.group, l.index) >= (v.base.group, v.base.index),
             )
-        elif isinstance(v, Start):
-            pull(self, v.source.addr, BASE, lambda got: got and self._begin(got[0]))
+        elif isinstance(v, Start) and not self._joining:
+            self._joining = True
+            pull(self, v.source.addr, BASE, self._joined)
         elif isinstance(v, Wipe):
             new = self._fresh_id()
             self._put(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
 
+    def _joined(self, got) -> None:
+        self._joining = False
+        if got is not None:
+            self._begin(got[0])
+
     def _found_anew(self, v: Found, base: State, answers: list) -> None:
         if heard_enough(base, answers):
             self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, base))
