--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -19,7 +19,7 @@
 """For how long after its `not_after` a command's outcome is kept."""
 AHEAD_MOST_MS = 600_000
 """A `not_after` further ahead of its entry's time is a fault; the product's longest call has 8 s."""
-KEPT_MOST, KEPT_BYTES = 20_000, 4 << 20
+KEPT_MOST, KEPT_BYTES = 10_000, 4 << 20
 CORRECTED_S = 10.0
 """For how long (s) a process goes by the time it was told when its own estimate had been wrong."""
 NUMBER_MOST = (1 << 32) - 1
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -150,7 +150,7 @@
         self.index = index
         self.clock = max(self.clock, at)
         if not data:
-            return Outcome("ok", self.revision)
+            return Outcome(Code.OK, self.revision)
         origin, body = unseal(data)
         c = _command(body)
         if origin is None:
@@ -179,12 +179,12 @@
 
     def _again(self, c: Command, said: Outcome) -> Outcome:
         if (
-            said.code != "ok"
+            said.code != Code.OK
             or not isinstance(c, Lock | Renew)
             or self.coordination.holds(c.name, c.holder, number_of(said))
         ):
             return said
-        return Outcome("lost", said.revision, encode(Said("lost")))
+        return Outcome(Code.LOST, said.revision, encode(Said("lost")))
 
     def _do(self, c: Command) -> Outcome:
         match c:
@@ -199,17 +199,17 @@
             case Seats():
                 for step in c.steps:
                     self._do(step)
-                return Outcome("ok", self.settings.revision)
+                return Outcome(Code.OK, self.settings.revision)
             case Amend():
                 return self._amend(c)
             case Registered():
                 return self._registered(c)
             case Take() | Extend() | Free() | Count() | Write():
-                return Outcome("ok", self.revision, encode(self.plain.apply(c, self.clock)))
+                return Outcome(Code.OK, self.revision, encode(self.plain.apply(c, self.clock)))
             case Tick():
                 self.coordination.lapse(self.clock)
                 self.plain.lapse(self.clock)
-                return Outcome("ok", self.revision)
+                return Outcome(Code.OK, self.revision)
             case Claim() | Done() | Release() | Forfeit() | Lose():
                 v = self.ledger.apply(c, self.clock, self.revision)
                 return Outcome(v.state, self.revision, encode(v))
@@ -219,11 +219,11 @@
     def _change(self, c: Change) -> Outcome:
         s = self.settings
         if not c.doc:
-            return Outcome("gone", s.doc_revision)
+            return Outcome(Code.GONE, s.doc_revision)
         if c.base is not None and c.base != s.doc_revision:
-            return Outcome("conflict", s.doc_revision)
+            return Outcome(Code.CONFLICT, s.doc_revision)
         s.doc, s.doc_revision, s.revision = c.doc, self.revision, self.revision
-        return Outcome("ok", self.revision)
+        return Outcome(Code.OK, self.revision)
 
     def _amend(self, c: Amend) -> Outcome:
         turn = self.items.judge(c)
@@ -234,33 +234,33 @@
         self.items.take(turn, self.revision)
         if self.items.revision == self.revision:
             self.settings.revision = self.revision
-        return Outcome("ok", self.settings.revision)
+        return Outcome(Code.OK, self.settings.revision)
 
     def _registered(self, c: Registered) -> Outcome:
         before = self.registry.revision
         self.registry.apply(c, self.clock)
         if self.registry.revision != before:
             self.settings.revision = self.revision
-        return Outcome("ok", self.settings.revision)
+        return Outcome(Code.OK, self.settings.revision)
 
     def _evacuate(self, c: Evacuate) -> Outcome:
         s = self.settings
         if c.on == (c.zone in s.evacuated):
-            return Outcome("ok", s.revision)
+            return Outcome(Code.OK, s.revision)
         if c.on:
             return self._set(lambda s: s.evacuated.__setitem__(c.zone, self.revision))
         return self._set(lambda s: s.evacuated.pop(c.zone))
 
     def _enrol(self, c: Enrol) -> Outcome:
         if self.settings.roster.get(str(c.addr)) == Seat(c.boot, c.locality):
-            return Outcome("ok", self.settings.revision)
+            return Outcome(Code.OK, self.settings.revision)
         self._bury(str(c.addr))
         return self._set(lambda s: s.roster.__setitem__(str(c.addr), Seat(c.boot, c.locality)))
 
     def _strike(self, c: Strike) -> Outcome:
         seat = self.settings.roster.get(str(c.addr))
         if seat is None or seat.boot != c.boot:
-            return Outcome("gone", self.settings.revision)
+            return Outcome(Code.GONE, self.settings.revision)
         self._bury(str(c.addr))
         return self._set(lambda s: s.roster.pop(str(c.addr)))
 
@@ -272,4 +272,4 @@
     def _set(self, act) -> Outcome:
         act(self.settings)
         self.settings.revision = self.revision
-        return Outcome("ok", self.revision)
+        return Outcome(Code.OK, self.revision)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -12,7 +12,7 @@
 
 from mallowvalve import clock
 from mallowvalve.configuration.items import Amend, Item
-from mallowvalve.control import sessions
+from mallowvalve.control import sessions, wire
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.sessions import AHEAD_MOST_MS, GRACE_MS, HEADER_BYTES, Call, Origin, Session, seal, unseal
@@ -151,6 +151,14 @@
     assert sum(len(k.outcome.body) for k in s.sessions.rows.values()) <= 1000
 
 
+def test_codes_cross_the_wire_and_snapshots_as_their_words():
+    assert wire.took(wire.encode(Took(Code.LATE, 7, b"x"))) == Took("late", 7, b"x")
+    s = State(3)
+    at(s, 100, sealed(Amend([SERVICE]), 1))
+    other = sealed(Amend([Item("services", "s", 1, b'{"name":"s","version":1,"connections":2}')]), 2)
+    assert at(s, 100, other).code == "conflict" and at(load(dump(s)), 100, other) == at(s, 100, other)
+
+
 def test_a_session_counts_its_calls_and_takes_a_new_identity_when_the_numbers_are_used_up():
     drawn = iter((5, 6))
     p = Session(lambda: next(drawn))
