--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -12,9 +12,10 @@
 from mallowvalve.control.brought_state import BroughtState
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
-from mallowvalve.control.outcome import UNAPPLIED
+from mallowvalve.control.outcome import UNAPPLIED, Code
 from mallowvalve.control.snapshot import cut, cut_settings, load
 from mallowvalve.control.state import (
+    NOT_UNDERSTOOD,
     Change,
     Enrol,
     Evacuate,
@@ -25,6 +26,7 @@
     Tick,
     command,
     encode,
+    is_command,
     tag_of,
     tags,
 )
@@ -183,6 +185,9 @@
         if not self.leads:
             self.replies.append((token, Took("leader", leader=self.leader())))
             return
+        if not is_command(data):
+            self.replies.append((token, Took(Code.INVALID, body=NOT_UNDERSTOOD)))
+            return
         index = self.raft.propose(COMMAND, data, self.clock.read(now))
         if index is None:
             self.replies.append((token, Took("leader")))
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -1,6 +1,7 @@
 from __future__ import annotations
 
 import hashlib
+import struct
 
 import msgspec
 
@@ -9,6 +10,7 @@
 from mallowvalve.control.sessions import Sessions, body_at, encode_clock, unseal
 from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Take, Write
 from mallowvalve.coordination.state import Coordination, Lock, Next, Put, Renew, Said, Unlock
+from mallowvalve.finding import Finding
 from mallowvalve.ledger.asks import Asked, Asks
 from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Ledger, Lose, Release
 from mallowvalve.types import Address, Locality, Revision
@@ -65,6 +67,19 @@
     return _command(unseal(data)[1])
 
 
+NOT_UNDERSTOOD = encode([Finding("command", "not understood")])
+"""The findings that go with an offer of something else than a command."""
+
+
+def is_command(data: bytes) -> bool:
+    """Whether the bytes are a command, with an origin or without; what is in the log must be."""
+    try:
+        command(data)
+    except (msgspec.DecodeError, struct.error):
+        return False
+    return True
+
+
 def tag_of(data: bytes) -> bytes:
     """The tag of an encoded command, read off its first bytes."""
     at = body_at(data)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -260,6 +260,15 @@
     assert {o.not_after for o in t.sealed} <= set(range(80, 200)) and len({o.number for o in t.sealed}) == 1
 
 
+@pytest.mark.parametrize("data", [b"\xc1", b"\xc1" + bytes(19), b"\xc1" + bytes(20), b"x", sealed(Count("n"))[:-1]])
+def test_what_is_no_command_is_refused_before_it_is_in_the_log(data):
+    c = alone()
+    go_on(c, 5.2, 8.0)
+    c.propose(data, "t", 20.0, 8.0)
+    took = dict(step(c, 8.0))["t"]
+    assert took.code == "invalid" and msgspec.msgpack.decode(took.body)[0]["place"] == "command"
+
+
 class Offers(RuleBasedStateMachine):
     """Calls offered in any order, doubled and delayed past everything, to a leader whose clock may run behind.
 
