--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -30,7 +30,6 @@
 from mallowvalve.control.waiting import CommitNote, Parked, Pending, Read, Reads, turns_settings, waits_for
 from mallowvalve.control.wire import Fed, Took, Want, Who
 from mallowvalve.metrics import Counts
-from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Group, Hard, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
@@ -40,7 +39,6 @@
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
 HOLD_MOST = 1.0
-LAG = 16
 TOLD_PACES = 3
 FEED, GATHER_MOST = 0.0015, 0.15
 
@@ -199,11 +197,11 @@
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
         r, i = self.raft, self.state.index if self.state is not None else 0
-        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + LAG >= r.told
+        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + lease.LAG >= r.told
 
     def contact(self) -> float:
         """When (s) this process asked what a majority has confirmed since."""
-        return self.raft.contact() if self.raft is not None else NO_STAMP
+        return self.raft.contact() if self.raft is not None else lease.NEVER
 
     def holds(self, kind: lease.Answer, now: float) -> bool:
         """Whether an answer of the kind may be given by what is known here."""
--- a/mallowvalve/control/lease.py
+++ b/mallowvalve/control/lease.py
@@ -10,8 +10,13 @@
 
 import msgspec
 
+from mallowvalve.raft.contact import NO_STAMP
+
 RETRY_S = 1
 RETRY_ELECTION_S = 2
+LAG = 16
+"""Entries that a state which tells watches what it knows may be behind what its leader told it is committed."""
+NEVER = NO_STAMP
 
 
 class Answer(enum.Enum):
