--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -168,7 +168,7 @@
     __slots__ = ("_session", "_command", "_end", "_sealed", "_maybe")
 
     def __init__(self, session: Session, command: bytes, end: float) -> None:
-        """`end` is when the caller is given up (s)."""
+        """`end` is when the command is to take effect at the latest (s)."""
         self._session, self._command, self._end = session, command, end
         self._sealed, self._maybe = b"", False
 
@@ -179,21 +179,24 @@
         return self._sealed
 
     def heard(self, t: Took, now: float) -> Took:
-        """What an offer's answer says of the call: after one that may have run, a late one is undecided.
+        """What an offer's answer says of the call: after one that may have run, an untimely one is undecided.
 
-        Untimely at first, nothing ran: the call goes on under a new number, by the time that the answer tells.
+        Untimely at first, nothing ran, even if the state may have forgotten others of that time: the call goes on under
+        a new number, by the time that the answer tells.
         """
         self._maybe = self._maybe or t.code == "undecided"
-        if t.code == Code.FORGOTTEN:
-            return Took("forgotten")
-        if t.code not in (Code.LATE, Code.AHEAD):
+        if t.code not in (Code.LATE, Code.AHEAD, Code.FORGOTTEN):
             return t
         if self._maybe:
-            return Took("forgotten")
+            return Took(Code.FORGOTTEN)
         self._session.told(_clock(t.body), now)
         self._sealed = b""
         return Took("leader", leader=t.leader)
 
+    def is_over(self, now: float) -> bool:
+        """Whether it can take no effect any more, and nothing that was offered may have."""
+        return now >= self._end and not self._maybe
+
     def ended(self, t: Took, again: tuple[str, ...]) -> Took:
         """The last word of a call: what may have run never ends as refused."""
         return Took("undecided") if t.code == Code.FORGOTTEN or self._maybe and t.code in again else t
