--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -2,10 +2,12 @@
 import pytest
 from gevent import socket
 from gevent.event import Event
+from gevent.server import StreamServer
 
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
 from mallowvalve.transport import line
+from mallowvalve.transport.calls import Failure
 from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, seal
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
@@ -156,3 +158,25 @@
             answers += cutter.feed(data).unwrap()
     assert got == [b"a", b"b"] and [a.id for a in answers] == [1, 2]
     assert y.counts.get("transport_doubled") == 2 and y.counts.get("transport_stray") == 1
+
+
+def test_a_call_whose_connection_ends_is_told_so_and_never_sent_again(two):
+    x, _ = two
+    got, accepted = [], []
+
+    def take_one_and_leave(sock, _):
+        cutter = Cutter("f")
+        accepted.append(sock)
+        with sock:
+            while not any(isinstance(m, Frame) for m in got[-1:]):
+                got.extend(cutter.feed(sock.recv(65536)).unwrap())
+
+    server = StreamServer(("127.0.0.1", 0), take_one_and_leave)
+    server.start()
+    there = Address("127.0.0.1", server.server_port)
+    why = x.call(there, "offer", b"once", 5).err_value
+    assert why is Failure.CLOSED and why.may_have_run
+    got.append(None)
+    assert x.call(there, "offer", b"next", 5).err_value is Failure.CLOSED
+    server.stop()
+    assert [m.body for m in got if isinstance(m, Frame)] == [b"once", b"next"] and len(accepted) == 2
