--- a/mallowvalve/http_head.py
+++ b/mallowvalve/http_head.py
@@ -21,12 +21,14 @@
     status = ""
 
     def get(self, name: str, default=None):
+        """A header by its name in any case."""
         return self.said.get(name.lower(), default)
 
     getheader = get
 
     @property
     def typeheader(self) -> str | None:
+        """The content type, as pywsgi asks for it."""
         return self.said.get("content-type")
 
 
@@ -42,14 +44,14 @@
     if len(h.pairs) > MOST_LINES:
         raise ValueError("too many headers")
     h.said = said = {}
-    for k, v in h.pairs:
-        k = k.lower()
-        if k not in said:
-            said[k] = v
-        elif k in ("content-length", "transfer-encoding", "host"):
-            raise ValueError(f"two headers {k}")
+    for field, value in h.pairs:
+        name = field.lower()
+        if name not in said:
+            said[name] = value
+        elif name in ("content-length", "transfer-encoding", "host"):
+            raise ValueError(f"two headers {name}")
         else:
-            said[k] = f"{said[k]}{'; ' if k == 'cookie' else ', '}{v}"
+            said[name] = f"{said[name]}{'; ' if name == 'cookie' else ', '}{value}"
     length, coding = said.get("content-length"), said.get("transfer-encoding")
     if length is not None and (coding is not None or not length.isascii() or not length.isdigit()):
         raise ValueError("ambiguous length")
@@ -73,6 +75,7 @@
     __slots__ = ("sock", "buf", "closed", "used")
 
     def __init__(self, sock):
+        """Nothing is read yet."""
         self.sock, self.buf, self.closed, self.used = sock, bytearray(), False, False
 
     def begun(self, idle: float | None) -> bool:
@@ -120,6 +123,7 @@
         return head
 
     def read(self, n: int = -1) -> bytes:
+        """So many bytes, fewer only when the connection ended; with no number what is left."""
         while n < 0 or len(self.buf) < n:
             data = self.sock.recv(65536)
             if not data:
@@ -133,6 +137,7 @@
         return got
 
     def readline(self, most: int = -1) -> bytes:
+        """Up to and with the next line end, at most `most` bytes."""
         while (i := self.buf.find(b"\n")) < 0 and (most < 0 or len(self.buf) < most):
             data = self.sock.recv(65536)
             if not data:
@@ -143,4 +148,5 @@
         return self.read(n)
 
     def close(self) -> None:
+        """Nothing more will be read; the socket is the server's to close."""
         self.closed = True
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -32,10 +32,12 @@
         self.node, self.replica = node, replica
 
     def __enter__(self) -> Doors:
+        """Watch for the settings."""
         self._job = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
+        """Stop listening."""
         self._job.kill()
         self.node.server.stop(timeout=0.2)
 
@@ -54,10 +56,12 @@
         self.pool, self.hosts = pool, hosts
 
     def __enter__(self) -> Tidy:
+        """Begin."""
         self._job = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
+        """Close all."""
         self._job.kill()
         self.pool.connections.keep(set())
         self.hosts.links.tidy(set(), self.hosts.now())
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/pool.py
@@ -25,9 +25,11 @@
         pool.chooser.enter(row.heartbeat.address)
 
     def __enter__(self) -> Lease:
+        """The place is taken already."""
         return self
 
     def __exit__(self, kind, *_) -> None:
+        """Give the place back, unless an answer still streams over it."""
         if kind is not None or not self.streams:
             self.back(keep=False)
 
--- a/mallowvalve/proxy/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -58,10 +58,12 @@
         transport.on("failed", self._heard, quick=True)
 
     def __enter__(self) -> RepeatTask:
+        """Begin to tell the other proxies."""
         self._job = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
+        """Tell no more."""
         self._job.kill()
 
     def failed(self, name: bytes, now: float) -> None:
--- a/mallowvalve/proxy/serve.py
+++ b/mallowvalve/proxy/serve.py
@@ -151,6 +151,7 @@
         self.lease, self.rest = lease, a.rest
 
     def __iter__(self):
+        """The parts as they come."""
         try:
             yield from self.rest
         finally:
--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -1,8 +1,11 @@
+"""The HTTP server of each daemon, and how its pages read bodies and say outcomes."""
+
 from __future__ import annotations
 
 import math
 import sys
 from collections.abc import Callable
+from contextlib import suppress
 from http import HTTPStatus
 from typing import TYPE_CHECKING
 
@@ -32,6 +35,8 @@
 
 
 class Nothing:
+    """Stands for a body of which nothing more is wanted."""
+
     def _discard(self) -> None:
         pass
 
@@ -42,9 +47,11 @@
     linger = False
 
     def __init__(self, sock, address, server, rfile=None):
+        """A connection's socket; reads go through `Incoming`."""
         super().__init__(sock, address, server, rfile or Incoming(sock))
 
     def handle(self):
+        """One request after another, until either side ends the connection."""
         self.server.connections.add(self)
         self.busy = False
         try:
@@ -60,6 +67,7 @@
             self._end()
 
     def handle_one_request(self):
+        """True: another may follow; None: the connection ends; else a refusal to be sent before it ends."""
         limits = self.server.limits()
         most, seconds, idle = HEADER_BYTES, HEADER_S, None
         if limits is not None:
@@ -114,12 +122,14 @@
         }
 
     def full_environ(self):
+        """All that WSGI asks for."""
         env = super().get_environ()
         env["mallow.target"] = self.path
         env["mallow.head"] = self.request
         return env
 
     def finalize_headers(self):
+        """Say whether the connection goes on, and for how long it may rest."""
         self.provided_date = self.provided_date or ""
         if self.server.draining or self.close_connection:
             self.close_connection = True
@@ -138,7 +148,8 @@
         )
         if self.response_use_chunked or len(data) > WHOLE:
             self._sendall(head)
-            return self._write(data)
+            self._write(data)
+            return
         self._sendall(head + data)
 
     def _sendall(self, data):
@@ -178,6 +189,7 @@
         self.linger, self.wsgi_input, self.close_connection = True, Nothing(), True
 
     def log_request(self):
+        """Requests are counted, not logged."""
         pass
 
     def _send_error_response_if_possible(self, error_code):
@@ -186,7 +198,11 @@
         if self.response_length:
             return
         cut = isinstance(sys.exc_info()[1], GreenletExit)
-        status, outcome = (504, UNDECIDED) if cut else (error_code, UNKNOWN if error_code == 500 else UNDECIDED)
+        status, outcome = (
+            (504, UNDECIDED)
+            if cut
+            else (error_code, UNKNOWN if error_code == HTTPStatus.INTERNAL_SERVER_ERROR else UNDECIDED)
+        )
         body = encode({"outcome": outcome, "findings": [Finding("request", "cut by a stop" if cut else "not served")]})
         head = [("Content-Type", "application/json"), (OUTCOME, outcome), ("Content-Length", str(len(body)))]
         try:
@@ -196,13 +212,17 @@
             self.server.counts.add("web_client_error")
 
     def log_error(self, msg, *args):
+        """Errors of clients are counted, not logged."""
         self.server.counts.add("web_client_error")
 
 
 class Server(WSGIServer):
+    """A server that can be drained; `limits` bounds what clients send, and a `lean` application is told little."""
+
     handler_class = Handler
 
     def __init__(self, at: Address, app, counts: Counts, most: int):
+        """Serve `app` at an address, on at most `most` connections."""
         super().__init__(at.pair, app, log=None, error_log=None, spawn=Pool(most))
         self.counts = counts
         self.connections: set[Handler] = set()
@@ -212,10 +232,12 @@
         self.limits: Callable[[], Limits | None] = lambda: None
 
     def __enter__(self) -> Server:
+        """Listen."""
         self.start()
         return self
 
     def __exit__(self, *_) -> None:
+        """Stop at once."""
         self.stop(timeout=0.2)
 
     def drain(self, linger: float, limit: float) -> None:
@@ -231,16 +253,15 @@
                 gevent.sleep(0.02)
 
     def _nudge(self, h: Handler) -> None:
-        try:
+        with suppress(OSError, AttributeError):
             h.socket.shutdown(socket.SHUT_RD)
-        except (OSError, AttributeError):
-            pass
 
 
 encode = msgspec.json.encode
 
 
 def say(resp: falcon.Response, body: object, status: int = 200) -> None:
+    """Answer with JSON."""
     resp.status = status
     resp.content_type = "application/json"
     resp.data = encode(body)
@@ -249,6 +270,7 @@
 def reject(
     resp: falcon.Response, status: int, outcome: str, findings: Findings, retry_after: float | None = None
 ) -> None:
+    """A refusal with its outcome and findings; `retry_after` in seconds."""
     say(resp, {"outcome": outcome, "findings": findings}, status)
     resp.set_header(OUTCOME, outcome)
     if retry_after is not None:
@@ -263,6 +285,7 @@
 
 
 def body_of(req: falcon.Request, most: int) -> bytes | None:
+    """The request's body; None when it is larger than `most` bytes."""
     if req.content_length is not None and req.content_length > most:
         return None
     data = req.bounded_stream.read(most + 1) if req.content_length is not None else req.env["wsgi.input"].read(most + 1)
@@ -273,27 +296,32 @@
     """The JSON body as a checked struct, or None once every finding was answered."""
     data = body_of(req, most)
     if data is None:
-        return turn_away(req, resp, 413, [Finding("body", f"larger than {most} bytes")])
+        turn_away(req, resp, 413, [Finding("body", f"larger than {most} bytes")])
+        return None
     r = parse_json(data).and_then(lambda d: finding.read(kind, d))
     if r.is_err():
-        return turn_away(req, resp, 400, r.err_value)
+        turn_away(req, resp, 400, r.err_value)
+        return None
     return r.ok_value
 
 
 class Later:
-    """An app that loads its library with the first request that needs it; `plain` answers GETs of a path without one."""
+    """An app that loads its library with the first request that needs it; `plain` answers GETs of a path without."""
 
     __slots__ = ("plain", "_app", "_todo")
 
     def __init__(self):
+        """The library is not loaded yet."""
         self.plain: dict[str, Callable[[], tuple[int, object]]] = {}
         self._app: falcon.App | None = None
         self._todo: list[tuple] = []
 
     def add_route(self, *a, **kw) -> None:
+        """As falcon's."""
         self._add("add_route", a, kw)
 
     def add_sink(self, *a, **kw) -> None:
+        """As falcon's."""
         self._add("add_sink", a, kw)
 
     def _add(self, what: str, a: tuple, kw: dict) -> None:
@@ -303,6 +331,7 @@
             getattr(self._app, what)(*a, **kw)
 
     def __call__(self, env: dict, start: Callable):
+        """As WSGI's."""
         act = self.plain.get(env["PATH_INFO"]) if env["REQUEST_METHOD"] == "GET" else None
         if act is None:
             return self.made()(env, start)
@@ -315,6 +344,7 @@
         return [data]
 
     def made(self) -> falcon.App:
+        """The app, loaded now if it was not."""
         if self._app is None:
             self._app = make_app()
             for what, a, kw in self._todo:
@@ -323,6 +353,7 @@
 
 
 def make_app() -> falcon.App:
+    """A falcon app whose errors are refusals with outcomes."""
     import falcon
 
     app = falcon.App()
