--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -138,6 +138,8 @@
         elif self.idle is not None:
             self.response_headers.append((b"Keep-Alive", b"timeout=%d" % max(1, int(self.idle - SOON))))
         super().finalize_headers()
+        if self.command == "HEAD" and self.provided_content_length is None:
+            self.response_headers = [h for h in self.response_headers if h[0].lower() != b"content-length"]
 
     def _write_with_headers(self, data):
         """Head and a small body leave in one call."""
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -131,3 +131,13 @@
     assert told == ["0a", "1a", "1b", "2a", "2b"]
     assert not rooms.wait("s", 0.01, 0)
     rooms.freed("s")
+
+
+def test_a_head_answer_of_unknown_length_says_none(set_up):
+    s, up, _ = set_up
+    up.how = lambda mark: ANSWER % mark + b"Transfer-Encoding: chunked\r\n\r\n"
+    client = Client(s)
+    status, _, headers = client.send(req(method=b"HEAD")).answer("HEAD")
+    assert (status, headers["content-length"], headers["transfer-encoding"]) == (200, None, None)
+    up.how = None
+    assert client.send(req(mark=b"a2")).answer()[0] == 200
