--- a/mallowvalve/localfleet/trial.py
+++ b/mallowvalve/localfleet/trial.py
@@ -7,6 +7,9 @@
 from mallowvalve.localfleet.judge import dropped, figures, judge
 from mallowvalve.localfleet.operators import Operators
 from mallowvalve.localfleet.users import Coordinators
+from verification import histories
+
+RECORDED = "history.jsonl"
 
 ACTS = {
     a.__name__: a
@@ -66,6 +69,7 @@
     seconds = time.time() - begun
     f.stop("clients", 30)
     asked, ran = f.rows("asked.jsonl"), f.rows("ran.jsonl")
+    histories.write(f.folder / RECORDED, history.operations(users.history))
     found += ops.findings() + judge(ops.offers, asked, ran) + history.check(users.history)
     ts = sorted(ops.ack_times)
     more = {
