--- a/mallowvalve/localfleet/acts.py
+++ b/mallowvalve/localfleet/acts.py
@@ -1,27 +1,32 @@
+"""Acts of a trial: what may happen to a fleet under load; each returns what it found wrong."""
+
 from __future__ import annotations
 
 import random
 import time
 from collections.abc import Callable
+from functools import partial
 
-from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.call import call, is_ok
 from mallowvalve.localfleet.cost import Cost
 from mallowvalve.localfleet.fleet import Fleet, until
 from mallowvalve.localfleet.judge import after_evacuation, after_leaving, repeat_share
 
 
 def rolling(f: Fleet) -> list[str]:
+    """Every process is stopped politely and started again, one after the other."""
     out = []
     for p in f.of("control") + f.of("directory") + f.of("proxy"):
         if f.stop(p.name, f.polite + 3) != 0:
             out.append(f"{p.name} did not stop politely")
         f.start(p.name)
-        if not until(lambda: call(p.web, "GET", "/-/ready", limit=2)[0] == 200, 20):
+        if not until(partial(is_ok, p.web, "/-/ready"), 20):
             out.append(f"{p.name} not ready again")
     return out
 
 
 def upstream_crashes(f: Fleet) -> list[str]:
+    """Some upstreams are killed, some stopped, and all come back."""
     rng = random.Random(5)
     for p in rng.sample(f.of("upstream"), min(6, len(f.of("upstream")) // 2)):
         f.kill(p.name)
@@ -34,6 +39,7 @@
 
 
 def leaving(f: Fleet) -> list[str]:
+    """An upstream says that it leaves and stops; nothing reaches it afterwards."""
     p = random.Random(6).choice(f.of("upstream"))
     left = time.time()
     f.stop(p.name, 12)
@@ -42,6 +48,7 @@
 
 
 def kills(f: Fleet) -> list[str]:
+    """Processes of each role are killed and come back after some seconds."""
     rng = random.Random(7)
     for role in ("proxy", "control", "directory", "proxy", "control"):
         p = rng.choice(f.of(role))
@@ -53,6 +60,7 @@
 
 
 def evacuation(f: Fleet) -> list[str]:
+    """A zone is evacuated and given back."""
     zone, control = "eu-a", f.of("control")[0]
     status, data, _ = call(control.web, "POST", "/evacuations", {"zone": zone, "evacuated": True})
     start = time.time()
@@ -70,10 +78,12 @@
 
 
 def zone_lost(f: Fleet) -> list[str]:
+    """Every process of a zone is killed and comes back."""
     return _lose(f, lambda p: p.locality == "us/us-a")
 
 
 def region_lost(f: Fleet) -> list[str]:
+    """Every process of a region is killed and comes back."""
     return _lose(f, lambda p: p.locality.startswith("ap/"))
 
 
@@ -92,6 +102,7 @@
 
 
 def wiped_core(f: Fleet) -> list[str]:
+    """Every control process loses its folder at once."""
     for p in f.of("control"):
         f.kill(p.name)
         f.wipe(p.name)
@@ -104,6 +115,7 @@
 
 
 def frozen(f: Fleet) -> list[str]:
+    """Processes stand still for some seconds and go on."""
     for p in (f.of("proxy")[0], f.of("control")[0], f.of("proxy")[1]):
         f.freeze(p.name)
         time.sleep(4)
--- a/mallowvalve/localfleet/call.py
+++ b/mallowvalve/localfleet/call.py
@@ -1,9 +1,28 @@
+"""Calls to processes of a fleet on this machine."""
+
 from __future__ import annotations
 
-from mallowvalve.admin.call import call_at
+from collections.abc import Mapping
+from typing import Any
+
+from mallowvalve.admin.call import Answer, call_at
 
 HOST = "127.0.0.1"
+OK = 200
 
 
-def call(port: int, method: str, path: str, body=None, headers: dict | None = None, limit: float = 10.0):
+def call(
+    port: int,
+    method: str,
+    path: str,
+    body: Any = None,
+    headers: Mapping[str, str] | None = None,
+    limit: float = 10.0,
+) -> Answer:
+    """As `admin.call.call_at`, at a port of this machine."""
     return call_at(HOST, port, method, path, body, headers, limit)
+
+
+def is_ok(port: int, path: str, limit: float = 2.0) -> bool:
+    """Whether a GET is answered 200 within `limit` seconds."""
+    return call(port, "GET", path, limit=limit)[0] == OK
--- a/mallowvalve/localfleet/cost.py
+++ b/mallowvalve/localfleet/cost.py
@@ -1,3 +1,5 @@
+"""What a request costs each role, from counters and processor time."""
+
 from __future__ import annotations
 
 import os
@@ -24,10 +26,12 @@
     """What each role's processes did between two moments, for each request the clients were answered."""
 
     def __init__(self, f: Fleet):
+        """Count from now on."""
         self.f, self.at = f, time.time()
         self.before = {p.name: _snapshot(p) for r in ("proxy", "control", "directory") for p in f.of(r)}
 
     def lines(self) -> list[str]:
+        """A line for each role, a request's share of processor time (ms) and counters."""
         seconds = time.time() - self.at
         asked = [r for r in self.f.rows("asked.jsonl") if r["at"] > self.at]
         n = max(1, len(asked))
--- a/mallowvalve/localfleet/fleet.py
+++ b/mallowvalve/localfleet/fleet.py
@@ -1,3 +1,5 @@
+"""The processes of a fleet on this machine: started, stopped, killed, frozen, cut off."""
+
 from __future__ import annotations
 
 import json
@@ -16,16 +18,25 @@
 
 
 class Place(msgspec.Struct):
+    """A process of a role at REGION/ZONE."""
+
     role: str
     locality: str
 
 
 class Pool(msgspec.Struct):
+    """The upstreams of a service, one at each of the localities."""
+
     service: str
     localities: list[str]
 
 
 class Shape(msgspec.Struct):
+    """A fleet: its processes, upstreams and configuration, and the load of its clients (`rate` requests a second).
+
+    `shares` are kinds of requests: [tenant, method, path, once, weight].
+    """
+
     nodes: list[Place]
     upstreams: list[Pool]
     config: dict
@@ -35,6 +46,8 @@
 
 
 class Proc:
+    """A process: its command line, ports and files; `job` while it runs."""
+
     __slots__ = ("name", "role", "args", "web", "transport", "data", "job", "log", "locality", "tell")
 
     def __init__(
@@ -48,6 +61,7 @@
         log: Path,
         data: Path | None = None,
     ):
+        """One that is not started yet."""
         self.name, self.role, self.args, self.web, self.transport = name, role, args, web, transport
         self.locality, self.log, self.data = locality, log, data
         self.job: subprocess.Popen | None = None
@@ -55,11 +69,15 @@
 
     @property
     def up(self) -> bool:
+        """Whether it runs."""
         return self.job is not None and self.job.poll() is None
 
 
 class Fleet:
+    """All processes by name. While it is entered those of the shape run; `wish` are the faults put in."""
+
     def __init__(self, shape: Shape, folder: Path, polite: float = 4.0):
+        """Plan the processes with free ports, their files in `folder`; a polite stop may take `polite` seconds."""
         self.shape, self.folder, self.polite = shape, folder, polite
         self.procs: dict[str, Proc] = {}
         self.wish: dict = {}
@@ -108,6 +126,7 @@
         return p
 
     def upstream(self, service: str, instance: str, locality: str, port: int, tell: list[str]) -> Proc:
+        """Plan one more upstream; nodes of `tell` take its heartbeats."""
         (self.folder / instance).mkdir(exist_ok=True)
         args = [
             "standins",
@@ -129,6 +148,7 @@
         return p
 
     def add_node(self, role: str, locality: str, name: str) -> Proc:
+        """Start one more process of a role."""
         web, transport = free_ports(2)
         p = self._node(Place(role, locality), name, web, transport)
         self.start(name)
@@ -137,6 +157,7 @@
     def start_clients(
         self, name: str = "clients", seed: int = 1, rate: float | None = None, relentless: bool = False
     ) -> Proc:
+        """Start stand-in clients, `rate` requests a second or the shape's own."""
         s = self.shape
         args = [
             "standins",
@@ -159,20 +180,24 @@
         return self.start(name)
 
     def of(self, role: str) -> list[Proc]:
+        """The processes of a role."""
         return [p for p in self.procs.values() if p.role == role]
 
     def start(self, name: str) -> Proc:
+        """Start a process that does not run."""
         p = self.procs[name]
         with open(p.log.parent / f"{p.name}.err", "ab") as err:
             p.job = subprocess.Popen([sys.executable, "-m", "mallowvalve", *p.args], stderr=err, stdout=err)
         return p
 
     def __enter__(self) -> Fleet:
+        """Start all processes."""
         for n in list(self.procs):
             self.start(n)
         return self
 
     def __exit__(self, *_) -> None:
+        """Kill all processes."""
         for p in self.procs.values():
             if p.up:
                 p.job.send_signal(signal.SIGCONT)
@@ -182,21 +207,26 @@
                 p.job.wait()
 
     def kill(self, name: str) -> None:
+        """Kill a process at once (SIGKILL)."""
         self.procs[name].job.kill()
         self.procs[name].job.wait()
 
     def stop(self, name: str, limit: float = 10.0) -> int:
+        """Ask a process to stop; its exit code. After `limit` seconds subprocess.TimeoutExpired is raised."""
         j = self.procs[name].job
         j.terminate()
         return j.wait(timeout=limit)
 
     def freeze(self, name: str) -> None:
+        """Let a process stand still (SIGSTOP)."""
         os.kill(self.procs[name].job.pid, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
+        """Let it go on (SIGCONT)."""
         os.kill(self.procs[name].job.pid, signal.SIGCONT)
 
     def wipe(self, name: str) -> None:
+        """Delete its folder."""
         shutil.rmtree(self.procs[name].data, ignore_errors=True)
 
     def cut(self, pairs: list[tuple[Proc, Proc]], one_way: bool = False) -> None:
@@ -206,13 +236,16 @@
         self._wish()
 
     def split(self, left: list[Proc], right: list[Proc], one_way: bool = False) -> None:
+        """Cut every process of one side from every one of the other."""
         self.cut([(a, b) for a in left for b in right], one_way)
 
     def disk(self, full: list[str] = (), stalls: dict[str, float] | None = None) -> None:
+        """From now on these disks are full, and writes of those processes stall (s)."""
         self.wish |= {"full": list(full), "stalls": stalls or {}}
         self._wish()
 
     def heal(self) -> None:
+        """Take out all faults."""
         self.wish = {}
         self._wish()
 
@@ -222,6 +255,7 @@
         new.rename(self.folder / "faults.json")
 
     def rows(self, file: str) -> list[dict]:
+        """The lines of a journal that are whole."""
         path = self.folder / file
         if not path.exists():
             return []
@@ -235,6 +269,7 @@
 
 
 def until(test, limit: float, every: float = 0.1):
+    """What `test` says once that is true, or at last after `limit` seconds; asked `every` so many seconds."""
     end = time.monotonic() + limit
     while True:
         v = test()
--- a/mallowvalve/localfleet/judge.py
+++ b/mallowvalve/localfleet/judge.py
@@ -1,3 +1,5 @@
+"""What clients and upstreams wrote, judged by the rules; each finding is a line. Times are s of the wall clock."""
+
 from __future__ import annotations
 
 from bisect import bisect_right
@@ -41,24 +43,28 @@
 
 
 def judge(offers: list[Offered], asked: list[dict], ran: list[dict]) -> list[str]:
+    """All that must hold of any trial."""
     return [*runs_once(ran), *whole_answers(asked), *not_run_is_true(asked, ran), *allowed(offers, ran)]
 
 
 def runs_once(ran: list[dict]) -> list[str]:
+    """No key ran twice."""
     c = Counter((r["tenant"], r["key"]) for r in ran if r["key"])
     return [f"key {k} ran {n} times" for k, n in c.items() if n > 1]
 
 
 def whole_answers(asked: list[dict]) -> list[str]:
+    """A success is the request's own whole answer."""
     return [
         f"request {r['id']} got a success that is not its own whole answer" for r in asked if r["ok"] and not r["whole"]
     ]
 
 
 def not_run_is_true(asked: list[dict], ran: list[dict]) -> list[str]:
+    """What was told done ran once, and what was told not-run did not run."""
     runs = defaultdict(int)
     for r in ran:
-        runs[r["key"] or r["replica"]] += 1
+        runs[r["key"] or r["request"]] += 1
     out = []
     for r in asked:
         n = runs.get(r["key"] or r["id"], 0)
@@ -72,6 +78,7 @@
 
 
 def allowed(offers: list[Offered], ran: list[dict]) -> list[str]:
+    """Everything ran by a configuration that may have been in force."""
     out, trees = [], {}
     for o in offers:
         key = repr(o.doc)
@@ -86,9 +93,8 @@
             docs = known[i] = {o.doc for o in in_force_at(offers, r["at"])}
         whys = [_refused(trees[d], r) for d in docs]
         if all(whys):
-            out.append(
-                f"{r['service']} in {r['locality']} ran {r['method']} {r['path']} for {r['tenant']}: {sorted(set(whys))}"
-            )
+            what = f"{r['method']} {r['path']} for {r['tenant']}"
+            out.append(f"{r['service']} in {r['locality']} ran {what}: {sorted(set(whys))}")
     return out
 
 
@@ -103,11 +109,13 @@
 
 
 def after_evacuation(zone: str, start: float, end: float, ran: list[dict]) -> list[str]:
+    """Nothing ran in an evacuated zone, from a few seconds after it was acknowledged."""
     n = sum(start + EVACUATED < r["at"] < end and r["locality"].partition("/")[2] == zone for r in ran)
     return [f"{n} requests ran in evacuated {zone}"] if n else []
 
 
 def after_leaving(instance: str, left: float, ran: list[dict]) -> list[str]:
+    """Nothing reached an upstream a few seconds after it said that it leaves."""
     n = sum(r["instance"] == instance and r["at"] > left + LEFT for r in ran)
     return [f"{n} requests reached {instance} after it left"] if n else []
 
@@ -126,12 +134,16 @@
 
 def repeat_share(ran: list[dict], span: float = 10.0) -> tuple[float, list[str]]:
     """The largest share of repeated work over first work that a service saw in any span of 10 s."""
-    return worst_share(((r["at"], r["service"], r["replica"]) for r in ran), span)
+    return worst_share(((r["at"], r["service"], r["request"]) for r in ran), span)
 
 
 def worst_share(
     runs: Iterable[tuple[float, str, str]], span: float = 10.0, least: int = 150
 ) -> tuple[float, list[str]]:
+    """The largest share of repeats of first runs in any `span` seconds with `least` first ones.
+
+    A run is (at, service, request).
+    """
     by: dict[str, list[tuple[float, bool]]] = defaultdict(list)
     seen: set[str] = set()
     for at, service, id in sorted(runs):
@@ -152,6 +164,7 @@
 
 
 def figures(asked: list[dict], ran: list[dict]) -> dict:
+    """Counts and times of what was asked."""
     took = sorted(r["took"] for r in asked if r["ok"])
     outcomes = Counter(str(t[1]) for r in asked for t in r["tries"] if t[0] != 200)
     return {
--- a/mallowvalve/localfleet/main.py
+++ b/mallowvalve/localfleet/main.py
@@ -1,3 +1,5 @@
+"""The command `mallowvalve localfleet`."""
+
 from __future__ import annotations
 
 import sys
@@ -15,6 +17,7 @@
 
 
 def load_shape(path: str) -> Shape:
+    """A fleet's file, TOML or JSON; findings end the program with code 2."""
     try:
         data = (
             msgspec.toml.decode(Path(path).read_bytes())
@@ -33,6 +36,8 @@
 
 
 def settle(fleet: Fleet, limit: float = 40.0) -> bool:
+    """Whether the configuration is in force, all processes ready, all upstreams known, within `limit` seconds each."""
+
     def applied() -> bool:
         return any(
             call(p.web, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200 for p in fleet.of("control") if p.up
--- a/mallowvalve/localfleet/mishaps.py
+++ b/mallowvalve/localfleet/mishaps.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import copy
-import random
 import time
 import uuid
+from functools import partial
 
-from mallowvalve.localfleet.call import call
+from mallowvalve.localfleet.call import call, is_ok
 from mallowvalve.localfleet.fleet import Fleet, Proc, until
 from mallowvalve.localfleet.judge import after_evacuation, after_leaving
 from mallowvalve.localfleet.ports import HOST, free_ports
@@ -78,6 +78,7 @@
 
 
 def one_way(f: Fleet) -> list[str]:
+    """Processes of each role are not heard by the others, but hear them."""
     for p in (_leader(f), f.of("proxy")[1], f.of("directory")[0]):
         f.split([p], [x for x in _nodes(f) if x is not p], one_way=True)
         time.sleep(4)
@@ -87,6 +88,7 @@
 
 
 def full_disk(f: Fleet) -> list[str]:
+    """The leader's disk is full: it says so, and service goes on."""
     lead = _leader(f)
     f.disk(full=[lead.name])
     said = until(lambda: call(lead.web, "GET", "/leader", limit=2)[1].get("disk") == "refuses", 6)
@@ -98,6 +100,7 @@
 
 
 def stalled_disk(f: Fleet) -> list[str]:
+    """Each write of the leader takes 2.5 s longer; service goes on."""
     lead = _leader(f)
     f.disk(stalls={lead.name: 2.5})
     out = _goes_on(f, 6, "the leader's disk stalled")
@@ -123,7 +126,7 @@
 
 
 def service_removed(f: Fleet) -> list[str]:
-    """A service is taken out of the configuration under load, its upstreams vanish, and another service gets their addresses."""
+    """A service is taken out under load, its upstreams vanish, and another service gets their addresses."""
     was = f.shape.config
     service = f.shape.upstreams[-1].service
     other = f.shape.upstreams[0].service
@@ -148,7 +151,7 @@
     ][:2]
     if not any(r["instance"].startswith(f"{other}-moved") for r in f.rows("ran.jsonl")):
         out.append("the addresses were not used for the other service")
-    for p, q in zip(old, strangers):
+    for p, q in zip(old, strangers, strict=True):
         f.kill(q.name)
         del f.procs[q.name]
         f.start(p.name)
@@ -211,7 +214,7 @@
     return out
 
 
-def _evacuate(f: Fleet, zone: str, on: bool) -> float | None:
+def evacuate(f: Fleet, zone: str, on: bool) -> float | None:
     """Repeated under one key until it is acknowledged; the time of that."""
     key = {"Mallow-Key": uuid.uuid4().hex}
     body = {"zone": zone, "evacuated": on}
@@ -220,13 +223,13 @@
 
 
 def evacuation_raced(f: Fleet) -> list[str]:
-    """A zone is emptied while a region is lost, then while proxies restart one by one; a second operator gives it back."""
+    """A zone is emptied while a region is lost, then while proxies restart; a second operator gives it back."""
     out, zone = [], "eu-b"
     for act in ("region", "rolling"):
         down = [p for p in f.procs.values() if p.locality.startswith("ap/")] if act == "region" else []
         for p in down:
             f.kill(p.name)
-        at = _evacuate(f, zone, True)
+        at = evacuate(f, zone, True)
         if at is None:
             return [*out, "the evacuation was not acknowledged"]
         if act == "rolling":
@@ -238,7 +241,7 @@
         end = time.time()
         for p in down:
             f.start(p.name)
-        if _evacuate(f, zone, False) is None:
+        if evacuate(f, zone, False) is None:
             out.append("the zone was not given back")
         out += after_evacuation(zone, at, end, f.rows("ran.jsonl"))
         time.sleep(5)
@@ -255,17 +258,23 @@
         del f.procs[p.name]
         f.seeds = [f"{HOST}:{x.transport}" for x in (*f.of("control")[-1:], *f.of("proxy")[:2])]
         new = f.add_node("control", p.locality, f"core{i}-{uuid.uuid4().hex[:4]}")
-        transport = f"{HOST}:{new.transport}"
-        taken = until(lambda: any(transport in _members(x) for x in f.of("control")), 20)
-        whole = until(
-            lambda: any(len(v) == many and f"{HOST}:{p.transport}" not in v for v in map(_voters, f.of("control"))), 25
-        )
+        taken = until(partial(_is_member, f, f"{HOST}:{new.transport}"), 20)
+        whole = until(partial(_is_whole, f, many, f"{HOST}:{p.transport}"), 25)
         if not taken or not whole:
             out.append(f"{new.name} in place of {p.name}: taken {bool(taken)}, {many} voters again {bool(whole)}")
-        until(lambda: call(new.web, "GET", "/-/ready", limit=2)[0] == 200, 10)
+        until(partial(is_ok, new.web, "/-/ready"), 10)
     return out
 
 
+def _is_member(f: Fleet, transport: str) -> bool:
+    return any(transport in _members(p) for p in f.of("control"))
+
+
+def _is_whole(f: Fleet, many: int, without: str) -> bool:
+    """Whether there are so many voters again, the lost one not among them."""
+    return any(len(voters) == many and without not in voters for voters in map(_voters, f.of("control")))
+
+
 def _voters(p: Proc) -> list[str]:
     status, data, _ = call(p.web, "GET", "/leader", limit=2)
     return data.get("voters", []) if status == 200 and data.get("role") == "leader" else []
@@ -290,102 +299,7 @@
             *kept[i:],
         ]
         f.start(p.name)
-        if not until(lambda: call(p.web, "GET", "/-/ready", limit=2)[0] == 200, 20):
+        if not until(partial(is_ok, p.web, "/-/ready"), 20):
             out.append(f"{p.name} is not ready with other seeds")
         p.args = was
     return out
-
-
-def after_acks(f: Fleet) -> list[str]:
-    """The process that acknowledged is killed at once; what it said must still hold."""
-    rng, out = random.Random(11), []
-
-    def hit(p: Proc) -> None:
-        f.kill(p.name)
-        time.sleep(2)
-        f.start(p.name)
-        until(lambda: call(p.web, "GET", "/-/ready", limit=2)[0] == 200, 15)
-
-    def at_control(method: str, path: str, body) -> tuple[Proc, dict] | None:
-        p = rng.choice(f.of("control"))
-        status, data, _ = call(p.web, method, path, body, {"Mallow-Key": uuid.uuid4().hex}, 10)
-        return (p, data) if status == 200 else None
-
-    def read(path: str) -> dict:
-        return (
-            until(lambda: next((d for s, d, _ in [call(f.operators.control(), "GET", path)] if s == 200), None), 15)
-            or {}
-        )
-
-    for i in range(2):
-        got = at_control("PUT", "/keys/acked", {"value": f"v{i}"})
-        if got:
-            hit(got[0])
-            out += [] if read("/keys/acked").get("value") == f"v{i}" else ["an acknowledged key is missing"]
-        got = at_control("POST", "/numbers/acked", {})
-        if got:
-            hit(got[0])
-            again = until(lambda: at_control("POST", "/numbers/acked", {}), 15)
-            out += [] if again and again[1]["number"] > got[1]["number"] else ["a number fell or came again"]
-    got = at_control("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
-    if got:
-        hit(got[0])
-        again = until(
-            lambda: next(
-                (
-                    s
-                    for s, _, _ in [call(f.operators.control(), "POST", "/locks/acked/take", {"holder": "y"})]
-                    if s < 500
-                ),
-                None,
-            ),
-            15,
-        )
-        out += [] if again == 409 else [f"a held lock answered {again}"]
-    got = at_control("POST", "/evacuations", {"zone": "ap-b", "evacuated": True})
-    if got:
-        hit(got[0])
-        out += [] if "ap-b" in read("/config").get("evacuated", []) else ["an acknowledged evacuation is missing"]
-    _evacuate(f, "ap-b", False)
-    out += _after_order(f, rng, hit) + _after_notice(f, hit)
-    return out
-
-
-def _after_order(f: Fleet, rng: random.Random, hit) -> list[str]:
-    share = next(s for s in f.shape.shares if s[3])
-    key = uuid.uuid4().hex
-    h = {"Mallow-Tenant": share[0], "Mallow-Key": key}
-    p = rng.choice(f.of("proxy"))
-    first = call(p.web, share[1], share[2], {"a": 1}, h)
-    if first[0] != 200:
-        return []
-    hit(p)
-    again = call(f.of("proxy")[-1].web, share[1], share[2], {"a": 1}, h)
-    n = sum(r["key"] == key for r in f.rows("ran.jsonl"))
-    return (
-        []
-        if n == 1 and (again[0] != 200 or again[1] == first[1])
-        else [f"an answered order ran {n} times, again {again[0]}"]
-    )
-
-
-def _after_notice(f: Fleet, hit) -> list[str]:
-    """An upstream says it is leaving; the node that took the notice dies with it on its lips."""
-    u = next(p for p in f.of("upstream") if p.up)
-    p = f.of("proxy")[0]
-    status, data, _ = call(p.web, "GET", "/-/upstreams")
-    row = next((r for r in data["upstreams"] if r["instance"] == u.name), None) if status == 200 else None
-    if row is None:
-        return []
-    heartbeat = {k: row[k] for k in ("service", "instance", "incarnation", "locality", "address")}
-    status, _, _ = call(p.web, "POST", "/-/heartbeats", heartbeat | {"sequence": 1 << 40, "state": "leaving"})
-    left = time.time()
-    if status != 200:
-        return []
-    hit(p)
-    time.sleep(4)
-    out = after_leaving(u.name, left, f.rows("ran.jsonl"))
-    f.kill(u.name)
-    f.start(u.name)
-    time.sleep(2)
-    return out
--- a/mallowvalve/localfleet/operators.py
+++ b/mallowvalve/localfleet/operators.py
@@ -1,3 +1,5 @@
+"""Stand-in operators, who change the configuration while a trial runs."""
+
 from __future__ import annotations
 
 import copy
@@ -15,17 +17,20 @@
     """Two that change the configuration at once while a trial runs, and remember what was acknowledged."""
 
     def __init__(self, fleet: Fleet, seed: int, every: float = 1.0):
+        """Each changes something every `every` seconds on average."""
         super().__init__([(self._change, (who,)) for who in ("a", "b")])
         self.fleet, self.every, self.seed = fleet, every, seed
         self.lock = RLock()
+        self.rng = random.Random(3)
         self.offers: list[Offered] = [Offered(0.0, 0.0, 0, copy.deepcopy(fleet.shape.config))]
         self.acked: list[tuple[float, float, int]] = []
         self.refused = self.failed = 0
         self.ack_times: list[float] = []
 
-    def control(self, rng: random.Random = random.Random(3)) -> int:
+    def control(self, rng: random.Random | None = None) -> int:
+        """The web port of a control process that runs, by chance."""
         controls = self.fleet.of("control")
-        return rng.choice([p for p in controls if p.up] or controls).web
+        return (rng or self.rng).choice([p for p in controls if p.up] or controls).web
 
     def put(self, doc: dict, key: str, base: int | None = None, control: int | None = None) -> tuple[int, object]:
         """Offers a configuration once and notes what was said."""
@@ -79,12 +84,13 @@
             self.settle(self.fleet.shape.config, "again")
 
     def findings(self) -> list[str]:
+        """What of the acknowledged changes does not hold."""
         out = []
         rs = [r for _, _, r in self.acked]
         if len(rs) != len(set(rs)):
             out.append("a revision was acknowledged twice")
         by_end = sorted(self.acked, key=lambda x: x[1])
-        for begun, end, r in self.acked:
+        for begun, _, r in self.acked:
             if any(e < begun and x > r for _, e, x in by_end):
                 out.append(f"revision {r} was acknowledged after a higher one had been")
         status, data, _ = call(self.control(), "GET", "/config")
--- a/mallowvalve/localfleet/ports.py
+++ b/mallowvalve/localfleet/ports.py
@@ -1,3 +1,5 @@
+"""Free ports for processes that are started later."""
+
 from __future__ import annotations
 
 import fcntl
@@ -17,11 +19,13 @@
     __slots__ = ("_locks", "_left", "_folder")
 
     def __init__(self):
+        """No block is held yet."""
         self._locks: list[int] = []
         self._left: list[int] = []
         self._folder = Path(tempfile.gettempdir()) / f"mallowvalve-ports-{os.getuid()}"
 
     def take(self, n: int) -> list[int]:
+        """So many ports that nobody listens at, of blocks that this process holds to its end."""
         out: list[int] = []
         while len(out) < n:
             if not self._left:
--- a/mallowvalve/localfleet/trial.py
+++ b/mallowvalve/localfleet/trial.py
@@ -1,8 +1,10 @@
+"""A trial: acts under load, and the judgement of all that was written down."""
+
 from __future__ import annotations
 
 import time
 
-from mallowvalve.localfleet import acts, history, mishaps
+from mallowvalve.localfleet import acknowledged, acts, history, mishaps
 from mallowvalve.localfleet.fleet import Fleet
 from mallowvalve.localfleet.judge import dropped, figures, judge
 from mallowvalve.localfleet.operators import Operators
@@ -40,7 +42,7 @@
         mishaps.evacuation_raced,
         mishaps.core_replaced,
         mishaps.seeds_gone,
-        mishaps.after_acks,
+        acknowledged.after_acks,
     )
 }
 PLANNED = ("rolling", "evacuation", "leaving", "pool_replaced", "homes_moved", "bad_changes", "service_removed")
@@ -49,6 +51,7 @@
 def run(
     f: Fleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
 ) -> tuple[list[str], dict]:
+    """Play the acts named, one after the other; findings, and figures."""
     found: list[str] = []
     f.start_clients(seed=seed, rate=rate)
     time.sleep(3)
--- a/mallowvalve/localfleet/users.py
+++ b/mallowvalve/localfleet/users.py
@@ -1,3 +1,5 @@
+"""Stand-in applications that use coordination while a trial runs."""
+
 from __future__ import annotations
 
 import random
@@ -18,6 +20,7 @@
     """Applications that keep keys, locks and numbers while a trial runs; each call goes again under its key."""
 
     def __init__(self, fleet: Fleet, seed: int, rate: float = 40.0):
+        """`rate` calls a second, all together."""
         self.fleet, self.history = fleet, History([], [], [], [])
         self.calls = self.unsure = 0
         jobs = [
--- a/mallowvalve/standins/upstream.py
+++ b/mallowvalve/standins/upstream.py
@@ -119,7 +119,7 @@
             "key": req.get_header("Mallow-Key") or "",
             "path": req.path,
             "method": req.method,
-            "replica": req.get_header("Play-Id"),
+            "request": req.get_header("Play-Id"),
             "state": self.state,
         }
         self.journal.write(json.dumps(row) + "\n")
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -16,7 +16,7 @@
         "key": key,
         "path": "/runs",
         "method": "POST",
-        "replica": id,
+        "request": id,
     }
     return {**base, **more}
 
