--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -9,31 +9,30 @@
 from mallowvalve.configuration.items import ServiceItem
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.budget import Sliding
-from mallowvalve.proxy.spot import BREAK, BREAK_MOST, Spot, Zone
-from mallowvalve.proxy.steps import Answer
+from mallowvalve.proxy.idle import Links
+from mallowvalve.proxy.spot import BREAK, BREAK_MOST, NEVER, Spot, Zone
+from mallowvalve.proxy.steps import GATEWAY_TIMEOUT, MISDIRECTED, SERVER_ERROR, Answer
 from mallowvalve.settings import Settings
 from mallowvalve.types import Locality, emptied
-from mallowvalve.upstreams.registry import Upstream
 
 FILL, FAR = 0.85, (0.0, 0.1, 0.5)
 FULL = 0.2
+DRAWN = 2
 QUEUED = 2
 COLD_SHARE = 0.9
 WRONG = 5.0
 BUDGET_SHARE, FLOOR_SHARE = 0.7, 0.5
-SURE = 1.0
-CAUTION, CAUTION_SHARE, CAUTION_LEAST = 30.0, 0.5, 0.2
 
 
 class Place:
     """A place at an upstream and the connection opened for it, given back exactly once."""
 
-    __slots__ = ("connection", "hosts", "spot", "streams", "idle", "_left")
+    __slots__ = ("connection", "hosts", "spot", "streams", "idle", "_sent", "_left")
 
     def __init__(self, hosts: Hosts, spot: Spot):
         """`idle` is for how long its connection was not used (s), None for one just opened."""
         self.connection, self.hosts, self.spot, self.idle = None, hosts, spot, None
-        self.streams = self._left = False
+        self.streams = self._sent = self._left = False
         spot.busy += 1
 
     def reuse(self, sure: bool, now: float) -> bool:
@@ -42,68 +41,28 @@
             self.idle = now - self.connection.since
         return self.connection is not None
 
+    def sending(self, now: float) -> None:
+        """Told right before the first byte."""
+        self._sent = True
+        self.hosts.sending(self.spot, now)
+
     def back(self, keep: bool) -> None:
+        """The place is free. A connection that is kept has rested since it was last sent on, not since it was taken."""
         if self._left:
             return
         self._left = True
         self.spot.busy -= 1
         if self.connection is not None and keep:
-            self.hosts.links.give(self.connection, self.hosts.now())
+            used_at = self.hosts.now() if self._sent else self.connection.since
+            self.hosts.links.give(self.connection, used_at)
         elif self.connection is not None:
             self.connection.close()
         self.hosts.on_free(self.spot.up.service)
 
 
-class Links:
-    """Idle connections, the last used first; none is used beyond the time that its upstream keeps it.
-
-    Where one was forgotten sooner than said, all are trusted for half of that time for a while.
-    """
-
-    __slots__ = ("_idle", "_trust", "_until")
-
-    def __init__(self):
-        self._idle: dict[str, list] = {}
-        self._trust, self._until = 1e9, -1e9
-
-    def take(self, up: Upstream, now: float, sure: bool = False):
-        """`sure`: one that was used just now, for what cannot be sent again."""
-        idle, trust = self._idle.get(up.instance, ()), self._trust if now < self._until else 1e9
-        while idle:
-            if sure and now - idle[-1].since > SURE:
-                return None
-            s = idle.pop()
-            if s.heartbeat.address == up.address and now - s.since <= min(s.life, trust) and not s.stale():
-                return s
-            s.close()
-        return None
-
-    def forgotten(self, idle: float, now: float) -> None:
-        """A connection not used for `idle` seconds broke at once when it was sent on."""
-        trust = max(CAUTION_LEAST, CAUTION_SHARE * idle)
-        self._trust, self._until = min(trust, self._trust) if now < self._until else trust, now + CAUTION
-
-    def drop(self, instance: str) -> None:
-        for s in self._idle.pop(instance, ()):
-            s.close()
-
-    def give(self, s, now: float) -> None:
-        s.since = now
-        self._idle.setdefault(s.heartbeat.instance, []).append(s)
-
-    def tidy(self, ready: set[str], now: float) -> None:
-        for name, idle in list(self._idle.items()):
-            kept = [s for s in idle if name in ready and now - s.since <= s.life]
-            for s in idle:
-                if s not in kept:
-                    s.close()
-            if kept:
-                self._idle[name] = kept
-            else:
-                del self._idle[name]
-
-
 class Hosts:
+    """The upstreams of host routes as this proxy knows them, its places at them, their budgets and connections."""
+
     __slots__ = (
         "replica",
         "settings",
@@ -159,7 +118,7 @@
                 continue
             s = self._two(good, now, share)
             f = s.fill(now, share) + s.ill(now)
-            if f > FILL and len(good) > 2:
+            if f > FILL and len(good) > DRAWN:
                 f, s = min(((x.fill(now, share) + x.ill(now), x) for x in good), key=lambda g: g[0])
             if f <= FILL:
                 return s, True
@@ -187,13 +146,13 @@
             s.cold_next = now + self._period(s, item)
 
     def heard(self, s: Spot, a: Answer, took: float, now: float) -> None:
-        s.pause, s.broken_until = BREAK, -1e9
+        s.pause, s.broken_until = BREAK, NEVER
         s.zone.heard(took)
         s.mute = now if s.busy > 1 else None
         s.latency += 0.2 * (took - s.latency)
         t = self.settings.terms
-        if not (a.status == 421 or t.not_run and t.not_run.lower() in a.said):
-            s.judged(a.status < 500 or a.status == 504, now)
+        if not (a.status == MISDIRECTED or t.not_run and t.not_run.lower() in a.said):
+            s.judged(a.status < SERVER_ERROR or a.status == GATEWAY_TIMEOUT, now)
         usage = a.said.get(t.usage.lower()) if t.usage else None
         if usage is not None:
             self._usage(s, usage, now)
@@ -222,7 +181,7 @@
         s.since = max(0, s.since - 1)
 
     def turned_away(self, s: Spot, status: int, now: float) -> None:
-        if status == 421:
+        if status == MISDIRECTED:
             s.wrong_until = now + WRONG
             return
         s.full_until = now + FULL
@@ -231,7 +190,7 @@
         own = s.up.slots + QUEUED
         if item is not None and item.connections > 0:
             own = min(own, max(1, item.connections // self._proxies))
-        if s.base_at < -1e8:
+        if s.base_at <= NEVER:
             own = min(own, max(1, -(-2 * s.up.slots // self._share)))
         return own
 
@@ -285,7 +244,7 @@
         self._rings = {k: sorted(by.items()) for k, by in rings.items()}
 
     def _lifted(self, out: dict[str, int], now: float) -> None:
-        """Upstreams of a zone that was evacuated may have become cold, and the heartbeat that says so may be on its way."""
+        """Upstreams of a zone given back may have become cold, and the heartbeat that says so may be on its way."""
         before, self._out = self._out, out
         for zone in before.keys() - out.keys():
             for s in self.spots.values():
