--- a/mallowvalve/control/snapshot_fetch.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -77,7 +77,7 @@
             failed += 1
             if g.lost() or quick and failed >= QUICK_TRIES:
                 return Err(why)
-        return g.done()
+        return g.done().map_err(lambda refused: refused.text)
 
     def holds(self) -> bool:
         """Whether somebody is fetching a snapshot here, so that the log that follows it is still wanted."""
@@ -89,7 +89,10 @@
             gevent.sleep(0.1)
             return r.err_value
         p = read_piece(r.ok_value)
-        return g.take(p).err() if p is not None else "no longer handed out"
+        if p is None:
+            return "no longer handed out"
+        refused = g.take(p).err()
+        return refused.text if refused is not None else None
 
     def _label(self, what: bytes) -> Label | None:
         p = self._snapshot(what)
--- a/mallowvalve/control/snapshot_transfer.py
+++ b/mallowvalve/control/snapshot_transfer.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import enum
 import zlib
 
 import msgspec
@@ -18,6 +19,23 @@
 YOUNG = 2.0
 
 
+class Refusal(enum.Enum):
+    """Why a piece, or a snapshot as a whole, was not taken in."""
+
+    FOREIGN = enum.auto()
+    OUT_OF_TURN = enum.auto()
+    DAMAGED = enum.auto()
+    NOT_UNDERSTOOD = enum.auto()
+    CUT_SHORT = enum.auto()
+
+
+class Refused(msgspec.Struct, frozen=True):
+    """A refusal and its particulars; whoever refused holds what it held before."""
+
+    why: Refusal
+    text: str
+
+
 class Label(msgspec.Struct, array_like=True, frozen=True):
     group: Group
     index: int
@@ -142,29 +160,30 @@
         self._failed += 1
         return self._failed > AGAIN
 
-    def take(self, p: Piece) -> Result[None, str]:
+    def take(self, p: Piece) -> Result[None, Refused]:
         l = self.label
         if (p.group, p.index, p.settings) != (l.group, l.index, l.settings):
-            return Err(f"piece of {p.group.generation}/{p.index}, want {l.group.generation}/{l.index}")
+            text = f"piece of {p.group.generation}/{p.index}, want {l.group.generation}/{l.index}"
+            return Err(Refused(Refusal.FOREIGN, text))
         if p.n != len(self.pieces):
-            return Err(f"piece {p.n}, want {len(self.pieces)}")
+            return Err(Refused(Refusal.OUT_OF_TURN, f"piece {p.n}, want {len(self.pieces)}"))
         if zlib.crc32(p.data) != p.crc:
-            return Err(f"piece {p.n} is damaged")
+            return Err(Refused(Refusal.DAMAGED, f"piece {p.n} is damaged"))
         r = self._loader.feed(p.data)
         if r.is_err():
-            return Err(f"piece {p.n}: {r.err_value}")
+            return Err(Refused(Refusal.NOT_UNDERSTOOD, f"piece {p.n}: {r.err_value}"))
         self.pieces.append(p.data)
         self._failed = 0
         return Ok(None)
 
-    def done(self) -> Result[tuple[Snapshot, State], str]:
+    def done(self) -> Result[tuple[Snapshot, State], Refused]:
         if self.want() is not None:
-            return Err(f"{len(self.pieces)} of {self.label.count} pieces")
+            return Err(Refused(Refusal.CUT_SHORT, f"{len(self.pieces)} of {self.label.count} pieces"))
         l, s = self.label, self._loader.done()
         if s.is_err():
-            return s
+            return Err(Refused(Refusal.CUT_SHORT, str(s.err_value)))
         if s.ok_value.index != l.index:
-            return Err(f"a state of index {s.ok_value.index}, labelled {l.index}")
+            return Err(Refused(Refusal.FOREIGN, f"a state of index {s.ok_value.index}, labelled {l.index}"))
         return Ok((Snapshot(l.group, l.index, l.term, l.voters, self.pieces), s.ok_value))
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -339,3 +339,15 @@
     least = min(n.raft.commit for n in ns)
     assert len({tuple((e.term, e.data) for e in n.raft.log.entries[:least]) for n in ns}) == 1
     assert any(n.raft.settled for n in ns) and max(n.raft.commit for n in ns) > 30
+
+
+def test_what_members_outside_both_sets_say_changes_nothing():
+    r = raft(voters=Voters(members("n0 n1 n2")))
+    r.tick(9.0)
+    for i in ("n3", "n4", "nobody"):
+        r.receive(i, Voice(1, True, True), 9.0)
+    assert r.term == 0 and r.role != LEADER
+    r = led(Voters(members("n0 n1 n2")))
+    for i in ("n3", "n4", "nobody"):
+        r.receive(i, Appended(1, True, 1, 9), 9.1)
+    assert r.commit == 0 and r.progress().keys() <= {"n1", "n2"}
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -8,7 +8,7 @@
 from mallowvalve.control import snapshot as snapshots
 from mallowvalve.control.snapshot import dump, load
 from mallowvalve.control.snapshot_fetch import NOW, Puller
-from mallowvalve.control.snapshot_transfer import IDLE, Gather, Piece, Shelf, Want
+from mallowvalve.control.snapshot_transfer import IDLE, Gather, Piece, Refusal, Shelf, Want
 from mallowvalve.control.state import State, encode
 from mallowvalve.coordination.state import Lock, Next, Put
 from mallowvalve.ledger.ledger import Claim, Done
@@ -94,19 +94,20 @@
     torn = msgspec.structs.replace(good[0], data=good[0].data[:-1])
     garbage = Piece(G, label.index, 0, crc32(b"\xff"), b"\xff")
     g = Gather(label)
-    for bad, why in (
-        (other, "piece of 4/"),
-        (later, "want 3/"),
-        (good[1], "piece 1, want 0"),
-        (torn, "damaged"),
-        (garbage, "not understood"),
+    for bad, why, text in (
+        (other, Refusal.FOREIGN, "piece of 4/"),
+        (later, Refusal.FOREIGN, "want 3/"),
+        (good[1], Refusal.OUT_OF_TURN, "piece 1, want 0"),
+        (torn, Refusal.DAMAGED, "damaged"),
+        (garbage, Refusal.NOT_UNDERSTOOD, "not understood"),
     ):
         r = g.take(bad)
-        assert r.is_err() and why in r.err_value and g.want().n == 0
-    assert g.take(good[0]).is_ok() and "want 1" in g.take(good[0]).err_value
-    assert "1 of" in g.done().err_value
+        assert r.err_value.why is why and text in r.err_value.text and g.want().n == 0
+    assert g.take(good[0]).is_ok() and "want 1" in g.take(good[0]).err_value.text
+    short = g.done().err_value
+    assert short.why is Refusal.CUT_SHORT and "1 of" in short.text
     forged = msgspec.structs.replace(good[0], n=1)
-    assert "second head" in g.take(forged).err_value
+    assert "second head" in g.take(forged).err_value.text
 
 
 def test_a_shelf_holds_few_and_not_for_long():
