--- a/sim/users.py
+++ b/sim/users.py
@@ -21,6 +21,7 @@
 _said = msgspec.msgpack.Decoder(Said).decode
 LIMIT = 4.0
 CONFIGURATION = "configuration"
+FOUNDING = (0, b"{}")
 
 
 def short(doc: bytes) -> str | None:
@@ -161,6 +162,7 @@
             node = self.world.nodes.get(to)
             if data is not None and wire.took(data).code == "ok" and node is not None and node.core.state is not None:
                 s = node.core.state.settings
+                none = (s.doc_revision, s.doc) == FOUNDING
                 self.history.reads.append((begun, self.now, s.doc_revision, s.doc))
                 self.recorder.operations.append(
                     histories.Operation(
@@ -172,7 +174,7 @@
                         self.now,
                         histories.Outcome.DONE,
                         s.doc_revision,
-                        short(s.doc),
+                        None if none else short(s.doc),
                     )
                 )
             else:
