--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 import heapq
-import struct
 from collections.abc import Callable
 
 import msgspec
@@ -22,12 +21,14 @@
 KEPT_MOST, KEPT_BYTES = 10_000, 4 << 20
 CORRECTED_S = 10.0
 """For how long (s) a process goes by the time it was told when its own estimate had been wrong."""
-NUMBER_MOST = (1 << 32) - 1
+SESSION_BYTES, NUMBER_BYTES, TIME_BYTES = 8, 3, 6
+NUMBER_MOST = (1 << 8 * NUMBER_BYTES) - 1
 
-MARK = 0xC1
+MARK = b"\xc1"
 """The first byte of a header: msgpack never uses it, so a command without a header is known."""
-_header = struct.Struct(">BQIQ")
-HEADER_BYTES = _header.size
+_NUMBER_AT = 1 + SESSION_BYTES
+_TIME_AT = _NUMBER_AT + NUMBER_BYTES
+HEADER_BYTES = _TIME_AT + TIME_BYTES
 _clock = msgspec.msgpack.Decoder(int).decode
 encode_clock = msgspec.msgpack.Encoder().encode
 
@@ -42,12 +43,14 @@
 
 def seal(origin: Origin, command: bytes) -> bytes:
     """An encoded command under the header that names its origin."""
-    return _header.pack(MARK, origin.session, origin.number, origin.not_after) + command
+    session = origin.session.to_bytes(SESSION_BYTES, "big")
+    number = origin.number.to_bytes(NUMBER_BYTES, "big")
+    return b"".join((MARK, session, number, origin.not_after.to_bytes(TIME_BYTES, "big"), command))
 
 
 def body_at(data: bytes) -> int:
     """Where the command itself begins."""
-    return HEADER_BYTES if data[:1] == b"\xc1" else 0
+    return HEADER_BYTES if data[:1] == MARK else 0
 
 
 def unseal(data: bytes) -> tuple[Origin | None, bytes]:
@@ -55,8 +58,9 @@
     at = body_at(data)
     if not at:
         return None, data
-    _, session, number, not_after = _header.unpack_from(data)
-    return Origin(session, number, not_after), data[at:]
+    session = int.from_bytes(data[1:_NUMBER_AT], "big")
+    number = int.from_bytes(data[_NUMBER_AT:_TIME_AT], "big")
+    return Origin(session, number, int.from_bytes(data[_TIME_AT:at], "big")), data[at:]
 
 
 class Kept(msgspec.Struct, frozen=True, array_like=True):
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -1,7 +1,6 @@
 from __future__ import annotations
 
 import hashlib
-import struct
 
 import msgspec
 
@@ -75,7 +74,7 @@
     """Whether the bytes are a command, with an origin or without; what is in the log must be."""
     try:
         command(data)
-    except (msgspec.DecodeError, struct.error):
+    except msgspec.DecodeError:
         return False
     return True
 
