--- a/sim/order_checks.py
+++ b/sim/order_checks.py
@@ -4,7 +4,7 @@
 
 from collections import defaultdict
 
-from sim import pages
+from sim import order_history, pages
 from sim.orders import Counted, Event, ItemsRead, Order, Orders, TakeCall, ZoneOrder
 
 # How long (s) after a cut began a machine without a majority may still confirm each kind of answer: what was under way,
@@ -37,6 +37,7 @@
         *cut_side_confirms_nothing(o),
         *caught_up(o),
         *majority_left(o),
+        *order_history.findings(o),
     ]
 
 
