--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -189,10 +189,9 @@
         """Waits until this member's vote and copy are needed no more (`Leave`), for `limit` seconds at most."""
         begun, leave = clock.now(), Leave(self.control.core.id)
         while clock.now() - begun < limit:
-            leader = self.control.core.leader()
-            others = [leader] if leader not in (None, self.control.node.settings.transport) else []
             control = [r.addr for r in self.control.node.membership.alive("control") if r.state == ALIVE]
-            if leave.over(self.control.core.raft, self._ask(set(others), LEAVE_ASK), control):
+            others = {*control, self.control.core.leader()} - {None, self.control.node.settings.transport}
+            if leave.over(self.control.core.raft, self._ask(others, LEAVE_ASK), control):
                 break
             self.say_here()
             gevent.sleep(LEAVE_AGAIN)
--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -45,6 +45,17 @@
         for w in answers:
             if w.group == raft.group and w.voters is not None and self.me not in w.voters.electors():
                 return Why.REPLACED
-        seats = set(voters.electors().values())
-        waits = bool(voters.old) or any(a not in seats for a in control)
+        seats = voters.electors()
+        waits = (
+            bool(voters.old)
+            or self.me not in seats
+            or any(a not in seats.values() for a in control)
+            or any(a in control for a in voters.learners.values())
+            or _could_sit(answers, seats)
+        )
         return Why.WAITS if waits else Why.NOBODY
+
+
+def _could_sit(answers: list[Who], seats: dict[str, Address]) -> bool:
+    """Whether one that answers has no seat: its address may have, for a member that came back empty has a new id."""
+    return any(w.role == "control" and w.id not in seats and not w.leaving for w in answers)
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -4,7 +4,8 @@
 joint configuration. What begins a swap, and how soon (s):
 
 - `LEAVING`: the member said goodbye; at the next look of the leader, `LOOK` apart.
-- `REPLACED`: another member has its address; at the next look.
+- `REPLACED`: another member has its address, at the next look; or a process that is none has, and Raft has not heard
+  the member for `CONFIRM`.
 - `DEPARTED`: the failure detector says that its process failed or left, and Raft has not heard it for `CONFIRM`, which
   keeps a verdict that is wrong, or about a process that is back, from costing a seat. One that left is known at once.
 - `SILENT`: Raft has not heard it for `GONE`. It bounds the repair: the detector's verdict on a crash takes 3.3 s in the
@@ -58,14 +59,16 @@
 class Members:
     """What is known of the members beside Raft: their own words, and the failure detector's verdicts.
 
-    `departed` has the boot of the process at each address that the detector says failed or left.
+    `departed` has the boot of the process at each address that the detector says failed or left, `given_away` the
+    addresses where it finds a process that is no core member's.
     """
 
-    __slots__ = ("seen", "departed", "boot", "leaving")
+    __slots__ = ("seen", "departed", "given_away", "boot", "leaving")
 
     def __init__(self) -> None:
         self.seen: dict[str, Seen] = {}
         self.departed: dict[Address, int] = {}
+        self.given_away: set[Address] = set()
         self.boot, self.leaving = 0, False
 
     def hear(self, who: Who, now: float) -> None:
@@ -74,6 +77,10 @@
         for i in [i for i, s in self.seen.items() if now - s.at >= 2 * FORGOTTEN]:
             del self.seen[i]
 
+    def verdicts(self, departed: dict[Address, int], given_away: set[Address]) -> None:
+        """Takes over what the failure detector says now."""
+        self.departed, self.given_away = departed, given_away
+
     def next_voters(self, raft: Raft, now: float) -> Voters | None:
         """The configuration to change to, if any; while one is under way only an address may change."""
         voters = raft.log.voters
@@ -102,7 +109,7 @@
 
     def _loss(self, raft: Raft, i: str, taken: dict[Address, str], now: float) -> Loss | None:
         address, seen = raft.log.voters.address(i), self.seen.get(i)
-        if taken.get(address, i) != i:
+        if taken.get(address, i) != i or address in self.given_away and _silent(raft, i, now, CONFIRM):
             return Loss.REPLACED
         verdict = address in self.departed and (seen is None or seen.boot in (0, self.departed[address]))
         if verdict and _silent(raft, i, now, CONFIRM):
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -190,8 +190,9 @@
                 continue
             view = self.node.membership.membership.view
             records = [view[a] for a in raft.log.voters.everyone().values() if a in view]
-            found = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
-            self.put(lambda now, found=found: setattr(self.core.members, "departed", found))
+            departed = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
+            given_away = {r.addr for r in records if r.role != "control"}
+            self.put(lambda now, verdicts=(departed, given_away): self.core.members.verdicts(*verdicts))
 
     def _offer(self, o: wire.Offer) -> wire.Took:
         if self._over:
--- a/sim/control.py
+++ b/sim/control.py
@@ -201,7 +201,8 @@
         self._absent = {a: self._absent.get(a, self.now) for a in at}
         failed = [a for a, since in self._absent.items() if self.now - since >= DETECT]
         boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
-        self._put(lambda: setattr(self.core.members, "departed", {a: boots.get(a, 0) for a in failed}))
+        given_away = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
+        self._put(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, given_away))
 
     def leave(self, limit: float) -> None:
         """A polite stop: hands over, says goodbye, and ends as the daemon does, `limit` seconds from now at most."""
@@ -210,19 +211,30 @@
         self._go(Leave(self.core.id), self.now + limit)
 
     def _go(self, leave: Leave, end: float) -> None:
-        leader = self.core.leader()
-        if self.now >= end or leave.over(self.core.raft, [], self._others()):
+        """Asks all control processes at once, and judges once all have answered or had their time, as the daemon does."""
+        if self.now >= end:
+            return self._ends(leave)
+        asked = sorted({*self._others(), self.core.leader()} - {None, self.addr})
+        answers: list[wire.Who | None] = []
+
+        def heard(data: bytes | None) -> None:
+            answers.append(wire.who(data) if data else None)
+            if len(answers) == len(asked):
+                self._judge_leave(leave, [w for w in answers if w is not None], end)
+
+        for a in asked:
+            self.call(a, "who", b"", LEAVE_ASK, heard)
+        if not asked:
+            self._judge_leave(leave, [], end)
+        return None
+
+    def _judge_leave(self, leave: Leave, answers: list[wire.Who], end: float) -> None:
+        if leave.over(self.core.raft, answers, self._others()):
             return self._ends(leave)
         self._put(lambda: self.core.here(self._who(), self.now))
         for a in self._others():
             self.cast(a, "here", wire.encode(self._who()))
-        if leader not in (None, self.addr):
-            self.call(leader, "who", b"", LEAVE_ASK, lambda d: d and self._told(leave, wire.who(d)))
-        self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
-
-    def _told(self, leave: Leave, w: wire.Who) -> None:
-        if leave.over(self.core.raft, [w], self._others()):
-            self._ends(leave)
+        return self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
 
     def _ends(self, leave: Leave) -> None:
         self.left = leave.why
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -2,6 +2,7 @@
 
 import random
 
+import msgspec
 import pytest
 
 from mallowvalve.control.leave import Leave, Why
@@ -35,6 +36,12 @@
     return Who("control", "b", B, Locality("eu", "x"), [], False, group, 5, v, B)
 
 
+def came_back(id, at, leaving=False):
+    """A core process that holds no state, at an address whose former id may have a seat."""
+    who = Who("control", id, at, Locality("eu", "x"), [], True, None, 0, None, None)
+    return msgspec.structs.replace(who, leaving=leaving)
+
+
 @pytest.mark.parametrize(
     ("mine", "answers", "control", "why"),
     [
@@ -46,6 +53,11 @@
         (member("bcd", "", "abc"), [], [B, C, D], Why.WAITS),
         (member("bcd"), [], [B, C, D], Why.REPLACED),
         (member("bcd", "a"), [], [B, C, D], Why.NO_SEAT),
+        (Voters(member("abc").voters, {"x": B}), [], [B, C], Why.WAITS),
+        (Voters(member("abc").voters, {"x": D}), [], [B, C], Why.NOBODY),
+        (member("abc"), [came_back("x", B)], [B, C], Why.WAITS),
+        (member("abc"), [came_back("b", B)], [B, C], Why.NOBODY),
+        (member("abc"), [came_back("x", B, leaving=True)], [B, C], Why.NOBODY),
     ],
 )
 def test_a_member_goes_once_its_seat_is_taken_or_nobody_could_take_it(mine, answers, control, why):
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -168,6 +168,13 @@
     assert members.next_voters(told, NOW + 0.1) == Voters({"a": A, "c": C, "d": B})
 
 
+def test_an_address_that_a_process_of_another_role_has_counts_once_raft_is_silent():
+    members = known()
+    members.verdicts({}, {B})
+    assert wanted(members, "abc", "d", b=0.9) is None
+    assert wanted(members, "abc", "d", b=1.1) == Voters(ids("acd"))
+
+
 def test_a_leader_that_leaves_gives_up_its_own_seat():
     members = known()
     members.leaving = True
