--- a/sim/callers.py
+++ b/sim/callers.py
@@ -25,7 +25,7 @@
     WatchSeen,
     ZoneOrder,
 )
-from sim.pages import CONFLICT, INVALID, NO_ANSWER, OK, REDIRECT, Answer
+from sim.pages import CONFLICT, INVALID, NO_ANSWER, OK, REDIRECT, UNSURE, Answer
 from sim.users import User
 
 SILENCE = 1.0
@@ -207,11 +207,17 @@
             self.orders.held.append(Held(t.name, t.holder, self.now, until, t.token))
             self.wake(until - self.now, lambda: self._free(t))
 
-        self.until(p, 1 + self.rng.randrange(3), done, "order", self._sent)
+        self.until(p, 1 + self.rng.randrange(3), done, "order", lambda: self._sent(t))
 
-    def _sent(self) -> None:
+    def _sent(self, t: TakeCall) -> Callable[[Answer], None]:
         self.last_begun = self.now
 
+        def noted(a: Answer) -> None:
+            if a.status in UNSURE:
+                t.unsure = self.now
+
+        return noted
+
     def _free(self, t: TakeCall) -> None:
         def done(a: Answer, _: float) -> None:
             if a.status == OK:
--- a/sim/order_checks.py
+++ b/sim/order_checks.py
@@ -169,32 +169,27 @@
 def no_late_hold(o: Orders) -> list[str]:
     """A refusal is for a hold that somebody was granted, or whose taking was still under way when it could begin.
 
-    A take that its holder gave up can hold until its last call's end, the time that call may still run in the core
-    (`LATE`), and the length of the hold; a refusal after that is for a take that came late.
+    A call that its holder gave up can hold from its end, the time that it may still run in the core (`LATE`), and the
+    length of the hold; a refusal after that is for a take that came late.
     """
     out = []
-    for t in o.takes:
-        if t.said != pages.CONFLICT:
-            continue
-        for_whom = [
-            x
-            for x in o.takes
-            if x.name == t.name
-            and x is not t
-            and x.begun < t.ended
-            and x.said != pages.CONFLICT
-            and _may_hold(x, t.begun)
-        ]
-        if not for_whom:
+    for t in (t for t in o.takes if t.said == pages.CONFLICT):
+        others = (x for x in o.takes if x.name == t.name and x is not t and x.begun < t.ended)
+        if not any(_may_hold(x, t.begun) for x in others):
             out.append(f"{t.holder} is refused {t.name} at {t.begun:.2f}, which nobody holds: a late take")
     return out
 
 
 def _may_hold(x: TakeCall, at: float) -> bool:
-    end = x.ended + LATE + x.hold_s + SLACK
-    if x.freed is not None:
-        end = min(end, x.freed + SLACK)
-    return at < end
+    if x.ended == float("inf"):
+        return True
+    end = 0.0
+    if x.said == pages.OK:
+        end = x.freed if x.freed is not None else x.ended + x.hold_s
+    if x.unsure is not None:
+        begins = x.unsure + LATE
+        end = max(end, begins + x.hold_s if x.freed is None or x.freed < begins else x.freed)
+    return at < end + SLACK
 
 
 def numbers_count_calls(o: Orders) -> list[str]:
--- a/sim/orders.py
+++ b/sim/orders.py
@@ -50,7 +50,11 @@
 
 
 class TakeCall(msgspec.Struct):
-    """One intent to take a lock, over all its calls. A holder's name is used for one intent only."""
+    """One intent to take a lock, over all its calls. A holder's name is used for one intent only.
+
+    `unsure` is when the last call without a clear answer ended: that one may still take effect, whatever a later one
+    was told.
+    """
 
     name: str
     holder: str
@@ -60,6 +64,7 @@
     hold_s: float
     token: int = 0
     freed: float | None = None
+    unsure: float | None = None
 
 
 class Held(msgspec.Struct):
--- a/sim/pages.py
+++ b/sim/pages.py
@@ -11,6 +11,7 @@
 
 OK, REDIRECT, INVALID, CONFLICT, UNAVAILABLE, UNDECIDED = 200, 307, 400, 409, 503, 504
 NO_ANSWER = 0
+UNSURE = (NO_ANSWER, UNDECIDED)
 
 
 class PatchItems(msgspec.Struct, frozen=True, tag="patch"):
--- a/tests/test_order_checks.py
+++ b/tests/test_order_checks.py
@@ -59,6 +59,8 @@
         TakeCall("l", "h1", 1, 1.2, 200, 2.0, 1, 2.5),
         TakeCall("l", "h2", 2, 2.1, 409, 2.0),
         TakeCall("l", "h3", 3, 3.2, 200, 2.0, 2, 4.0),
+        TakeCall("l", "h4", 3.1, 4.6, 409, 2.0, unsure=4.4),
+        TakeCall("l", "h5", 7, 7.1, 409, 2.0),
     ]
     o.held = [Held("l", "h1", 1.2, 2.4, 1), Held("l", "h3", 3.2, 3.9, 2)]
     o.numbers = [Counted("n", 1, 1.1, 1), Counted("n", 2, 3, 0), Counted("n", 4, 4.1, 3)]
@@ -98,6 +100,11 @@
     "shows leaving": lambda o: o.reads.append(read(8.3, {}, [], {"u": "leaving"})),
     "while h1 holds it": lambda o: o.held.append(Held("l", "h9", 2.0, 2.2, 5)),
     "token 2 of l after 2": lambda o: o.held.append(Held("l", "h9", 9, 9.5, 2)),
+    "h9 is refused l at 7.60": lambda o: o.takes.append(TakeCall("l", "h9", 7.6, 7.7, 409, 2.0)),
+    "h9 is refused l at 4.15": lambda o: (
+        o.takes.__delitem__(slice(3, 5)),
+        o.takes.append(TakeCall("l", "h9", 4.15, 4.2, 409, 2.0)),
+    ),
     "a late take": lambda o: o.takes.append(TakeCall("l", "h9", 20, 20.1, 409, 2.0)),
     "number n 3 was given twice": lambda o: o.numbers.append(Counted("n", 5, 5.1, 3)),
     "number n 2 was asked at 5.00 after 3": lambda o: o.numbers.append(Counted("n", 5, 5.1, 2)),
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -12,7 +12,7 @@
 PLANTED = (
     ("races", plants.conflicts_confirmed, "contents were confirmed"),
     ("cut_follower_both", plants.reads_unconfirmed, "was confirmed before"),
-    ("cut_follower_in", plants.watches_unconfirmed, "answers a watch"),
+    ("cut_leader_out", plants.watches_unconfirmed, "answers a watch"),
     ("cut_half_both", plants.beats_always, "confirmed a beat"),
     ("loss_upon_repair_3", plants.never_repaired, "nothing confirmed for"),
     ("cut_leader_both", plants.committed_alone, "confirmed a"),
