--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -12,9 +12,10 @@
 from mallowvalve.control.brought_state import BroughtState
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.news import News
-from mallowvalve.control.outcome import UNAPPLIED
+from mallowvalve.control.outcome import UNAPPLIED, Code
 from mallowvalve.control.snapshot import cut, cut_settings, load
 from mallowvalve.control.state import (
+    NOT_UNDERSTOOD,
     Change,
     Enrol,
     Evacuate,
@@ -25,13 +26,13 @@
     Tick,
     command,
     encode,
+    is_command,
     tag_of,
     tags,
 )
 from mallowvalve.control.waiting import CommitNote, Parked, Pending, Read, Reads, turns_settings, waits_for
 from mallowvalve.control.wire import Fed, Took, Want, Who
 from mallowvalve.metrics import Counts
-from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Hard, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
@@ -41,7 +42,6 @@
 
 TOLD = tags((Change, Evacuate, Enrol, Strike, Seats))
 HOLD_MOST = 1.0
-LAG = 16
 TOLD_PACES = 3
 FEED, GATHER_MOST = 0.0015, 0.15
 
@@ -183,6 +183,9 @@
         if not self.leads:
             self.replies.append((token, Took("leader", leader=self.leader())))
             return
+        if not is_command(data):
+            self.replies.append((token, Took(Code.INVALID, body=NOT_UNDERSTOOD)))
+            return
         index = self.raft.propose(COMMAND, data, self.clock.read(now))
         if index is None:
             self.replies.append((token, Took("leader")))
@@ -198,11 +201,11 @@
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
         r, i = self.raft, self.state.index if self.state is not None else 0
-        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + LAG >= r.told
+        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + lease.LAG >= r.told
 
     def contact(self) -> float:
         """When (s) this process asked what a majority has confirmed since."""
-        return self.raft.contact() if self.raft is not None else NO_STAMP
+        return self.raft.contact() if self.raft is not None else lease.NEVER
 
     def holds(self, kind: lease.Answer, now: float) -> bool:
         """Whether an answer of the kind may be given by what is known here."""
