--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -39,11 +39,12 @@
     def _why(self, raft: Raft | None, answers: list[Who], control: list[Address]) -> Why:
         if raft is None:
             return Why.NO_SEAT
-        voters = raft.log.voters
-        if self.me not in voters.electors() and raft.log.voters_index <= raft.commit:
+        voters, voters_index = raft.log.voters, raft.log.voters_index
+        if self.me not in voters.electors() and voters_index <= raft.commit:
             return Why.REPLACED if self.me not in voters.learners else Why.NO_SEAT
         for w in answers:
-            if w.group == raft.group and w.voters is not None and self.me not in w.voters.electors():
+            newer = w.group == raft.group and w.index >= voters_index and w.voters is not None
+            if newer and self.me not in w.voters.electors():
                 return Why.REPLACED
         seats = voters.electors()
         waits = (
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -36,6 +36,14 @@
     return Who("control", "b", B, Locality("eu", "x"), [], False, group, 5, v, B)
 
 
+def test_what_a_member_that_lags_says_of_seats_does_not_count():
+    log = Log(Snapshot(G, 6, 1, member("abc"), []))
+    machine = Raft("a", log, 1, "", random.Random(1), 0.0)
+    leave = Leave("a")
+    assert not leave.over(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is Why.WAITS
+    assert leave.over(machine, [msgspec.structs.replace(answer(member("bcd")), index=6)], [B, C, D])
+
+
 def came_back(id, at, leaving=False):
     """A core process that holds no state, at an address whose former id may have a seat."""
     who = Who("control", id, at, Locality("eu", "x"), [], True, None, 0, None, None)
