--- a/mallowvalve/control/fleet_clock.py
+++ b/mallowvalve/control/fleet_clock.py
@@ -15,7 +15,8 @@
 
     def __init__(self) -> None:
         self._base, self._began_at = 0, 0.0
-        self._heard, self._term = (0, 0.0), 0
+        self._heard: tuple[int, float] | None = None
+        self._term = 0
 
     def restart(self, clock: int, now: float) -> None:
         """Starts from a loaded state whose newest entry carried `clock` (ms)."""
@@ -30,8 +31,14 @@
         return self._base + int((now - self._began_at) * 1000)
 
     def since(self, now: float) -> int:
-        """The fleet's clock by what was heard of it: never ahead, since an entry is proposed before it is applied here."""
-        return self._heard[0] + int((now - self._heard[1]) * 1000)
+        """The fleet's clock by what was heard of it, 0 before that.
+
+        Never ahead, since an entry is proposed before it is applied here: what rests on it ends too soon, never too late.
+        """
+        if self._heard is None:
+            return 0
+        clock, at = self._heard
+        return clock + int((now - at) * 1000)
 
     def hear(self, e: Entry, now: float) -> None:
         """Each leader's clock may run behind its predecessor's: what was heard of those says nothing of this one's."""
--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -250,6 +250,7 @@
         self._follow(m.term, src, now)
         self._heard = now
         self._contact.hear(m.sure, now)
+        self.told = max(self.told, m.commit)
         if m.prev_index < self.log.base:
             es = [e for e in m.entries if e.index > self.log.base]
             prev = self.log.base
@@ -270,7 +271,7 @@
             self.log.append(e)
             self._fresh.append(e)
         match = max(prev, es[-1].index if es else 0)
-        self.commit, self.told = max(self.commit, min(m.commit, match)), max(self.told, m.commit)
+        self.commit = max(self.commit, min(m.commit, match))
         self._late.append((src, Appended(self.term, True, match, m.seq, now)))
 
     def _on_appended(self, src: str, m: Appended, now: float) -> None:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -12,7 +12,7 @@
 from mallowvalve.coordination.plain import Count
 from mallowvalve.raft.contact import MOST_QUESTIONS, NO_STAMP, Contact, Questions
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import Append, Appended, Ask, Envelope, Group, Snapshot, Voice, Voters
+from mallowvalve.raft.messages import NOOP, Append, Appended, Ask, Entry, Envelope, Group, Snapshot, Voice, Voters
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 
@@ -224,3 +224,18 @@
     assert vote(1.1) == [False]
     r.doubt(1.1)
     assert vote(1.2) == [True]
+
+
+def test_a_follower_that_lacks_what_its_leader_has_decided_serves_no_watch():
+    core = Core("a", ADDRESSES["a"], Locality("r", "z"), random.Random(1))
+    core.start(founding(G, Voters(ADDRESSES), None), None, [], 0.0)
+
+    def hear(message, now):
+        core.receive(Envelope(G, "b", "a", ADDRESSES["b"], message), now)
+        core.tick(now)
+        core.saved(core.ready(now), now)
+
+    hear(Append(1, 0, 0, [Entry(1, 1, NOOP, 0, b"")], 1, 1, 0.0), 0.1)
+    assert core.current(0.2)
+    hear(Append(1, 500, 1, [], 500, 9, 5.0), 5.1)
+    assert core.state.index == 1 and not core.current(5.2)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -235,6 +235,15 @@
     assert t.offer(encode(Count("n")), 0.2).code == "undecided" and t.leading.state.plain.numbers == {}
 
 
+def test_a_process_that_has_heard_nothing_takes_its_own_clock_for_no_one_elses():
+    fresh = FleetClock()
+    assert fresh.since(18.5) == 0
+    order = Call(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).data(fresh.since(18.5), 18.5)
+    assert unseal(order)[0].not_after <= 1000, "late at first, which tells it the time"
+    fresh.restart(15_100, 18.5)
+    assert fresh.since(18.6) == 15_200
+
+
 class Leaderless(ControlTask):
     """A control process that hears of no leader; each look for one takes `PAUSE` s."""
 
