--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -10,6 +10,7 @@
 import enum
 
 from mallowvalve.control.wire import Who
+from mallowvalve.raft.messages import Voters
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address
 
@@ -39,22 +40,27 @@
     def _why(self, raft: Raft | None, answers: list[Who], control: list[Address]) -> Why:
         if raft is None:
             return Why.NO_SEAT
-        voters, voters_index = raft.log.voters, raft.log.voters_index
-        if self.me not in voters.electors() and voters_index <= raft.commit:
+        voters, committed = raft.log.voters, raft.log.voters_index <= raft.commit
+        if self.me not in voters.electors() and committed:
             return Why.REPLACED if self.me not in voters.learners else Why.NO_SEAT
-        for w in answers:
-            newer = w.group == raft.group and w.index >= voters_index and w.voters is not None
-            if newer and self.me not in w.voters.electors():
-                return Why.REPLACED
-        seats = voters.electors()
-        waits = (
-            bool(voters.old)
-            or self.me not in seats
-            or any(a not in seats.values() for a in control)
-            or any(a in control for a in voters.learners.values())
-            or _could_sit(answers, seats)
-        )
-        return Why.WAITS if waits else Why.NOBODY
+        told = [w.voters for w in answers if _knows_as_much(w, raft) and w.voters is not None]
+        if any(self.me not in t.electors() for t in told):
+            return Why.REPLACED
+        changing = not committed or any(_changes(v, control) for v in (voters, *told))
+        return Why.WAITS if changing or _could_sit(answers, voters.electors()) else Why.NOBODY
+
+
+def _knows_as_much(w: Who, raft: Raft) -> bool:
+    """Whether one that answers has applied the newest configuration that is known here, or a later one."""
+    return w.group == raft.group and w.index >= raft.log.voters_index
+
+
+def _changes(voters: Voters, control: list[Address]) -> bool:
+    """Whether a change is under way, or somebody alive could take a seat: a learner, or one at no seat's address."""
+    seats = voters.electors().values()
+    return (
+        bool(voters.old) or any(a not in seats for a in control) or any(a in control for a in voters.learners.values())
+    )
 
 
 def _could_sit(answers: list[Who], seats: dict[str, Address]) -> bool:
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -14,12 +14,15 @@
   each under 0.5 s, end before. A member that was only frozen or cut off loses its seat to one that has caught up, and
   comes back as a learner by the log alone.
 
+A learner is ripe once it holds what was committed `RIPE_AGE` ago: five heartbeats, so what it lacks is on its way to it.
+
 `FORGOTTEN` is how long a silent learner is kept: it costs one message a heartbeat, and nothing waits for it.
 """
 
 from __future__ import annotations
 
 import enum
+from collections import deque
 
 import msgspec
 
@@ -34,7 +37,7 @@
 GONE = 3.0
 HERE_LASTS = 5.0
 FORGOTTEN = 30.0
-LAG = 64
+RIPE_AGE = 0.5
 
 
 class Seen(msgspec.Struct, frozen=True):
@@ -63,13 +66,14 @@
     addresses where it finds a process that is no core member's.
     """
 
-    __slots__ = ("seen", "departed", "given_away", "boot", "leaving")
+    __slots__ = ("seen", "departed", "given_away", "boot", "leaving", "_commits")
 
     def __init__(self) -> None:
         self.seen: dict[str, Seen] = {}
         self.departed: dict[Address, int] = {}
         self.given_away: set[Address] = set()
         self.boot, self.leaving = 0, False
+        self._commits: deque[tuple[float, int]] = deque()
 
     def hear(self, who: Who, now: float) -> None:
         """A member said that it is here, or with `leaving` that it is about to go."""
@@ -83,7 +87,7 @@
 
     def next_voters(self, raft: Raft, now: float) -> Voters | None:
         """The configuration to change to, if any; while one is under way only an address may change."""
-        voters = raft.log.voters
+        voters, committed = raft.log.voters, self._committed(raft.commit, now)
         taken = {s.addr: i for i, s in sorted(self.seen.items(), key=lambda x: x[1].at)}
         came = self._came(voters, taken, now)
         if came is not None or voters.old:
@@ -92,9 +96,19 @@
         for i in sorted(lost.keys() & voters.learners.keys()):
             if lost[i] is Loss.REPLACED or _silent(raft, i, now, FORGOTTEN):
                 return Voters(voters.voters, _without(voters.learners, i))
-        ripe = [i for i in voters.learners if i not in lost and i in self.seen and _caught_up(raft, i, now)]
+        ripe = [i for i in voters.learners if i not in lost and i in self.seen and _holds(raft, i, committed, now)]
         return self._swap(voters, lost, ripe) or self._growth(voters, lost, ripe)
 
+    def _committed(self, commit: int, now: float) -> int:
+        """What was committed `RIPE_AGE` ago; all that is, where the looks do not reach back so far."""
+        while self._commits and self._commits[0][1] > commit:
+            self._commits.clear()
+        self._commits.append((now, commit))
+        while len(self._commits) > 1 and self._commits[1][0] <= now - RIPE_AGE:
+            self._commits.popleft()
+        at, index = self._commits[0]
+        return index if at <= now - RIPE_AGE else commit
+
     def _came(self, voters: Voters, taken: dict[Address, str], now: float) -> Voters | None:
         """A member at another address, or one that is new."""
         for i, s in sorted(self.seen.items()):
@@ -158,10 +172,10 @@
     return i != raft.me and p is not None and now - p.heard > limit
 
 
-def _caught_up(raft: Raft, i: str, now: float) -> bool:
-    """Whether it answers, and lacks no more than what comes in a moment; the change itself waits for the rest."""
+def _holds(raft: Raft, i: str, committed: int, now: float) -> bool:
+    """Whether it answers, and has all up to the index; the change itself waits for the rest."""
     p = raft.progress().get(i)
-    return p is not None and p.match > 0 and p.match + LAG >= raft.log.last and now - p.heard < CONFIRM
+    return p is not None and 0 < p.match >= committed and now - p.heard < CONFIRM
 
 
 def _without(d: dict[str, Address], i: str) -> dict[str, Address]:
--- a/mallowvalve/raft/progress.py
+++ b/mallowvalve/raft/progress.py
@@ -20,7 +20,7 @@
     pace: float = 0.0
     told: float = 0.0
     election: float = 1.0
-    snapshot_again: float = 2.0
+    snapshot_again: float = 0.5
 
 
 class Progress:
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -8,7 +8,7 @@
 from mallowvalve.control.leave import Leave, Why
 from mallowvalve.control.wire import Who
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import VOTERS, Entry, Group, Snapshot, Voters, encode
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
@@ -36,6 +36,22 @@
     return Who("control", "b", B, Locality("eu", "x"), [], False, group, 5, v, B)
 
 
+def test_a_configuration_is_committed_before_one_of_its_members_goes():
+    log = Log(Snapshot(G, 6, 1, member("abc", "", "abd"), []), [Entry(7, 2, VOTERS, 0, encode(member("abc")))])
+    machine = Raft("a", log, 2, "", random.Random(1), 0.0)
+    leave = Leave("a")
+    assert not leave.over(machine, [], [B, C]) and leave.why is Why.WAITS
+    machine = Raft("a", log, 2, "", random.Random(1), 0.0, commit=7)
+    assert leave.over(machine, [], [B, C]) and leave.why is Why.NOBODY
+
+
+def test_a_change_that_only_another_member_knows_of_is_waited_for():
+    machine = Raft("a", Log(Snapshot(G, 6, 1, member("abc"), [])), 1, "", random.Random(1), 0.0)
+    joint = msgspec.structs.replace(answer(member("abd", "", "abc")), index=8)
+    leave = Leave("a")
+    assert not leave.over(machine, [joint], [B, C]) and leave.why is Why.WAITS
+
+
 def test_what_a_member_that_lags_says_of_seats_does_not_count():
     log = Log(Snapshot(G, 6, 1, member("abc"), []))
     machine = Raft("a", log, 1, "", random.Random(1), 0.0)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -118,6 +118,7 @@
     def __init__(self, voters, heard):
         self.me = "a"
         self.log = Log(Snapshot(Group(1, "g"), 500, 1, voters, []))
+        self.commit = 500
         self.heard = heard
 
     def progress(self):
@@ -192,6 +193,22 @@
     assert wanted(known(), "abcde", b=6.0) is None
 
 
+def test_a_learner_that_lacks_what_was_committed_half_a_second_ago_takes_no_seat():
+    members = known()
+    members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+    told = Told(Voters(ids("abc"), ids("d")), {"b": 6.0})
+    told.commit = 510
+    assert members.next_voters(told, NOW) is None
+    told.commit = 500
+    assert members.next_voters(told, NOW + 0.1) == Voters(ids("acd"))
+    members = known()
+    members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+    for step in range(6):
+        told.commit = 500 + step
+        wanted_now = members.next_voters(told, NOW + step / 10)
+    assert wanted_now == Voters(ids("acd")), "it holds what was committed 0.5 s ago"
+
+
 def test_learners_that_leave_are_silent_or_lag_take_no_seat():
     assert wanted(known("d"), "abc", "d", b=6.0) is None
     assert wanted(known(), "abc", "d", b=6.0, d=1.5) is None
