--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -5,7 +5,9 @@
 from collections.abc import Iterator
 from typing import get_args
 
+from msgspec import MsgspecError
 from msgspec.structs import replace
+from result import UnwrapError
 
 from mallowvalve.raft.messages import Group, Install, Message, Snapshot, Voters
 from mallowvalve.raft.raft import Raft
@@ -23,6 +25,7 @@
 FIRST_PORT = 7001
 PASSES = (30, 300)
 KEPT = (0, WHOLE // 2, WHOLE)
+FAILURES = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, MsgspecError, UnwrapError)
 Flight = tuple[str, str, str]
 
 
@@ -82,7 +85,7 @@
         """Takes one step and checks the state; gives what is broken, if anything. Raises ImpossibleError."""
         try:
             return self._apply(step)
-        except (ArithmeticError, AttributeError, LookupError, TypeError, ValueError) as error:
+        except FAILURES as error:
             return f"exception: {type(error).__name__}: {error}"
 
     def _apply(self, step: steps.Step) -> str | None:
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -21,6 +21,11 @@
         super().__init__(random.Random(0))
         self.fail_at: int | None = None
 
+    def lose_names(self, rng: random.Random) -> None:
+        """The power is back; each file removed since the folder was last synced may be back too, by `rng`."""
+        self.rng = rng
+        self.crash()
+
     def sync(self, name: str) -> None:
         """Confirms a file, or loses power."""
         if self.fail_at is None:
--- a/verification/faults.py
+++ b/verification/faults.py
@@ -18,12 +18,14 @@
 from mallowvalve.raft.progress import Ready
 from mallowvalve.raft.raft import Raft
 from mallowvalve.raft.rounds import Rounds
+from mallowvalve.storage import log as storage_log
 from verification import steps
 from verification.bounds import UNBOUNDED, WALK, Bounds
 from verification.cluster import Cluster
 from verification.weather import WEIGHTS
 
 NEWEST = 1 << 30
+HEAD_BYTES = 12
 CHANGING = replace(WALK, spares=2, changes=UNBOUNDED)
 STEADY = replace(WALK, crashes=0, compactions=0, reads=0, silences=0, repeats=0)
 READING = replace(STEADY, reads=UNBOUNDED)
@@ -142,6 +144,14 @@
         super().receive(src, m, now)
 
 
+def _unchecked(data: bytes, at: int) -> bytes | None:
+    """A record that is taken without its checksum, as far as it goes."""
+    if len(data) < at + HEAD_BYTES:
+        return None
+    size = int.from_bytes(data[at + 4 : at + 8])
+    return data[at + HEAD_BYTES : at + HEAD_BYTES + size]
+
+
 class SameIdAfterWipe(Cluster):
     """A member that lost its disk comes back under its former id."""
 
@@ -214,6 +224,7 @@
         length=100,
     ),
     Fault("nothing said before the disk confirms", (ELECTION, QUORUM, COMPLETE), SpeaksBeforeSaving),
+    Fault("a torn record is cut off", ("exception", ELECTION, QUORUM), patches=((storage_log, "unseal", _unchecked),)),
     Fault("votes only for logs as new", (COMPLETE, STATE), VotesForAnyLog),
     Fault(
         "former terms commit by an entry of the term",
--- a/verification/member.py
+++ b/verification/member.py
@@ -163,6 +163,8 @@
             with contextlib.suppress(PowerLossError):
                 store.save(self.disk_log, ready, hard)
             self.disk_log.disk.fail_at = None
+        if self.seed is not None:
+            self.disk_log.disk.lose_names(self.rng)
         self._start(self.disk_log.disk)
 
     def receive(self, sender: str, message: Message) -> Sent:
