--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -93,11 +93,14 @@
         if came is not None or voters.old:
             return came
         lost = {i: why for i in voters.everyone() if (why := self._loss(raft, i, taken, now)) is not None}
+        ripe = [i for i in voters.learners if i not in lost and i in self.seen and _holds(raft, i, committed, now)]
+        swap = self._swap(voters, lost, ripe)
+        if swap is not None:
+            return swap
         for i in sorted(lost.keys() & voters.learners.keys()):
             if lost[i] is Loss.REPLACED or _silent(raft, i, now, FORGOTTEN):
                 return Voters(voters.voters, _without(voters.learners, i))
-        ripe = [i for i in voters.learners if i not in lost and i in self.seen and _holds(raft, i, committed, now)]
-        return self._swap(voters, lost, ripe) or self._growth(voters, lost, ripe)
+        return self._growth(voters, lost, ripe)
 
     def _committed(self, commit: int, now: float) -> int:
         """What was committed `RIPE_AGE` ago; all that is, where the looks do not reach back so far."""
@@ -117,7 +120,8 @@
                 return Voters(*({k: s.addr if k == i else a for k, a in part.items()} for part in parts))
         for i, s in sorted(self.seen.items()):
             new = voters.address(i) is None and taken[s.addr] == i and now - s.at < HERE_LASTS and not s.leaving
-            if new and not voters.old:
+            gone = s.addr in self.given_away or s.boot != 0 and self.departed.get(s.addr) == s.boot
+            if new and not gone and not voters.old:
                 return Voters(voters.voters, {**voters.learners, i: s.addr})
         return None
 
--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -5,8 +5,10 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.contact import Contact
 from mallowvalve.raft.election import Election
+from mallowvalve.raft.handover import HandOver
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import (
+    COMMAND,
     NOOP,
     VOTERS,
     Append,
@@ -49,6 +51,7 @@
         "_paced_at",
         "told",
         "_contact",
+        "_handing",
         "_all_at",
         "_now",
     )
@@ -71,7 +74,7 @@
         self.role, self.leader = FOLLOWER, ""
         self.commit = self.marked = max(log.base, min(commit, log.last))
         self.told, self.rounds, self._contact = 0, Rounds(), Contact(now)
-        self.counts = Counts()
+        self.counts, self._handing = Counts(), HandOver()
         self.nudge = self.halted = self.mark = False
         self._voices: set[str] = set()
         self._last_leader = ("", now)
@@ -150,7 +153,7 @@
         self._election_at = min(self._election_at, now + self.times.election * (DOUBT + DOUBT * self.rng.random()))
 
     def propose(self, kind: int, data: bytes, at: int) -> int | None:
-        if not self.leads or self.halted:
+        if not self.leads or self.halted or kind == COMMAND and self._handing.under_way(self._now):
             return None
         if kind == VOTERS and (self.log.voters_index > self.commit or not self.settled):
             return None
@@ -170,11 +173,22 @@
         return self.rounds.seq + 1
 
     def hand_over(self) -> None:
-        """Asks the voter that has most of the log, and was heard last, to campaign at once."""
+        """Takes no command until the voter that has most of the log holds all, and has it campaign then."""
+        to = self._successor()
+        if to is not None and not self._handing.under_way(self._now):
+            self._handing.begin(to, self._now + self.times.election)
+            self.nudge = True
+            self._hand_on(to)
+
+    def _successor(self) -> str | None:
+        """The voter that has most of the log, and was heard last; None unless this one leads."""
         voters = self.log.voters.voters
         ahead = [(p.match, p.heard, i) for i, p in self._progress.items() if i in voters and i != self.me]
-        if self.leads and ahead:
-            self._late.append((max(ahead)[2], Elect(self.term)))
+        return max(ahead)[2] if self.leads and ahead else None
+
+    def _hand_on(self, to: str) -> None:
+        if self._handing.ripe(to, self._of(to).match, self.log.last, self._now):
+            self._late.append((to, Elect(self.term)))
 
     def ready(self, now: float) -> Ready:
         self._now = now
@@ -203,6 +217,7 @@
     def _lead(self, now: float) -> None:
         """The former leader is silent since its last message, not since this one's first."""
         self.role, self.leader = LEADER, self.me
+        self._handing.end()
         former, heard_at = self._last_leader
         self._progress = {former: Progress(self.log.last + 1, heard_at)} if former not in ("", self.me) else {}
         self.rounds.begin(now)
@@ -292,6 +307,7 @@
         if p.next <= self.log.last and m.seq >= p.floor:
             self._go_on(p)
         self._advance()
+        self._hand_on(src)
 
     def _go_on(self, p: Progress) -> None:
         """Answers to what was sent before this reaction cause no other: else laggards multiply each other's messages."""
@@ -335,5 +351,7 @@
             at = self.log.entries[-1].at if self.log.entries else 0
             self.propose(VOTERS, encode(vs.final()), at)
         elif self.me not in vs.voters:
-            self.hand_over()
+            to = self._successor()
+            if to is not None:
+                self._late.append((to, Elect(self.term)))
             self.role, self.leader = FOLLOWER, ""
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -158,6 +158,24 @@
     assert lead.raft.role != LEADER and any(n.raft.settled for n in ns)
 
 
+def test_a_leader_hands_over_once_its_successor_holds_all_and_takes_no_command_meanwhile():
+    r = raft(voters=Voters({i: ADDRS[i] for i in ("n0", "n1", "n2")}))
+    r.tick(9.0)
+    for pre in (True, False):
+        r.receive("n1", Voice(1, pre, True), 9.0)
+    r.saved(r.ready(9.0))
+    r.receive("n1", Appended(1, True, 1, 1), 9.01)
+    assert r.propose(COMMAND, b"x", 0) == 2
+    r.hand_over()
+    assert not [m for _, m in r.ready(9.02).late if isinstance(m, Elect)]
+    assert r.propose(COMMAND, b"y", 0) is None and r.log.last == 2
+    r.receive("n1", Appended(1, True, 2, 2), 9.05)
+    assert [(to, m) for to, m in r.ready(9.06).late if isinstance(m, Elect)] == [("n1", Elect(1))]
+    assert r.propose(COMMAND, b"y", 0) is None, "its campaign is awaited"
+    r.tick(9.06 + r.times.election)
+    assert r.leads and r.propose(COMMAND, b"y", 0) == 3, "nothing came of it"
+
+
 def test_one_change_of_voters_at_a_time():
     w, ns, lead = group(10)
     less = Voters({i: a for i, a in ADDRS.items() if i != "n4" or lead.raft.me == "n4"})
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -209,6 +209,25 @@
     assert wanted_now == Voters(ids("acd")), "it holds what was committed 0.5 s ago"
 
 
+def test_one_that_is_known_to_be_gone_does_not_come_back_as_a_learner():
+    for verdicts in (({}, {D}), ({D: 7}, set())):
+        members = known()
+        members.verdicts(*verdicts)
+        members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+        assert members.next_voters(Told(Voters(ids("abc")), {}), NOW) is None
+    members.verdicts({D: 6}, set())
+    assert members.next_voters(Told(Voters(ids("abc")), {}), NOW) == Voters(ids("abc"), ids("d"))
+
+
+def test_a_dead_voter_is_replaced_before_a_learner_is_dropped():
+    members = known()
+    members.verdicts({B: 7}, {E})
+    seen = members.seen
+    members.seen = {i: s for i, s in seen.items() if i in "abcde"}
+    told = Told(Voters(ids("abc"), ids("de")), {"b": 6.0, "e": 6.0})
+    assert members.next_voters(told, NOW) == Voters(ids("acd"), ids("e"))
+
+
 def test_learners_that_leave_are_silent_or_lag_take_no_seat():
     assert wanted(known("d"), "abc", "d", b=6.0) is None
     assert wanted(known(), "abc", "d", b=6.0, d=1.5) is None
