--- a/verification/explorer.py
+++ b/verification/explorer.py
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from mallowvalve.raft.messages import VOTERS
 from verification.bounds import Bounds
 from verification.cluster import Cluster, ImpossibleError
 from verification.steps import Deliver, Lose, Step, Trace, line
@@ -87,7 +88,12 @@
 
 def _seen(cluster: Any) -> dict[str, int]:
     """What a path came to, so that a search that reached nothing is not taken for a proof."""
-    reached = {"elections": len(cluster.record.leaders), "commits": len(cluster.record.committed)}
+    committed = [entry for entry, _ in cluster.record.committed]
+    reached = {
+        "elections": len(cluster.record.leaders),
+        "commits": len(committed),
+        "configurations": sum(entry.kind == VOTERS for entry in committed),
+    }
     return {**cluster.spent, **reached}
 
 
--- a/verification/weather.py
+++ b/verification/weather.py
@@ -103,10 +103,12 @@
 
 
 def _gentle(kind: type[steps.Step], options: list[Any], cluster: Any) -> list[Any]:
-    """In calm, little time passes at once and leaders' clocks move on before the others' do."""
+    """In calm, little time passes at once, leaders' clocks move on first, and leaders hear who is there."""
     if kind is steps.Pass:
         shortest = min((step.ms for step in options), default=0)
         return [step for step in options if step.ms == shortest and not step.frozen]
+    if kind is steps.Here:
+        return [step for step in options if cluster.members[step.member].raft.leads and not step.leaving] or options
     if kind is steps.Timeout:
         return [step for step in options if cluster.members[step.member].raft.leads] or options
     return options
