--- a/tests/test_verification_teeth.py
+++ b/tests/test_verification_teeth.py
@@ -1,5 +1,6 @@
 import pytest
 
+from verification import explorer
 from verification.cluster import Cluster
 from verification.control_cluster import ControlCluster
 from verification.control_faults import CONTROL_FAULTS
@@ -8,11 +9,12 @@
 
 ALL = FAULTS + CONTROL_FAULTS
 
-SEEDS = 600
+SEEDS = 3000
 
 
 @pytest.mark.parametrize("fault", ALL, ids=lambda fault: fault.name)
-def test_a_protection_taken_out_is_noticed(fault):
+def test_a_protection_taken_out_is_noticed(fault, monkeypatch):
+    monkeypatch.setattr(explorer, "SHORTEN_STEPS", 5_000)
     with fault.out() as make:
         found = walks(fault.bounds, range(SEEDS), fault.length, make, fault.weights)
         assert found.broken.partition(":")[0] in fault.breaks
--- a/verification/__main__.py
+++ b/verification/__main__.py
@@ -138,7 +138,7 @@
 @main.command()
 @click.argument("file", type=click.Path(exists=True, path_type=Path))
 def check(file: Path) -> None:
-    """Check a recorded history for linearizability; exits with 1 where there is no order that explains it."""
+    """Check a recorded history for linearizability; exits with 0 only if an order explains every part of it."""
     sys.exit(import_module("verification.linearizability").main_check(file))
 
 
