--- a/sim/run.py
+++ b/sim/run.py
@@ -75,6 +75,7 @@
         "puts",
         "events",
         "beats",
+        "late_reads",
     )
     counts = ", ".join(f"{k} {c[k]}" for k in kinds)
     return (
