--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -293,7 +293,8 @@
         p = self._progress.get(src)
         if not self.leads or p is None:
             return
-        p.seq, p.heard = max(p.seq, m.seq), now
+        if m.seq > p.seq:
+            p.seq, p.heard = m.seq, now
         p.questions.ask(m.stamp, self.rounds.seq + 1)
         self._confirm()
         if not m.ok:
