--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -16,7 +16,7 @@
 from mallowvalve.control import redirect
 from mallowvalve.control.lease import RETRY_S, Answer
 from mallowvalve.finding import Finding, Findings, parse_json
-from mallowvalve.membership.wire import ALIVE, Record
+from mallowvalve.membership.wire import ALIVE, MemberRecord
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
 
@@ -103,7 +103,7 @@
     return r.err_value if r.is_err() else [Finding("body", "not understood")]
 
 
-def heartbeat_at(controls: list[Record], me: Record, at: Locality, instance: str) -> Address | None:
+def heartbeat_at(controls: list[MemberRecord], me: MemberRecord, at: Locality, instance: str) -> Address | None:
     """Where this upstream had better heartbeat: a control process of its zone or else region; None if it is here."""
     controls = [r for r in controls if r.state == ALIVE and r.ready and r.addr != me.addr]
     for d in (0, 1):
--- a/mallowvalve/control/redirect.py
+++ b/mallowvalve/control/redirect.py
@@ -10,13 +10,13 @@
 from mallowvalve.control import lease
 from mallowvalve.control.task import ControlTask
 from mallowvalve.finding import Finding
-from mallowvalve.membership.wire import ALIVE, Record
+from mallowvalve.membership.wire import ALIVE, MemberRecord
 from mallowvalve.types import Address
 
 MOVED = "moved"
 
 
-def other(controls: list[Record], me: Address, leader: Address | None) -> Record | None:
+def other(controls: list[MemberRecord], me: Address, leader: Address | None) -> MemberRecord | None:
     """One that says of itself that it is in touch (`ready`), never this one, and the leader last.
 
     What this process holds for the leader gave it no lease, so it may be cut off as well.
--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -40,7 +40,7 @@
         self._touched = clock.now()
         self._told: Address | None = None
         self._reported = 0.0
-        task.node.transport.on("heard", self._on_heard, quick=True)
+        task.node.transport.on("heard", self._on_heard, inline=True)
 
     def __enter__(self) -> RegistryTask:
         """Begins to gather changes and to judge silence."""
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -71,8 +71,8 @@
         self._session = Session(lambda: secrets.randbits(64))
         self.held = Event()
         on = node.transport.on
-        on("round", lambda s, b: wire.encode(self.replica.tell(wire.round_(b))), quick=True)
-        on("who", lambda s, b: wire.encode(self._who()), quick=True)
+        on("round", lambda s, b: wire.encode(self.replica.tell(wire.round_(b))), inline=True)
+        on("who", lambda s, b: wire.encode(self._who()), inline=True)
         node.gauge("revision", lambda: self.replica.revision)
         node.gauge("held_index", lambda: self.replica.state.index if self.replica.state else 0)
         node.gauge("fresh", lambda: self.replica.fresh(clock.now()))
--- a/mallowvalve/control/snapshot_fetch.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -51,7 +51,7 @@
         self._shelf, self._lock = Shelf(), RLock()
         transport.on("label", lambda s, b: encode(self._label(b)))
         transport.on("whole", lambda s, b: encode(self._whole(b)))
-        transport.on("piece", lambda s, b: encode(self._shelf.cut(read_want(b), clock.now())), quick=True)
+        transport.on("piece", lambda s, b: encode(self._shelf.cut(read_want(b), clock.now())), inline=True)
 
     def pull(
         self,
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -92,14 +92,14 @@
         self._hint: Address | None = None
         self._session = Session(lambda: secrets.randbits(64))
         self.founder = FoundTask(self)
-        node.transport.gone = lambda a: self.put(lambda now: self.core.gone(a, now))
+        node.transport.on_peer_disconnected = lambda a: self.put(lambda now: self.core.gone(a, now))
         on = node.transport.on
-        on("raft", self._vote, quick=True)
+        on("raft", self._vote, inline=True)
         on("want", lambda s, b: wire.encode(self._want(wire.want(b))))
         on("offer", lambda s, b: wire.encode(self._offer(wire.offer(b))))
         on("read", lambda s, b: wire.encode(self._read(2.0)))
-        on("who", lambda s, b: wire.encode(self.who()), quick=True)
-        on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), quick=True)
+        on("who", lambda s, b: wire.encode(self.who()), inline=True)
+        on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), inline=True)
 
     def __enter__(self) -> ControlTask:
         """Begins to run."""
--- a/mallowvalve/directory/answer.py
+++ b/mallowvalve/directory/answer.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from mallowvalve.membership.members import Gone, accepts
-from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, Record
+from mallowvalve.membership.members import DepartedMember, accepts
+from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, MemberRecord
 from mallowvalve.types import Locality
 
 ROLE = "proxy"
@@ -48,7 +48,7 @@
 class Choice(msgspec.Struct, frozen=True):
     """The proxies of an answer, the nearest first, and why they were chosen; without any the answer is a refusal."""
 
-    named: list[Record]
+    named: list[MemberRecord]
     reason: Reason
 
     def regions(self) -> list[str]:
@@ -57,14 +57,14 @@
 
 
 class Known(msgspec.Struct, frozen=True):
-    """The proxies as a directory knows them: those that run, those that are gone, and whom it doubts.
+    """The proxies as a directory knows them: those that run, those that are gone, and whom it suspects.
 
     Who is gone is asked only where a region is short of proxies.
     """
 
-    alive: Sequence[Record]
-    gone: Callable[[], Sequence[Gone]] = tuple
-    doubts: Callable[[Record], bool] = lambda record: False
+    alive: Sequence[MemberRecord]
+    gone: Callable[[], Sequence[DepartedMember]] = tuple
+    suspects: Callable[[MemberRecord], bool] = lambda record: False
 
 
 def choose(
@@ -81,7 +81,9 @@
     return Choice(rows[:most], reason)
 
 
-def _choose(known: Known, near: Locality, homes: frozenset[str] | None, patient: bool) -> tuple[list[Record], Reason]:
+def _choose(
+    known: Known, near: Locality, homes: frozenset[str] | None, patient: bool
+) -> tuple[list[MemberRecord], Reason]:
     """What serves nearest and may serve, by the order of `docs/design/directory.md`."""
     here = [record for record in known.alive if record.locality.region == near.region and record.role == ROLE]
     own = _ready(known, here)
@@ -94,7 +96,7 @@
     if home:
         return home, Reason.HOME_REGION
     open_ = [record for record in proxies if accepts(record)]
-    leaving = [record for record in open_ if not known.doubts(record)]
+    leaving = [record for record in open_ if not known.suspects(record)]
     for regions in ({near.region}, homes or ()):
         if found := _of(leaving, regions):
             return found, Reason.LEAVING
@@ -105,8 +107,8 @@
 
 
 def _with_help(
-    known: Known, proxies: list[Record], own: list[Record], region: str, homes: frozenset[str] | None
-) -> tuple[list[Record], Reason]:
+    known: Known, proxies: list[MemberRecord], own: list[MemberRecord], region: str, homes: frozenset[str] | None
+) -> tuple[list[MemberRecord], Reason]:
     """A region's one ready proxy; those that may serve help it where another one there has just failed."""
     if not _failed(known.gone(), region):
         return own, Reason.LONE
@@ -115,28 +117,28 @@
     return (others, Reason.REST_FAILED) if len(others) > len(own) else (own, Reason.LONE)
 
 
-def _ready(known: Known, records: Iterable[Record]) -> list[Record]:
-    return [record for record in records if record.ready and record.state == ALIVE and not known.doubts(record)]
+def _ready(known: Known, records: Iterable[MemberRecord]) -> list[MemberRecord]:
+    return [record for record in records if record.ready and record.state == ALIVE and not known.suspects(record)]
 
 
-def _of(records: Iterable[Record], regions: Iterable[str]) -> list[Record]:
+def _of(records: Iterable[MemberRecord], regions: Iterable[str]) -> list[MemberRecord]:
     wanted = set(regions)
     return [record for record in records if record.locality.region in wanted]
 
 
-def _failed(gone: Iterable[Gone], region: str) -> bool:
+def _failed(gone: Iterable[DepartedMember], region: str) -> bool:
     """Whether a proxy of the region failed so lately that another one may follow."""
     here = [one for one in gone if one.record.locality.region == region]
-    return any(one.record.state == FAILED and one.ago < FAILED_S for one in here)
+    return any(one.record.state == FAILED and one.departed_for_s < FAILED_S for one in here)
 
 
-def _worth_waiting(known: Known, proxies: Iterable[Record], region: str, homes: frozenset[str] | None) -> bool:
+def _worth_waiting(known: Known, proxies: Iterable[MemberRecord], region: str, homes: frozenset[str] | None) -> bool:
     """Whether one that may serve is on its way back: it has left just now, or runs and does not accept yet.
 
     Without homes other regions are as good, but for a moment: of those that close at once one takes back its word.
     """
-    silent = [record for record in proxies if not accepts(record) and not known.doubts(record)]
+    silent = [record for record in proxies if not accepts(record) and not known.suspects(record)]
     if homes is None:
         return any(record.state == LEAVING for record in _of(silent, {region}))
-    left = [one.record for one in known.gone() if one.returns()]
+    left = [one.record for one in known.gone() if one.is_expected_back()]
     return bool(_of([*left, *silent], {region, *homes}))
--- a/mallowvalve/directory/look_up.py
+++ b/mallowvalve/directory/look_up.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Collection
 
 from mallowvalve.directory.answer import ROLE, STEADY, Choice, Known, Reason, choose
-from mallowvalve.membership.members import RETURN_S, Members
-from mallowvalve.membership.wire import Record
+from mallowvalve.membership.members import RETURN_WINDOW_S, ClusterMembership
+from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.types import Address, Locality
 
 LIFE_S, SHORT_LIFE_S = 2.0, 1.0
@@ -30,7 +30,7 @@
 
     __slots__ = ("members", "now", "_waits")
 
-    def __init__(self, members: Members, now: Callable[[], float]) -> None:
+    def __init__(self, members: ClusterMembership, now: Callable[[], float]) -> None:
         """Nobody was refused yet."""
         self.members = members
         self.now = now
@@ -41,7 +41,7 @@
         near: Locality,
         homes: frozenset[str] | None,
         avoid: Collection[Address] = (),
-        usable: Callable[[Record], bool] | None = None,
+        usable: Callable[[MemberRecord], bool] | None = None,
     ) -> Choice:
         """Who is named to a client at this place, for a host or tenant with these homes; nobody is a refusal.
 
@@ -52,8 +52,8 @@
         alive = self.members.alive(ROLE)
         known = Known(
             alive if usable is None else [record for record in alive if usable(record)],
-            lambda: self.members.gone(ROLE),
-            lambda record: self._refused(record, avoid) or self.members.doubts(record),
+            lambda: self.members.departed(ROLE),
+            lambda record: self._refused(record, avoid) or self.members.suspects(record),
         )
         choice = choose(known, near, homes)
         if choice.reason is Reason.RETURNING and self._has_waited((near.region, homes)):
@@ -70,20 +70,20 @@
         Those of the region that are doubted are pinged on, so that the first ack ends the doubt.
         """
         if len(choice.named) == 1:
-            self.members.check(choice.named[0])
+            self.members.probe(choice.named[0])
         if choice.reason in STEADY:
             return
         for record in self.members.alive(ROLE):
-            if record.locality.region == region and self.members.doubts(record):
-                self.members.check(record)
+            if record.locality.region == region and self.members.suspects(record):
+                self.members.probe(record)
 
-    def _refused(self, record: Record, avoid: Collection[Address]) -> bool:
+    def _refused(self, record: MemberRecord, avoid: Collection[Address]) -> bool:
         return record.web in avoid and self.members.known_for(record) >= AVOIDED_S
 
     def _has_waited(self, wait: Wait) -> bool:
         """Whether these clients have been refused for as long as it is worth to them."""
         now = self.now()
-        patience = WAIT_WITHOUT_HOMES_S if wait[1] is None else RETURN_S
+        patience = WAIT_WITHOUT_HOMES_S if wait[1] is None else RETURN_WINDOW_S
         if wait not in self._waits and len(self._waits) >= MOST_WAITS:
             self._waits.clear()
         return now - self._waits.setdefault(wait, now) >= patience
--- a/mallowvalve/directory/pages.py
+++ b/mallowvalve/directory/pages.py
@@ -16,8 +16,8 @@
 from mallowvalve.directory.look_up import LIFE_S, Directory, life
 from mallowvalve.directory.sight import Answers
 from mallowvalve.finding import Finding
-from mallowvalve.membership.task import NAMES
-from mallowvalve.membership.wire import Record
+from mallowvalve.membership.task import STATE_NAMES
+from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.node import Node
 from mallowvalve.types import Address, Locality, emptied
 
@@ -87,7 +87,7 @@
         read = map(Address.read, req.get_param_as_list("avoid") or [])
         avoid = {result.ok_value for result in read if isinstance(result, Ok)}
 
-        def usable(record: Record) -> bool:
+        def usable(record: MemberRecord) -> bool:
             return not emptied(record.locality, evacuated)
 
         choice = self.pages.directory.look_up(near.ok_value, homes, avoid, usable)
@@ -100,17 +100,17 @@
 
     def _in_order(
         self, req: falcon.Request, near: Locality, choice: Choice, avoid: Collection[Address]
-    ) -> list[Record]:
+    ) -> list[MemberRecord]:
         """The nearest first; of those equally near another one first for each caller."""
         caller = req.env.get("REMOTE_PORT")
 
-        def place(record: Record) -> tuple[bool, int, int]:
+        def place(record: MemberRecord) -> tuple[bool, int, int]:
             drawn = hash((record.addr, self.node.boot, caller))
             return record.web in avoid, record.locality.distance(near), drawn
 
         return sorted(choice.named, key=place)
 
-    def _row(self, record: Record) -> dict[str, str]:
+    def _row(self, record: MemberRecord) -> dict[str, str]:
         return {"web": str(record.web), "locality": str(record.locality), "name": record.name}
 
 
@@ -196,7 +196,7 @@
                 "name": record.name,
                 "web": str(record.web),
                 "locality": str(record.locality),
-                "status": NAMES[record.state],
+                "status": STATE_NAMES[record.state],
             }
             for record in choice.named
         ]
--- a/mallowvalve/directory/sight.py
+++ b/mallowvalve/directory/sight.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 
 from mallowvalve.directory.answer import Choice, Reason
-from mallowvalve.membership.wire import ALIVE, LEAVING, Record
+from mallowvalve.membership.wire import ALIVE, LEAVING, MemberRecord
 from mallowvalve.metrics import Counts, change
 
 MOST_PLACES = 256
@@ -34,7 +34,7 @@
         self._last: dict[Place, Reason] = {}
         self._note = note
 
-    def gave(self, region: str, homes: frozenset[str] | None, choice: Choice, known: Sequence[Record]) -> None:
+    def gave(self, region: str, homes: frozenset[str] | None, choice: Choice, known: Sequence[MemberRecord]) -> None:
         """An answer was given to a client of `region` out of the `known` proxies."""
         self._counts.add(f"directory_{choice.reason.value}")
         if choice.regions() not in ([], [region]):
@@ -50,7 +50,7 @@
         """Answers since the start of the process, by region and reason."""
         return dict(sorted(self._by_region.items()))
 
-    def _tell(self, region: str, homes: frozenset[str] | None, choice: Choice, known: Sequence[Record]) -> None:
+    def _tell(self, region: str, homes: frozenset[str] | None, choice: Choice, known: Sequence[MemberRecord]) -> None:
         own = [record for record in known if record.locality.region == region]
         self._note(
             "directory_answers",
--- a/mallowvalve/membership/check.py
+++ b/mallowvalve/membership/direct_probe.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from mallowvalve.membership.wire import Record
+from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.types import Address
 
 CHECK_EVERY_S = 0.2
@@ -41,7 +41,7 @@
         """Nobody is checked."""
         self._rows: dict[Address, Checked] = {}
 
-    def due(self, member: Record, now: float) -> bool:
+    def due(self, member: MemberRecord, now: float) -> bool:
         """Whether a ping should be sent now; it then counts as sent."""
         self._forget(now)
         row = self._rows.get(member.addr)
@@ -62,7 +62,7 @@
         if row is not None:
             row.unanswered = 0
 
-    def doubts(self, member: Record, now: float) -> bool:
+    def suspects(self, member: MemberRecord, now: float) -> bool:
         """Whether this life of a member has been silent to several pings, the first of them long enough ago."""
         row = self._rows.get(member.addr)
         if row is None or row.boot != member.boot:
--- a/mallowvalve/membership/closing.py
+++ b/mallowvalve/membership/drain.py
@@ -31,14 +31,14 @@
     CLOSED = enum.auto()
 
 
-class Outlook(msgspec.Struct, frozen=True):
+class DrainConditions(msgspec.Struct, frozen=True):
     """The region of a leaving member: whether it must stay, and how many others that leave close before it."""
 
     must_stay: bool
-    before: int
+    leavers_ahead: int
 
 
-class Step(msgspec.Struct, frozen=True):
+class DrainStep(msgspec.Struct, frozen=True):
     """What to do now: whether to say that this member accepts, whether it is closed, and when to ask again (s)."""
 
     accepts: bool
@@ -46,7 +46,7 @@
     wait: float
 
 
-class Closing:
+class DrainSequence:
     """Decides when to close, from `earliest` on and by `latest` whatever the others do (s, one steady clock)."""
 
     __slots__ = ("earliest", "latest", "_rng", "_state", "_until", "_in_turn")
@@ -60,7 +60,7 @@
         self._until = earliest
         self._in_turn = False
 
-    def step(self, now: float, outlook: Outlook) -> Step:
+    def step(self, now: float, outlook: DrainConditions) -> DrainStep:
         """One look at the region."""
         if now >= self.latest:
             self._state = _State.CLOSED
@@ -69,16 +69,16 @@
         closed = self._state is _State.CLOSED
         due = self._until if self._until > now else now + LOOK_S
         wait = 0.0 if closed else min(due, self.latest) - now
-        return Step(self._state is _State.ACCEPTS, closed, wait)
+        return DrainStep(self._state is _State.ACCEPTS, closed, wait)
 
-    def _decide(self, now: float, outlook: Outlook) -> None:
+    def _decide(self, now: float, outlook: DrainConditions) -> None:
         if self._state is _State.ANNOUNCED:
             self._state = _State.ACCEPTS if outlook.must_stay else _State.CLOSED
             self._until = now + self._rng.uniform(*PAUSE_S)
         elif not self._in_turn:
             self._in_turn = True
-            self._until = now + TURN_S * outlook.before
-            if outlook.before == 0:
+            self._until = now + TURN_S * outlook.leavers_ahead
+            if outlook.leavers_ahead == 0:
                 self._decide(now, outlook)
         elif not outlook.must_stay:
             self._state = _State.ANNOUNCED
--- a/mallowvalve/membership/formula.py
+++ b/mallowvalve/membership/formula.py
@@ -8,7 +8,7 @@
 import math
 
 
-def spread(pf: float) -> float:
+def expected_periods_to_ping(pf: float) -> float:
     """Expected periods until any of the members that are up pings a given one: e^q / (e^q - 1), q = 1 - pf."""
     qf = 1 - pf
     return math.exp(qf) / (math.exp(qf) - 1)
@@ -16,14 +16,14 @@
 
 def period(detect: float, pf: float) -> float:
     """The period (s) with which a failure is noticed after `detect` seconds on average."""
-    return detect / spread(pf)
+    return detect / expected_periods_to_ping(pf)
 
 
 def helpers(mistake: float, pf: float, pml: float) -> int:
     """The fewest helpers with which a member is wrongly declared failed with at most probability `mistake`."""
     qf = 1 - pf
     qml = 1 - pml
-    needed = math.log(mistake / (qf * (1 - qml**2) * spread(pf))) / math.log(1 - qf * qml**4)
+    needed = math.log(mistake / (qf * (1 - qml**2) * expected_periods_to_ping(pf))) / math.log(1 - qf * qml**4)
     return max(1, math.ceil(needed))
 
 
--- a/mallowvalve/membership/task.py
+++ b/mallowvalve/membership/task.py
@@ -9,13 +9,13 @@
 from mallowvalve import clock
 from mallowvalve.fault import Faults
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.members import Gone
-from mallowvalve.membership.share import DIRECT, Out
-from mallowvalve.membership.wire import ALIVE, Record, State, decode, encode
+from mallowvalve.membership.dissemination import DIRECT_SEND_MEMBERS_MAX, OutgoingDatagrams
+from mallowvalve.membership.members import DepartedMember
+from mallowvalve.membership.wire import ALIVE, MemberRecord, MemberState, decode, encode
 from mallowvalve.metrics import change, vital
 from mallowvalve.types import Address
 
-NAMES = {state: state.name.lower() for state in State}
+STATE_NAMES = {state: state.name.lower() for state in MemberState}
 AT_ONCE = 256
 """Datagrams that are read before the timer is looked at again."""
 
@@ -33,13 +33,13 @@
     What has arrived is always read before the clock is: an ack that waited while the process slept still counts.
     """
 
-    __slots__ = ("membership", "faults", "_sock", "_job", "_known")
+    __slots__ = ("membership", "faults", "_sock", "_job", "_logged_states")
 
     def __init__(self, membership: Membership, faults: Faults | None = None) -> None:
         """Send and receive for `membership`, but what `faults` cut."""
         self.membership = membership
         self.faults = faults or Faults()
-        self._known: dict[Address, tuple[int, State]] = {}
+        self._logged_states: dict[Address, tuple[int, MemberState]] = {}
 
     def __enter__(self) -> MembershipTask:
         """Bind the member's address (UDP) and begin."""
@@ -54,31 +54,31 @@
         gevent.kill(self._job)
         self._sock.close()
 
-    def alive(self, role: str | None = None) -> list[Record]:
+    def alive(self, role: str | None = None) -> list[MemberRecord]:
         """Others that are alive or leaving, of one role or of any; not to be changed by the caller."""
         return self.membership.alive(role)
 
-    def gone(self, role: str) -> list[Gone]:
+    def departed(self, role: str) -> list[DepartedMember]:
         """Others of a role that failed or left and are not forgotten."""
-        return self.membership.gone(role, clock.now())
+        return self.membership.departed(role, clock.now())
 
     def settled(self) -> bool:
         """Whether this member has had time to meet the others; until then it may know a few only."""
         return self.membership.settled(clock.now())
 
-    def known_for(self, member: Record) -> float:
+    def known_for(self, member: MemberRecord) -> float:
         """For how long (s) the present life of a member has been known here."""
         return self.membership.known_for(member, clock.now())
 
-    def check(self, member: Record) -> None:
+    def probe(self, member: MemberRecord) -> None:
         """Ping a member beside the periods, a few times a second at most however often this is called."""
-        self._do(self.membership.check(member, clock.now()))
+        self._do(self.membership.probe(member, clock.now()))
 
-    def doubts(self, member: Record) -> bool:
+    def suspects(self, member: MemberRecord) -> bool:
         """Whether the last pings of `check` have all been unanswered."""
-        return self.membership.doubts(member, clock.now())
+        return self.membership.suspects(member, clock.now())
 
-    def view(self) -> list[Record]:
+    def view(self) -> list[MemberRecord]:
         """All records, this member's own first."""
         return [self.membership.me, *self.membership.view.values()]
 
@@ -94,7 +94,7 @@
         """This member, which leaves, takes new work still, or no more."""
         self._do(self.membership.accept(accepts))
 
-    def _do(self, out: Out) -> None:
+    def _do(self, out: OutgoingDatagrams) -> None:
         for to, message in out:
             if self.faults.silent(self.membership.me.addr, to):
                 continue
@@ -137,21 +137,21 @@
 
     def _log(self) -> None:
         """Write what became of members to the log; in a large group not each that is new and alive."""
-        why = self.membership.why
+        why = self.membership.reasons
         view = self.membership.view
-        if len(self._known) > len(view):
-            self._known = {address: known for address, known in self._known.items() if address in view}
+        if len(self._logged_states) > len(view):
+            self._logged_states = {address: known for address, known in self._logged_states.items() if address in view}
         while why:
             address, text = why.popitem()
             record = view.get(address)
-            if record is None or self._known.get(address) == (record.boot, record.state):
+            if record is None or self._logged_states.get(address) == (record.boot, record.state):
                 continue
-            new = address not in self._known
-            self._known[address] = (record.boot, record.state)
-            if new and record.state == ALIVE and len(view) > DIRECT:
+            new = address not in self._logged_states
+            self._logged_states[address] = (record.boot, record.state)
+            if new and record.state == ALIVE and len(view) > DIRECT_SEND_MEMBERS_MAX:
                 continue
             change(
-                f"peer_{NAMES[record.state]}",
+                f"peer_{STATE_NAMES[record.state]}",
                 peer=str(address),
                 name=record.name,
                 incarnation=record.incarnation,
--- a/mallowvalve/membership/wire.py
+++ b/mallowvalve/membership/wire.py
@@ -8,10 +8,10 @@
 
 from mallowvalve.types import Address, Locality
 
-VERSION = 3
+PROTOCOL_VERSION = 3
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """How a member is; of two records of one incarnation the one of the higher state holds."""
 
     ALIVE = 0
@@ -20,7 +20,7 @@
     LEFT = 3
 
 
-class Wanted(IntEnum):
+class RequestedRecords(IntEnum):
     """What is wanted back for records: nothing, the receiver's own record, or all it has."""
 
     NOTHING = 0
@@ -28,13 +28,13 @@
     ALL = 2
 
 
-ALIVE = State.ALIVE
-LEAVING = State.LEAVING
-FAILED = State.FAILED
-LEFT = State.LEFT
+ALIVE = MemberState.ALIVE
+LEAVING = MemberState.LEAVING
+FAILED = MemberState.FAILED
+LEFT = MemberState.LEFT
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is known of a member.
 
     `addr` is its transport address and its identity, `boot` a random number of this start of its process, `incarnation`
@@ -44,7 +44,7 @@
     addr: Address
     boot: int
     incarnation: int
-    state: State
+    state: MemberState
     role: str
     name: str
     locality: Locality
@@ -57,7 +57,7 @@
         return self.incarnation, self.state, self.boot
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class DatagramHeader(msgspec.Struct, frozen=True, array_like=True):
     """What begins each datagram: the protocol's version, the fleet, and who sends, in which incarnation."""
 
     version: int
@@ -73,40 +73,40 @@
     `total` is the digest of the sender's view; the target of a ping compares it with its own.
     """
 
-    head: Head
+    head: DatagramHeader
     origin: Address
     target: Address
-    pr: int
+    period_number: int
     total: int | None = None
 
 
 class PingReq(msgspec.Struct, frozen=True, array_like=True, tag=2):
     """Asks a helper to ping `target` for `origin`."""
 
-    head: Head
+    head: DatagramHeader
     origin: Address
     target: Address
-    pr: int
+    period_number: int
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=3, omit_defaults=True):
     """`target` lives; sent to `origin`, or to `relay`, which passes it on."""
 
-    head: Head
+    head: DatagramHeader
     origin: Address
     target: Address
-    pr: int
+    period_number: int
     relay: Address | None = None
 
 
 class RelayPing(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """A helper's ping for `origin`; the ack goes back through `relay`."""
 
-    head: Head
+    head: DatagramHeader
     origin: Address
     target: Address
     relay: Address
-    pr: int
+    period_number: int
 
 
 class Tell(msgspec.Struct, frozen=True, array_like=True, tag=5, omit_defaults=True):
@@ -115,16 +115,16 @@
     With `share` (i, m) the receiver passes the records on to the members of share i of m.
     """
 
-    head: Head
-    records: list[Record]
-    ask: Wanted = Wanted.NOTHING
+    head: DatagramHeader
+    records: list[MemberRecord]
+    ask: RequestedRecords = RequestedRecords.NOTHING
     share: tuple[int, int] | None = None
 
 
 class Sum(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """The digest of the whole view; one that differs is answered with `Sums`, an equal one with its like if `ask`."""
 
-    head: Head
+    head: DatagramHeader
     total: int
     ask: bool
 
@@ -132,14 +132,14 @@
 class Sums(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """The digest of each bucket of the sender's view."""
 
-    head: Head
-    sums: bytes
+    head: DatagramHeader
+    bucket_digests: bytes
 
 
 class Marks(msgspec.Struct, frozen=True, array_like=True, tag=8):
     """The digest of each record that the sender has in the buckets whose bits are set."""
 
-    head: Head
+    head: DatagramHeader
     buckets: int
     marks: bytes
 
@@ -147,7 +147,7 @@
 class Want(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Records wanted, by their digests."""
 
-    head: Head
+    head: DatagramHeader
     marks: bytes
 
 
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -18,11 +18,11 @@
 from mallowvalve.fault import Faults
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.membership import formula
-from mallowvalve.membership.closing import Closing
-from mallowvalve.membership.detector import Membership, fresh_record
-from mallowvalve.membership.members import outlook
-from mallowvalve.membership.task import NAMES, MembershipTask
-from mallowvalve.membership.wire import Record
+from mallowvalve.membership.detector import Membership, initial_record
+from mallowvalve.membership.drain import DrainSequence
+from mallowvalve.membership.members import drain_conditions
+from mallowvalve.membership.task import STATE_NAMES, MembershipTask
+from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.metrics import Counts, change, recent
 from mallowvalve.reload import Reload
 from mallowvalve.settings import Settings
@@ -147,7 +147,7 @@
         its = self.settings
         detector = its.detector
         return Membership(
-            fresh_record(its.transport, self.boot, its.role, its.name, its.locality, its.web),
+            initial_record(its.transport, self.boot, its.role, its.name, its.locality, its.web),
             its.fleet,
             [*its.seeds, *remembered],
             random.Random(self.boot),
@@ -253,10 +253,10 @@
 
     def _accept_while_needed(self, earliest: float, latest: float) -> None:
         """Returns when the door may close; the others hear of it before."""
-        closing = Closing(earliest, latest, random.Random())
+        closing = DrainSequence(earliest, latest, random.Random())
         me = self.membership.membership.me
         while True:
-            step = closing.step(clock.now(), outlook(me, self.membership))
+            step = closing.step(clock.now(), drain_conditions(me, self.membership))
             self.membership.accept(step.accepts and me.ready)
             if step.closed:
                 return
@@ -311,14 +311,14 @@
         members = sorted(self.node.membership.view(), key=lambda record: record.addr)
         web.say(resp, {"nodes": [self._row(record) for record in members]})
 
-    def _row(self, record: Record) -> dict[str, object]:
+    def _row(self, record: MemberRecord) -> dict[str, object]:
         return {
             "name": record.name,
             "role": record.role,
             "transport": str(record.addr),
             "web": str(record.web),
             "locality": str(record.locality),
-            "status": NAMES[record.state],
+            "status": STATE_NAMES[record.state],
             "ready": record.ready,
             "incarnation": record.incarnation,
         }
--- a/mallowvalve/proxy/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -55,7 +55,7 @@
         self.repeats, self.transport, self.peers = Repeats(), transport, peers
         self._news: list[bytes] = []
         self._wake = Event()
-        transport.on("failed", self._heard, quick=True)
+        transport.on("failed", self._heard, inline=True)
 
     def __enter__(self) -> RepeatTask:
         """Begin to tell the other proxies."""
--- a/mallowvalve/transport/calls.py
+++ b/mallowvalve/transport/calls.py
@@ -11,12 +11,12 @@
 from collections import deque
 from typing import Generic, TypeVar
 
-from mallowvalve.transport.frame import Frame
+from mallowvalve.transport.frame import TransportFrame
 
 Waiter = TypeVar("Waiter")
 
 
-class Failure(enum.StrEnum):
+class CallFailure(enum.StrEnum):
     """Why a call has no answer. `may_have_run` tells whether the peer may have taken it nevertheless."""
 
     LIMIT = "limit"
@@ -28,10 +28,10 @@
     @property
     def may_have_run(self) -> bool:
         """False only on proof that no byte of the call has left."""
-        return self in (Failure.LIMIT, Failure.CLOSED)
+        return self in (CallFailure.LIMIT, CallFailure.CLOSED)
 
 
-class Calls(Generic[Waiter]):
+class PendingCalls(Generic[Waiter]):
     """The frames that wait to leave, and the calls that wait for an answer. Ids rise for as long as the line lives."""
 
     __slots__ = ("connection", "_capacity", "_last_id", "_queue", "_given_up", "_unsent", "_sent")
@@ -41,7 +41,7 @@
         self.connection = 0
         self._capacity = capacity
         self._last_id = 0
-        self._queue: deque[Frame] = deque()
+        self._queue: deque[TransportFrame] = deque()
         self._given_up: set[int] = set()
         self._unsent: dict[int, Waiter] = {}
         self._sent: dict[int, Waiter] = {}
@@ -57,7 +57,7 @@
         self._last_id += 1
         if waiter is not None:
             self._unsent[self._last_id] = waiter
-        self._queue.append(Frame(kind, self._last_id, False, body))
+        self._queue.append(TransportFrame(kind, self._last_id, False, body))
         return self._last_id
 
     def give_up(self, call: int) -> None:
@@ -71,9 +71,9 @@
         self.connection += 1
         return self.connection
 
-    def take(self, most: int) -> list[Frame]:
+    def take(self, most: int) -> list[TransportFrame]:
         """Up to `most` frames to write to the present connection now, in their order."""
-        out: list[Frame] = []
+        out: list[TransportFrame] = []
         while self._queue and len(out) < most:
             frame = self._queue.popleft()
             if frame.id in self._given_up:
@@ -84,26 +84,26 @@
             out.append(frame)
         return out
 
-    def answered(self, connection: int, answer: Frame) -> Waiter | None:
+    def answered(self, connection: int, answer: TransportFrame) -> Waiter | None:
         """Who waits for this answer; None when nobody does, or nobody on this connection."""
         if connection != self.connection or not answer.answer:
             return None
         return self._sent.pop(answer.id, None)
 
-    def lost(self, connection: int) -> list[tuple[Waiter, Failure]]:
+    def lost(self, connection: int) -> list[tuple[Waiter, CallFailure]]:
         """The connection ended: whom to tell what. Nothing at all for a connection that was replaced already."""
         if connection != self.connection:
             return []
         self.connection += 1
-        told = [(waiter, Failure.CLOSED) for waiter in self._sent.values()]
+        told = [(waiter, CallFailure.CLOSED) for waiter in self._sent.values()]
         self._sent.clear()
-        return told + self._drop_queue(Failure.UNSENT)
+        return told + self._drop_queue(CallFailure.UNSENT)
 
-    def unreachable(self) -> list[tuple[Waiter, Failure]]:
+    def unreachable(self) -> list[tuple[Waiter, CallFailure]]:
         """No connection could be made: what waits to leave is dropped."""
-        return self._drop_queue(Failure.UNREACHABLE)
+        return self._drop_queue(CallFailure.UNREACHABLE)
 
-    def _drop_queue(self, why: Failure) -> list[tuple[Waiter, Failure]]:
+    def _drop_queue(self, why: CallFailure) -> list[tuple[Waiter, CallFailure]]:
         told = [(waiter, why) for waiter in self._unsent.values()]
         self._unsent.clear()
         self._given_up.clear()
--- a/mallowvalve/transport/line.py
+++ b/mallowvalve/transport/channel.py
@@ -9,11 +9,11 @@
 
 from mallowvalve.fault import Faults
 from mallowvalve.metrics import Counts
-from mallowvalve.transport.calls import Calls, Failure
-from mallowvalve.transport.frame import Cutter, Frame, Hello, Sealer, greeting
+from mallowvalve.transport.calls import CallFailure, PendingCalls
+from mallowvalve.transport.frame import FrameDecoder, FrameEncoder, Hello, TransportFrame, encode_hello
 from mallowvalve.types import Address
 
-OUTBOX = 4096
+QUEUED_FRAMES_MAX = 4096
 """Frames that may wait to leave."""
 BATCH = 64
 """Frames written in one call."""
@@ -25,13 +25,13 @@
 """A connection whose bytes the peer's machine did not acknowledge for so long is given up by the system."""
 
 
-def tune(sock: socket.socket) -> None:
+def set_tcp_options(sock: socket.socket) -> None:
     """Send small frames at once, and notice a silent peer."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
 
 
-class Line:
+class Channel:
     """Frames to one peer in the order in which they were put; connections are made when there is something to send."""
 
     __slots__ = ("to", "hello", "counts", "faults", "used", "_pause", "_calls", "_wake", "_writer", "_sock", "_sealer")
@@ -43,11 +43,11 @@
         self.counts = counts
         self.faults = faults
         self.used = 0.0
-        self._calls: Calls[AsyncResult] = Calls(OUTBOX)
+        self._calls: PendingCalls[AsyncResult] = PendingCalls(QUEUED_FRAMES_MAX)
         self._pause = REDIAL
         self._wake = Event()
         self._sock: socket.socket | None = None
-        self._sealer = Sealer()
+        self._sealer = FrameEncoder()
         self._writer = gevent.spawn(self._write)
 
     def cast(self, kind: str, body: bytes) -> None:
@@ -56,19 +56,19 @@
             self.counts.add("transport_overflow")
         self._wake.set()
 
-    def call(self, kind: str, body: bytes, limit: float) -> Result[bytes, Failure]:
+    def call(self, kind: str, body: bytes, limit: float) -> Result[bytes, CallFailure]:
         """Sent at most once; waits at most `limit` seconds for its answer."""
         waiter = AsyncResult()
         call = self._calls.put(kind, body, waiter)
         if call is None:
             self.counts.add("transport_overflow")
-            return Err(Failure.OVERFLOW)
+            return Err(CallFailure.OVERFLOW)
         self._wake.set()
         try:
             waiter.wait(timeout=limit)
         finally:
             self._calls.give_up(call)
-        return waiter.value if waiter.ready() else Err(Failure.LIMIT)
+        return waiter.value if waiter.ready() else Err(CallFailure.LIMIT)
 
     def close(self) -> None:
         """Drop the connection and what waits; each caller is told."""
@@ -107,18 +107,18 @@
         try:
             sock = socket.create_connection(self.to.pair, timeout=DIAL_LIMIT)
             sock.settimeout(None)
-            tune(sock)
-            sock.sendall(greeting(self.hello))
+            set_tcp_options(sock)
+            sock.sendall(encode_hello(self.hello))
         except OSError:
             return False
         self._sock = sock
-        self._sealer = Sealer()
+        self._sealer = FrameEncoder()
         self._pause = REDIAL
         gevent.spawn(self._listen, sock, self._calls.opened())
         return True
 
     def _listen(self, sock: socket.socket, connection: int) -> None:
-        cutter = Cutter(self.hello.fleet, greeted=True)
+        cutter = FrameDecoder(self.hello.fleet, greeted=True)
         while True:
             try:
                 data = sock.recv(READ_BYTES)
@@ -131,8 +131,8 @@
                 self._answered(connection, frame)
         self._lost(connection)
 
-    def _answered(self, connection: int, frame: Frame | Hello) -> None:
-        if not isinstance(frame, Frame):
+    def _answered(self, connection: int, frame: TransportFrame | Hello) -> None:
+        if not isinstance(frame, TransportFrame):
             return
         waiter = self._calls.answered(connection, frame)
         if waiter is None:
@@ -148,6 +148,6 @@
             sock.close()
         self._tell(self._calls.lost(connection))
 
-    def _tell(self, failed: list[tuple[AsyncResult, Failure]]) -> None:
+    def _tell(self, failed: list[tuple[AsyncResult, CallFailure]]) -> None:
         for waiter, why in failed:
             waiter.set(Err(why))
--- a/mallowvalve/transport/frame.py
+++ b/mallowvalve/transport/frame.py
@@ -17,8 +17,8 @@
 
 from mallowvalve.types import Address
 
-VERSION = 5
-LARGEST = 64 << 20
+PROTOCOL_VERSION = 5
+BODY_BYTES_MAX = 64 << 20
 """The largest body of a frame, in bytes, before it is compressed."""
 LEVEL, WINDOW_BITS, MEMORY_LEVEL = 1, 11, 3
 """The stream's settings: a window of 2 KB spans several frames; both directions take some 20 KB a connection."""
@@ -27,7 +27,7 @@
 _LENGTH = struct.Struct("!I")
 
 
-class Refusal(enum.StrEnum):
+class StreamError(enum.StrEnum):
     """Why a connection's bytes are read no further."""
 
     OVERSIZE = "oversize"
@@ -43,7 +43,7 @@
     sender: Address
 
 
-class Frame(msgspec.Struct, array_like=True, frozen=True):
+class TransportFrame(msgspec.Struct, array_like=True, frozen=True):
     """A call, a cast, or (`answer`) what a call of this id is answered."""
 
     kind: str
@@ -53,22 +53,22 @@
 
 
 pack = msgspec.msgpack.Encoder().encode
-_frame = msgspec.msgpack.Decoder(Frame).decode
+_frame = msgspec.msgpack.Decoder(TransportFrame).decode
 _hello = msgspec.msgpack.Decoder(Hello).decode
 
 
-def framed(message: Frame | Hello) -> bytes:
+def length_prefixed(message: TransportFrame | Hello) -> bytes:
     """A message behind its length, not compressed."""
     body = pack(message)
     return _LENGTH.pack(len(body)) + body
 
 
-def greeting(hello: Hello) -> bytes:
+def encode_hello(hello: Hello) -> bytes:
     """The bytes that open a connection."""
-    return framed(hello)
+    return length_prefixed(hello)
 
 
-class Sealer:
+class FrameEncoder:
     """The sender's side of one direction of one connection."""
 
     __slots__ = ("_stream",)
@@ -77,13 +77,13 @@
         """A stream of its own: what it makes can be read only from its beginning, and in its order."""
         self._stream = zlib.compressobj(LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
 
-    def seal(self, frames: Iterable[Frame]) -> bytes:
+    def seal(self, frames: Iterable[TransportFrame]) -> bytes:
         """The bytes of these frames, which the other side can read whole once it has them all."""
-        parts = [self._stream.compress(framed(frame)) for frame in frames]
+        parts = [self._stream.compress(length_prefixed(frame)) for frame in frames]
         return b"".join(parts) + self._stream.flush(zlib.Z_SYNC_FLUSH)
 
 
-class Cutter:
+class FrameDecoder:
     """Cuts the bytes of one connection into messages. The first is a `Hello`, unless it is `greeted` already."""
 
     __slots__ = ("_buffer", "_greeted", "_stream", "fleet")
@@ -95,9 +95,9 @@
         self._stream = zlib.decompressobj(-WINDOW_BITS)
         self.fleet = fleet
 
-    def feed(self, data: bytes) -> Result[list[Frame | Hello], Refusal]:
+    def feed(self, data: bytes) -> Result[list[TransportFrame | Hello], StreamError]:
         """The messages that are whole with these bytes; after an error the connection is of no more use."""
-        out: list[Frame | Hello] = []
+        out: list[TransportFrame | Hello] = []
         if not self._greeted:
             self._buffer += data
             opened = self._open()
@@ -110,7 +110,7 @@
             self._buffer.clear()
         return self._unfold(data, out)
 
-    def _open(self) -> Result[Hello | None, Refusal]:
+    def _open(self) -> Result[Hello | None, StreamError]:
         """Takes the greeting; None while it is not whole."""
         body = self._next_body()
         if isinstance(body, Err):
@@ -120,27 +120,29 @@
         try:
             hello = _hello(body.ok_value)
         except msgspec.DecodeError:
-            return Err(Refusal.GARBAGE)
-        if hello.version != VERSION or hello.fleet != self.fleet:
-            return Err(Refusal.FOREIGN)
+            return Err(StreamError.GARBAGE)
+        if hello.version != PROTOCOL_VERSION or hello.fleet != self.fleet:
+            return Err(StreamError.FOREIGN)
         self._greeted = True
         return Ok(hello)
 
-    def _unfold(self, data: bytes, out: list[Frame | Hello]) -> Result[list[Frame | Hello], Refusal]:
+    def _unfold(
+        self, data: bytes, out: list[TransportFrame | Hello]
+    ) -> Result[list[TransportFrame | Hello], StreamError]:
         while data:
             try:
                 self._buffer += self._stream.decompress(data, UNFOLD_MOST)
             except zlib.error:
-                return Err(Refusal.GARBAGE)
+                return Err(StreamError.GARBAGE)
             if self._stream.eof:
-                return Err(Refusal.GARBAGE)
+                return Err(StreamError.GARBAGE)
             data = self._stream.unconsumed_tail
             refused = self._cut(out)
             if refused is not None:
                 return Err(refused)
         return Ok(out)
 
-    def _cut(self, out: list[Frame | Hello]) -> Refusal | None:
+    def _cut(self, out: list[TransportFrame | Hello]) -> StreamError | None:
         """Moves the whole frames of the buffer to `out`."""
         while True:
             body = self._next_body()
@@ -151,15 +153,15 @@
             try:
                 out.append(_frame(body.ok_value))
             except msgspec.DecodeError:
-                return Refusal.GARBAGE
+                return StreamError.GARBAGE
 
-    def _next_body(self) -> Result[bytes | None, Refusal]:
+    def _next_body(self) -> Result[bytes | None, StreamError]:
         """Takes the next body out of the buffer; None while it is not whole."""
         if len(self._buffer) < _LENGTH.size:
             return Ok(None)
         (length,) = _LENGTH.unpack_from(self._buffer)
-        if length > LARGEST:
-            return Err(Refusal.OVERSIZE)
+        if length > BODY_BYTES_MAX:
+            return Err(StreamError.OVERSIZE)
         end = _LENGTH.size + length
         if len(self._buffer) < end:
             return Ok(None)
--- a/mallowvalve/transport/task.py
+++ b/mallowvalve/transport/task.py
@@ -23,9 +23,9 @@
 from mallowvalve import clock
 from mallowvalve.fault import Faults
 from mallowvalve.metrics import Counts
-from mallowvalve.transport.calls import Failure
-from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, Sealer
-from mallowvalve.transport.line import OUTBOX, READ_BYTES, Line, tune
+from mallowvalve.transport.calls import CallFailure
+from mallowvalve.transport.channel import QUEUED_FRAMES_MAX, READ_BYTES, Channel, set_tcp_options
+from mallowvalve.transport.frame import PROTOCOL_VERSION, FrameDecoder, FrameEncoder, Hello, TransportFrame
 from mallowvalve.types import Address
 
 Handler = Callable[[Address, bytes], bytes | None]
@@ -37,7 +37,18 @@
 class Transport:
     """Calls and casts to peers, and the handlers of theirs; a context manager that listens while it is open."""
 
-    __slots__ = ("me", "fleet", "counts", "faults", "gone", "_on", "_lines", "_server", "_pool", "_here")
+    __slots__ = (
+        "me",
+        "fleet",
+        "counts",
+        "faults",
+        "on_peer_disconnected",
+        "_handlers",
+        "_channels",
+        "_server",
+        "_pool",
+        "_here",
+    )
 
     def __init__(self, me: Address, fleet: str, counts: Counts, faults: Faults | None = None):
         """`gone` is told when the last connection from a peer has ended."""
@@ -45,18 +56,18 @@
         self.fleet = fleet
         self.counts = counts
         self.faults = faults if faults is not None else Faults()
-        self._on: dict[str, tuple[Handler, bool]] = {}
-        self._lines: dict[Address, Line] = {}
+        self._handlers: dict[str, tuple[Handler, bool]] = {}
+        self._channels: dict[Address, Channel] = {}
         self._pool = Pool(HANDLERS_AT_ONCE)
         self._here: Counter[Address] = Counter()
-        self.gone: Callable[[Address], None] = lambda peer: None
+        self.on_peer_disconnected: Callable[[Address], None] = lambda peer: None
 
-    def on(self, kind: str, handler: Handler, quick: bool = False) -> None:
+    def on(self, kind: str, handler: Handler, inline: bool = False) -> None:
         """Handle frames of a kind; a quick handler never waits, and runs where the frame was read.
 
         A handler answers with bytes, or None for no answer; ValueError from it counts as a body not understood.
         """
-        self._on[kind] = (handler, quick)
+        self._handlers[kind] = (handler, inline)
 
     def __enter__(self) -> Transport:
         """Listen."""
@@ -67,32 +78,34 @@
     def __exit__(self, *_: object) -> None:
         """Stop listening and close each line."""
         self._server.stop(timeout=0.1)
-        for line in self._lines.values():
+        for line in self._channels.values():
             line.close()
 
     def cast(self, to: Address, kind: str, body: bytes) -> None:
         """Send without an answer, at most once."""
-        self._line(to, clock.now()).cast(kind, body)
+        self._channel(to, clock.now()).cast(kind, body)
 
-    def call(self, to: Address, kind: str, body: bytes, limit: float) -> Result[bytes, Failure]:
+    def call(self, to: Address, kind: str, body: bytes, limit: float) -> Result[bytes, CallFailure]:
         """Send at most once and wait for the answer, at most `limit` seconds."""
-        return self._line(to, clock.now()).call(kind, body, limit)
+        return self._channel(to, clock.now()).call(kind, body, limit)
 
-    def _line(self, to: Address, now: float) -> Line:
-        line = self._lines.get(to)
+    def _channel(self, to: Address, now: float) -> Channel:
+        line = self._channels.get(to)
         if line is None:
             self._close_idle(now)
-            line = self._lines[to] = Line(to, Hello(VERSION, self.fleet, self.me), self.counts, self.faults)
+            line = self._channels[to] = Channel(
+                to, Hello(PROTOCOL_VERSION, self.fleet, self.me), self.counts, self.faults
+            )
         line.used = now
         return line
 
     def _close_idle(self, now: float) -> None:
-        for peer in [peer for peer, line in self._lines.items() if now - line.used > IDLE]:
-            self._lines.pop(peer).close()
+        for peer in [peer for peer, line in self._channels.items() if now - line.used > IDLE]:
+            self._channels.pop(peer).close()
 
     def _serve(self, sock: socket.socket, _addr: object) -> None:
-        tune(sock)
-        outbox: Queue = Queue(OUTBOX)
+        set_tcp_options(sock)
+        outbox: Queue = Queue(QUEUED_FRAMES_MAX)
         writer = gevent.spawn(self._write, sock, outbox)
         try:
             with sock:
@@ -101,7 +114,7 @@
             writer.kill()
 
     def _write(self, sock: socket.socket, outbox: Queue) -> None:
-        sealer = Sealer()
+        sealer = FrameEncoder()
         try:
             while True:
                 data = sealer.seal([outbox.get()])
@@ -120,10 +133,10 @@
                 self._here[peer] -= 1
                 if self._here[peer] <= 0:
                     del self._here[peer]
-                    self.gone(peer)
+                    self.on_peer_disconnected(peer)
 
     def _hear(self, sock: socket.socket, outbox: Queue, heard: set[Address]) -> None:
-        cutter = Cutter(self.fleet)
+        cutter = FrameDecoder(self.fleet)
         sender, last_id = self.me, 0
         while True:
             try:
@@ -145,7 +158,7 @@
                     self._handle(sender, frame, outbox)
                     last_id = frame.id
 
-    def _is_new(self, frame: Frame, last_id: int) -> bool:
+    def _is_new(self, frame: TransportFrame, last_id: int) -> bool:
         if frame.answer:
             self.counts.add("transport_stray")
         elif frame.id <= last_id:
@@ -154,18 +167,18 @@
             return True
         return False
 
-    def _handle(self, sender: Address, frame: Frame, outbox: Queue) -> None:
-        registered = self._on.get(frame.kind)
+    def _handle(self, sender: Address, frame: TransportFrame, outbox: Queue) -> None:
+        registered = self._handlers.get(frame.kind)
         if registered is None:
             self.counts.add("transport_unknown")
             return
-        handler, quick = registered
-        if quick:
+        handler, inline = registered
+        if inline:
             self._answer(handler, sender, frame, outbox)
             return
         self._pool.spawn(self._answer, handler, sender, frame, outbox)
 
-    def _answer(self, handler: Handler, sender: Address, frame: Frame, outbox: Queue) -> None:
+    def _answer(self, handler: Handler, sender: Address, frame: TransportFrame, outbox: Queue) -> None:
         try:
             body = handler(sender, frame.body)
         except ValueError:
@@ -174,6 +187,6 @@
         if body is None:
             return
         try:
-            outbox.put_nowait(Frame(frame.kind, frame.id, True, body))
+            outbox.put_nowait(TransportFrame(frame.kind, frame.id, True, body))
         except Full:
             self.counts.add("transport_unanswered")
--- a/mallowvalve/upstreams/task.py
+++ b/mallowvalve/upstreams/task.py
@@ -36,8 +36,8 @@
         self._lock = RLock()
         self._rng = random.Random()
         self._known: dict[str, tuple[int, str]] = {}
-        transport.on("heartbeats", self._heartbeats, quick=True)
-        transport.on("digest", self._on_digest, quick=True)
+        transport.on("heartbeats", self._heartbeats, inline=True)
+        transport.on("digest", self._on_digest, inline=True)
 
     def __enter__(self) -> HeartbeatTask:
         """Begin to exchange."""
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -26,7 +26,7 @@
 from mallowvalve.coordination.state import Lock
 from mallowvalve.ledger.ledger import Claim
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.share import batches
+from mallowvalve.membership.dissemination import record_batches
 from mallowvalve.membership.wire import Ping, Tell
 from mallowvalve.membership.wire import decode as membership_decode
 from mallowvalve.membership.wire import encode as membership_encode
@@ -212,13 +212,17 @@
                 if r.addr in x.view:
                     x._drop(r.addr)
             x._digest.put(x.me)
-            x._accept(y.me, 0.0, "")
-        a._start, a._born, b._start = 0.0, 0.0, 0.0
+            x._apply_record(y.me, 0.0, "")
+        a._period_start, a._started_at, b._period_start = 0.0, 0.0, 0.0
         rest = _exchange(a, b, 10 * a.period)
-        a._accept(msgspec.structs.replace(a.view[addr(7)], incarnation=4, ready=False), 20.0, "")
+        a._apply_record(msgspec.structs.replace(a.view[addr(7)], incarnation=4, ready=False), 20.0, "")
         mend = _exchange(a, b, 20 * a.period)
         same = a._digest.total == b._digest.total
-        full = [len(membership_encode(m)) for rs in batches([b.me, *b.view.values()]) for m in [Tell(b._head(), rs)]]
+        full = [
+            len(membership_encode(m))
+            for rs in record_batches([b.me, *b.view.values()])
+            for m in [Tell(b._header(), rs)]
+        ]
         t = time.process_time()
         membership(n)
         cpu = time.process_time() - t
@@ -232,8 +236,8 @@
 
 def _exchange(a: Membership, b: Membership, now: float) -> tuple[int, int]:
     """One ping of `a`, as if it had chosen `b`, and all that follows from it: datagrams and bytes of both."""
-    a._start, a._target, a._acked, a._join_at, b._join_at = now, a.view[b.me.addr], False, None, None
-    directory, to, back = [Ping(a._head(), a.me.addr, b.me.addr, a.pr, a._digest.total)], b, a
+    a._period_start, a._target, a._acked, a._join_at, b._join_at = now, a.view[b.me.addr], False, None, None
+    directory, to, back = [Ping(a._header(), a.me.addr, b.me.addr, a.period_number, a._digest.total)], b, a
     count, size = 0, 0
     while directory:
         count, size = count + len(directory), size + sum(len(membership_encode(m)) for m in directory)
--- a/sim/crowd.py
+++ b/sim/crowd.py
@@ -11,7 +11,16 @@
 
 from mallowvalve.membership import formula
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.wire import ALIVE, FAILED, VERSION, Head, Record, Tell, decode, encode
+from mallowvalve.membership.wire import (
+    ALIVE,
+    FAILED,
+    PROTOCOL_VERSION,
+    DatagramHeader,
+    MemberRecord,
+    Tell,
+    decode,
+    encode,
+)
 from mallowvalve.types import Address
 from sim.fleet import ZONES
 from sim.members import ASSUMED, DETECT, MISTAKE, ROUND_TRIP, UDP
@@ -22,9 +31,9 @@
     return Address(f"10.{i >> 16 & 255}.{i >> 8 & 255}.{i & 255}", 7620)
 
 
-def record(i: int, boot: int) -> Record:
+def record(i: int, boot: int) -> MemberRecord:
     a, z = address(i + 1), ZONES[i % 6]
-    return Record(
+    return MemberRecord(
         a, boot, 1, ALIVE, "proxy" if i % 5 else "control", f"{z.zone}-edge-{i}", z, Address(a.host, 8080), True
     )
 
@@ -32,7 +41,7 @@
 class Mote(Node):
     """A member; adds up what it sends and the processor its machine and coding take."""
 
-    def __init__(self, crowd: Crowd, me: Record, seeds: list[Address], start: float):
+    def __init__(self, crowd: Crowd, me: MemberRecord, seeds: list[Address], start: float):
         super().__init__(crowd.world, me.addr)
         self.crowd = crowd
         self.membership = Membership(
@@ -53,7 +62,7 @@
         out = self._coded(self.membership.receive(decode(body), self.now))
         self.crowd.spent += time.process_time_ns() - t
         self._emit(out)
-        if self.membership.pr and self.membership.timer() < self._armed:
+        if self.membership.period_number and self.membership.timer() < self._armed:
             self._arm()
 
     def _tick(self) -> None:
@@ -83,10 +92,14 @@
 
 def know(b: Membership, other: Membership) -> None:
     """Gives a member what another knows, faster than by messages."""
-    for name in ("rows", "live", "_place"):
+    for name in ("records", "live", "_live_index"):
         setattr(b._view, name, getattr(other._view, name).copy())
     d = other._digest
-    b._digest.total, b._digest.sums, b._digest._of = d.total, d.sums.copy(), d._of.copy()
+    b._digest.total, b._digest.bucket_digests, b._digest._digest_of = (
+        d.total,
+        d.bucket_digests.copy(),
+        d._digest_of.copy(),
+    )
     b._digest.buckets = [x.copy() for x in d.buckets]
     b._view.drop(b.me.addr)
     b._joined = True
@@ -104,7 +117,7 @@
         period = formula.period(DETECT, ASSUMED)
         everyone = Membership(self.records[0], "mallowvalve", [], self.rng, period, 1, ROUND_TRIP)
         for r in self.records:
-            everyone._accept(r, 0.0, "")
+            everyone._apply_record(r, 0.0, "")
         for r in self.records:
             know(Mote(self, r, self.seeds, self.rng.random() * period).membership, everyone)
 
@@ -168,12 +181,14 @@
 def memory(n: int) -> int:
     """Bytes a member's view of n takes, from datagrams as they come off a socket."""
     rs = [record(i, random.Random(i).getrandbits(62)) for i in range(n)]
-    data = [encode(Tell(Head(VERSION, "m", rs[1].addr, 1, 1), rs[i : i + 8])) for i in range(1, n, 8)]
+    data = [
+        encode(Tell(DatagramHeader(PROTOCOL_VERSION, "m", rs[1].addr, 1, 1), rs[i : i + 8])) for i in range(1, n, 8)
+    ]
     tracemalloc.start()
     b = Membership(rs[0], "m", [], random.Random(1), 1.7, 30, 0.5)
     for d in data:
         b.receive(decode(d), 0.0)
-    b.why.clear()
+    b.reasons.clear()
     b.alive()
     used = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/sim/directory_fleet.py
+++ b/sim/directory_fleet.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from mallowvalve.directory.look_up import Directory, life
-from mallowvalve.membership.closing import Closing
-from mallowvalve.membership.members import Gone, outlook
-from mallowvalve.membership.wire import Record
+from mallowvalve.membership.drain import DrainSequence
+from mallowvalve.membership.members import DepartedMember, drain_conditions
+from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.node import STOP_SHARES
 from mallowvalve.types import Address, Locality
 from mallowvalve.web import LAST_CALL_S
@@ -71,23 +71,23 @@
     def __init__(self, member: Member):
         self.member, self.membership = member, member.membership
 
-    def alive(self, role: str | None = None) -> list[Record]:
+    def alive(self, role: str | None = None) -> list[MemberRecord]:
         return self.membership.alive(role)
 
-    def gone(self, role: str) -> list[Gone]:
-        return self.membership.gone(role, self.member.now)
+    def departed(self, role: str) -> list[DepartedMember]:
+        return self.membership.departed(role, self.member.now)
 
     def settled(self) -> bool:
         return self.membership.settled(self.member.now)
 
-    def known_for(self, member: Record) -> float:
+    def known_for(self, member: MemberRecord) -> float:
         return self.membership.known_for(member, self.member.now)
 
-    def check(self, member: Record) -> None:
-        self.member.emit(self.membership.check(member, self.member.now))
+    def probe(self, member: MemberRecord) -> None:
+        self.member.emit(self.membership.probe(member, self.member.now))
 
-    def doubts(self, member: Record) -> bool:
-        return self.membership.doubts(member, self.member.now)
+    def suspects(self, member: MemberRecord) -> bool:
+        return self.membership.suspects(member, self.member.now)
 
 
 class Answer(msgspec.Struct):
@@ -145,15 +145,15 @@
         self.member.emit(self.member.membership.leave(final=False))
         linger, last = STOP_SHARES["proxy"]
         end = self.world.now + GRACE * (linger + last) - LAST_CALL_S
-        closing = Closing(self.world.now + GRACE * linger, end, self.member.rng)
+        closing = DrainSequence(self.world.now + GRACE * linger, end, self.member.rng)
         self._step(self.life, closing)
 
-    def _step(self, life: int, closing: Closing) -> None:
+    def _step(self, life: int, closing: DrainSequence) -> None:
         """The daemon's own steps: half of the grace, and longer while the region would have nobody else."""
         if life != self.life:
             return
         member = self.member.membership
-        step = closing.step(self.world.now, outlook(member.me, View(self.member)))
+        step = closing.step(self.world.now, drain_conditions(member.me, View(self.member)))
         self.member.emit(member.accept(step.accepts))
         if not step.closed:
             self.world.after(step.wait, lambda: self._step(life, closing))
--- a/sim/members.py
+++ b/sim/members.py
@@ -7,7 +7,7 @@
 import click
 
 from mallowvalve.membership import formula
-from mallowvalve.membership.detector import Membership, fresh_record
+from mallowvalve.membership.detector import Membership, initial_record
 from mallowvalve.membership.wire import FAILED, decode, encode
 from mallowvalve.types import Address, Locality
 from sim.fleet import ZONES
@@ -30,7 +30,7 @@
     ):
         super().__init__(world, addr)
         self.rng = random.Random(world.rng.random())
-        me = fresh_record(addr, self.rng.getrandbits(60), role, str(addr), locality or ZONES[n % 6], addr)
+        me = initial_record(addr, self.rng.getrandbits(60), role, str(addr), locality or ZONES[n % 6], addr)
         self.membership = Membership(
             me,
             "sim",
@@ -46,7 +46,7 @@
 
     def handle(self, kind, src, body, answer) -> None:
         self.emit(self.membership.receive(decode(body), self.now))
-        if self.membership.pr and self.membership.timer() < self._armed:
+        if self.membership.period_number and self.membership.timer() < self._armed:
             self._arm()
 
     def emit(self, out: list) -> None:
--- a/sim/target.py
+++ b/sim/target.py
@@ -13,10 +13,10 @@
 from mallowvalve.control.state import Enrol, Evacuate, Seat, State, Strike, encode
 from mallowvalve.control.wire import Fed, Want
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.wire import ALIVE, VERSION, Ack, Head, Ping, Record, Tell
+from mallowvalve.membership.wire import ALIVE, PROTOCOL_VERSION, Ack, DatagramHeader, MemberRecord, Ping, Tell
 from mallowvalve.membership.wire import encode as membership_encode
 from mallowvalve.raft.messages import COMMAND, Entry, Group, Voters
-from mallowvalve.transport.frame import Frame, framed
+from mallowvalve.transport.frame import TransportFrame, length_prefixed
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Aged, Board, Heartbeat
 from mallowvalve.upstreams.registry import Registered, Registry, Upstream
@@ -74,8 +74,8 @@
     return Item("routes", r.name, version, msgspec.json.encode(r))
 
 
-def record(i: int) -> Record:
-    return Record(addr(i), BOOT + i, 3, ALIVE, "proxy", f"edge-{at(i).zone}-{i:04d}", at(i), addr(i, 8641), True)
+def record(i: int) -> MemberRecord:
+    return MemberRecord(addr(i), BOOT + i, 3, ALIVE, "proxy", f"edge-{at(i).zone}-{i:04d}", at(i), addr(i, 8641), True)
 
 
 def heartbeat(i: int) -> Heartbeat:
@@ -125,7 +125,7 @@
 
 def frame(kind: str, body: bytes, answer: bool = False) -> int:
     """The bytes of a frame before its connection's stream compresses it."""
-    return len(framed(Frame(kind, 100_000, answer, body)))
+    return len(length_prefixed(TransportFrame(kind, 100_000, answer, body)))
 
 
 def entry(data: bytes) -> Entry:
@@ -134,7 +134,7 @@
 
 def sizes() -> dict[str, int]:
     """Bytes as encoded; what is "framed" has the transport's own frame, not TCP's and IP's 40 a packet."""
-    head = Head(VERSION, "mallowvalve", addr(1), BOOT, 3)
+    head = DatagramHeader(PROTOCOL_VERSION, "mallowvalve", addr(1), BOOT, 3)
     idle = frame("want", wire.encode(fed([])), True)
 
     def more(c) -> int:
@@ -204,7 +204,7 @@
 
 def membership(n: int) -> Membership:
     b = Membership(record(0), "mallowvalve", [addr(1)], random.Random(1), 1.7178, 30, 0.5)
-    head = Head(VERSION, "mallowvalve", addr(1), BOOT + 1, 3)
+    head = DatagramHeader(PROTOCOL_VERSION, "mallowvalve", addr(1), BOOT + 1, 3)
     for i in range(1, n):
         b.receive(decoded(Tell, Tell(head, [record(i)])), 0.0)
     return b
@@ -266,7 +266,7 @@
                 done.append(token)
                 continue
             self.fed_entries += len(f.entries)
-            self.sent += len(framed(Frame("want", 1, True, wire.encode(f))))
+            self.sent += len(length_prefixed(TransportFrame("want", 1, True, wire.encode(f))))
             w = self.wants[token]
             self.wants[token] = msgspec.structs.replace(w, index=f.index, revision=f.revision, stamp=self.now)
         return done
--- a/tests/directory_records.py
+++ b/tests/directory_records.py
@@ -1,19 +1,19 @@
 """Records of proxies at three places, as the tests of the directory take them."""
 
 from mallowvalve.directory.answer import UNKNOWN_HOMES, Known, choose
-from mallowvalve.membership.members import Gone
-from mallowvalve.membership.wire import ALIVE, Record
+from mallowvalve.membership.members import DepartedMember
+from mallowvalve.membership.wire import ALIVE, MemberRecord
 from mallowvalve.types import Address, Locality
 
 A, B, C = Locality("eu", "eu-a"), Locality("eu", "eu-b"), Locality("us", "us-a")
 
 
 def at(n, loc, state=ALIVE, ready=True, role="proxy"):
-    return Record(Address(f"10.0.0.{n}", 1), 1, 0, state, role, f"n{n}", loc, Address(f"10.0.0.{n}", 80), ready)
+    return MemberRecord(Address(f"10.0.0.{n}", 1), 1, 0, state, role, f"n{n}", loc, Address(f"10.0.0.{n}", 80), ready)
 
 
-def known(rows, gone=(), doubts=lambda record: False):
-    return Known(rows, lambda: gone, doubts)
+def known(rows, gone=(), suspects=lambda record: False):
+    return Known(rows, lambda: gone, suspects)
 
 
 def proxies(rows, near, homes=None, **how):
@@ -25,7 +25,7 @@
 
 
 def gone(record, ago=1.0):
-    return Gone(record, ago)
+    return DepartedMember(record, ago)
 
 
 def numbers(found):
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -161,7 +161,7 @@
 def test_settings_come_with_one_question_and_large_ones_by_pieces(fleet, monkeypatch):  # noqa: F811
     node, (a, b, c) = fleet
     asked = []
-    c.transport.on("piece", lambda s, body, act=c.transport._on["piece"][0]: (asked.append(1), act(s, body))[1])
+    c.transport.on("piece", lambda s, body, act=c.transport._handlers["piece"][0]: (asked.append(1), act(s, body))[1])
     mine = Puller(node.transport, lambda: None)
     p, s = mine.pull(c.addr, SETTINGS).unwrap()
     assert (p.index, s.items.services["s"].version, asked) == (3, 3, [])
@@ -207,7 +207,7 @@
     x, y = (Address("127.0.0.1", p) for p in free_ports(2))
     gone = []
     with Transport(x, "f", Counts()) as here:
-        here.gone = gone.append
+        here.on_peer_disconnected = gone.append
         here.on("hi", lambda s, b: b)
         with (
             Transport(y, "f", Counts()) as there,
@@ -215,6 +215,6 @@
         ):
             other.me = y
             assert there.call(x, "hi", b"1", 5).is_ok() and other.call(x, "hi", b"1", 5).is_ok()
-            other._line(x, clock.now()).close()
+            other._channel(x, clock.now()).close()
             assert there.call(x, "hi", b"2", 5).is_ok() and gone == []
         assert soon(lambda: gone == [y])
--- a/tests/test_answer.py
+++ b/tests/test_answer.py
@@ -1,7 +1,7 @@
 """Which proxies a client is told of, and why."""
 
 from mallowvalve.directory.answer import FAILED_S, UNKNOWN_HOMES, Known, Reason, choose
-from mallowvalve.membership.members import RETURN_S
+from mallowvalve.membership.members import RETURN_WINDOW_S
 from mallowvalve.membership.wire import FAILED, LEAVING, LEFT
 from mallowvalve.types import Locality
 from tests.directory_records import EVERY_HOMES, HOME_BOTH, HOME_US, A, B, C, at, gone, numbers, proxies, reason
@@ -52,14 +52,14 @@
     assert reason([*rows, at(1, C, ready=False)], C, HOME_US) is Reason.RETURNING
     assert reason([*rows, at(1, C, LEAVING, ready=False)], C, HOME_US) is Reason.RETURNING
     assert sorted(numbers(proxies(rows, C, gone=left))) == [2, 3]
-    assert sorted(numbers(proxies(rows, C, HOME_US, gone=[gone(at(1, C, LEFT), RETURN_S)]))) == [2, 3]
+    assert sorted(numbers(proxies(rows, C, HOME_US, gone=[gone(at(1, C, LEFT), RETURN_WINDOW_S)]))) == [2, 3]
     assert sorted(numbers(proxies(rows, C, HOME_US, gone=[gone(at(1, C, FAILED))]))) == [2, 3]
     assert reason(rows, C) is Reason.NONE_ACCEPTS
     assert reason([], C, HOME_US) is Reason.NOBODY
 
 
 def test_one_that_is_doubted_is_named_only_where_nobody_else_is():
-    silent = {"doubts": lambda record: record.web.host == "10.0.0.1"}
+    silent = {"suspects": lambda record: record.web.host == "10.0.0.1"}
     rows = [at(1, C), at(2, A), at(3, B)]
     assert sorted(numbers(proxies(rows, C, **silent))) == [2, 3]
     assert sorted(numbers(proxies(rows, C, HOME_US, **silent))) == [2, 3]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -4,9 +4,9 @@
 from mallowvalve.control.core import Core
 from mallowvalve.control.state import Settings
 from mallowvalve.control.wire import Want, Who
-from mallowvalve.membership.detector import FORGET, Membership
+from mallowvalve.membership.detector import FORGET_AFTER_S, Membership
 from mallowvalve.membership.task import MembershipTask
-from mallowvalve.membership.wire import FAILED, VERSION, Head, Tell
+from mallowvalve.membership.wire import FAILED, PROTOCOL_VERSION, DatagramHeader, Tell
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.messages import Group
 from mallowvalve.transport.task import Transport
@@ -26,11 +26,11 @@
 def test_names_of_peers_that_are_forgotten_are_forgotten_everywhere():
     t = MembershipTask(detector())
     for i, a in enumerate(MANY):
-        t.membership.receive(Tell(Head(VERSION, "f", a, 1, 0), [record(a, state=FAILED)]), float(i))
+        t.membership.receive(Tell(DatagramHeader(PROTOCOL_VERSION, "f", a, 1, 0), [record(a, state=FAILED)]), float(i))
         t._log()
-    t.membership.tick(10_000 + FORGET)
+    t.membership.tick(10_000 + FORGET_AFTER_S)
     t._log()
-    assert len(t.membership.view) == 0 == len(t.membership._seen) == len(t._known)
+    assert len(t.membership.view) == 0 == len(t.membership._departed_at) == len(t._logged_states)
 
 
 def test_names_of_upstreams_that_are_forgotten_are_forgotten_everywhere():
@@ -46,9 +46,9 @@
 def test_lines_to_peers_long_unused_are_closed():
     m = Transport(ME, "f", Counts())
     for a in MANY[:400]:
-        m._line(a, 0.0)
-    m._line(MANY[500], 100.0)
-    assert len(m._lines) == 1
+        m._channel(a, 0.0)
+    m._channel(MANY[500], 100.0)
+    assert len(m._channels) == 1
 
 
 def test_a_leader_forgets_core_machines_and_replicas_it_no_longer_hears():
--- a/tests/test_call_model.py
+++ b/tests/test_call_model.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from mallowvalve.transport.calls import Calls, Failure
-from mallowvalve.transport.frame import Frame
+from mallowvalve.transport.calls import CallFailure, PendingCalls
+from mallowvalve.transport.frame import TransportFrame
 
 CAPACITY = 4
 MACHINES = ["transport/calls.py", "proxy/reader.py", "proxy/tries.py", "proxy/path.py", "proxy/idle.py"]
@@ -20,7 +20,7 @@
 
     def __init__(self):
         super().__init__()
-        self.calls = Calls(CAPACITY)
+        self.calls = PendingCalls(CAPACITY)
         self.is_open = False
         self.ids: dict[str, int] = {}
         self.handed_out: dict[int, int] = {}
@@ -85,7 +85,7 @@
     def answer(self, data, back, answer):
         number = data.draw(st.sampled_from([0, *self.ids.values()]))
         connection = self.calls.connection - back
-        waiter = self.calls.answered(connection, Frame("offer", number, answer, b""))
+        waiter = self.calls.answered(connection, TransportFrame("offer", number, answer, b""))
         if waiter is None:
             owed = [w for w in self.pending() if self.ids[w] == number]
             assert not (owed and answer and self.handed_out.get(number) == connection)
@@ -122,7 +122,11 @@
 
 
 def test_only_proof_says_that_a_call_did_not_run():
-    assert {f for f in Failure if not f.may_have_run} == {Failure.OVERFLOW, Failure.UNREACHABLE, Failure.UNSENT}
+    assert {f for f in CallFailure if not f.may_have_run} == {
+        CallFailure.OVERFLOW,
+        CallFailure.UNREACHABLE,
+        CallFailure.UNSENT,
+    }
 
 
 @pytest.mark.parametrize("machine", MACHINES)
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -2,9 +2,9 @@
 
 import random
 
-from mallowvalve.membership.check import CHECK_EVERY_S, DOUBT_PINGS, DOUBT_S, IDLE_S, Checks
-from mallowvalve.membership.detector import Membership, fresh_record
-from mallowvalve.membership.wire import Ack, Ping, Tell, Wanted
+from mallowvalve.membership.detector import Membership, initial_record
+from mallowvalve.membership.direct_probe import CHECK_EVERY_S, DOUBT_PINGS, DOUBT_S, IDLE_S, Checks
+from mallowvalve.membership.wire import Ack, Ping, RequestedRecords, Tell
 from mallowvalve.types import Address, Locality
 
 HERE = Locality("eu", "eu-a")
@@ -13,13 +13,13 @@
 def member(n, boot=1):
     address = Address(f"10.0.0.{n}", 1)
     return Membership(
-        fresh_record(address, boot, "proxy", f"n{n}", HERE, address), "f", [], random.Random(n), 1.0, 3, 0.1
+        initial_record(address, boot, "proxy", f"n{n}", HERE, address), "f", [], random.Random(n), 1.0, 3, 0.1
     )
 
 
 def meet(a, b, now):
     """Deliver what the two send each other until they know each other."""
-    queue = [(a.me.addr, Tell(b._head(), [b.me], Wanted.SELF))]
+    queue = [(a.me.addr, Tell(b._header(), [b.me], RequestedRecords.SELF))]
     while queue:
         to, message = queue.pop(0)
         queue += (a if to == a.me.addr else b).receive(message, now)
@@ -36,24 +36,24 @@
     checks, it = Checks(), member(2).me
     now = 0.0
     while now < DOUBT_S:
-        assert not checks.doubts(it, now)
+        assert not checks.suspects(it, now)
         checks.due(it, now)
         now += CHECK_EVERY_S
-    assert checks.doubts(it, DOUBT_S)
+    assert checks.suspects(it, DOUBT_S)
     checks.acked(it.addr)
-    assert not checks.doubts(it, DOUBT_S)
+    assert not checks.suspects(it, DOUBT_S)
 
 
 def test_few_pings_are_no_reason_to_doubt_and_another_life_begins_anew():
     checks, it = Checks(), member(2).me
     for i in range(DOUBT_PINGS - 1):
         checks.due(it, float(i))
-    assert not checks.doubts(it, 4.0)
+    assert not checks.suspects(it, 4.0)
     checks.due(it, 4.0)
-    assert checks.doubts(it, 4.0)
-    assert not checks.doubts(member(2, boot=2).me, 4.0)
+    assert checks.suspects(it, 4.0)
+    assert not checks.suspects(member(2, boot=2).me, 4.0)
     checks.due(member(2, boot=2).me, 4.1)
-    assert not checks.doubts(member(2, boot=2).me, 9.0)
+    assert not checks.suspects(member(2, boot=2).me, 9.0)
 
 
 def test_who_is_not_asked_about_is_forgotten():
@@ -61,21 +61,21 @@
     for i in range(DOUBT_PINGS):
         checks.due(it, float(i))
     checks.due(other, DOUBT_PINGS + IDLE_S)
-    assert not checks.doubts(it, DOUBT_PINGS + IDLE_S)
+    assert not checks.suspects(it, DOUBT_PINGS + IDLE_S)
 
 
 def test_a_check_is_an_ordinary_ping_that_any_member_acks():
     a, b = member(1), member(2)
     meet(a, b, 0.0)
-    ((to, ping),) = a.check(b.me, 1.0)
+    ((to, ping),) = a.probe(b.me, 1.0)
     assert to == b.me.addr and isinstance(ping, Ping)
     acks = [m for to, m in b.receive(ping, 1.0) if isinstance(m, Ack)]
     for again in (1.3, 1.6, 1.9):
-        a.check(b.me, again)
-    assert a.doubts(b.me, 2.0)
+        a.probe(b.me, again)
+    assert a.suspects(b.me, 2.0)
     a.receive(acks[0], 2.0)
-    assert not a.doubts(b.me, 2.0)
-    assert a.check(member(9).me, 3.0) == []
+    assert not a.suspects(b.me, 2.0)
+    assert a.probe(member(9).me, 3.0) == []
 
 
 def test_a_member_is_known_since_its_present_life_was_met():
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -2,18 +2,18 @@
 
 import random
 
-from mallowvalve.membership.closing import NOTICE_S, TURN_S, Closing, Outlook
-from mallowvalve.membership.members import RETURN_S, Gone, outlook
-from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, LEFT, Record
+from mallowvalve.membership.drain import NOTICE_S, TURN_S, DrainConditions, DrainSequence
+from mallowvalve.membership.members import RETURN_WINDOW_S, DepartedMember, drain_conditions
+from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, LEFT, MemberRecord
 from mallowvalve.types import Address, Locality
 
 HERE, NEAR, AWAY = Locality("eu", "eu-a"), Locality("eu", "eu-b"), Locality("us", "us-a")
-ALONE, HELPED = Outlook(must_stay=True, before=0), Outlook(must_stay=False, before=0)
+ALONE, HELPED = DrainConditions(must_stay=True, leavers_ahead=0), DrainConditions(must_stay=False, leavers_ahead=0)
 
 
 def record(n, locality=NEAR, state=ALIVE, ready=True):
     address = Address(f"10.0.0.{n}", 1)
-    return Record(address, 1, 0, state, "proxy", f"n{n}", locality, address, ready)
+    return MemberRecord(address, 1, 0, state, "proxy", f"n{n}", locality, address, ready)
 
 
 ME = record(5, HERE, LEAVING)
@@ -26,28 +26,30 @@
     def alive(self, role):
         return [r for r in self._alive if r.role == role]
 
-    def gone(self, role):
+    def departed(self, role):
         return self._gone
 
 
 def test_one_whose_neighbour_is_ready_need_not_stay():
-    assert outlook(ME, Others(record(1), record(2, state=LEAVING))) == HELPED
+    assert drain_conditions(ME, Others(record(1), record(2, state=LEAVING))) == HELPED
 
 
 def test_of_those_that_leave_together_each_counts_who_is_before_it():
     others = Others(record(1, state=LEAVING), record(2, state=LEAVING), record(9, state=LEAVING))
-    assert outlook(ME, others) == Outlook(must_stay=False, before=2)
-    assert outlook(ME, Others(record(1, state=LEAVING, ready=False), record(9, state=LEAVING))).before == 0
+    assert drain_conditions(ME, others) == DrainConditions(must_stay=False, leavers_ahead=2)
+    assert (
+        drain_conditions(ME, Others(record(1, state=LEAVING, ready=False), record(9, state=LEAVING))).leavers_ahead == 0
+    )
 
 
 def test_the_last_one_stays_while_another_is_on_its_way_back():
     for others in (
         Others(record(1, state=LEAVING, ready=False)),
         Others(record(1, ready=False)),
-        Others(gone=[Gone(record(1, state=LEFT), 1.0)]),
-        Others(record(2, AWAY), gone=[Gone(record(1, state=LEFT), 1.0)]),
+        Others(gone=[DepartedMember(record(1, state=LEFT), 1.0)]),
+        Others(record(2, AWAY), gone=[DepartedMember(record(1, state=LEFT), 1.0)]),
     ):
-        assert outlook(ME, others).must_stay
+        assert drain_conditions(ME, others).must_stay
 
 
 def test_nobody_stays_where_nobody_is_to_come_back():
@@ -55,16 +57,16 @@
         Others(),
         Others(record(2, AWAY)),
         Others(record(2, AWAY, ready=False)),
-        Others(gone=[Gone(record(1, state=FAILED), 1.0)]),
-        Others(gone=[Gone(record(1, state=LEFT), RETURN_S)]),
-        Others(gone=[Gone(record(1, AWAY, LEFT), 1.0)]),
+        Others(gone=[DepartedMember(record(1, state=FAILED), 1.0)]),
+        Others(gone=[DepartedMember(record(1, state=LEFT), RETURN_WINDOW_S)]),
+        Others(gone=[DepartedMember(record(1, AWAY, LEFT), 1.0)]),
     ):
-        assert not outlook(ME, others).must_stay
+        assert not drain_conditions(ME, others).must_stay
 
 
 def played(outlooks, earliest=3.0, latest=5.0):
     """When a door whose region looks like `outlooks(now)` says that it accepts no more, and when it closes."""
-    closing, now, said, closed = Closing(earliest, latest, random.Random(1)), 0.0, [], None
+    closing, now, said, closed = DrainSequence(earliest, latest, random.Random(1)), 0.0, [], None
     while closed is None:
         step = closing.step(now, outlooks(now))
         if not said or said[-1][1] != step.accepts:
@@ -81,7 +83,7 @@
 
 
 def test_a_door_waits_for_those_before_it():
-    _, closed = played(lambda now: Outlook(must_stay=False, before=2))
+    _, closed = played(lambda now: DrainConditions(must_stay=False, leavers_ahead=2))
     assert abs(closed - 3.0 - 2 * TURN_S - NOTICE_S) < 1e-9
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -12,7 +12,7 @@
 from mallowvalve.directory.look_up import AVOIDED_S, LIFE_S, SHORT_LIFE_S, WAIT_WITHOUT_HOMES_S, Directory
 from mallowvalve.directory.sight import MOST_PLACES, Answers
 from mallowvalve.membership.detector import Membership
-from mallowvalve.membership.members import RETURN_S
+from mallowvalve.membership.members import RETURN_WINDOW_S
 from mallowvalve.membership.wire import FAILED, LEAVING, LEFT
 from mallowvalve.types import Locality
 from tests.directory_records import HOME_BOTH, HOME_US, A, B, C, at, gone, proxies
@@ -38,7 +38,7 @@
     def alive(self, role):
         return [r for r in self.rows if r.role == role and r.state <= LEAVING]
 
-    def gone(self, role):
+    def departed(self, role):
         return self.left
 
     def settled(self):
@@ -47,10 +47,10 @@
     def known_for(self, member):
         return self.ages.get(member.name, 60.0)
 
-    def check(self, member):
+    def probe(self, member):
         self.checked.append(member.name)
 
-    def doubts(self, member):
+    def suspects(self, member):
         return member.name in self.silent
 
 
@@ -244,7 +244,7 @@
     n.rows, n.left = [at(2, A)], [gone(at(1, C, LEFT, ready=False))]
     asked = Directory(n, lambda: now[0])
     assert asked.look_up(C, HOME_US).reason is Reason.RETURNING
-    now[0] += RETURN_S - 0.1
+    now[0] += RETURN_WINDOW_S - 0.1
     assert asked.look_up(C, HOME_US).reason is Reason.RETURNING
     now[0] += 0.1
     assert asked.look_up(C, HOME_US).reason is Reason.NONE_ACCEPTS
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.directory import look_up
 from mallowvalve.directory.answer import Choice, Reason
-from mallowvalve.membership.closing import Outlook
+from mallowvalve.membership.drain import DrainConditions
 from mallowvalve.membership.members import accepts
 from mallowvalve.membership.wire import ALIVE
 from sim import directory_fleet
@@ -40,7 +40,9 @@
 
 
 def doors_close_whoever_else_accepts():
-    return patch.object(directory_fleet, "outlook", lambda me, others: Outlook(must_stay=False, before=0))
+    return patch.object(
+        directory_fleet, "drain_conditions", lambda me, others: DrainConditions(must_stay=False, leavers_ahead=0)
+    )
 
 
 def new_directories_answer_with_those_they_know():
--- a/tests/test_formula.py
+++ b/tests/test_formula.py
@@ -4,7 +4,7 @@
 
 
 def test_period_and_helpers_match_hand_worked_values():
-    assert formula.spread(0.15) == pytest.approx(1.74647, abs=1e-5)
+    assert formula.expected_periods_to_ping(0.15) == pytest.approx(1.74647, abs=1e-5)
     assert formula.period(3.0, 0.15) == pytest.approx(1.71775, abs=1e-4)
     assert formula.helpers(1e-8, 0.15, 0.15) == 30
 
@@ -12,7 +12,7 @@
 def test_helpers_are_the_least_that_keep_the_mistake_bound():
     for pm in (1e-3, 1e-5, 1e-8):
         k = formula.helpers(pm, 0.15, 0.15)
-        bound = lambda k: 0.85 * (1 - 0.85**2) * (1 - 0.85 * 0.85**4) ** k * formula.spread(0.15)
+        bound = lambda k: 0.85 * (1 - 0.85**2) * (1 - 0.85 * 0.85**4) ** k * formula.expected_periods_to_ping(0.15)
         assert bound(k) <= pm < bound(k - 1)
 
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -12,7 +12,7 @@
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.state import Enrol, Evacuate, Seats, State, Strike, Tick, encode
 from mallowvalve.control.wire import Want
-from mallowvalve.membership.detector import fresh_record
+from mallowvalve.membership.detector import initial_record
 from mallowvalve.raft.messages import Group, Voters
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address, Locality
@@ -114,8 +114,8 @@
 
 class Peers:
     def __init__(self, controls, proxies):
-        seen = [fresh_record(a, 1, "control", "l", LOC, a) for a in controls] + [
-            fresh_record(a, 1, "proxy", "f", LOC, a) for a in proxies
+        seen = [initial_record(a, 1, "control", "l", LOC, a) for a in controls] + [
+            initial_record(a, 1, "proxy", "f", LOC, a) for a in proxies
         ]
         self.node = SimpleNamespace(
             settings=SimpleNamespace(transport=A, seeds=[]), membership=SimpleNamespace(alive=lambda: seen)
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -9,7 +9,7 @@
 from mallowvalve.control import http_upstreams, lease, redirect, registry_task
 from mallowvalve.control.state import State, command
 from mallowvalve.control.wire import Took
-from mallowvalve.membership.wire import FAILED, LEAVING, Record
+from mallowvalve.membership.wire import FAILED, LEAVING, MemberRecord
 from mallowvalve.settings import Settings
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams import registry as registries
@@ -38,7 +38,7 @@
 
 
 def control_at(host, loc, state=0, ready=True):
-    return Record(Address(host, 1), 1, 0, state, "control", host, loc, Address(host, 2), ready)
+    return MemberRecord(Address(host, 1), 1, 0, state, "control", host, loc, Address(host, 2), ready)
 
 
 class Control:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -10,12 +10,12 @@
     FAILED,
     LEAVING,
     LEFT,
-    VERSION,
+    PROTOCOL_VERSION,
     Ack,
-    Head,
+    DatagramHeader,
+    MemberRecord,
     Ping,
     PingReq,
-    Record,
     RelayPing,
     Tell,
     decode,
@@ -28,8 +28,8 @@
 LOC = Locality("eu", "x")
 
 
-def record(addr, boot=1, inc=0, state=ALIVE) -> Record:
-    return Record(addr, boot, inc, state, "proxy", "n", LOC, addr, True)
+def record(addr, boot=1, inc=0, state=ALIVE) -> MemberRecord:
+    return MemberRecord(addr, boot, inc, state, "proxy", "n", LOC, addr, True)
 
 
 def membership(peers=(B, C, D), inc=0) -> Membership:
@@ -38,8 +38,8 @@
     return b
 
 
-def head(sender, inc=0, fleet="f", version=VERSION) -> Head:
-    return Head(version, fleet, sender, 1, inc)
+def head(sender, inc=0, fleet="f", version=PROTOCOL_VERSION) -> DatagramHeader:
+    return DatagramHeader(version, fleet, sender, 1, inc)
 
 
 def of(kind, out):
@@ -49,22 +49,22 @@
 def test_figure_1_step_by_step():
     b = membership()
     ((target, ping),) = of(Ping, b.tick(10.0))
-    assert (ping.origin, ping.target, ping.pr) == (A, target, 1)
+    assert (ping.origin, ping.target, ping.period_number) == (A, target, 1)
     assert not of(PingReq, b.tick(10.49))
     asked = of(PingReq, b.tick(10.5))
-    assert {to for to, _ in asked} == {B, C, D} - {target} and {m.pr for _, m in asked} == {1}
+    assert {to for to, _ in asked} == {B, C, D} - {target} and {m.period_number for _, m in asked} == {1}
     assert b.view[target].state == ALIVE
     b.tick(11.99)
     assert b.view[target].state == ALIVE
     out = b.tick(12.0)
-    assert b.view[target].state == FAILED and b.pr == 2
+    assert b.view[target].state == FAILED and b.period_number == 2
     told = of(Tell, out)
     assert {to for to, m in told if any(r.state == FAILED for r in m.records)} == {B, C, D}
 
 
 @pytest.mark.parametrize("relay", [False, True])
 def test_an_ack_of_this_period_saves_the_target_and_an_older_one_does_not(relay):
-    for pr, state in ((2, ALIVE), (1, FAILED)):
+    for period_number, state in ((2, ALIVE), (1, FAILED)):
         b = membership()
         b.tick(0.0)
         ((t0, _),) = of(Ping, b.tick(0.1)) or [(b._target.addr, None)]
@@ -72,7 +72,7 @@
         ((target, _),) = of(Ping, b.tick(2.0))
         b.tick(2.5)
         sender = next(p for p in (B, C, D) if p != target) if relay else target
-        b.receive(Ack(head(sender), A, target, pr), 3.0)
+        b.receive(Ack(head(sender), A, target, period_number), 3.0)
         b.tick(4.0)
         assert b.view[target].state == state
 
@@ -94,7 +94,7 @@
     b = membership()
     assert of(Ack, b.receive(Ping(head(B), B, A, 7), 0.0)) == [(B, Ack(head(A), B, A, 7))]
     ((to, m),) = of(RelayPing, b.receive(PingReq(head(B), B, C, 7), 0.0))
-    assert to == C and (m.origin, m.target, m.relay, m.pr) == (B, C, A, 7)
+    assert to == C and (m.origin, m.target, m.relay, m.period_number) == (B, C, A, 7)
     assert of(Ack, b.receive(Ack(head(C), B, C, 7, A), 0.0)) == [(B, Ack(head(A), B, C, 7))]
     assert of(Ack, b.receive(RelayPing(head(D), B, A, D, 9), 0.0)) == [(D, Ack(head(A), B, A, 9, D))]
 
@@ -182,7 +182,7 @@
 
 def test_mistakes_at_fifteen_percent_loss_stay_within_the_formula_for_the_helpers_there_are():
     seconds, n = 600, 15
-    pm = 0.85 * (1 - 0.85**2) * formula.spread(0.15) * (1 - 0.85 * 0.85**4) ** (n - 2)
+    pm = 0.85 * (1 - 0.85**2) * formula.expected_periods_to_ping(0.15) * (1 - 0.85 * 0.85**4) ** (n - 2)
     allowed = n * seconds / 3.0 * pm
     g = Group(6, n, 0.15)
     g.run_until(g.whole, 60)
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -15,7 +15,7 @@
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.messages import Group, Snapshot, Voters
-from mallowvalve.transport.frame import LARGEST
+from mallowvalve.transport.frame import BODY_BYTES_MAX
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
@@ -140,8 +140,8 @@
     Puller(x, lambda: (p, snapshots.cut(s)))
     got = Puller(y, lambda: None).pull(x.me, NOW)
     whole, t = got.unwrap()
-    assert sum(map(len, whole.state)) > LARGEST and t.ledger.rows == s.ledger.rows
-    assert max(map(len, whole.state)) < LARGEST // 16
+    assert sum(map(len, whole.state)) > BODY_BYTES_MAX and t.ledger.rows == s.ledger.rows
+    assert max(map(len, whole.state)) < BODY_BYTES_MAX // 16
 
 
 def test_a_fetch_that_is_not_wanted_or_never_ends_is_given_up(transports, monkeypatch):
@@ -151,5 +151,5 @@
     other = Puller(y, lambda: None)
     assert other.pull(x.me, NOW, lambda l: l.index > s.index) == Err("has none that is wanted")
     assert mine.pull(y.me, NOW) == Err("has none that is wanted")
-    x.on("piece", lambda sender, body: encode(None), quick=True)
+    x.on("piece", lambda sender, body: encode(None), inline=True)
     assert other.pull(x.me, NOW) == Err("no longer handed out") and y.counts.get("piece_refused") > 3
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -8,9 +8,16 @@
 
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
-from mallowvalve.transport import line
-from mallowvalve.transport.calls import Failure
-from mallowvalve.transport.frame import VERSION, Cutter, Frame, Hello, Sealer, greeting
+from mallowvalve.transport import channel
+from mallowvalve.transport.calls import CallFailure
+from mallowvalve.transport.frame import (
+    PROTOCOL_VERSION,
+    FrameDecoder,
+    FrameEncoder,
+    Hello,
+    TransportFrame,
+    encode_hello,
+)
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
@@ -26,7 +33,7 @@
     x, y = two
     got = Event()
     y.on("replica", lambda s, b: b + b"!" + str(s).encode())
-    y.on("note", lambda s, b: got.set(), quick=True)
+    y.on("note", lambda s, b: got.set(), inline=True)
     assert x.call(y.me, "replica", b"hi", 5).unwrap() == b"hi!" + str(x.me).encode()
     x.cast(y.me, "note", b"")
     assert got.wait(5)
@@ -56,7 +63,7 @@
         assert results[-1].unwrap() == b"here"
 
 
-GREETED = greeting(Hello(VERSION, "f", Address("1.1.1.1", 1)))
+GREETED = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1)))
 
 
 def deflated(data):
@@ -70,8 +77,8 @@
     [
         (b"GET / HTTP/1.1\r\n\r\n", "transport_oversize"),
         (b"\x00\x00\x00\x03abc", "transport_garbage"),
-        (greeting(Hello(VERSION, "other", Address("1.1.1.1", 1))), "transport_foreign"),
-        (greeting(Hello(VERSION + 1, "f", Address("1.1.1.1", 1))), "transport_foreign"),
+        (encode_hello(Hello(PROTOCOL_VERSION, "other", Address("1.1.1.1", 1))), "transport_foreign"),
+        (encode_hello(Hello(PROTOCOL_VERSION + 1, "f", Address("1.1.1.1", 1))), "transport_foreign"),
         (GREETED + b"\xff no deflate", "transport_garbage"),
         (GREETED + deflated(b"\x00\x00\x00\x02\xc1\xc1"), "transport_garbage"),
         (GREETED + deflated(b"\x7f\xff\xff\xff"), "transport_oversize"),
@@ -96,14 +103,14 @@
 
 
 def test_frames_cut_anywhere_come_out_whole():
-    data = greeting(Hello(VERSION, "f", Address("1.1.1.1", 1))) + Sealer().seal(
-        [Frame("a", 1, False, b"x" * 100), Frame("b", 2, True, b"")]
+    data = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1))) + FrameEncoder().seal(
+        [TransportFrame("a", 1, False, b"x" * 100), TransportFrame("b", 2, True, b"")]
     )
     for step in (1, 3, 50):
-        c, out = Cutter("f"), []
+        c, out = FrameDecoder("f"), []
         for i in range(0, len(data), step):
             out += c.feed(data[i : i + step]).unwrap()
-        assert [type(m) for m in out] == [Hello, Frame, Frame] and out[1].body == b"x" * 100
+        assert [type(m) for m in out] == [Hello, TransportFrame, TransportFrame] and out[1].body == b"x" * 100
 
 
 class HeldDial:
@@ -112,7 +119,7 @@
     def __init__(self, monkeypatch):
         self.go = Event()
         self._connect = socket.create_connection
-        monkeypatch.setattr(line.socket, "create_connection", self.connect)
+        monkeypatch.setattr(channel.socket, "create_connection", self.connect)
 
     def connect(self, *args, **more):
         self.go.wait(10)
@@ -121,7 +128,7 @@
 
 def kept_bodies(node: Transport) -> list[bytes]:
     got: list[bytes] = []
-    node.on("offer", lambda sender, body: got.append(body) or body, quick=True)
+    node.on("offer", lambda sender, body: got.append(body) or body, inline=True)
     return got
 
 
@@ -137,7 +144,7 @@
 
 def test_a_call_too_many_fails_alone(two, monkeypatch):
     x, y = two
-    monkeypatch.setattr(line, "OUTBOX", 2)
+    monkeypatch.setattr(channel, "QUEUED_FRAMES_MAX", 2)
     dial, got = HeldDial(monkeypatch), kept_bodies(y)
     calls = [gevent.spawn(x.call, y.me, "offer", bytes([65 + i]), 5) for i in range(6)]
     gevent.idle()
@@ -158,13 +165,13 @@
 def test_a_frame_that_comes_twice_on_a_connection_is_handled_once(two):
     x, y = two
     got = kept_bodies(y)
-    first, second = Frame("offer", 1, False, b"a"), Frame("offer", 2, False, b"b")
+    first, second = TransportFrame("offer", 1, False, b"a"), TransportFrame("offer", 2, False, b"b")
     with socket.create_connection(y.me.pair, timeout=5) as s:
         s.sendall(
-            greeting(Hello(VERSION, "f", x.me))
-            + Sealer().seal([first, first, second, first, Frame("offer", 3, True, b"c")])
+            encode_hello(Hello(PROTOCOL_VERSION, "f", x.me))
+            + FrameEncoder().seal([first, first, second, first, TransportFrame("offer", 3, True, b"c")])
         )
-        data, cutter, answers = b"", Cutter("f", greeted=True), []
+        data, cutter, answers = b"", FrameDecoder("f", greeted=True), []
         while len(answers) < 2:
             data = s.recv(65536)
             answers += cutter.feed(data).unwrap()
@@ -177,18 +184,18 @@
     got, accepted = [], []
 
     def take_one_and_leave(sock, _):
-        cutter = Cutter("f")
+        cutter = FrameDecoder("f")
         accepted.append(sock)
         with sock:
-            while not any(isinstance(m, Frame) for m in got[-1:]):
+            while not any(isinstance(m, TransportFrame) for m in got[-1:]):
                 got.extend(cutter.feed(sock.recv(65536)).unwrap())
 
     server = StreamServer(("127.0.0.1", 0), take_one_and_leave)
     server.start()
     there = Address("127.0.0.1", server.server_port)
     why = x.call(there, "offer", b"once", 5).err_value
-    assert why is Failure.CLOSED and why.may_have_run
+    assert why is CallFailure.CLOSED and why.may_have_run
     got.append(None)
-    assert x.call(there, "offer", b"next", 5).err_value is Failure.CLOSED
+    assert x.call(there, "offer", b"next", 5).err_value is CallFailure.CLOSED
     server.stop()
-    assert [m.body for m in got if isinstance(m, Frame)] == [b"once", b"next"] and len(accepted) == 2
+    assert [m.body for m in got if isinstance(m, TransportFrame)] == [b"once", b"next"] and len(accepted) == 2
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -3,9 +3,14 @@
 import msgspec
 import pytest
 
-from mallowvalve.membership.detector import FORGET, QUIET, Membership
-from mallowvalve.membership.share import BURST, DIRECT, batches, shares
-from mallowvalve.membership.view import BUCKETS, Digest, View
+from mallowvalve.membership.detector import DIGEST_RETENTION_S, FORGET_AFTER_S, Membership
+from mallowvalve.membership.dissemination import (
+    DIRECT_SEND_MEMBERS_MAX,
+    RECORD_DATAGRAMS_BURST,
+    record_batches,
+    relay_group_count,
+)
+from mallowvalve.membership.view import BUCKET_COUNT, Digest, MemberTable
 from mallowvalve.membership.wire import (
     ALIVE,
     FAILED,
@@ -14,11 +19,11 @@
     Marks,
     Ping,
     PingReq,
+    RequestedRecords,
     Sum,
     Sums,
     Tell,
     Want,
-    Wanted,
     encode,
 )
 from mallowvalve.types import Address
@@ -37,19 +42,19 @@
     for r in reversed(rs):
         y.put(msgspec.structs.replace(r, incarnation=99))
         y.put(r)
-    assert x.total == y.total and x.sums == y.sums
+    assert x.total == y.total and x.bucket_digests == y.bucket_digests
     for change in ({"incarnation": 1000}, {"state": FAILED}, {"boot": 7}):
         y.put(msgspec.structs.replace(rs[5], **change))
-        assert x.total != y.total and x.differing(tuple(y.sums)) == [x.bucket(rs[5].addr)]
+        assert x.total != y.total and x.differing(tuple(y.bucket_digests)) == [x.bucket(rs[5].addr)]
         y.put(rs[5])
         assert x.total == y.total
     for r in rs:
         x.drop(r.addr)
-    assert x.total == 0 and x.sums == [0] * BUCKETS and not any(x.buckets)
+    assert x.total == 0 and x.bucket_digests == [0] * BUCKET_COUNT and not any(x.buckets)
 
 
 def test_a_view_chooses_only_the_living():
-    v, rng = View(), random.Random(1)
+    v, rng = MemberTable(), random.Random(1)
     for a in MANY[:50]:
         v.put(record(a))
     for i, a in enumerate(MANY[:50]):
@@ -75,7 +80,7 @@
     x, y = membership((B,)), Membership(record(B), "f", [], random.Random(2), 2.0, 30, 0.5)
     y.receive(Tell(head(A), [record(A), *(record(a) for a in MANY[:40])]), 0.0)
     x.receive(Tell(head(B), [record(a) for a in MANY[20:60]]), 0.0)
-    ((_, ping),) = of(Ping, [p for p in x.tick(0.0) if p[0] == B] or [(B, Ping(x._head(), A, B, 1, x._digest.total))])
+    ((_, ping),) = of(Ping, [p for p in x.tick(0.0) if p[0] == B] or [(B, Ping(x._header(), A, B, 1, x._digest.total))])
     box, kinds = [(y, ping)], []
     while box:
         to, m = box.pop(0)
@@ -87,16 +92,16 @@
 
 def test_datagrams_stay_small_and_a_storm_of_questions_is_answered_within_bounds():
     b = membership(MANY)
-    out = b.receive(Tell(head(MANY[0]), [record(MANY[0])], Wanted.ALL), 100.0)
+    out = b.receive(Tell(head(MANY[0]), [record(MANY[0])], RequestedRecords.ALL), 100.0)
     assert max(len(encode(m)) for _, m in out) <= 1200
     assert sum(len(m.records) for _, m in of(Tell, out)) >= 600
-    sent = sum(len(of(Tell, b.receive(Tell(head(a), [record(a)], Wanted.ALL), 100.0))) for a in MANY[:300])
-    assert 300 <= sent <= 300 + BURST
+    sent = sum(len(of(Tell, b.receive(Tell(head(a), [record(a)], RequestedRecords.ALL), 100.0))) for a in MANY[:300])
+    assert 300 <= sent <= 300 + RECORD_DATAGRAMS_BURST
 
 
 def test_batches_keep_all_records():
     rs = [record(a) for a in MANY]
-    assert [r for b in batches(rs) for r in b] == rs
+    assert [r for b in record_batches(rs) for r in b] == rs
 
 
 def test_news_reach_a_large_group_in_two_hops_without_a_burst_from_anyone():
@@ -106,7 +111,7 @@
     m = c.members()[0]
     before = {x.addr: x.sent for x in c.members()}
     m._emit(m._coded(m.membership.ready(False)))
-    assert m.sent - before[m.addr] == shares(n - 1)
+    assert m.sent - before[m.addr] == relay_group_count(n - 1)
     took = c.until(lambda: c.knows(m.addr, lambda r: not r.ready) == 1, 1.0, 0.01)
     assert took is not None and took <= 2 * 0.06
     assert max(x.sent - before[x.addr] for x in c.members()) <= 60
@@ -120,7 +125,7 @@
     assert c.until(lambda: c.knows(m.addr, lambda r: not r.ready) == 1, 15.0) is not None
 
 
-@pytest.mark.parametrize("n", [15, DIRECT + 40])
+@pytest.mark.parametrize("n", [15, DIRECT_SEND_MEMBERS_MAX + 40])
 def test_a_restart_is_seen_by_all_within_a_fraction_of_a_second(n):
     c = Crowd(5, n, loss=0.0)
     c.run(2.0)
@@ -208,21 +213,21 @@
     x.receive(Tell(head(B), [record(C, inc=1, state=LEFT)]), 1.0)
     y.receive(Tell(head(B), [record(C, inc=1, state=LEFT)]), 9.0)
     assert x._digest.total == y._digest.total
-    x.tick(2.0 + QUIET)
+    x.tick(2.0 + DIGEST_RETENTION_S)
     assert C not in x._digest and C in x.view
-    y.tick(10.0 + QUIET)
+    y.tick(10.0 + DIGEST_RETENTION_S)
     assert x._digest.total == y._digest.total
-    x.tick(2.0 + FORGET)
+    x.tick(2.0 + FORGET_AFTER_S)
     assert C not in x.view
-    out = of(Tell, y.receive(Tell(head(B), [record(B)], Wanted.ALL), 20.0 + QUIET))
+    out = of(Tell, y.receive(Tell(head(B), [record(B)], RequestedRecords.ALL), 20.0 + DIGEST_RETENTION_S))
     assert C not in {r.addr for _, m in out for r in m.records}
 
 
 def test_a_new_member_asks_at_once_and_every_quarter_second_until_it_agrees():
     b = Membership(record(A), "f", [B, C], random.Random(1), 2.0, 30, 0.5)
-    assert {to for to, m in of(Tell, b.tick(0.0)) if m.ask == Wanted.ALL} == {B, C}
+    assert {to for to, m in of(Tell, b.tick(0.0)) if m.ask == RequestedRecords.ALL} == {B, C}
     assert b.timer() == 0.25
-    assert {to for to, m in of(Tell, b.tick(0.25)) if m.ask == Wanted.ALL} == {B, C}
+    assert {to for to, m in of(Tell, b.tick(0.25)) if m.ask == RequestedRecords.ALL} == {B, C}
     b.receive(Tell(head(B), [record(B), record(C)]), 0.3)
     assert of(Sum, b.tick(0.5)) and b.timer() == 0.75
     b.receive(Sum(head(B), b._digest.total, False), 0.6)
