--- a/mallowvalve/membership/__init__.py
+++ b/mallowvalve/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is alive: the failure detector of docs/paper.md, joins, refutations, and how views travel."""
+"""Cluster membership: the failure detector of docs/paper.md, joins, refutations and dissemination of views."""
--- a/mallowvalve/membership/direct_probe.py
+++ b/mallowvalve/membership/direct_probe.py
@@ -1,4 +1,4 @@
-"""Pings beside the detector's periods, for the few members on whom an answer rests alone."""
+"""Pings outside the protocol periods, for the few members that are the sole answer to a look-up."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.types import Address
 
-CHECK_EVERY_S = 0.2
-"""The shortest pause between two pings of one member."""
+PROBE_INTERVAL_S = 0.2
+"""The minimum interval between two probes of one member."""
 
-DOUBT_S = 0.8
-"""A member is doubted when a ping so old is the first of `DOUBT_PINGS` that were not answered (s)."""
+SUSPECT_AFTER_S = 0.8
+"""The minimum age of the first of `SUSPECT_PINGS` unanswered pings before the member is suspected."""
 
-DOUBT_PINGS = 4
-"""The last of them may be under way still: the three before had at least `CHECK_EVERY_S` for their acks."""
+SUSPECT_PINGS = 4
+"""The last ping may still be in flight; each of the three before it had at least `PROBE_INTERVAL_S` for its ack."""
 
 IDLE_S = 5.0
-"""A member that nobody asked about for so long is no longer checked."""
+"""A member that was not asked about for this long is no longer tracked."""
 
 
-class Checked(msgspec.Struct):
-    """The pings of one life of a member since its last ack: how many, the first and the last of them (s)."""
+class ProbeState(msgspec.Struct):
+    """The pings to one process of a member since its last ack: their count, and the times of the first and last (s)."""
 
     boot: int
     unanswered: int
@@ -29,47 +29,48 @@
     last: float
 
 
-class Checks:
-    """Whom this member checks, and what came of it. Pings are driven by the questions, so there is no timer.
+class DirectProbes:
+    """Tracks the members that this member probes directly, and which of them are suspected.
 
-    It declares nobody failed: that is the detector's, at the end of its period.
+    Probes are sent when a caller asks about a member, so no timer is needed. A suspected member is not declared failed:
+    only the detector does that, at the end of a protocol period.
     """
 
-    __slots__ = ("_rows",)
+    __slots__ = ("_probes",)
 
     def __init__(self) -> None:
-        """Nobody is checked."""
-        self._rows: dict[Address, Checked] = {}
+        """Starts with no tracked member."""
+        self._probes: dict[Address, ProbeState] = {}
 
     def due(self, member: MemberRecord, now: float) -> bool:
-        """Whether a ping should be sent now; it then counts as sent."""
-        self._forget(now)
-        row = self._rows.get(member.addr)
-        if row is None or row.boot != member.boot:
-            self._rows[member.addr] = Checked(member.boot, 1, now, now)
+        """Returns whether a ping is due; if so, the ping counts as sent at `now`."""
+        self._forget_idle(now)
+        probe = self._probes.get(member.addr)
+        if probe is None or probe.boot != member.boot:
+            self._probes[member.addr] = ProbeState(member.boot, 1, now, now)
             return True
-        if now < row.last + CHECK_EVERY_S:
+        if now < probe.last + PROBE_INTERVAL_S:
             return False
-        if row.unanswered == 0:
-            row.first = now
-        row.unanswered += 1
-        row.last = now
+        if probe.unanswered == 0:
+            probe.first = now
+        probe.unanswered += 1
+        probe.last = now
         return True
 
     def acked(self, address: Address) -> None:
-        """The member has answered a ping of this process."""
-        row = self._rows.get(address)
-        if row is not None:
-            row.unanswered = 0
+        """Records that the member acked a ping of this process."""
+        probe = self._probes.get(address)
+        if probe is not None:
+            probe.unanswered = 0
 
     def suspects(self, member: MemberRecord, now: float) -> bool:
-        """Whether this life of a member has been silent to several pings, the first of them long enough ago."""
-        row = self._rows.get(member.addr)
-        if row is None or row.boot != member.boot:
+        """Returns whether this process of the member left several pings unanswered, the first for long enough."""
+        probe = self._probes.get(member.addr)
+        if probe is None or probe.boot != member.boot:
             return False
-        return row.unanswered >= DOUBT_PINGS and now - row.first >= DOUBT_S
+        return probe.unanswered >= SUSPECT_PINGS and now - probe.first >= SUSPECT_AFTER_S
 
-    def _forget(self, now: float) -> None:
-        idle = [address for address, row in self._rows.items() if now - row.last > IDLE_S]
+    def _forget_idle(self, now: float) -> None:
+        idle = [address for address, probe in self._probes.items() if now - probe.last > IDLE_S]
         for address in idle:
-            del self._rows[address]
+            del self._probes[address]
--- a/mallowvalve/membership/drain.py
+++ b/mallowvalve/membership/drain.py
@@ -1,8 +1,9 @@
-"""When a leaving member stops accepting: announced first, and taken back where its region would have nobody else.
+"""When a leaving member stops accepting work: it announces this first, and withdraws if its region would have no other.
 
-A member closes only after it has said that it will, and has for a moment still seen a neighbour that accepts and has
-not said so. Of several that leave together one after the other closes, by address. Two that say so at the same time all
-the same see each other's word, so neither closes; each tries again after a random pause.
+A member closes only after it has announced that it will, and has then for a moment still seen another accepting member
+of its region that has not announced the same. Members that leave together close one after the other, in the order of
+their addresses. If two members nevertheless announce at the same time, each sees the other's announcement, so neither
+closes; each tries again after a random pause.
 """
 
 from __future__ import annotations
@@ -12,34 +13,34 @@
 
 import msgspec
 
-LOOK_S = 0.02
-"""How often a member that stays looks whether it still has to (s)."""
+RECHECK_INTERVAL_S = 0.02
+"""How often a member that has to keep accepting evaluates the conditions again."""
 
-NOTICE_S = 0.15
-"""Between the word that a member accepts no more and its doing so (s): a datagram and a turn of two busy loops."""
+ANNOUNCEMENT_S = 0.15
+"""The time between the announcement and the close: one datagram, and one iteration of two busy event loops."""
 
 TURN_S = 0.25
-"""What each that leaves waits for each of those before it (s), longer than `NOTICE_S`."""
+"""The delay per leaving member that is ahead; longer than `ANNOUNCEMENT_S`."""
 
-PAUSE_S = (0.05, 0.4)
-"""Between which the pause after a word that was taken back is drawn (s)."""
+RETRY_PAUSE_RANGE_S = (0.05, 0.4)
+"""The range from which the pause after a withdrawn announcement is drawn."""
 
 
-class _State(enum.Enum):
+class _Phase(enum.Enum):
     ACCEPTS = enum.auto()
     ANNOUNCED = enum.auto()
     CLOSED = enum.auto()
 
 
 class DrainConditions(msgspec.Struct, frozen=True):
-    """The region of a leaving member: whether it must stay, and how many others that leave close before it."""
+    """The region of a leaving member: whether the member must keep accepting, and how many leavers close before it."""
 
     must_stay: bool
     leavers_ahead: int
 
 
 class DrainStep(msgspec.Struct, frozen=True):
-    """What to do now: whether to say that this member accepts, whether it is closed, and when to ask again (s)."""
+    """The result of a step: whether this member is announced as accepting, whether it is closed, the next wait (s)."""
 
     accepts: bool
     closed: bool
@@ -47,39 +48,42 @@
 
 
 class DrainSequence:
-    """Decides when to close, from `earliest` on and by `latest` whatever the others do (s, one steady clock)."""
+    """Decides when a leaving member closes: not before `earliest`, and by `latest` in any case.
 
-    __slots__ = ("earliest", "latest", "_rng", "_state", "_until", "_in_turn")
+    All times are seconds of one monotonic clock.
+    """
+
+    __slots__ = ("earliest", "latest", "_rng", "_phase", "_until", "_turn_taken")
 
     def __init__(self, earliest: float, latest: float, rng: random.Random) -> None:
-        """Accepts until `earliest`."""
+        """Starts as accepting, until `earliest` at least."""
         self.earliest = earliest
         self.latest = latest
         self._rng = rng
-        self._state = _State.ACCEPTS
+        self._phase = _Phase.ACCEPTS
         self._until = earliest
-        self._in_turn = False
+        self._turn_taken = False
 
-    def step(self, now: float, outlook: DrainConditions) -> DrainStep:
-        """One look at the region."""
+    def step(self, now: float, conditions: DrainConditions) -> DrainStep:
+        """Evaluates the conditions of the region and returns what to do now."""
         if now >= self.latest:
-            self._state = _State.CLOSED
+            self._phase = _Phase.CLOSED
         elif now >= self._until:
-            self._decide(now, outlook)
-        closed = self._state is _State.CLOSED
-        due = self._until if self._until > now else now + LOOK_S
+            self._advance(now, conditions)
+        closed = self._phase is _Phase.CLOSED
+        due = self._until if self._until > now else now + RECHECK_INTERVAL_S
         wait = 0.0 if closed else min(due, self.latest) - now
-        return DrainStep(self._state is _State.ACCEPTS, closed, wait)
-
-    def _decide(self, now: float, outlook: DrainConditions) -> None:
-        if self._state is _State.ANNOUNCED:
-            self._state = _State.ACCEPTS if outlook.must_stay else _State.CLOSED
-            self._until = now + self._rng.uniform(*PAUSE_S)
-        elif not self._in_turn:
-            self._in_turn = True
-            self._until = now + TURN_S * outlook.leavers_ahead
-            if outlook.leavers_ahead == 0:
-                self._decide(now, outlook)
-        elif not outlook.must_stay:
-            self._state = _State.ANNOUNCED
-            self._until = now + NOTICE_S
+        return DrainStep(self._phase is _Phase.ACCEPTS, closed, wait)
+
+    def _advance(self, now: float, conditions: DrainConditions) -> None:
+        if self._phase is _Phase.ANNOUNCED:
+            self._phase = _Phase.ACCEPTS if conditions.must_stay else _Phase.CLOSED
+            self._until = now + self._rng.uniform(*RETRY_PAUSE_RANGE_S)
+        elif not self._turn_taken:
+            self._turn_taken = True
+            self._until = now + TURN_S * conditions.leavers_ahead
+            if conditions.leavers_ahead == 0:
+                self._advance(now, conditions)
+        elif not conditions.must_stay:
+            self._phase = _Phase.ANNOUNCED
+            self._until = now + ANNOUNCEMENT_S
--- a/mallowvalve/membership/members.py
+++ b/mallowvalve/membership/members.py
@@ -1,4 +1,4 @@
-"""What others ask of the membership: who is there, who has gone, whose silence is doubted."""
+"""The membership as other components see it: which members are alive, which have departed, and which are suspected."""
 
 from __future__ import annotations
 
@@ -10,52 +10,53 @@
 from mallowvalve.membership.wire import ALIVE, LEAVING, LEFT, MemberRecord
 
 RETURN_WINDOW_S = 5.0
-"""Seconds within which a member that left in order is expected back: its platform starts it again."""
+"""How long a member that left in order is expected back: its platform starts it again."""
 
 
 class DepartedMember(msgspec.Struct, frozen=True):
-    """A member that failed or left, and for how long it has been held so (s)."""
+    """A member that failed or left, and the time since this member recorded that (s)."""
 
     record: MemberRecord
     departed_for_s: float
 
     def is_expected_back(self) -> bool:
-        """Whether it left in order so lately that its next process is expected."""
+        """Returns whether the member left in order so recently that its next process is expected."""
         return self.record.state == LEFT and self.departed_for_s < RETURN_WINDOW_S
 
 
 class ClusterMembership(Protocol):
-    """The others as one member sees them."""
+    """The other members of the cluster, as one member sees them."""
 
     def alive(self, role: str | None = None) -> list[MemberRecord]:
-        """Those that are alive or leaving, of one role or of any; not to be changed by the caller."""
+        """Returns the alive and leaving members of a role, or of all roles; the caller must not modify the list."""
 
     def departed(self, role: str) -> list[DepartedMember]:
-        """Those of a role that failed or left and are not forgotten."""
+        """Returns the members of a role that failed or left and are not yet forgotten."""
 
     def settled(self) -> bool:
-        """Whether this member has had time to meet the others; until then it may know a few only."""
+        """Returns whether this member has had time to discover the others; before that it may know only a few."""
 
     def known_for(self, member: MemberRecord) -> float:
-        """For how long (s) the present life of a member has been known here."""
+        """Returns for how long (s) this member has known the current process of another."""
 
     def probe(self, member: MemberRecord) -> None:
-        """Ping a member beside the periods, a few times a second at most however often this is called."""
+        """Pings a member outside the protocol periods, at most a few times a second however often it is called."""
 
     def suspects(self, member: MemberRecord) -> bool:
-        """Whether the last pings of `check` have all been unanswered."""
+        """Returns whether the last pings of `probe` are all unanswered."""
 
 
 def accepts(record: MemberRecord) -> bool:
-    """Whether a member takes new work: it is ready, also while it leaves, until it says otherwise."""
+    """Returns whether a member takes new work: it is ready, even while leaving, until it announces otherwise."""
     return record.ready and record.state in (ALIVE, LEAVING)
 
 
 def drain_conditions(me: MemberRecord, others: ClusterMembership) -> DrainConditions:
-    """What a leaving member has to know of its region before it stops accepting.
+    """Returns the conditions in its region under which a leaving member stops accepting.
 
-    It must stay where nobody else of its role and region accepts and one is on its way back. By the membership alone: a
-    view that is out of date costs a gap, or a stop that uses more of its grace, never an answer.
+    The member must keep accepting if no other member of its role and region accepts and one is expected back. The
+    decision uses the membership only: a view that is out of date costs a gap, or a stop that uses more of its grace
+    period, never an answer.
     """
     neighbours = [record for record in others.alive(me.role) if is_neighbour(record, me)]
     accepting = [record for record in neighbours if accepts(record)]
@@ -63,12 +64,12 @@
         return DrainConditions(must_stay=False, leavers_ahead=0)
     if accepting:
         return DrainConditions(must_stay=False, leavers_ahead=sum(record.addr < me.addr for record in accepting))
-    departed = [one for one in others.departed(me.role) if is_neighbour(one.record, me)]
+    departed = [member for member in others.departed(me.role) if is_neighbour(member.record, me)]
     return DrainConditions(
-        must_stay=bool(neighbours) or any(one.is_expected_back() for one in departed), leavers_ahead=0
+        must_stay=bool(neighbours) or any(member.is_expected_back() for member in departed), leavers_ahead=0
     )
 
 
 def is_neighbour(record: MemberRecord, me: MemberRecord) -> bool:
-    """Whether a record is that of another member of the same region."""
+    """Returns whether a record is that of another member of the same region."""
     return record.addr != me.addr and record.locality.region == me.locality.region
--- a/mallowvalve/membership/task.py
+++ b/mallowvalve/membership/task.py
@@ -1,4 +1,4 @@
-"""The membership's socket and its clock."""
+"""Runs the membership on a UDP socket and the monotonic clock."""
 
 from __future__ import annotations
 
@@ -16,114 +16,114 @@
 from mallowvalve.types import Address
 
 STATE_NAMES = {state: state.name.lower() for state in MemberState}
-AT_ONCE = 256
-"""Datagrams that are read before the timer is looked at again."""
+DATAGRAMS_PER_READ = 256
+"""The maximum number of datagrams read before the timer is checked again."""
 
-LARGEST = 65536
-SHORTEST_WAIT = 0.005
-"""Seconds; below it the loop would spin."""
+DATAGRAM_BYTES_MAX = 65536
+WAIT_MIN_S = 0.005
+"""A shorter wait would make the loop spin."""
 
-READABLE = 1
-"""The event of libev's that a socket has something to read."""
+LIBEV_READ = 1
+"""The libev event for a readable socket."""
 
 
 class MembershipTask:
-    """Owns the socket. One greenlet waits for a datagram or the machine's next timer, whichever comes first.
+    """Owns the socket; one greenlet waits for a datagram or for the next tick, whichever comes first.
 
-    What has arrived is always read before the clock is: an ack that waited while the process slept still counts.
+    Pending datagrams are always read before the clock: an ack that came while the process was suspended still counts.
     """
 
-    __slots__ = ("membership", "faults", "_sock", "_job", "_logged_states")
+    __slots__ = ("membership", "faults", "_socket", "_greenlet", "_logged_states")
 
     def __init__(self, membership: Membership, faults: Faults | None = None) -> None:
-        """Send and receive for `membership`, but what `faults` cut."""
+        """Sends and receives for `membership`, except where `faults` cuts the path."""
         self.membership = membership
         self.faults = faults or Faults()
         self._logged_states: dict[Address, tuple[int, MemberState]] = {}
 
     def __enter__(self) -> MembershipTask:
-        """Bind the member's address (UDP) and begin."""
-        self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._sock.bind(self.membership.me.addr.pair)
-        self._sock.setblocking(False)
-        self._job = vital(gevent.spawn(self._run))
+        """Binds the member's UDP address and starts."""
+        self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        self._socket.bind(self.membership.me.addr.pair)
+        self._socket.setblocking(False)
+        self._greenlet = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stop at once, without a word to the others."""
-        gevent.kill(self._job)
-        self._sock.close()
+        """Stops at once, without notifying the other members."""
+        gevent.kill(self._greenlet)
+        self._socket.close()
 
     def alive(self, role: str | None = None) -> list[MemberRecord]:
-        """Others that are alive or leaving, of one role or of any; not to be changed by the caller."""
+        """Returns the alive and leaving members of a role, or of all roles; the caller must not modify the list."""
         return self.membership.alive(role)
 
     def departed(self, role: str) -> list[DepartedMember]:
-        """Others of a role that failed or left and are not forgotten."""
+        """Returns the members of a role that failed or left and are not yet forgotten."""
         return self.membership.departed(role, clock.now())
 
     def settled(self) -> bool:
-        """Whether this member has had time to meet the others; until then it may know a few only."""
+        """Returns whether this member has had time to discover the others; before that it may know only a few."""
         return self.membership.settled(clock.now())
 
     def known_for(self, member: MemberRecord) -> float:
-        """For how long (s) the present life of a member has been known here."""
+        """Returns for how long (s) this member has known the current process of another."""
         return self.membership.known_for(member, clock.now())
 
     def probe(self, member: MemberRecord) -> None:
-        """Ping a member beside the periods, a few times a second at most however often this is called."""
-        self._do(self.membership.probe(member, clock.now()))
+        """Pings a member outside the protocol periods, at most a few times a second however often it is called."""
+        self._send(self.membership.probe(member, clock.now()))
 
     def suspects(self, member: MemberRecord) -> bool:
-        """Whether the last pings of `check` have all been unanswered."""
+        """Returns whether the last pings of `probe` are all unanswered."""
         return self.membership.suspects(member, clock.now())
 
     def view(self) -> list[MemberRecord]:
-        """All records, this member's own first."""
+        """Returns all records, this member's own first."""
         return [self.membership.me, *self.membership.view.values()]
 
     def ready(self, ready: bool) -> None:
-        """This member takes work, or takes none."""
-        self._do(self.membership.ready(ready))
+        """Announces whether this member takes work."""
+        self._send(self.membership.ready(ready))
 
     def leave(self, final: bool) -> None:
-        """This member leaves, or has left if `final`."""
-        self._do(self.membership.leave(final))
+        """Announces that this member is leaving, or has left if `final`."""
+        self._send(self.membership.leave(final))
 
     def accept(self, accepts: bool) -> None:
-        """This member, which leaves, takes new work still, or no more."""
-        self._do(self.membership.accept(accepts))
+        """Announces whether this member, which is leaving, still accepts new work."""
+        self._send(self.membership.accept(accepts))
 
-    def _do(self, out: OutgoingDatagrams) -> None:
-        for to, message in out:
+    def _send(self, datagrams: OutgoingDatagrams) -> None:
+        for to, message in datagrams:
             if self.faults.silent(self.membership.me.addr, to):
                 continue
             try:
-                self._sock.sendto(encode(message), to.pair)
+                self._socket.sendto(encode(message), to.pair)
             except OSError:
                 self.membership.counts.add("membership_send_error")
         self._log()
 
     def _run(self) -> None:
         hub = gevent.get_hub()
-        arrived = hub.loop.io(self._sock.fileno(), READABLE)
+        readable = hub.loop.io(self._socket.fileno(), LIBEV_READ)
         try:
             while True:
                 wait = self.membership.timer() - clock.now()
                 if wait > 0:
-                    with gevent.Timeout(max(SHORTEST_WAIT, wait), False):
-                        hub.wait(arrived)
-                self._read(1 if clock.now() < self.membership.timer() else AT_ONCE)
+                    with gevent.Timeout(max(WAIT_MIN_S, wait), False):
+                        hub.wait(readable)
+                self._read(1 if clock.now() < self.membership.timer() else DATAGRAMS_PER_READ)
                 now = clock.now()
                 if now >= self.membership.timer():
-                    self._do(self.membership.tick(now))
+                    self._send(self.membership.tick(now))
         finally:
-            arrived.close()
+            readable.close()
 
-    def _read(self, most: int) -> None:
-        for _ in range(most):
+    def _read(self, count: int) -> None:
+        for _ in range(count):
             try:
-                data = self._sock.recv(LARGEST)
+                data = self._socket.recv(DATAGRAM_BYTES_MAX)
             except BlockingIOError:
                 return
             except OSError:
@@ -133,16 +133,16 @@
             except msgspec.DecodeError:
                 self.membership.counts.add("membership_garbage")
                 continue
-            self._do(self.membership.receive(message, clock.now()))
+            self._send(self.membership.receive(message, clock.now()))
 
     def _log(self) -> None:
-        """Write what became of members to the log; in a large group not each that is new and alive."""
-        why = self.membership.reasons
+        """Logs changes of members' states; in large groups, new members that are alive are not logged."""
+        reasons = self.membership.reasons
         view = self.membership.view
         if len(self._logged_states) > len(view):
-            self._logged_states = {address: known for address, known in self._logged_states.items() if address in view}
-        while why:
-            address, text = why.popitem()
+            self._logged_states = {address: state for address, state in self._logged_states.items() if address in view}
+        while reasons:
+            address, reason = reasons.popitem()
             record = view.get(address)
             if record is None or self._logged_states.get(address) == (record.boot, record.state):
                 continue
@@ -155,5 +155,5 @@
                 peer=str(address),
                 name=record.name,
                 incarnation=record.incarnation,
-                why=text,
+                why=reason,
             )
--- a/mallowvalve/membership/view.py
+++ b/mallowvalve/membership/view.py
@@ -1,4 +1,4 @@
-"""A member's view of the others, and the digests by which two members find out where their views differ."""
+"""A member's view of the other members, and the digests by which two members locate differences of their views."""
 
 from __future__ import annotations
 
@@ -12,135 +12,139 @@
 from mallowvalve.types import Address
 
 BUCKET_COUNT = 64
-MARK_BYTES = 8
+RECORD_DIGEST_BYTES = 8
 
 
-def mark(record: MemberRecord) -> int:
-    """64 bits that tell this state of this record from any other; the low 6 are the bucket of its address."""
+def record_digest(record: MemberRecord) -> int:
+    """Returns 64 bits that identify this version of the record; the low 6 bits are the bucket of its address."""
     address = f"{record.addr.host}:{record.addr.port}"
     text = f"{address} {record.boot} {record.incarnation} {record.state}"
-    digest = blake2b(text.encode(), digest_size=MARK_BYTES).digest()
-    return int.from_bytes(digest, "big") & ~(BUCKET_COUNT - 1) | bucket(address)
+    digest = blake2b(text.encode(), digest_size=RECORD_DIGEST_BYTES).digest()
+    return int.from_bytes(digest, "big") & ~(BUCKET_COUNT - 1) | bucket_of(address)
 
 
-def bucket(address: str) -> int:
-    """The bucket of HOST:PORT, the same on every member."""
+def bucket_of(address: str) -> int:
+    """Returns the bucket of HOST:PORT, which is the same on every member."""
     return crc32(address.encode()) % BUCKET_COUNT
 
 
-def packed(marks: Collection[int]) -> bytes:
-    """Marks as they travel, 8 bytes each."""
-    return struct.pack(f">{len(marks)}Q", *marks)
+def pack_digests(digests: Collection[int]) -> bytes:
+    """Returns the wire format of digests, 8 bytes each."""
+    return struct.pack(f">{len(digests)}Q", *digests)
 
 
-def unpacked(data: bytes) -> tuple[int, ...]:
-    """Marks as they came; bytes beyond the last whole one are ignored."""
-    count = len(data) // MARK_BYTES
-    return struct.unpack(f">{count}Q", data[: count * MARK_BYTES])
+def unpack_digests(data: bytes) -> tuple[int, ...]:
+    """Returns the digests in `data`; bytes beyond the last whole digest are ignored."""
+    count = len(data) // RECORD_DIGEST_BYTES
+    return struct.unpack(f">{count}Q", data[: count * RECORD_DIGEST_BYTES])
 
 
-class Digest:
-    """Marks of records, combined by XOR in all and by bucket; the order in which they came makes no difference."""
+class ViewDigest:
+    """The record digests of a view, combined by XOR over all records and per bucket.
+
+    The result does not depend on the order in which the records were added.
+    """
 
     __slots__ = ("total", "bucket_digests", "buckets", "_digest_of")
 
     def __init__(self) -> None:
-        """No record at first."""
+        """Creates the digest of an empty view."""
         self.total = 0
         self.bucket_digests = [0] * BUCKET_COUNT
         self.buckets: list[dict[int, Address]] = [{} for _ in range(BUCKET_COUNT)]
         self._digest_of: dict[Address, int] = {}
 
     def put(self, record: MemberRecord) -> None:
-        """Take in a record in place of the one of its address."""
+        """Adds a record in place of the previous record of its address."""
         self.drop(record.addr)
-        its = self._digest_of[record.addr] = mark(record)
-        self._turn(its)
-        self.buckets[its % BUCKET_COUNT][its] = record.addr
+        digest = self._digest_of[record.addr] = record_digest(record)
+        self._toggle(digest)
+        self.buckets[digest % BUCKET_COUNT][digest] = record.addr
 
     def drop(self, address: Address) -> None:
-        """Forget the record of an address, if there is one."""
-        its = self._digest_of.pop(address, None)
-        if its is None:
+        """Removes the record of an address, if there is one."""
+        digest = self._digest_of.pop(address, None)
+        if digest is None:
             return
-        self._turn(its)
-        self.buckets[its % BUCKET_COUNT].pop(its, None)
+        self._toggle(digest)
+        self.buckets[digest % BUCKET_COUNT].pop(digest, None)
 
     def __contains__(self, address: Address) -> bool:
-        """Whether a record of that address is counted."""
+        """Returns whether a record of that address is included."""
         return address in self._digest_of
 
     def bucket(self, address: Address) -> int:
-        """The bucket of an address, known or not."""
-        its = self._digest_of.get(address)
-        return bucket(f"{address.host}:{address.port}") if its is None else its % BUCKET_COUNT
+        """Returns the bucket of an address, whether or not its record is included."""
+        digest = self._digest_of.get(address)
+        return bucket_of(f"{address.host}:{address.port}") if digest is None else digest % BUCKET_COUNT
 
-    def find(self, its: int) -> Address | None:
-        """Whose record has this mark."""
-        return self.buckets[its % BUCKET_COUNT].get(its)
+    def find(self, digest: int) -> Address | None:
+        """Returns the address whose record has this digest."""
+        return self.buckets[digest % BUCKET_COUNT].get(digest)
 
-    def differing(self, theirs: tuple[int, ...]) -> list[int]:
-        """Buckets whose sums differ from another's."""
+    def differing_buckets(self, theirs: tuple[int, ...]) -> list[int]:
+        """Returns the buckets whose digests differ from those of another member."""
         return [i for i, (mine, other) in enumerate(zip(self.bucket_digests, theirs, strict=False)) if mine != other]
 
-    def _turn(self, its: int) -> None:
-        self.total ^= its
-        self.bucket_digests[its % BUCKET_COUNT] ^= its
+    def _toggle(self, digest: int) -> None:
+        """Adds a record digest, or removes one that is included."""
+        self.total ^= digest
+        self.bucket_digests[digest % BUCKET_COUNT] ^= digest
 
 
 class MemberTable:
-    """The records a member has of the others, those alive at hand for a choice in constant time."""
+    """The records of the other members, from which a live member can be drawn in constant time."""
 
-    __slots__ = ("records", "live", "_live_index", "_lists")
+    __slots__ = ("records", "live", "_live_index", "_live_by_role")
 
     def __init__(self) -> None:
-        """Nobody at first; `live` are the addresses of those alive or leaving, in no order."""
+        """Creates an empty table; `live` lists the addresses of alive and leaving members, in no particular order."""
         self.records: dict[Address, MemberRecord] = {}
         self.live: list[Address] = []
         self._live_index: dict[Address, int] = {}
-        self._lists: dict[str | None, list[MemberRecord]] = {}
+        self._live_by_role: dict[str | None, list[MemberRecord]] = {}
 
     def put(self, record: MemberRecord) -> None:
-        """Take in a record in place of the one of its address."""
+        """Stores a record in place of the previous record of its address."""
         self.records[record.addr] = record
-        self._lists.clear()
+        self._live_by_role.clear()
         if record.state > LEAVING:
-            self._unlive(record.addr)
+            self._remove_live(record.addr)
         elif record.addr not in self._live_index:
             self._live_index[record.addr] = len(self.live)
             self.live.append(record.addr)
 
     def drop(self, address: Address) -> None:
-        """Forget a member that is in the view."""
+        """Removes the record of an address that is in the table."""
         del self.records[address]
-        self._lists.clear()
-        self._unlive(address)
+        self._live_by_role.clear()
+        self._remove_live(address)
 
-    def lives(self, address: Address) -> bool:
-        """Whether a member is alive or leaving."""
+    def is_live(self, address: Address) -> bool:
+        """Returns whether the member is alive or leaving."""
         return address in self._live_index
 
     def alive(self, role: str | None = None) -> list[MemberRecord]:
-        """Members alive or leaving, of one role or of any; not to be changed by the caller."""
-        found = self._lists.get(role)
+        """Returns the alive and leaving members of a role, or of all roles; the caller must not modify the list."""
+        found = self._live_by_role.get(role)
         if found is None:
             found = [
                 record for record in self.records.values() if record.state <= LEAVING and role in (None, record.role)
             ]
-            self._lists[role] = found
+            self._live_by_role[role] = found
         return found
 
-    def some(self, rng: random.Random, most: int, but: Address | None = None) -> list[Address]:
-        """At most `most` others that are alive, chosen uniformly."""
-        chosen = rng.sample(self.live, min(most + 1, len(self.live)))
-        return [address for address in chosen if address != but][:most]
+    def sample(self, rng: random.Random, count: int, excluded: Address | None = None) -> list[Address]:
+        """Returns at most `count` live members other than `excluded`, drawn uniformly."""
+        chosen = rng.sample(self.live, min(count + 1, len(self.live)))
+        return [address for address in chosen if address != excluded][:count]
 
-    def _unlive(self, address: Address) -> None:
-        """Take one out of `live`: the last one moves to its place."""
-        i = self._live_index.pop(address, None)
-        if i is None:
+    def _remove_live(self, address: Address) -> None:
+        """Removes an address from `live`; the last entry takes its place."""
+        index = self._live_index.pop(address, None)
+        if index is None:
             return
         last = self.live.pop()
         if last != address:
-            self.live[i] = last
-            self._live_index[last] = i
+            self.live[index] = last
+            self._live_index[last] = index
--- a/mallowvalve/membership/wire.py
+++ b/mallowvalve/membership/wire.py
@@ -1,4 +1,4 @@
-"""The datagrams of membership, MessagePack arrays behind a tag."""
+"""Membership datagrams: each is a MessagePack array that begins with the tag of its message type."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberState(IntEnum):
-    """How a member is; of two records of one incarnation the one of the higher state holds."""
+    """The state of a member; among records of the same incarnation the higher state takes precedence."""
 
     ALIVE = 0
     LEAVING = 1
@@ -21,7 +21,7 @@
 
 
 class RequestedRecords(IntEnum):
-    """What is wanted back for records: nothing, the receiver's own record, or all it has."""
+    """The records that a `Tell` requests in reply: none, the receiver's own, or all that the receiver has."""
 
     NOTHING = 0
     SELF = 1
@@ -35,10 +35,11 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of a member.
+    """What is known about a member.
 
-    `addr` is its transport address and its identity, `boot` a random number of this start of its process, `incarnation`
-    its own count of changes and refutations, `web` its HTTP address, `ready` whether it takes work.
+    `addr` is the transport address and identifies the member. `boot` is a random number drawn at each start of the
+    process. `incarnation` counts the member's own updates and refutations. `web` is the HTTP address. `ready` is true
+    while the member takes work.
     """
 
     addr: Address
@@ -53,12 +54,12 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two records of a member the one of the higher rank holds."""
+        """The order of precedence among the records of one member; the highest rank is the current record."""
         return self.incarnation, self.state, self.boot
 
 
 class DatagramHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What begins each datagram: the protocol's version, the fleet, and who sends, in which incarnation."""
+    """The header of each datagram: protocol version, fleet, and the sender's address, boot number and incarnation."""
 
     version: int
     fleet: str
@@ -68,31 +69,31 @@
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1, omit_defaults=True):
-    """Asks `target` for an ack to `origin` in the origin's period `pr`.
+    """Requests an ack from `target` to `origin`, for the protocol period `period_number` of the origin.
 
-    `total` is the digest of the sender's view; the target of a ping compares it with its own.
+    `view_digest` is the digest of the sender's view; the target compares it with the digest of its own view.
     """
 
-    head: DatagramHeader
+    header: DatagramHeader
     origin: Address
     target: Address
     period_number: int
-    total: int | None = None
+    view_digest: int | None = None
 
 
 class PingReq(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """Asks a helper to ping `target` for `origin`."""
+    """Requests a helper to ping `target` on behalf of `origin` (SWIM's ping-req)."""
 
-    head: DatagramHeader
+    header: DatagramHeader
     origin: Address
     target: Address
     period_number: int
 
 
 class Ack(msgspec.Struct, frozen=True, array_like=True, tag=3, omit_defaults=True):
-    """`target` lives; sent to `origin`, or to `relay`, which passes it on."""
+    """Confirms that `target` is alive; sent to `origin`, or to `relay`, which forwards it to the origin."""
 
-    head: DatagramHeader
+    header: DatagramHeader
     origin: Address
     target: Address
     period_number: int
@@ -100,9 +101,9 @@
 
 
 class RelayPing(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A helper's ping for `origin`; the ack goes back through `relay`."""
+    """The ping of a helper on behalf of `origin`; the ack returns through `relay`."""
 
-    head: DatagramHeader
+    header: DatagramHeader
     origin: Address
     target: Address
     relay: Address
@@ -110,45 +111,48 @@
 
 
 class Tell(msgspec.Struct, frozen=True, array_like=True, tag=5, omit_defaults=True):
-    """Records, and what is wanted back for them.
+    """Carries member records, and states which records the sender requests in reply.
 
-    With `share` (i, m) the receiver passes the records on to the members of share i of m.
+    With `relay_group` (i, m) the receiver forwards the records to the members of relay group i of m.
     """
 
-    head: DatagramHeader
+    header: DatagramHeader
     records: list[MemberRecord]
-    ask: RequestedRecords = RequestedRecords.NOTHING
-    share: tuple[int, int] | None = None
+    request: RequestedRecords = RequestedRecords.NOTHING
+    relay_group: tuple[int, int] | None = None
 
 
 class Sum(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The digest of the whole view; one that differs is answered with `Sums`, an equal one with its like if `ask`."""
+    """The digest of the sender's whole view.
 
-    head: DatagramHeader
-    total: int
-    ask: bool
+    A receiver whose digest differs replies with `Sums`; one whose digest is equal replies with `Sum` if `confirm`.
+    """
+
+    header: DatagramHeader
+    view_digest: int
+    confirm: bool
 
 
 class Sums(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """The digest of each bucket of the sender's view."""
+    """The digest of each bucket of the sender's view, 8 bytes each."""
 
-    head: DatagramHeader
+    header: DatagramHeader
     bucket_digests: bytes
 
 
 class Marks(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """The digest of each record that the sender has in the buckets whose bits are set."""
+    """The digests of the sender's records in the buckets whose bits are set in `bucket_mask`."""
 
-    head: DatagramHeader
-    buckets: int
-    marks: bytes
+    header: DatagramHeader
+    bucket_mask: int
+    record_digests: bytes
 
 
 class Want(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Records wanted, by their digests."""
+    """Requests records by their digests."""
 
-    head: DatagramHeader
-    marks: bytes
+    header: DatagramHeader
+    record_digests: bytes
 
 
 Message = Ping | PingReq | Ack | RelayPing | Tell | Sum | Sums | Marks | Want
--- a/tests/test_check.py
+++ b/tests/test_check.py
@@ -3,7 +3,7 @@
 import random
 
 from mallowvalve.membership.detector import Membership, initial_record
-from mallowvalve.membership.direct_probe import CHECK_EVERY_S, DOUBT_PINGS, DOUBT_S, IDLE_S, Checks
+from mallowvalve.membership.direct_probe import IDLE_S, PROBE_INTERVAL_S, SUSPECT_AFTER_S, SUSPECT_PINGS, DirectProbes
 from mallowvalve.membership.wire import Ack, Ping, RequestedRecords, Tell
 from mallowvalve.types import Address, Locality
 
@@ -26,42 +26,42 @@
 
 
 def test_pings_are_spaced_however_often_it_is_asked():
-    checks, it = Checks(), member(2).me
-    sent = sum(checks.due(it, 10.0 + 0.01 * i) for i in range(100))
+    probes, it = DirectProbes(), member(2).me
+    sent = sum(probes.due(it, 10.0 + 0.01 * i) for i in range(100))
     assert sent == 5
-    assert CHECK_EVERY_S == 0.2
+    assert PROBE_INTERVAL_S == 0.2
 
 
 def test_a_member_is_doubted_after_several_unanswered_pings_and_trusted_with_the_first_ack():
-    checks, it = Checks(), member(2).me
+    probes, it = DirectProbes(), member(2).me
     now = 0.0
-    while now < DOUBT_S:
-        assert not checks.suspects(it, now)
-        checks.due(it, now)
-        now += CHECK_EVERY_S
-    assert checks.suspects(it, DOUBT_S)
-    checks.acked(it.addr)
-    assert not checks.suspects(it, DOUBT_S)
+    while now < SUSPECT_AFTER_S:
+        assert not probes.suspects(it, now)
+        probes.due(it, now)
+        now += PROBE_INTERVAL_S
+    assert probes.suspects(it, SUSPECT_AFTER_S)
+    probes.acked(it.addr)
+    assert not probes.suspects(it, SUSPECT_AFTER_S)
 
 
 def test_few_pings_are_no_reason_to_doubt_and_another_life_begins_anew():
-    checks, it = Checks(), member(2).me
-    for i in range(DOUBT_PINGS - 1):
-        checks.due(it, float(i))
-    assert not checks.suspects(it, 4.0)
-    checks.due(it, 4.0)
-    assert checks.suspects(it, 4.0)
-    assert not checks.suspects(member(2, boot=2).me, 4.0)
-    checks.due(member(2, boot=2).me, 4.1)
-    assert not checks.suspects(member(2, boot=2).me, 9.0)
+    probes, it = DirectProbes(), member(2).me
+    for i in range(SUSPECT_PINGS - 1):
+        probes.due(it, float(i))
+    assert not probes.suspects(it, 4.0)
+    probes.due(it, 4.0)
+    assert probes.suspects(it, 4.0)
+    assert not probes.suspects(member(2, boot=2).me, 4.0)
+    probes.due(member(2, boot=2).me, 4.1)
+    assert not probes.suspects(member(2, boot=2).me, 9.0)
 
 
 def test_who_is_not_asked_about_is_forgotten():
-    checks, it, other = Checks(), member(2).me, member(3).me
-    for i in range(DOUBT_PINGS):
-        checks.due(it, float(i))
-    checks.due(other, DOUBT_PINGS + IDLE_S)
-    assert not checks.suspects(it, DOUBT_PINGS + IDLE_S)
+    probes, it, other = DirectProbes(), member(2).me, member(3).me
+    for i in range(SUSPECT_PINGS):
+        probes.due(it, float(i))
+    probes.due(other, SUSPECT_PINGS + IDLE_S)
+    assert not probes.suspects(it, SUSPECT_PINGS + IDLE_S)
 
 
 def test_a_check_is_an_ordinary_ping_that_any_member_acks():
@@ -86,6 +86,6 @@
         a.receive(message, 9.0)
     assert a.view[b.me.addr].ready and a.known_for(b.me, 10.0) == 5.0
     again = member(2, boot=2)
-    again._raise(7)
+    again._update_self(7)
     meet(a, again, 20.0)
     assert a.known_for(again.me, 21.0) == 1.0
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -2,7 +2,7 @@
 
 import random
 
-from mallowvalve.membership.drain import NOTICE_S, TURN_S, DrainConditions, DrainSequence
+from mallowvalve.membership.drain import ANNOUNCEMENT_S, TURN_S, DrainConditions, DrainSequence
 from mallowvalve.membership.members import RETURN_WINDOW_S, DepartedMember, drain_conditions
 from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, LEFT, MemberRecord
 from mallowvalve.types import Address, Locality
@@ -79,17 +79,17 @@
 
 def test_a_door_says_so_first_and_closes_a_moment_later():
     said, closed = played(lambda now: HELPED)
-    assert said == [(0.0, True), (3.0, False)] and abs(closed - 3.0 - NOTICE_S) < 1e-9
+    assert said == [(0.0, True), (3.0, False)] and abs(closed - 3.0 - ANNOUNCEMENT_S) < 1e-9
 
 
 def test_a_door_waits_for_those_before_it():
     _, closed = played(lambda now: DrainConditions(must_stay=False, leavers_ahead=2))
-    assert abs(closed - 3.0 - 2 * TURN_S - NOTICE_S) < 1e-9
+    assert abs(closed - 3.0 - 2 * TURN_S - ANNOUNCEMENT_S) < 1e-9
 
 
 def test_the_last_door_is_open_until_another_one_is_or_until_its_time_is_over():
     _, closed = played(lambda now: ALONE if now < 4.2 else HELPED)
-    assert 4.2 + NOTICE_S <= closed < 4.25 + NOTICE_S
+    assert 4.2 + ANNOUNCEMENT_S <= closed < 4.25 + ANNOUNCEMENT_S
     said, closed = played(lambda now: ALONE)
     assert said == [(0.0, True), (5.0, False)] and closed == 5.0
 
@@ -97,4 +97,4 @@
 def test_two_that_say_so_at_once_both_take_it_back():
     said, closed = played(lambda now: ALONE if 3.05 <= now < 3.9 else HELPED)
     assert said[1] == (3.0, False) and said[2] == (3.15, True)
-    assert closed >= 3.9 + NOTICE_S
+    assert closed >= 3.9 + ANNOUNCEMENT_S
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -202,4 +202,4 @@
 
 def test_a_wish_for_no_known_answer_is_garbage():
     with pytest.raises(msgspec.DecodeError):
-        decode(encode(Tell(head(B), [record(C)], ask=3)))
+        decode(encode(Tell(head(B), [record(C)], request=3)))
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -10,7 +10,7 @@
     record_batches,
     relay_group_count,
 )
-from mallowvalve.membership.view import BUCKET_COUNT, Digest, MemberTable
+from mallowvalve.membership.view import BUCKET_COUNT, MemberTable, ViewDigest
 from mallowvalve.membership.wire import (
     ALIVE,
     FAILED,
@@ -36,7 +36,7 @@
 
 def test_a_digest_is_the_same_in_any_order_and_shows_every_change():
     rs = [record(a, inc=i) for i, a in enumerate(MANY)]
-    x, y = Digest(), Digest()
+    x, y = ViewDigest(), ViewDigest()
     for r in rs:
         x.put(r)
     for r in reversed(rs):
@@ -45,7 +45,7 @@
     assert x.total == y.total and x.bucket_digests == y.bucket_digests
     for change in ({"incarnation": 1000}, {"state": FAILED}, {"boot": 7}):
         y.put(msgspec.structs.replace(rs[5], **change))
-        assert x.total != y.total and x.differing(tuple(y.bucket_digests)) == [x.bucket(rs[5].addr)]
+        assert x.total != y.total and x.differing_buckets(tuple(y.bucket_digests)) == [x.bucket(rs[5].addr)]
         y.put(rs[5])
         assert x.total == y.total
     for r in rs:
@@ -63,10 +63,10 @@
         if i % 10 == 0:
             v.drop(a)
     want = {a for i, a in enumerate(MANY[:50]) if i % 2 == 0 and i % 10}
-    assert set(v.live) == want == {r.addr for r in v.alive()} == set(v.some(rng, 99))
+    assert set(v.live) == want == {r.addr for r in v.alive()} == set(v.sample(rng, 99))
     v.put(record(MANY[1], inc=2))
     assert {r.addr for r in v.alive("proxy")} == want | {MANY[1]} and v.alive("control") == []
-    assert MANY[2] not in v.some(rng, 99, MANY[2]) and len(v.some(rng, 3)) == 3
+    assert MANY[2] not in v.sample(rng, 99, MANY[2]) and len(v.sample(rng, 3)) == 3
 
 
 def test_equal_views_cost_a_ping_and_an_ack():
@@ -225,9 +225,9 @@
 
 def test_a_new_member_asks_at_once_and_every_quarter_second_until_it_agrees():
     b = Membership(record(A), "f", [B, C], random.Random(1), 2.0, 30, 0.5)
-    assert {to for to, m in of(Tell, b.tick(0.0)) if m.ask == RequestedRecords.ALL} == {B, C}
+    assert {to for to, m in of(Tell, b.tick(0.0)) if m.request == RequestedRecords.ALL} == {B, C}
     assert b.timer() == 0.25
-    assert {to for to, m in of(Tell, b.tick(0.25)) if m.ask == RequestedRecords.ALL} == {B, C}
+    assert {to for to, m in of(Tell, b.tick(0.25)) if m.request == RequestedRecords.ALL} == {B, C}
     b.receive(Tell(head(B), [record(B), record(C)]), 0.3)
     assert of(Sum, b.tick(0.5)) and b.timer() == 0.75
     b.receive(Sum(head(B), b._digest.total, False), 0.6)
