--- a/mallowvalve/transport/__init__.py
+++ b/mallowvalve/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Frames over TCP between the nodes of a fleet: calls that are answered, and casts that are not."""
+"""The TCP transport between the nodes of a fleet: calls, which are answered, and one-way casts."""
--- a/mallowvalve/transport/calls.py
+++ b/mallowvalve/transport/calls.py
@@ -1,8 +1,8 @@
-"""The caller's side of one line to a peer, without sockets and without a clock.
+"""The client side of the channel to one peer as a state machine, without sockets and without a clock.
 
-What it holds: each frame is handed out at most once, on one connection; a call that was given up before it was handed
-out never is; an answer reaches only the call that bears its id, and only when it came on the connection that carried
-that call; whatever becomes of a connection, nothing is handed out again.
+Guarantees: each frame is dequeued at most once, for one connection. A call that is cancelled while queued is never
+dequeued. A response is delivered only to the call with its id, and only if it arrived on the connection that carried
+that call. Whatever happens to a connection, no frame is dequeued again.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class CallFailure(enum.StrEnum):
-    """Why a call has no answer. `may_have_run` tells whether the peer may have taken it nevertheless."""
+    """Why a call has no response; `may_have_run` states whether the peer may have executed it nevertheless."""
 
     LIMIT = "limit"
     OVERFLOW = "overflow"
@@ -27,85 +27,85 @@
 
     @property
     def may_have_run(self) -> bool:
-        """False only on proof that no byte of the call has left."""
+        """Whether the peer may have executed the call; false only if certainly no byte of the call was sent."""
         return self in (CallFailure.LIMIT, CallFailure.CLOSED)
 
 
 class PendingCalls(Generic[Waiter]):
-    """The frames that wait to leave, and the calls that wait for an answer. Ids rise for as long as the line lives."""
+    """The queued frames and the calls without a response; ids increase for the whole lifetime of the channel."""
 
-    __slots__ = ("connection", "_capacity", "_last_id", "_queue", "_given_up", "_unsent", "_sent")
+    __slots__ = ("connection", "_capacity", "_last_id", "_queue", "_cancelled", "_queued_calls", "_sent_calls")
 
     def __init__(self, capacity: int):
-        """At most `capacity` frames wait to leave."""
+        """Creates an empty queue for at most `capacity` frames."""
         self.connection = 0
         self._capacity = capacity
         self._last_id = 0
         self._queue: deque[TransportFrame] = deque()
-        self._given_up: set[int] = set()
-        self._unsent: dict[int, Waiter] = {}
-        self._sent: dict[int, Waiter] = {}
+        self._cancelled: set[int] = set()
+        self._queued_calls: dict[int, Waiter] = {}
+        self._sent_calls: dict[int, Waiter] = {}
 
     def __bool__(self) -> bool:
-        """Whether a frame waits to leave."""
+        """Returns whether a frame is queued."""
         return bool(self._queue)
 
-    def put(self, kind: str, body: bytes, waiter: Waiter | None = None) -> int | None:
-        """Queue a call, or with no waiter a cast. Its id; None when the queue is full, and nothing was queued."""
+    def enqueue(self, kind: str, body: bytes, waiter: Waiter | None = None) -> int | None:
+        """Queues a call, or a cast if there is no waiter; returns its id, or None if the queue is full."""
         if len(self._queue) >= self._capacity:
             return None
         self._last_id += 1
         if waiter is not None:
-            self._unsent[self._last_id] = waiter
+            self._queued_calls[self._last_id] = waiter
         self._queue.append(TransportFrame(kind, self._last_id, False, body))
         return self._last_id
 
-    def give_up(self, call: int) -> None:
-        """Wait for this call no longer; if it has not left yet, it never will."""
-        if self._unsent.pop(call, None) is not None:
-            self._given_up.add(call)
-        self._sent.pop(call, None)
+    def cancel(self, call_id: int) -> None:
+        """Cancels a call; if it is still queued, it is never sent."""
+        if self._queued_calls.pop(call_id, None) is not None:
+            self._cancelled.add(call_id)
+        self._sent_calls.pop(call_id, None)
 
-    def opened(self) -> int:
-        """A new connection begins; its number."""
+    def connection_opened(self) -> int:
+        """Registers a new connection and returns its number."""
         self.connection += 1
         return self.connection
 
-    def take(self, most: int) -> list[TransportFrame]:
-        """Up to `most` frames to write to the present connection now, in their order."""
-        out: list[TransportFrame] = []
-        while self._queue and len(out) < most:
+    def dequeue(self, limit: int) -> list[TransportFrame]:
+        """Removes and returns up to `limit` frames, in order, to be written to the current connection."""
+        frames: list[TransportFrame] = []
+        while self._queue and len(frames) < limit:
             frame = self._queue.popleft()
-            if frame.id in self._given_up:
-                self._given_up.remove(frame.id)
+            if frame.id in self._cancelled:
+                self._cancelled.remove(frame.id)
                 continue
-            if frame.id in self._unsent:
-                self._sent[frame.id] = self._unsent.pop(frame.id)
-            out.append(frame)
-        return out
-
-    def answered(self, connection: int, answer: TransportFrame) -> Waiter | None:
-        """Who waits for this answer; None when nobody does, or nobody on this connection."""
-        if connection != self.connection or not answer.answer:
+            if frame.id in self._queued_calls:
+                self._sent_calls[frame.id] = self._queued_calls.pop(frame.id)
+            frames.append(frame)
+        return frames
+
+    def match_response(self, connection: int, response: TransportFrame) -> Waiter | None:
+        """Returns the waiter of a response; None if no call on this connection has its id."""
+        if connection != self.connection or not response.is_response:
             return None
-        return self._sent.pop(answer.id, None)
+        return self._sent_calls.pop(response.id, None)
 
-    def lost(self, connection: int) -> list[tuple[Waiter, CallFailure]]:
-        """The connection ended: whom to tell what. Nothing at all for a connection that was replaced already."""
+    def connection_lost(self, connection: int) -> list[tuple[Waiter, CallFailure]]:
+        """Handles the end of a connection; returns the failed calls, none if the connection was replaced before."""
         if connection != self.connection:
             return []
         self.connection += 1
-        told = [(waiter, CallFailure.CLOSED) for waiter in self._sent.values()]
-        self._sent.clear()
-        return told + self._drop_queue(CallFailure.UNSENT)
+        failed = [(waiter, CallFailure.CLOSED) for waiter in self._sent_calls.values()]
+        self._sent_calls.clear()
+        return failed + self._drop_queue(CallFailure.UNSENT)
 
-    def unreachable(self) -> list[tuple[Waiter, CallFailure]]:
-        """No connection could be made: what waits to leave is dropped."""
+    def peer_unreachable(self) -> list[tuple[Waiter, CallFailure]]:
+        """Drops the queue because no connection could be made; returns the failed calls."""
         return self._drop_queue(CallFailure.UNREACHABLE)
 
-    def _drop_queue(self, why: CallFailure) -> list[tuple[Waiter, CallFailure]]:
-        told = [(waiter, why) for waiter in self._unsent.values()]
-        self._unsent.clear()
-        self._given_up.clear()
+    def _drop_queue(self, failure: CallFailure) -> list[tuple[Waiter, CallFailure]]:
+        failed = [(waiter, failure) for waiter in self._queued_calls.values()]
+        self._queued_calls.clear()
+        self._cancelled.clear()
         self._queue.clear()
-        return told
+        return failed
--- a/mallowvalve/transport/frame.py
+++ b/mallowvalve/transport/frame.py
@@ -1,8 +1,8 @@
-"""Frames on the wire: each a length of four bytes and a msgpack array, all of a connection in one compressed stream.
+"""The wire format of frames: a length of four bytes and a MessagePack array each, in one compressed stream.
 
-The greeting that opens a connection is not compressed. What follows it, in each direction, is one raw deflate stream
-(RFC 1951) that is flushed after each write, so that a frame is compressed by what the frames before it have in common
-with it: group, members and addresses are in every one of them.
+The `Hello` that opens a connection is not compressed. The rest of each direction is one raw deflate stream (RFC 1951),
+flushed after each write, so that a frame is compressed with the preceding frames as context: all of them repeat the
+group, the members and the addresses.
 """
 
 from __future__ import annotations
@@ -19,16 +19,19 @@
 
 PROTOCOL_VERSION = 5
 BODY_BYTES_MAX = 64 << 20
-"""The largest body of a frame, in bytes, before it is compressed."""
-LEVEL, WINDOW_BITS, MEMORY_LEVEL = 1, 11, 3
-"""The stream's settings: a window of 2 KB spans several frames; both directions take some 20 KB a connection."""
-UNFOLD_MOST = 1 << 20
-"""How much is decompressed at once (bytes), before it is cut into frames and their lengths are judged."""
-_LENGTH = struct.Struct("!I")
+"""The maximum size of a frame's body before compression."""
+COMPRESSION_LEVEL = 1
+WINDOW_BITS = 11
+"""A window of 2 KB spans several frames."""
+MEMORY_LEVEL = 3
+"""With this level and window, both directions take about 20 KB a connection."""
+DECOMPRESS_BYTES_MAX = 1 << 20
+"""The maximum output of one decompression step; frame lengths are checked before the next step."""
+_LENGTH_PREFIX = struct.Struct("!I")
 
 
 class StreamError(enum.StrEnum):
-    """Why a connection's bytes are read no further."""
+    """Why the stream of a connection is rejected."""
 
     OVERSIZE = "oversize"
     GARBAGE = "garbage"
@@ -36,7 +39,7 @@
 
 
 class Hello(msgspec.Struct, array_like=True, frozen=True):
-    """The first message of a connection, from the side that made it."""
+    """The first message of a connection, sent by the side that opened it."""
 
     version: int
     fleet: str
@@ -44,106 +47,106 @@
 
 
 class TransportFrame(msgspec.Struct, array_like=True, frozen=True):
-    """A call, a cast, or (`answer`) what a call of this id is answered."""
+    """A call or a cast, or, if `is_response`, the response to the call with this id."""
 
     kind: str
     id: int
-    answer: bool
+    is_response: bool
     body: bytes
 
 
-pack = msgspec.msgpack.Encoder().encode
-_frame = msgspec.msgpack.Decoder(TransportFrame).decode
-_hello = msgspec.msgpack.Decoder(Hello).decode
+_pack = msgspec.msgpack.Encoder().encode
+_decode_frame = msgspec.msgpack.Decoder(TransportFrame).decode
+_decode_hello_body = msgspec.msgpack.Decoder(Hello).decode
 
 
 def length_prefixed(message: TransportFrame | Hello) -> bytes:
-    """A message behind its length, not compressed."""
-    body = pack(message)
-    return _LENGTH.pack(len(body)) + body
+    """Returns a message with its length prefix, not compressed."""
+    body = _pack(message)
+    return _LENGTH_PREFIX.pack(len(body)) + body
 
 
 def encode_hello(hello: Hello) -> bytes:
-    """The bytes that open a connection."""
+    """Returns the bytes that open a connection."""
     return length_prefixed(hello)
 
 
 class FrameEncoder:
-    """The sender's side of one direction of one connection."""
+    """Encodes the frames of one direction of one connection."""
 
     __slots__ = ("_stream",)
 
     def __init__(self) -> None:
-        """A stream of its own: what it makes can be read only from its beginning, and in its order."""
-        self._stream = zlib.compressobj(LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
+        """Begins a compressed stream, which can be decoded only from its beginning and in order."""
+        self._stream = zlib.compressobj(COMPRESSION_LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL)
 
-    def seal(self, frames: Iterable[TransportFrame]) -> bytes:
-        """The bytes of these frames, which the other side can read whole once it has them all."""
+    def encode(self, frames: Iterable[TransportFrame]) -> bytes:
+        """Returns the bytes of these frames; the peer can decode all of the frames once it has all of the bytes."""
         parts = [self._stream.compress(length_prefixed(frame)) for frame in frames]
         return b"".join(parts) + self._stream.flush(zlib.Z_SYNC_FLUSH)
 
 
 class FrameDecoder:
-    """Cuts the bytes of one connection into messages. The first is a `Hello`, unless it is `greeted` already."""
+    """Decodes the messages of one connection; the first is a `Hello`, unless `hello_received`."""
 
-    __slots__ = ("_buffer", "_greeted", "_stream", "fleet")
+    __slots__ = ("_buffer", "_hello_received", "_stream", "fleet")
 
-    def __init__(self, fleet: str, greeted: bool = False):
-        """Only a `Hello` of this fleet and version is taken."""
+    def __init__(self, fleet: str, hello_received: bool = False):
+        """Accepts only a `Hello` of this fleet and protocol version."""
         self._buffer = bytearray()
-        self._greeted = greeted
+        self._hello_received = hello_received
         self._stream = zlib.decompressobj(-WINDOW_BITS)
         self.fleet = fleet
 
     def feed(self, data: bytes) -> Result[list[TransportFrame | Hello], StreamError]:
-        """The messages that are whole with these bytes; after an error the connection is of no more use."""
-        out: list[TransportFrame | Hello] = []
-        if not self._greeted:
+        """Returns the messages that these bytes complete; after an error the connection cannot be used any more."""
+        messages: list[TransportFrame | Hello] = []
+        if not self._hello_received:
             self._buffer += data
-            opened = self._open()
-            if isinstance(opened, Err):
-                return opened
-            if opened.ok_value is None:
-                return Ok(out)
-            out.append(opened.ok_value)
+            hello = self._decode_hello()
+            if isinstance(hello, Err):
+                return hello
+            if hello.ok_value is None:
+                return Ok(messages)
+            messages.append(hello.ok_value)
             data = bytes(self._buffer)
             self._buffer.clear()
-        return self._unfold(data, out)
+        return self._decompress(data, messages)
 
-    def _open(self) -> Result[Hello | None, StreamError]:
-        """Takes the greeting; None while it is not whole."""
+    def _decode_hello(self) -> Result[Hello | None, StreamError]:
+        """Decodes the `Hello`; returns None while it is incomplete."""
         body = self._next_body()
         if isinstance(body, Err):
             return body
         if body.ok_value is None:
             return Ok(None)
         try:
-            hello = _hello(body.ok_value)
+            hello = _decode_hello_body(body.ok_value)
         except msgspec.DecodeError:
             return Err(StreamError.GARBAGE)
         if hello.version != PROTOCOL_VERSION or hello.fleet != self.fleet:
             return Err(StreamError.FOREIGN)
-        self._greeted = True
+        self._hello_received = True
         return Ok(hello)
 
-    def _unfold(
-        self, data: bytes, out: list[TransportFrame | Hello]
+    def _decompress(
+        self, data: bytes, messages: list[TransportFrame | Hello]
     ) -> Result[list[TransportFrame | Hello], StreamError]:
         while data:
             try:
-                self._buffer += self._stream.decompress(data, UNFOLD_MOST)
+                self._buffer += self._stream.decompress(data, DECOMPRESS_BYTES_MAX)
             except zlib.error:
                 return Err(StreamError.GARBAGE)
             if self._stream.eof:
                 return Err(StreamError.GARBAGE)
             data = self._stream.unconsumed_tail
-            refused = self._cut(out)
-            if refused is not None:
-                return Err(refused)
-        return Ok(out)
+            error = self._decode_frames(messages)
+            if error is not None:
+                return Err(error)
+        return Ok(messages)
 
-    def _cut(self, out: list[TransportFrame | Hello]) -> StreamError | None:
-        """Moves the whole frames of the buffer to `out`."""
+    def _decode_frames(self, messages: list[TransportFrame | Hello]) -> StreamError | None:
+        """Moves the complete frames of the buffer to `messages`."""
         while True:
             body = self._next_body()
             if isinstance(body, Err):
@@ -151,20 +154,20 @@
             if body.ok_value is None:
                 return None
             try:
-                out.append(_frame(body.ok_value))
+                messages.append(_decode_frame(body.ok_value))
             except msgspec.DecodeError:
                 return StreamError.GARBAGE
 
     def _next_body(self) -> Result[bytes | None, StreamError]:
-        """Takes the next body out of the buffer; None while it is not whole."""
-        if len(self._buffer) < _LENGTH.size:
+        """Removes the next body from the buffer; returns None while it is incomplete."""
+        if len(self._buffer) < _LENGTH_PREFIX.size:
             return Ok(None)
-        (length,) = _LENGTH.unpack_from(self._buffer)
+        (length,) = _LENGTH_PREFIX.unpack_from(self._buffer)
         if length > BODY_BYTES_MAX:
             return Err(StreamError.OVERSIZE)
-        end = _LENGTH.size + length
+        end = _LENGTH_PREFIX.size + length
         if len(self._buffer) < end:
             return Ok(None)
-        body = bytes(self._buffer[_LENGTH.size : end])
+        body = bytes(self._buffer[_LENGTH_PREFIX.size : end])
         del self._buffer[:end]
         return Ok(body)
--- a/mallowvalve/transport/task.py
+++ b/mallowvalve/transport/task.py
@@ -1,11 +1,11 @@
-"""A node's transport: lines to its peers, and the server that answers theirs.
-
-What it promises. A call, and a cast, is handled by its peer at most once: a line never sends a frame twice, and a
-server passes over a frame whose id does not rise on its connection. A call has one outcome: the answer to that very
-call, or a `Failure`. After one whose `may_have_run` is true the peer may have handled the call, or may yet do so: a
-frame that left can rest in the system's buffers for `UNACKED_MS`, and longer in a peer that is frozen. Who calls again
-then makes a second call; a command that must take effect once carries its own session, number and not-after. Frames on
-one connection keep their order; nothing is promised across connections, nor that a cast arrives.
+"""A node's transport: channels to its peers, and the server for the channels of its peers.
+
+Guarantees: the peer handles a call or a cast at most once, because a channel never sends a frame twice and a server
+skips a frame whose id does not increase on its connection. A call has one outcome: its own response, or a
+`CallFailure`. If `may_have_run` is true for the failure, the peer may have handled the call or may still do so: a sent
+frame can stay in the system's buffers for `TCP_USER_TIMEOUT_MS`, and longer in a suspended peer. A retry is then a
+second call; a command that must take effect once carries its own session, sequence number and expiry. Frames on one
+connection keep their order; there is no order across connections, and a cast may be lost.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from mallowvalve.types import Address
 
 Handler = Callable[[Address, bytes], bytes | None]
-IDLE = 60.0
-"""Lines unused for so long (s) are closed when a new one is made."""
-HANDLERS_AT_ONCE = 1024
+CHANNEL_IDLE_S = 60.0
+"""Channels unused for this long are closed when a new one is opened."""
+CONCURRENT_HANDLERS_MAX = 1024
 
 
 class Transport:
-    """Calls and casts to peers, and the handlers of theirs; a context manager that listens while it is open."""
+    """Sends calls and casts to peers, and handles theirs; a context manager that listens while it is open."""
 
     __slots__ = (
         "me",
@@ -47,96 +47,96 @@
         "_channels",
         "_server",
         "_pool",
-        "_here",
+        "_connection_counts",
     )
 
     def __init__(self, me: Address, fleet: str, counts: Counts, faults: Faults | None = None):
-        """`gone` is told when the last connection from a peer has ended."""
+        """`on_peer_disconnected` is called with a peer when the last connection from it has ended."""
         self.me = me
         self.fleet = fleet
         self.counts = counts
         self.faults = faults if faults is not None else Faults()
         self._handlers: dict[str, tuple[Handler, bool]] = {}
         self._channels: dict[Address, Channel] = {}
-        self._pool = Pool(HANDLERS_AT_ONCE)
-        self._here: Counter[Address] = Counter()
+        self._pool = Pool(CONCURRENT_HANDLERS_MAX)
+        self._connection_counts: Counter[Address] = Counter()
         self.on_peer_disconnected: Callable[[Address], None] = lambda peer: None
 
     def on(self, kind: str, handler: Handler, inline: bool = False) -> None:
-        """Handle frames of a kind; a quick handler never waits, and runs where the frame was read.
+        """Registers the handler for a kind of frame; an inline handler must not block: it runs in the reading greenlet.
 
-        A handler answers with bytes, or None for no answer; ValueError from it counts as a body not understood.
+        A handler returns the response body, or None for no response; it raises ValueError for an invalid body.
         """
         self._handlers[kind] = (handler, inline)
 
     def __enter__(self) -> Transport:
-        """Listen."""
+        """Starts listening."""
         self._server = StreamServer(self.me.pair, self._serve)
         self._server.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stop listening and close each line."""
+        """Stops listening and closes each channel."""
         self._server.stop(timeout=0.1)
-        for line in self._channels.values():
-            line.close()
+        for channel in self._channels.values():
+            channel.close()
 
     def cast(self, to: Address, kind: str, body: bytes) -> None:
-        """Send without an answer, at most once."""
+        """Sends a one-way message at most once."""
         self._channel(to, clock.now()).cast(kind, body)
 
     def call(self, to: Address, kind: str, body: bytes, limit: float) -> Result[bytes, CallFailure]:
-        """Send at most once and wait for the answer, at most `limit` seconds."""
+        """Sends a call at most once and waits at most `limit` seconds for the response."""
         return self._channel(to, clock.now()).call(kind, body, limit)
 
     def _channel(self, to: Address, now: float) -> Channel:
-        line = self._channels.get(to)
-        if line is None:
+        channel = self._channels.get(to)
+        if channel is None:
             self._close_idle(now)
-            line = self._channels[to] = Channel(
+            channel = self._channels[to] = Channel(
                 to, Hello(PROTOCOL_VERSION, self.fleet, self.me), self.counts, self.faults
             )
-        line.used = now
-        return line
+        channel.last_used = now
+        return channel
 
     def _close_idle(self, now: float) -> None:
-        for peer in [peer for peer, line in self._channels.items() if now - line.used > IDLE]:
+        for peer in [peer for peer, channel in self._channels.items() if now - channel.last_used > CHANNEL_IDLE_S]:
             self._channels.pop(peer).close()
 
-    def _serve(self, sock: socket.socket, _addr: object) -> None:
+    def _serve(self, sock: socket.socket, _address: object) -> None:
         set_tcp_options(sock)
-        outbox: Queue = Queue(QUEUED_FRAMES_MAX)
-        writer = gevent.spawn(self._write, sock, outbox)
+        responses: Queue = Queue(QUEUED_FRAMES_MAX)
+        writer = gevent.spawn(self._write_responses, sock, responses)
         try:
             with sock:
-                self._read(sock, outbox)
+                self._serve_connection(sock, responses)
         finally:
             writer.kill()
 
-    def _write(self, sock: socket.socket, outbox: Queue) -> None:
-        sealer = FrameEncoder()
+    def _write_responses(self, sock: socket.socket, responses: Queue) -> None:
+        encoder = FrameEncoder()
         try:
             while True:
-                data = sealer.seal([outbox.get()])
+                data = encoder.encode([responses.get()])
                 self.counts.add("transport_frames")
                 self.counts.add("transport_bytes", len(data))
                 sock.sendall(data)
         except OSError:
             self.counts.add("transport_unanswered")
 
-    def _read(self, sock: socket.socket, outbox: Queue) -> None:
-        heard: set[Address] = set()
+    def _serve_connection(self, sock: socket.socket, responses: Queue) -> None:
+        peers: set[Address] = set()
         try:
-            self._hear(sock, outbox, heard)
+            self._read_frames(sock, responses, peers)
         finally:
-            for peer in heard:
-                self._here[peer] -= 1
-                if self._here[peer] <= 0:
-                    del self._here[peer]
+            for peer in peers:
+                self._connection_counts[peer] -= 1
+                if self._connection_counts[peer] <= 0:
+                    del self._connection_counts[peer]
                     self.on_peer_disconnected(peer)
 
-    def _hear(self, sock: socket.socket, outbox: Queue, heard: set[Address]) -> None:
-        cutter = FrameDecoder(self.fleet)
+    def _read_frames(self, sock: socket.socket, responses: Queue, peers: set[Address]) -> None:
+        decoder = FrameDecoder(self.fleet)
         sender, last_id = self.me, 0
         while True:
             try:
@@ -145,21 +145,21 @@
                 return
             if not data:
                 return
-            frames = cutter.feed(data)
+            frames = decoder.feed(data)
             if isinstance(frames, Err):
                 self.counts.add(f"transport_{frames.err_value}")
                 return
             for frame in frames.ok_value:
                 if isinstance(frame, Hello):
                     sender = frame.sender
-                    heard.add(sender)
-                    self._here[sender] += 1
-                elif self._is_new(frame, last_id) and not self.faults.apart(sender, self.me):
-                    self._handle(sender, frame, outbox)
+                    peers.add(sender)
+                    self._connection_counts[sender] += 1
+                elif self._is_new_call(frame, last_id) and not self.faults.apart(sender, self.me):
+                    self._handle(sender, frame, responses)
                     last_id = frame.id
 
-    def _is_new(self, frame: TransportFrame, last_id: int) -> bool:
-        if frame.answer:
+    def _is_new_call(self, frame: TransportFrame, last_id: int) -> bool:
+        if frame.is_response:
             self.counts.add("transport_stray")
         elif frame.id <= last_id:
             self.counts.add("transport_doubled")
@@ -167,18 +167,18 @@
             return True
         return False
 
-    def _handle(self, sender: Address, frame: TransportFrame, outbox: Queue) -> None:
+    def _handle(self, sender: Address, frame: TransportFrame, responses: Queue) -> None:
         registered = self._handlers.get(frame.kind)
         if registered is None:
             self.counts.add("transport_unknown")
             return
         handler, inline = registered
         if inline:
-            self._answer(handler, sender, frame, outbox)
+            self._run_handler(handler, sender, frame, responses)
             return
-        self._pool.spawn(self._answer, handler, sender, frame, outbox)
+        self._pool.spawn(self._run_handler, handler, sender, frame, responses)
 
-    def _answer(self, handler: Handler, sender: Address, frame: TransportFrame, outbox: Queue) -> None:
+    def _run_handler(self, handler: Handler, sender: Address, frame: TransportFrame, responses: Queue) -> None:
         try:
             body = handler(sender, frame.body)
         except ValueError:
@@ -187,6 +187,6 @@
         if body is None:
             return
         try:
-            outbox.put_nowait(TransportFrame(frame.kind, frame.id, True, body))
+            responses.put_nowait(TransportFrame(frame.kind, frame.id, True, body))
         except Full:
             self.counts.add("transport_unanswered")
--- a/tests/test_call_model.py
+++ b/tests/test_call_model.py
@@ -42,20 +42,20 @@
     @rule()
     def call(self):
         waiter = f"w{len(self.ids)}"
-        number = self.calls.put("offer", waiter.encode(), waiter)
+        number = self.calls.enqueue("offer", waiter.encode(), waiter)
         if number is not None:
             assert number not in self.ids.values()
             self.ids[waiter] = number
 
     @rule()
     def cast(self):
-        self.calls.put("note", b"")
+        self.calls.enqueue("note", b"")
 
     @precondition(lambda self: self.ids)
     @rule(data=st.data())
     def give_up(self, data):
         waiter = data.draw(st.sampled_from(sorted(self.ids)))
-        self.calls.give_up(self.ids[waiter])
+        self.calls.cancel(self.ids[waiter])
         if waiter not in self.told:
             self.given_up.add(waiter)
 
@@ -67,15 +67,15 @@
     @precondition(lambda self: not self.is_open)
     @rule()
     def open(self):
-        self.calls.opened()
+        self.calls.connection_opened()
         self.is_open = True
 
     @precondition(lambda self: self.is_open)
     @rule(most=st.sampled_from([1, 3]))
     def take(self, most):
         by_id = {number: waiter for waiter, number in self.ids.items()}
-        for frame in self.calls.take(most):
-            assert frame.id not in self.handed_out and not frame.answer
+        for frame in self.calls.dequeue(most):
+            assert frame.id not in self.handed_out and not frame.is_response
             waiter = by_id.get(frame.id)
             assert waiter not in self.given_up and waiter not in self.told
             self.handed_out[frame.id] = self.calls.connection
@@ -85,7 +85,7 @@
     def answer(self, data, back, answer):
         number = data.draw(st.sampled_from([0, *self.ids.values()]))
         connection = self.calls.connection - back
-        waiter = self.calls.answered(connection, TransportFrame("offer", number, answer, b""))
+        waiter = self.calls.match_response(connection, TransportFrame("offer", number, answer, b""))
         if waiter is None:
             owed = [w for w in self.pending() if self.ids[w] == number]
             assert not (owed and answer and self.handed_out.get(number) == connection)
@@ -97,7 +97,7 @@
     @rule(back=st.sampled_from([0, 0, 1, 2]))
     def lose(self, back):
         connection = self.calls.connection - back
-        told = self.calls.lost(connection)
+        told = self.calls.connection_lost(connection)
         self.fail(told)
         if back:
             assert told == []
@@ -108,12 +108,12 @@
     @precondition(lambda self: not self.is_open)
     @rule()
     def find_the_peer_unreachable(self):
-        self.fail(self.calls.unreachable())
+        self.fail(self.calls.peer_unreachable())
         assert not self.pending() and not self.calls
 
     @invariant()
     def nothing_is_kept_for_who_does_not_wait(self):
-        waiting = set(self.calls._unsent.values()) | set(self.calls._sent.values())
+        waiting = set(self.calls._queued_calls.values()) | set(self.calls._sent_calls.values())
         assert waiting == set(self.pending())
 
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -103,7 +103,7 @@
 
 
 def test_frames_cut_anywhere_come_out_whole():
-    data = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1))) + FrameEncoder().seal(
+    data = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1))) + FrameEncoder().encode(
         [TransportFrame("a", 1, False, b"x" * 100), TransportFrame("b", 2, True, b"")]
     )
     for step in (1, 3, 50):
@@ -169,9 +169,9 @@
     with socket.create_connection(y.me.pair, timeout=5) as s:
         s.sendall(
             encode_hello(Hello(PROTOCOL_VERSION, "f", x.me))
-            + FrameEncoder().seal([first, first, second, first, TransportFrame("offer", 3, True, b"c")])
+            + FrameEncoder().encode([first, first, second, first, TransportFrame("offer", 3, True, b"c")])
         )
-        data, cutter, answers = b"", FrameDecoder("f", greeted=True), []
+        data, cutter, answers = b"", FrameDecoder("f", hello_received=True), []
         while len(answers) < 2:
             data = s.recv(65536)
             answers += cutter.feed(data).unwrap()
