--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""When a leaving proxy closes its door: never before another of its region accepts, if one is on its way back."""
+"""When a leaving proxy stops accepting: never before another of its region accepts, if one is expected back."""
 
 import random
 
@@ -7,34 +7,35 @@
 from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, LEFT, MemberRecord
 from mallowvalve.types import Address, Locality
 
-HERE, NEAR, AWAY = Locality("eu", "eu-a"), Locality("eu", "eu-b"), Locality("us", "us-a")
-ALONE, HELPED = DrainConditions(must_stay=True, leavers_ahead=0), DrainConditions(must_stay=False, leavers_ahead=0)
+OWN_ZONE, SAME_REGION, OTHER_REGION = Locality("eu", "eu-a"), Locality("eu", "eu-b"), Locality("us", "us-a")
+LAST_IN_REGION = DrainConditions(must_stay=True, leavers_ahead=0)
+REPLACEABLE = DrainConditions(must_stay=False, leavers_ahead=0)
 
 
-def record(n, locality=NEAR, state=ALIVE, ready=True):
-    address = Address(f"10.0.0.{n}", 1)
-    return MemberRecord(address, 1, 0, state, "proxy", f"n{n}", locality, address, ready)
+def record(number, locality=SAME_REGION, state=ALIVE, ready=True):
+    address = Address(f"10.0.0.{number}", 1)
+    return MemberRecord(address, 1, 0, state, "proxy", f"n{number}", locality, address, ready)
 
 
-ME = record(5, HERE, LEAVING)
+ME = record(5, OWN_ZONE, LEAVING)
 
 
 class Others:
-    def __init__(self, *alive, gone=()):
-        self._alive, self._gone = list(alive), list(gone)
+    def __init__(self, *alive, departed=()):
+        self._alive, self._departed = list(alive), list(departed)
 
     def alive(self, role):
-        return [r for r in self._alive if r.role == role]
+        return [member for member in self._alive if member.role == role]
 
     def departed(self, role):
-        return self._gone
+        return self._departed
 
 
-def test_one_whose_neighbour_is_ready_need_not_stay():
-    assert drain_conditions(ME, Others(record(1), record(2, state=LEAVING))) == HELPED
+def test_a_member_with_a_ready_neighbour_need_not_keep_accepting():
+    assert drain_conditions(ME, Others(record(1), record(2, state=LEAVING))) == REPLACEABLE
 
 
-def test_of_those_that_leave_together_each_counts_who_is_before_it():
+def test_members_that_leave_together_count_the_leavers_ahead_of_them():
     others = Others(record(1, state=LEAVING), record(2, state=LEAVING), record(9, state=LEAVING))
     assert drain_conditions(ME, others) == DrainConditions(must_stay=False, leavers_ahead=2)
     assert (
@@ -42,59 +43,59 @@
     )
 
 
-def test_the_last_one_stays_while_another_is_on_its_way_back():
+def test_the_last_member_keeps_accepting_while_another_is_expected_back():
     for others in (
         Others(record(1, state=LEAVING, ready=False)),
         Others(record(1, ready=False)),
-        Others(gone=[DepartedMember(record(1, state=LEFT), 1.0)]),
-        Others(record(2, AWAY), gone=[DepartedMember(record(1, state=LEFT), 1.0)]),
+        Others(departed=[DepartedMember(record(1, state=LEFT), 1.0)]),
+        Others(record(2, OTHER_REGION), departed=[DepartedMember(record(1, state=LEFT), 1.0)]),
     ):
         assert drain_conditions(ME, others).must_stay
 
 
-def test_nobody_stays_where_nobody_is_to_come_back():
+def test_no_member_keeps_accepting_where_none_is_expected_back():
     for others in (
         Others(),
-        Others(record(2, AWAY)),
-        Others(record(2, AWAY, ready=False)),
-        Others(gone=[DepartedMember(record(1, state=FAILED), 1.0)]),
-        Others(gone=[DepartedMember(record(1, state=LEFT), RETURN_WINDOW_S)]),
-        Others(gone=[DepartedMember(record(1, AWAY, LEFT), 1.0)]),
+        Others(record(2, OTHER_REGION)),
+        Others(record(2, OTHER_REGION, ready=False)),
+        Others(departed=[DepartedMember(record(1, state=FAILED), 1.0)]),
+        Others(departed=[DepartedMember(record(1, state=LEFT), RETURN_WINDOW_S)]),
+        Others(departed=[DepartedMember(record(1, OTHER_REGION, LEFT), 1.0)]),
     ):
         assert not drain_conditions(ME, others).must_stay
 
 
-def played(outlooks, earliest=3.0, latest=5.0):
-    """When a door whose region looks like `outlooks(now)` says that it accepts no more, and when it closes."""
-    closing, now, said, closed = DrainSequence(earliest, latest, random.Random(1)), 0.0, [], None
+def run_drain(conditions_at, earliest=3.0, latest=5.0):
+    """Runs a drain under `conditions_at(now)`; returns the announcements with their times, and the time of the close."""
+    sequence, now, announced, closed = DrainSequence(earliest, latest, random.Random(1)), 0.0, [], None
     while closed is None:
-        step = closing.step(now, outlooks(now))
-        if not said or said[-1][1] != step.accepts:
-            said.append((round(now, 2), step.accepts))
+        step = sequence.step(now, conditions_at(now))
+        if not announced or announced[-1][1] != step.accepts:
+            announced.append((round(now, 2), step.accepts))
         if step.closed:
             closed = now
         now += step.wait
-    return said, closed
+    return announced, closed
 
 
-def test_a_door_says_so_first_and_closes_a_moment_later():
-    said, closed = played(lambda now: HELPED)
-    assert said == [(0.0, True), (3.0, False)] and abs(closed - 3.0 - ANNOUNCEMENT_S) < 1e-9
+def test_a_member_announces_first_and_closes_a_moment_later():
+    announced, closed = run_drain(lambda now: REPLACEABLE)
+    assert announced == [(0.0, True), (3.0, False)] and abs(closed - 3.0 - ANNOUNCEMENT_S) < 1e-9
 
 
-def test_a_door_waits_for_those_before_it():
-    _, closed = played(lambda now: DrainConditions(must_stay=False, leavers_ahead=2))
+def test_a_member_waits_for_the_leavers_ahead():
+    _, closed = run_drain(lambda now: DrainConditions(must_stay=False, leavers_ahead=2))
     assert abs(closed - 3.0 - 2 * TURN_S - ANNOUNCEMENT_S) < 1e-9
 
 
-def test_the_last_door_is_open_until_another_one_is_or_until_its_time_is_over():
-    _, closed = played(lambda now: ALONE if now < 4.2 else HELPED)
+def test_the_last_member_accepts_until_another_does_or_until_its_time_is_over():
+    _, closed = run_drain(lambda now: LAST_IN_REGION if now < 4.2 else REPLACEABLE)
     assert 4.2 + ANNOUNCEMENT_S <= closed < 4.25 + ANNOUNCEMENT_S
-    said, closed = played(lambda now: ALONE)
-    assert said == [(0.0, True), (5.0, False)] and closed == 5.0
+    announced, closed = run_drain(lambda now: LAST_IN_REGION)
+    assert announced == [(0.0, True), (5.0, False)] and closed == 5.0
 
 
-def test_two_that_say_so_at_once_both_take_it_back():
-    said, closed = played(lambda now: ALONE if 3.05 <= now < 3.9 else HELPED)
-    assert said[1] == (3.0, False) and said[2] == (3.15, True)
+def test_two_simultaneous_announcements_are_both_withdrawn():
+    announced, closed = run_drain(lambda now: LAST_IN_REGION if 3.05 <= now < 3.9 else REPLACEABLE)
+    assert announced[1] == (3.0, False) and announced[2] == (3.15, True)
     assert closed >= 3.9 + ANNOUNCEMENT_S
