--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -29,207 +29,236 @@
 from mallowvalve.types import Address
 from sim.crowd import Crowd
 from sim.members import Group
-from tests.test_membership import A, B, C, D, head, membership, of, record
+from tests.test_membership import A, B, C, D, header, new_membership, of_type, record
 
-MANY = [Address(f"10.1.{i // 250}.{i % 250 + 1}", 7620) for i in range(600)]
+MANY = [Address(f"10.1.{index // 250}.{index % 250 + 1}", 7620) for index in range(600)]
 
 
-def test_a_digest_is_the_same_in_any_order_and_shows_every_change():
-    rs = [record(a, inc=i) for i, a in enumerate(MANY)]
-    x, y = ViewDigest(), ViewDigest()
-    for r in rs:
-        x.put(r)
-    for r in reversed(rs):
-        y.put(msgspec.structs.replace(r, incarnation=99))
-        y.put(r)
-    assert x.total == y.total and x.bucket_digests == y.bucket_digests
+def test_a_digest_does_not_depend_on_the_order_of_records_and_shows_every_change():
+    records = [record(address, inc=index) for index, address in enumerate(MANY)]
+    first, second = ViewDigest(), ViewDigest()
+    for entry in records:
+        first.put(entry)
+    for entry in reversed(records):
+        second.put(msgspec.structs.replace(entry, incarnation=99))
+        second.put(entry)
+    assert first.total == second.total and first.bucket_digests == second.bucket_digests
     for change in ({"incarnation": 1000}, {"state": FAILED}, {"boot": 7}):
-        y.put(msgspec.structs.replace(rs[5], **change))
-        assert x.total != y.total and x.differing_buckets(tuple(y.bucket_digests)) == [x.bucket(rs[5].addr)]
-        y.put(rs[5])
-        assert x.total == y.total
-    for r in rs:
-        x.drop(r.addr)
-    assert x.total == 0 and x.bucket_digests == [0] * BUCKET_COUNT and not any(x.buckets)
-
-
-def test_a_view_chooses_only_the_living():
-    v, rng = MemberTable(), random.Random(1)
-    for a in MANY[:50]:
-        v.put(record(a))
-    for i, a in enumerate(MANY[:50]):
-        if i % 2:
-            v.put(record(a, inc=1, state=FAILED))
-        if i % 10 == 0:
-            v.drop(a)
-    want = {a for i, a in enumerate(MANY[:50]) if i % 2 == 0 and i % 10}
-    assert set(v.live) == want == {r.addr for r in v.alive()} == set(v.sample(rng, 99))
-    v.put(record(MANY[1], inc=2))
-    assert {r.addr for r in v.alive("proxy")} == want | {MANY[1]} and v.alive("control") == []
-    assert MANY[2] not in v.sample(rng, 99, MANY[2]) and len(v.sample(rng, 3)) == 3
-
-
-def test_equal_views_cost_a_ping_and_an_ack():
-    x, y = membership((B,)), Membership(record(B), "f", [], random.Random(2), 2.0, 30, 0.5)
-    y.receive(Tell(head(A), [record(A)]), 0.0)
-    ((_, ping),) = of(Ping, x.tick(0.0))
-    assert [type(m) for _, m in y.receive(ping, 0.0)] == [Ack]
-
-
-def test_a_difference_is_mended_by_buckets_then_marks_then_records():
-    x, y = membership((B,)), Membership(record(B), "f", [], random.Random(2), 2.0, 30, 0.5)
-    y.receive(Tell(head(A), [record(A), *(record(a) for a in MANY[:40])]), 0.0)
-    x.receive(Tell(head(B), [record(a) for a in MANY[20:60]]), 0.0)
-    ((_, ping),) = of(Ping, [p for p in x.tick(0.0) if p[0] == B] or [(B, Ping(x._header(), A, B, 1, x._digest.total))])
-    box, kinds = [(y, ping)], []
-    while box:
-        to, m = box.pop(0)
-        kinds.append(type(m))
-        box += [({A: x, B: y}[a], n) for a, n in to.receive(m, 0.0) if a in (A, B)]
-    assert x._digest.total == y._digest.total and len(x.view) == len(y.view) == 61
+        second.put(msgspec.structs.replace(records[5], **change))
+        assert first.total != second.total
+        assert first.differing_buckets(tuple(second.bucket_digests)) == [first.bucket(records[5].addr)]
+        second.put(records[5])
+        assert first.total == second.total
+    for entry in records:
+        first.drop(entry.addr)
+    assert first.total == 0 and first.bucket_digests == [0] * BUCKET_COUNT and not any(first.buckets)
+
+
+def test_only_live_members_are_sampled():
+    table, rng = MemberTable(), random.Random(1)
+    for address in MANY[:50]:
+        table.put(record(address))
+    for index, address in enumerate(MANY[:50]):
+        if index % 2:
+            table.put(record(address, inc=1, state=FAILED))
+        if index % 10 == 0:
+            table.drop(address)
+    live = {address for index, address in enumerate(MANY[:50]) if index % 2 == 0 and index % 10}
+    assert set(table.live) == live == {entry.addr for entry in table.alive()} == set(table.sample(rng, 99))
+    table.put(record(MANY[1], inc=2))
+    assert {entry.addr for entry in table.alive("proxy")} == live | {MANY[1]} and table.alive("control") == []
+    assert MANY[2] not in table.sample(rng, 99, MANY[2]) and len(table.sample(rng, 3)) == 3
+
+
+def test_members_with_equal_views_exchange_only_a_ping_and_an_ack():
+    pinger, target = new_membership((B,)), Membership(record(B), "f", [], random.Random(2), 2.0, 30, 0.5)
+    target.receive(Tell(header(A), [record(A)]), 0.0)
+    ((_, ping),) = of_type(Ping, pinger.tick(0.0))
+    assert [type(message) for _, message in target.receive(ping, 0.0)] == [Ack]
+
+
+def test_a_difference_of_views_is_repaired_by_bucket_digests_then_record_digests_then_records():
+    pinger, target = new_membership((B,)), Membership(record(B), "f", [], random.Random(2), 2.0, 30, 0.5)
+    target.receive(Tell(header(A), [record(A), *(record(address) for address in MANY[:40])]), 0.0)
+    pinger.receive(Tell(header(B), [record(address) for address in MANY[20:60]]), 0.0)
+    ((_, ping),) = of_type(
+        Ping,
+        [datagram for datagram in pinger.tick(0.0) if datagram[0] == B]
+        or [(B, Ping(pinger._header(), A, B, 1, pinger._digest.total))],
+    )
+    queue, kinds = [(target, ping)], []
+    while queue:
+        receiver, message = queue.pop(0)
+        kinds.append(type(message))
+        queue += [
+            ({A: pinger, B: target}[address], reply)
+            for address, reply in receiver.receive(message, 0.0)
+            if address in (A, B)
+        ]
+    assert pinger._digest.total == target._digest.total and len(pinger.view) == len(target.view) == 61
     assert kinds.count(Sums) == 1 and {Marks, Want, Tell} <= set(kinds)
 
 
-def test_datagrams_stay_small_and_a_storm_of_questions_is_answered_within_bounds():
-    b = membership(MANY)
-    out = b.receive(Tell(head(MANY[0]), [record(MANY[0])], RequestedRecords.ALL), 100.0)
-    assert max(len(encode(m)) for _, m in out) <= 1200
-    assert sum(len(m.records) for _, m in of(Tell, out)) >= 600
-    sent = sum(len(of(Tell, b.receive(Tell(head(a), [record(a)], RequestedRecords.ALL), 100.0))) for a in MANY[:300])
+def test_datagrams_stay_small_and_the_replies_to_a_storm_of_requests_are_limited():
+    member = new_membership(MANY)
+    out = member.receive(Tell(header(MANY[0]), [record(MANY[0])], RequestedRecords.ALL), 100.0)
+    assert max(len(encode(message)) for _, message in out) <= 1200
+    assert sum(len(message.records) for _, message in of_type(Tell, out)) >= 600
+    sent = sum(
+        len(of_type(Tell, member.receive(Tell(header(address), [record(address)], RequestedRecords.ALL), 100.0)))
+        for address in MANY[:300]
+    )
     assert 300 <= sent <= 300 + RECORD_DATAGRAMS_BURST
 
 
-def test_batches_keep_all_records():
-    rs = [record(a) for a in MANY]
-    assert [r for b in record_batches(rs) for r in b] == rs
+def test_batches_contain_all_records():
+    records = [record(address) for address in MANY]
+    assert [entry for batch in record_batches(records) for entry in batch] == records
 
 
-def test_news_reach_a_large_group_in_two_hops_without_a_burst_from_anyone():
-    n = 400
-    c = Crowd(3, n, loss=0.0)
-    c.run(4.0)
-    m = c.members()[0]
-    before = {x.addr: x.sent for x in c.members()}
-    m._emit(m._coded(m.membership.ready(False)))
-    assert m.sent - before[m.addr] == relay_group_count(n - 1)
-    took = c.until(lambda: c.knows(m.addr, lambda r: not r.ready) == 1, 1.0, 0.01)
+def test_an_update_reaches_a_large_group_in_two_hops_without_a_burst_from_any_member():
+    size = 400
+    crowd = Crowd(3, size, loss=0.0)
+    crowd.run(4.0)
+    origin = crowd.members()[0]
+    before = {member.addr: member.sent for member in crowd.members()}
+    origin._emit(origin._coded(origin.membership.ready(False)))
+    assert origin.sent - before[origin.addr] == relay_group_count(size - 1)
+    took = crowd.until(lambda: crowd.knows(origin.addr, lambda entry: not entry.ready) == 1, 1.0, 0.01)
     assert took is not None and took <= 2 * 0.06
-    assert max(x.sent - before[x.addr] for x in c.members()) <= 60
-
-
-def test_a_large_group_mends_what_lost_datagrams_left_out():
-    c = Crowd(4, 200, loss=0.15)
-    c.run(4.0)
-    m = c.members()[0]
-    m._emit(m._coded(m.membership.ready(False)))
-    assert c.until(lambda: c.knows(m.addr, lambda r: not r.ready) == 1, 15.0) is not None
-
-
-@pytest.mark.parametrize("n", [15, DIRECT_SEND_MEMBERS_MAX + 40])
-def test_a_restart_is_seen_by_all_within_a_fraction_of_a_second(n):
-    c = Crowd(5, n, loss=0.0)
-    c.run(2.0)
-    m = c.restart(n - 1)
-    seen = c.until(
-        lambda: c.knows(m.addr, lambda r: r.boot == m.membership.me.boot and r.state == ALIVE) == 1, 5.0, 0.01
+    assert max(member.sent - before[member.addr] for member in crowd.members()) <= 60
+
+
+def test_a_large_group_repairs_what_lost_datagrams_left_out():
+    crowd = Crowd(4, 200, loss=0.15)
+    crowd.run(4.0)
+    origin = crowd.members()[0]
+    origin._emit(origin._coded(origin.membership.ready(False)))
+    assert crowd.until(lambda: crowd.knows(origin.addr, lambda entry: not entry.ready) == 1, 15.0) is not None
+
+
+@pytest.mark.parametrize("size", [15, DIRECT_SEND_MEMBERS_MAX + 40])
+def test_a_restart_is_known_to_all_members_within_a_fraction_of_a_second(size):
+    crowd = Crowd(5, size, loss=0.0)
+    crowd.run(2.0)
+    restarted = crowd.restart(size - 1)
+    took = crowd.until(
+        lambda: (
+            crowd.knows(
+                restarted.addr,
+                lambda entry: entry.boot == restarted.membership.me.boot and entry.state == ALIVE,
+            )
+            == 1
+        ),
+        5.0,
+        0.01,
     )
-    assert seen is not None and seen < 0.35
-    assert len(m.membership.alive()) == n - 1 and m.membership.me.incarnation > 1
+    assert took is not None and took < 0.35
+    assert len(restarted.membership.alive()) == size - 1 and restarted.membership.me.incarnation > 1
 
 
 def test_a_member_joins_through_one_seed_of_three_while_datagrams_are_lost():
-    g = Group(7, 15, 0.05)
-    assert g.run_until(g.whole, 30) is not None
-    for i in (0, 1, 14):
-        g.kill(i)
-    assert g.run_until(g.whole, 60) is not None
-    g.start(14, seeds=g.addrs[:3])
-    assert g.run_until(g.whole, 4) is not None
+    group = Group(7, 15, 0.05)
+    assert group.run_until(group.whole, 30) is not None
+    for index in (0, 1, 14):
+        group.kill(index)
+    assert group.run_until(group.whole, 60) is not None
+    group.start(14, seeds=group.addrs[:3])
+    assert group.run_until(group.whole, 4) is not None
 
 
 def test_a_member_whose_seeds_are_all_down_joins_when_it_is_pinged():
-    g = Group(8, 10, 0.0)
-    assert g.run_until(g.whole, 30) is not None
-    for i in (0, 1, 2, 9):
-        g.kill(i)
-    g.start(9, seeds=g.addrs[:3])
-    assert g.run_until(lambda: len(g.member(9).membership.alive()) >= 6, 30) is not None
+    group = Group(8, 10, 0.0)
+    assert group.run_until(group.whole, 30) is not None
+    for index in (0, 1, 2, 9):
+        group.kill(index)
+    group.start(9, seeds=group.addrs[:3])
+    assert group.run_until(lambda: len(group.member(9).membership.alive()) >= 6, 30) is not None
 
 
-def test_everyone_starting_at_once_makes_one_group():
+def test_members_that_all_start_at_once_form_one_group():
     for seed in range(5):
-        c = Crowd(seed, 40)
-        c.herd()
-        assert c.until(lambda: all(len(m.membership.alive()) == 39 for m in c.members()), 8.0) is not None
+        crowd = Crowd(seed, 40)
+        crowd.herd()
+        assert (
+            crowd.until(lambda: all(len(member.membership.alive()) == 39 for member in crowd.members()), 8.0)
+            is not None
+        )
 
 
 @pytest.mark.parametrize("size", [1, 7])
-def test_a_healed_cut_is_mended_within_two_seconds(size):
+def test_views_agree_within_two_seconds_after_a_partition(size):
     for seed in range(1, 6):
-        c = Crowd(seed, 15)
-        c.run(2.0)
-        c.world.split([m.addr for m in c.members()][:size], [m.addr for m in c.members()][size:])
-        c.run(20.0)
-        c.world.heal()
-        assert c.until(lambda: all(len(m.membership.alive()) == 14 for m in c.members()), 2.0) is not None
-
-
-def test_one_held_as_failed_that_speaks_has_the_other_accused_told_at_once():
-    b = membership()
-    b.receive(Tell(head(B), [record(C, state=FAILED), record(D, state=FAILED)]), 0.0)
-    out = b.receive(Ping(head(C), C, A, 1), 5.0)
-    told = {(to, m.records[0].addr) for to, m in of(Tell, out)}
-    assert (C, C) in told and (D, D) in told
-    assert D not in {to for to, _ in of(Tell, b.receive(Ping(head(C), C, A, 2), 5.1))}
-
-
-def test_one_that_was_wrongly_failed_tells_those_it_failed_itself():
-    b = membership()
-    b.receive(Tell(head(B), [record(C, state=FAILED)]), 0.0)
-    out = of(Tell, b.receive(Tell(head(B), [record(A, state=FAILED)]), 1.0))
-    assert {to for to, m in out if m.records[0].addr == A} == {B, C, D}
-    assert [m.records[0].state for to, m in out if m.records[0].addr == C] == [FAILED]
-
-
-def test_helpers_that_were_asked_too_late_to_answer_judge_nobody():
-    b = membership()
-    b.tick(0.0)
-    assert of(PingReq, b.tick(1.9))
-    b.tick(2.0)
-    assert all(r.state == ALIVE for r in b.view.values()) and b.counts.get("membership_void_period") == 1
-
-
-def test_an_ack_in_the_same_breath_as_the_end_of_the_period_is_heard_first():
-    b = membership((B,))
-    b.tick(0.0)
-    b.tick(0.5)
-    b.receive(Ack(head(B), A, B, 1), 2.1)
-    b.tick(2.1)
-    assert b.view[B].state == ALIVE
-
-
-def test_the_dead_leave_the_digest_then_the_view_and_are_not_taught_again():
-    x, y = membership((B, C)), membership((B, C))
-    x.receive(Tell(head(B), [record(C, inc=1, state=LEFT)]), 1.0)
-    y.receive(Tell(head(B), [record(C, inc=1, state=LEFT)]), 9.0)
-    assert x._digest.total == y._digest.total
-    x.tick(2.0 + DIGEST_RETENTION_S)
-    assert C not in x._digest and C in x.view
-    y.tick(10.0 + DIGEST_RETENTION_S)
-    assert x._digest.total == y._digest.total
-    x.tick(2.0 + FORGET_AFTER_S)
-    assert C not in x.view
-    out = of(Tell, y.receive(Tell(head(B), [record(B)], RequestedRecords.ALL), 20.0 + DIGEST_RETENTION_S))
-    assert C not in {r.addr for _, m in out for r in m.records}
-
-
-def test_a_new_member_asks_at_once_and_every_quarter_second_until_it_agrees():
-    b = Membership(record(A), "f", [B, C], random.Random(1), 2.0, 30, 0.5)
-    assert {to for to, m in of(Tell, b.tick(0.0)) if m.request == RequestedRecords.ALL} == {B, C}
-    assert b.timer() == 0.25
-    assert {to for to, m in of(Tell, b.tick(0.25)) if m.request == RequestedRecords.ALL} == {B, C}
-    b.receive(Tell(head(B), [record(B), record(C)]), 0.3)
-    assert of(Sum, b.tick(0.5)) and b.timer() == 0.75
-    b.receive(Sum(head(B), b._digest.total, False), 0.6)
-    b.tick(0.75)
-    assert b.timer() > 0.75
+        crowd = Crowd(seed, 15)
+        crowd.run(2.0)
+        crowd.world.split(
+            [member.addr for member in crowd.members()][:size], [member.addr for member in crowd.members()][size:]
+        )
+        crowd.run(20.0)
+        crowd.world.heal()
+        assert (
+            crowd.until(lambda: all(len(member.membership.alive()) == 14 for member in crowd.members()), 2.0)
+            is not None
+        )
+
+
+def test_a_datagram_from_a_failed_member_has_the_other_failed_members_notified_at_once():
+    member = new_membership()
+    member.receive(Tell(header(B), [record(C, state=FAILED), record(D, state=FAILED)]), 0.0)
+    out = member.receive(Ping(header(C), C, A, 1), 5.0)
+    notified = {(to, message.records[0].addr) for to, message in of_type(Tell, out)}
+    assert (C, C) in notified and (D, D) in notified
+    assert D not in {to for to, _ in of_type(Tell, member.receive(Ping(header(C), C, A, 2), 5.1))}
+
+
+def test_a_member_wrongly_declared_failed_notifies_those_that_it_recorded_as_failed():
+    member = new_membership()
+    member.receive(Tell(header(B), [record(C, state=FAILED)]), 0.0)
+    out = of_type(Tell, member.receive(Tell(header(B), [record(A, state=FAILED)]), 1.0))
+    assert {to for to, message in out if message.records[0].addr == A} == {B, C, D}
+    assert [message.records[0].state for to, message in out if message.records[0].addr == C] == [FAILED]
+
+
+def test_helpers_that_were_asked_too_late_to_answer_void_the_period():
+    member = new_membership()
+    member.tick(0.0)
+    assert of_type(PingReq, member.tick(1.9))
+    member.tick(2.0)
+    assert all(entry.state == ALIVE for entry in member.view.values())
+    assert member.counts.get("membership_void_period") == 1
+
+
+def test_an_ack_received_just_before_the_end_of_the_period_counts():
+    member = new_membership((B,))
+    member.tick(0.0)
+    member.tick(0.5)
+    member.receive(Ack(header(B), A, B, 1), 2.1)
+    member.tick(2.1)
+    assert member.view[B].state == ALIVE
+
+
+def test_departed_members_are_removed_from_the_digest_then_from_the_view_and_are_not_sent_again():
+    first, second = new_membership((B, C)), new_membership((B, C))
+    first.receive(Tell(header(B), [record(C, inc=1, state=LEFT)]), 1.0)
+    second.receive(Tell(header(B), [record(C, inc=1, state=LEFT)]), 9.0)
+    assert first._digest.total == second._digest.total
+    first.tick(2.0 + DIGEST_RETENTION_S)
+    assert C not in first._digest and C in first.view
+    second.tick(10.0 + DIGEST_RETENTION_S)
+    assert first._digest.total == second._digest.total
+    first.tick(2.0 + FORGET_AFTER_S)
+    assert C not in first.view
+    out = of_type(Tell, second.receive(Tell(header(B), [record(B)], RequestedRecords.ALL), 20.0 + DIGEST_RETENTION_S))
+    assert C not in {entry.addr for _, message in out for entry in message.records}
+
+
+def test_a_joining_member_requests_records_at_once_and_every_quarter_second_until_its_digest_agrees():
+    member = Membership(record(A), "f", [B, C], random.Random(1), 2.0, 30, 0.5)
+    assert {to for to, message in of_type(Tell, member.tick(0.0)) if message.request == RequestedRecords.ALL} == {B, C}
+    assert member.timer() == 0.25
+    assert {to for to, message in of_type(Tell, member.tick(0.25)) if message.request == RequestedRecords.ALL} == {B, C}
+    member.receive(Tell(header(B), [record(B), record(C)]), 0.3)
+    assert of_type(Sum, member.tick(0.5)) and member.timer() == 0.75
+    member.receive(Sum(header(B), member._digest.total, False), 0.6)
+    member.tick(0.75)
+    assert member.timer() > 0.75
