--- a/tests/test_call_model.py
+++ b/tests/test_call_model.py
@@ -1,4 +1,4 @@
-"""The machine of a line between nodes against its promises, over any order of what can happen to it."""
+"""Model-based test of `PendingCalls`: its guarantees hold for any order of calls, responses and lost connections."""
 
 import ast
 from pathlib import Path
@@ -12,40 +12,40 @@
 from mallowvalve.transport.frame import TransportFrame
 
 CAPACITY = 4
-MACHINES = ["transport/calls.py", "proxy/reader.py", "proxy/tries.py", "proxy/path.py", "proxy/idle.py"]
+STATE_MACHINES = ["transport/calls.py", "proxy/reader.py", "proxy/tries.py", "proxy/path.py", "proxy/idle.py"]
 
 
 class CallMachine(RuleBasedStateMachine):
-    """Waiters are the calls' own bodies, so that an answer to the wrong one shows."""
+    """Uses the body of each call as its waiter, so that a response to the wrong call is detected."""
 
     def __init__(self):
         super().__init__()
         self.calls = PendingCalls(CAPACITY)
         self.is_open = False
         self.ids: dict[str, int] = {}
-        self.handed_out: dict[int, int] = {}
-        self.told: dict[str, object] = {}
-        self.given_up: set[str] = set()
+        self.sent_on: dict[int, int] = {}
+        self.outcomes: dict[str, object] = {}
+        self.cancelled: set[str] = set()
 
     def pending(self) -> list[str]:
-        return [w for w in self.ids if w not in self.told and w not in self.given_up]
+        return [waiter for waiter in self.ids if waiter not in self.outcomes and waiter not in self.cancelled]
 
-    def tell(self, waiter: str, what: object) -> None:
-        assert waiter not in self.told and waiter not in self.given_up
-        self.told[waiter] = what
+    def resolve(self, waiter: str, outcome: object) -> None:
+        assert waiter not in self.outcomes and waiter not in self.cancelled
+        self.outcomes[waiter] = outcome
 
-    def fail(self, told) -> None:
-        for waiter, why in told:
-            self.tell(waiter, why)
-            assert why.may_have_run == (self.ids[waiter] in self.handed_out)
+    def fail(self, failed) -> None:
+        for waiter, failure in failed:
+            self.resolve(waiter, failure)
+            assert failure.may_have_run == (self.ids[waiter] in self.sent_on)
 
     @rule()
     def call(self):
         waiter = f"w{len(self.ids)}"
-        number = self.calls.enqueue("offer", waiter.encode(), waiter)
-        if number is not None:
-            assert number not in self.ids.values()
-            self.ids[waiter] = number
+        call_id = self.calls.enqueue("offer", waiter.encode(), waiter)
+        if call_id is not None:
+            assert call_id not in self.ids.values()
+            self.ids[waiter] = call_id
 
     @rule()
     def cast(self):
@@ -53,66 +53,66 @@
 
     @precondition(lambda self: self.ids)
     @rule(data=st.data())
-    def give_up(self, data):
+    def cancel(self, data):
         waiter = data.draw(st.sampled_from(sorted(self.ids)))
         self.calls.cancel(self.ids[waiter])
-        if waiter not in self.told:
-            self.given_up.add(waiter)
+        if waiter not in self.outcomes:
+            self.cancelled.add(waiter)
 
     @initialize()
-    def begin(self):
+    def start(self):
         self.call()
-        self.open()
+        self.open_connection()
 
     @precondition(lambda self: not self.is_open)
     @rule()
-    def open(self):
+    def open_connection(self):
         self.calls.connection_opened()
         self.is_open = True
 
     @precondition(lambda self: self.is_open)
-    @rule(most=st.sampled_from([1, 3]))
-    def take(self, most):
-        by_id = {number: waiter for waiter, number in self.ids.items()}
-        for frame in self.calls.dequeue(most):
-            assert frame.id not in self.handed_out and not frame.is_response
+    @rule(limit=st.sampled_from([1, 3]))
+    def dequeue(self, limit):
+        by_id = {call_id: waiter for waiter, call_id in self.ids.items()}
+        for frame in self.calls.dequeue(limit):
+            assert frame.id not in self.sent_on and not frame.is_response
             waiter = by_id.get(frame.id)
-            assert waiter not in self.given_up and waiter not in self.told
-            self.handed_out[frame.id] = self.calls.connection
+            assert waiter not in self.cancelled and waiter not in self.outcomes
+            self.sent_on[frame.id] = self.calls.connection
 
-    @precondition(lambda self: self.handed_out)
-    @rule(data=st.data(), back=st.sampled_from([0, 0, 1, 2]), answer=st.sampled_from([True, True, False]))
-    def answer(self, data, back, answer):
-        number = data.draw(st.sampled_from([0, *self.ids.values()]))
+    @precondition(lambda self: self.sent_on)
+    @rule(data=st.data(), back=st.sampled_from([0, 0, 1, 2]), is_response=st.sampled_from([True, True, False]))
+    def receive(self, data, back, is_response):
+        call_id = data.draw(st.sampled_from([0, *self.ids.values()]))
         connection = self.calls.connection - back
-        waiter = self.calls.match_response(connection, TransportFrame("offer", number, answer, b""))
+        waiter = self.calls.match_response(connection, TransportFrame("offer", call_id, is_response, b""))
         if waiter is None:
-            owed = [w for w in self.pending() if self.ids[w] == number]
-            assert not (owed and answer and self.handed_out.get(number) == connection)
+            waiting = [pending for pending in self.pending() if self.ids[pending] == call_id]
+            assert not (waiting and is_response and self.sent_on.get(call_id) == connection)
             return
-        assert self.ids[waiter] == number and self.handed_out[number] == connection and answer
-        self.tell(waiter, "answer")
+        assert self.ids[waiter] == call_id and self.sent_on[call_id] == connection and is_response
+        self.resolve(waiter, "response")
 
     @precondition(lambda self: self.is_open)
     @rule(back=st.sampled_from([0, 0, 1, 2]))
-    def lose(self, back):
+    def lose_connection(self, back):
         connection = self.calls.connection - back
-        told = self.calls.connection_lost(connection)
-        self.fail(told)
+        failed = self.calls.connection_lost(connection)
+        self.fail(failed)
         if back:
-            assert told == []
+            assert failed == []
         else:
             self.is_open = False
             assert not self.pending()
 
     @precondition(lambda self: not self.is_open)
     @rule()
-    def find_the_peer_unreachable(self):
+    def fail_to_connect(self):
         self.fail(self.calls.peer_unreachable())
         assert not self.pending() and not self.calls
 
     @invariant()
-    def nothing_is_kept_for_who_does_not_wait(self):
+    def only_pending_calls_are_kept(self):
         waiting = set(self.calls._queued_calls.values()) | set(self.calls._sent_calls.values())
         assert waiting == set(self.pending())
 
@@ -121,17 +121,19 @@
 TestCalls = CallMachine.TestCase
 
 
-def test_only_proof_says_that_a_call_did_not_run():
-    assert {f for f in CallFailure if not f.may_have_run} == {
+def test_only_failures_before_any_byte_was_sent_exclude_that_the_call_ran():
+    assert {failure for failure in CallFailure if not failure.may_have_run} == {
         CallFailure.OVERFLOW,
         CallFailure.UNREACHABLE,
         CallFailure.UNSENT,
     }
 
 
-@pytest.mark.parametrize("machine", MACHINES)
-def test_the_machines_of_calls_touch_no_socket_and_no_clock(machine):
-    tree = ast.parse((Path(__file__).parent.parent / "mallowvalve" / machine).read_text())
-    imported = {a.name for n in ast.walk(tree) if isinstance(n, ast.Import) for a in n.names}
-    imported |= {n.module for n in ast.walk(tree) if isinstance(n, ast.ImportFrom)}
-    assert not [m for m in imported if m.partition(".")[0] in ("gevent", "socket", "time") or m.endswith(".clock")]
+@pytest.mark.parametrize("path", STATE_MACHINES)
+def test_the_state_machines_import_no_socket_and_no_clock(path):
+    tree = ast.parse((Path(__file__).parent.parent / "mallowvalve" / path).read_text())
+    imported = {alias.name for node in ast.walk(tree) if isinstance(node, ast.Import) for alias in node.names}
+    imported |= {node.module for node in ast.walk(tree) if isinstance(node, ast.ImportFrom)}
+    assert not [
+        name for name in imported if name.partition(".")[0] in ("gevent", "socket", "time") or name.endswith(".clock")
+    ]
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -23,51 +23,51 @@
 
 
 @pytest.fixture
-def two():
-    a, b = (Address("127.0.0.1", p) for p in free_ports(2))
-    with Transport(a, "f", Counts()) as x, Transport(b, "f", Counts()) as y:
-        yield x, y
-
-
-def test_calls_are_answered_and_casts_arrive(two):
-    x, y = two
-    got = Event()
-    y.on("replica", lambda s, b: b + b"!" + str(s).encode())
-    y.on("note", lambda s, b: got.set(), inline=True)
-    assert x.call(y.me, "replica", b"hi", 5).unwrap() == b"hi!" + str(x.me).encode()
-    x.cast(y.me, "note", b"")
-    assert got.wait(5)
-    assert x.call(y.me, "nothing", b"", 0.2).is_err() and y.counts.get("transport_unknown") == 1
-
-
-def test_large_answers_to_calls_at_once_do_not_mix(two):
-    x, y = two
-    y.on("big", lambda s, b: b * (3 << 20))
-    jobs = [gevent.spawn(x.call, y.me, "big", bytes([65 + i]), 20) for i in range(6)]
-    gevent.joinall(jobs)
-    for i, j in enumerate(jobs):
-        body = j.value.unwrap()
-        assert len(body) == 3 << 20 and body.count(bytes([65 + i])) == len(body)
-
-
-def test_a_call_to_nobody_fails_and_later_calls_get_through(two):
-    x, _ = two
+def transports():
+    first, second = (Address("127.0.0.1", port) for port in free_ports(2))
+    with Transport(first, "f", Counts()) as caller, Transport(second, "f", Counts()) as callee:
+        yield caller, callee
+
+
+def test_calls_are_answered_and_casts_arrive(transports):
+    caller, callee = transports
+    received = Event()
+    callee.on("replica", lambda sender, body: body + b"!" + str(sender).encode())
+    callee.on("note", lambda sender, body: received.set(), inline=True)
+    assert caller.call(callee.me, "replica", b"hi", 5).unwrap() == b"hi!" + str(caller.me).encode()
+    caller.cast(callee.me, "note", b"")
+    assert received.wait(5)
+    assert caller.call(callee.me, "nothing", b"", 0.2).is_err() and callee.counts.get("transport_unknown") == 1
+
+
+def test_large_responses_to_concurrent_calls_do_not_mix(transports):
+    caller, callee = transports
+    callee.on("big", lambda sender, body: body * (3 << 20))
+    calls = [gevent.spawn(caller.call, callee.me, "big", bytes([65 + index]), 20) for index in range(6)]
+    gevent.joinall(calls)
+    for index, call in enumerate(calls):
+        body = call.value.unwrap()
+        assert len(body) == 3 << 20 and body.count(bytes([65 + index])) == len(body)
+
+
+def test_a_call_to_an_unreachable_peer_fails_and_later_calls_get_through(transports):
+    caller, _ = transports
     (port,) = free_ports(1)
-    there = Address("127.0.0.1", port)
-    assert x.call(there, "replica", b"", 2).is_err()
-    with Transport(there, "f", Counts()) as z:
-        z.on("replica", lambda s, b: b"here")
+    address = Address("127.0.0.1", port)
+    assert caller.call(address, "replica", b"", 2).is_err()
+    with Transport(address, "f", Counts()) as callee:
+        callee.on("replica", lambda sender, body: b"here")
         results = []
         while not results or results[-1].is_err() and len(results) < 50:
-            results.append(x.call(there, "replica", b"", 1))
+            results.append(caller.call(address, "replica", b"", 1))
         assert results[-1].unwrap() == b"here"
 
 
-GREETED = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1)))
+HELLO = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1)))
 
 
-def deflated(data):
-    """As a connection's stream carries it, flushed but not ended."""
+def deflate(data):
+    """Returns data as the stream of a connection carries it, flushed but not finished."""
     stream = zlib.compressobj(1, zlib.DEFLATED, -11)
     return stream.compress(data) + stream.flush(zlib.Z_SYNC_FLUSH)
 
@@ -79,123 +79,125 @@
         (b"\x00\x00\x00\x03abc", "transport_garbage"),
         (encode_hello(Hello(PROTOCOL_VERSION, "other", Address("1.1.1.1", 1))), "transport_foreign"),
         (encode_hello(Hello(PROTOCOL_VERSION + 1, "f", Address("1.1.1.1", 1))), "transport_foreign"),
-        (GREETED + b"\xff no deflate", "transport_garbage"),
-        (GREETED + deflated(b"\x00\x00\x00\x02\xc1\xc1"), "transport_garbage"),
-        (GREETED + deflated(b"\x7f\xff\xff\xff"), "transport_oversize"),
+        (HELLO + b"\xff no deflate", "transport_garbage"),
+        (HELLO + deflate(b"\x00\x00\x00\x02\xc1\xc1"), "transport_garbage"),
+        (HELLO + deflate(b"\x7f\xff\xff\xff"), "transport_oversize"),
     ],
 )
-def test_garbage_and_foreign_frames_are_counted_and_dropped(two, data, count):
-    _, y = two
-    with socket.create_connection(y.me.pair, timeout=5) as s:
-        s.sendall(data)
-        assert s.recv(1) == b""
-    assert y.counts.get(count) == 1
+def test_garbage_and_foreign_frames_are_counted_and_dropped(transports, data, count):
+    _, callee = transports
+    with socket.create_connection(callee.me.pair, timeout=5) as sock:
+        sock.sendall(data)
+        assert sock.recv(1) == b""
+    assert callee.counts.get(count) == 1
 
 
-def test_a_body_that_a_handler_cannot_read_is_counted(two):
-    x, y = two
+def test_a_body_that_a_handler_rejects_is_counted(transports):
+    caller, callee = transports
 
-    def bad(s, b):
-        raise ValueError(b)
+    def reject(sender, body):
+        raise ValueError(body)
 
-    y.on("bad", bad)
-    assert x.call(y.me, "bad", b"\xc1", 0.3).is_err() and y.counts.get("transport_garbage") == 1
+    callee.on("bad", reject)
+    assert caller.call(callee.me, "bad", b"\xc1", 0.3).is_err() and callee.counts.get("transport_garbage") == 1
 
 
-def test_frames_cut_anywhere_come_out_whole():
+def test_frames_are_decoded_whole_from_chunks_of_any_size():
     data = encode_hello(Hello(PROTOCOL_VERSION, "f", Address("1.1.1.1", 1))) + FrameEncoder().encode(
         [TransportFrame("a", 1, False, b"x" * 100), TransportFrame("b", 2, True, b"")]
     )
     for step in (1, 3, 50):
-        c, out = FrameDecoder("f"), []
-        for i in range(0, len(data), step):
-            out += c.feed(data[i : i + step]).unwrap()
-        assert [type(m) for m in out] == [Hello, TransportFrame, TransportFrame] and out[1].body == b"x" * 100
+        decoder, messages = FrameDecoder("f"), []
+        for offset in range(0, len(data), step):
+            messages += decoder.feed(data[offset : offset + step]).unwrap()
+        assert [type(message) for message in messages] == [Hello, TransportFrame, TransportFrame]
+        assert messages[1].body == b"x" * 100
 
 
-class HeldDial:
-    """Connections are made only after `go`, so that frames wait before they leave."""
+class DelayedConnect:
+    """Delays all connections until `proceed` is set, so that frames stay queued meanwhile."""
 
     def __init__(self, monkeypatch):
-        self.go = Event()
+        self.proceed = Event()
         self._connect = socket.create_connection
         monkeypatch.setattr(channel.socket, "create_connection", self.connect)
 
-    def connect(self, *args, **more):
-        self.go.wait(10)
-        return self._connect(*args, **more)
+    def connect(self, *args, **kwargs):
+        self.proceed.wait(10)
+        return self._connect(*args, **kwargs)
 
 
-def kept_bodies(node: Transport) -> list[bytes]:
-    got: list[bytes] = []
-    node.on("offer", lambda sender, body: got.append(body) or body, inline=True)
-    return got
+def record_bodies(transport: Transport) -> list[bytes]:
+    received: list[bytes] = []
+    transport.on("offer", lambda sender, body: received.append(body) or body, inline=True)
+    return received
 
 
-def test_a_call_that_was_given_up_before_it_left_is_never_sent(two, monkeypatch):
-    x, y = two
-    dial, got = HeldDial(monkeypatch), kept_bodies(y)
-    assert x.call(y.me, "offer", b"given up", 0.05).err_value == "limit"
-    later = gevent.spawn(x.call, y.me, "offer", b"later", 5)
+def test_a_call_that_is_cancelled_while_queued_is_never_sent(transports, monkeypatch):
+    caller, callee = transports
+    delayed, received = DelayedConnect(monkeypatch), record_bodies(callee)
+    assert caller.call(callee.me, "offer", b"given up", 0.05).err_value == "limit"
+    later = gevent.spawn(caller.call, callee.me, "offer", b"later", 5)
     gevent.idle()
-    dial.go.set()
-    assert later.get().unwrap() == b"later" and got == [b"later"]
+    delayed.proceed.set()
+    assert later.get().unwrap() == b"later" and received == [b"later"]
 
 
-def test_a_call_too_many_fails_alone(two, monkeypatch):
-    x, y = two
+def test_only_the_calls_beyond_the_queue_limit_fail(transports, monkeypatch):
+    caller, callee = transports
     monkeypatch.setattr(channel, "QUEUED_FRAMES_MAX", 2)
-    dial, got = HeldDial(monkeypatch), kept_bodies(y)
-    calls = [gevent.spawn(x.call, y.me, "offer", bytes([65 + i]), 5) for i in range(6)]
+    delayed, received = DelayedConnect(monkeypatch), record_bodies(callee)
+    calls = [gevent.spawn(caller.call, callee.me, "offer", bytes([65 + index]), 5) for index in range(6)]
     gevent.idle()
-    dial.go.set()
-    results = [c.get() for c in calls]
-    answered = [r.ok_value for r in results if r.is_ok()]
-    assert answered == got and len(got) >= 2
-    assert {r.err_value for r in results if r.is_err()} == {"overflow"}
+    delayed.proceed.set()
+    results = [call.get() for call in calls]
+    answered = [result.ok_value for result in results if result.is_ok()]
+    assert answered == received and len(received) >= 2
+    assert {result.err_value for result in results if result.is_err()} == {"overflow"}
 
 
-def test_a_callers_own_timeout_is_not_taken_for_the_calls_limit(two):
-    x, y = two
-    y.on("never", lambda sender, body: None)
+def test_a_timeout_of_the_caller_is_not_mistaken_for_the_limit_of_the_call(transports):
+    caller, callee = transports
+    callee.on("never", lambda sender, body: None)
     with pytest.raises(gevent.Timeout), gevent.Timeout(0.05):
-        x.call(y.me, "never", b"", 5)
+        caller.call(callee.me, "never", b"", 5)
 
 
-def test_a_frame_that_comes_twice_on_a_connection_is_handled_once(two):
-    x, y = two
-    got = kept_bodies(y)
+def test_a_duplicate_frame_on_a_connection_is_handled_once(transports):
+    caller, callee = transports
+    received = record_bodies(callee)
     first, second = TransportFrame("offer", 1, False, b"a"), TransportFrame("offer", 2, False, b"b")
-    with socket.create_connection(y.me.pair, timeout=5) as s:
-        s.sendall(
-            encode_hello(Hello(PROTOCOL_VERSION, "f", x.me))
+    with socket.create_connection(callee.me.pair, timeout=5) as sock:
+        sock.sendall(
+            encode_hello(Hello(PROTOCOL_VERSION, "f", caller.me))
             + FrameEncoder().encode([first, first, second, first, TransportFrame("offer", 3, True, b"c")])
         )
-        data, cutter, answers = b"", FrameDecoder("f", hello_received=True), []
-        while len(answers) < 2:
-            data = s.recv(65536)
-            answers += cutter.feed(data).unwrap()
-    assert got == [b"a", b"b"] and [a.id for a in answers] == [1, 2]
-    assert y.counts.get("transport_doubled") == 2 and y.counts.get("transport_stray") == 1
+        data, decoder, responses = b"", FrameDecoder("f", hello_received=True), []
+        while len(responses) < 2:
+            data = sock.recv(65536)
+            responses += decoder.feed(data).unwrap()
+    assert received == [b"a", b"b"] and [response.id for response in responses] == [1, 2]
+    assert callee.counts.get("transport_doubled") == 2 and callee.counts.get("transport_stray") == 1
 
 
-def test_a_call_whose_connection_ends_is_told_so_and_never_sent_again(two):
-    x, _ = two
-    got, accepted = [], []
+def test_a_call_fails_when_its_connection_ends_and_is_never_sent_again(transports):
+    caller, _ = transports
+    messages, accepted = [], []
 
-    def take_one_and_leave(sock, _):
-        cutter = FrameDecoder("f")
+    def read_one_call_and_close(sock, _):
+        decoder = FrameDecoder("f")
         accepted.append(sock)
         with sock:
-            while not any(isinstance(m, TransportFrame) for m in got[-1:]):
-                got.extend(cutter.feed(sock.recv(65536)).unwrap())
+            while not any(isinstance(message, TransportFrame) for message in messages[-1:]):
+                messages.extend(decoder.feed(sock.recv(65536)).unwrap())
 
-    server = StreamServer(("127.0.0.1", 0), take_one_and_leave)
+    server = StreamServer(("127.0.0.1", 0), read_one_call_and_close)
     server.start()
-    there = Address("127.0.0.1", server.server_port)
-    why = x.call(there, "offer", b"once", 5).err_value
-    assert why is CallFailure.CLOSED and why.may_have_run
-    got.append(None)
-    assert x.call(there, "offer", b"next", 5).err_value is CallFailure.CLOSED
+    address = Address("127.0.0.1", server.server_port)
+    failure = caller.call(address, "offer", b"once", 5).err_value
+    assert failure is CallFailure.CLOSED and failure.may_have_run
+    messages.append(None)
+    assert caller.call(address, "offer", b"next", 5).err_value is CallFailure.CLOSED
     server.stop()
-    assert [m.body for m in got if isinstance(m, TransportFrame)] == [b"once", b"next"] and len(accepted) == 2
+    assert [message.body for message in messages if isinstance(message, TransportFrame)] == [b"once", b"next"]
+    assert len(accepted) == 2
