--- a/mallowvalve/membership/detector.py
+++ b/mallowvalve/membership/detector.py
@@ -45,7 +45,7 @@
 FAILURE_NOTICE_INTERVAL_S = 1.0
 """The interval between two rounds of notifying failed members of their state."""
 FAILURE_NOTICES = 8
-"""The maximum number of failed members notified in a round; also how many members notify one that was declared."""
+"""The maximum number of failed members notified in a round; also how many notify one member, on average."""
 CONTACTS_PER_PERIOD = 16
 """How many members of the whole group contact a failed member in a period, on average."""
 CONTACTED_MEMBERS_MAX = 8
@@ -276,7 +276,7 @@
         self._disseminate([failed], failed.addr)
 
     def _request_join(self, now: float) -> None:
-        """Requests records until all seeds are alive here and a peer's digest agrees, or the join limit is over."""
+        """Requests records until all seeds are alive here and a peer's digest agrees, for at most `JOIN_MAX_S`."""
         absent = self._absent_seeds()
         if now > self._started_at + JOIN_MAX_S or self._synced and not absent or not self.seeds and not self._view.live:
             self._join_at = None
@@ -395,5 +395,5 @@
 
 
 def initial_record(addr: Address, boot: int, role: str, name: str, locality: Locality, web: Address) -> MemberRecord:
-    """The record of a process that has just started; `boot` is a random number."""
+    """Returns the record of a process that has just started; `boot` is a random number."""
     return MemberRecord(addr, boot, 0, ALIVE, role, name, locality, web, False)
