--- a/mallowvalve/membership/members.py
+++ b/mallowvalve/membership/members.py
@@ -1,4 +1,4 @@
-"""What others ask of the membership: who is there, who has gone, whose silence is doubted."""
+"""The membership as other components see it: which members are alive, which have departed, and which are suspected."""
 
 from __future__ import annotations
 
@@ -6,67 +6,70 @@
 
 import msgspec
 
-from mallowvalve.membership.closing import Outlook
-from mallowvalve.membership.wire import ALIVE, LEAVING, LEFT, Record
+from mallowvalve.membership.drain import DrainConditions
+from mallowvalve.membership.wire import ALIVE, LEAVING, LEFT, MemberRecord
 
-RETURN_S = 5.0
-"""Seconds within which a member that left in order is expected back: its platform starts it again."""
+RETURN_WINDOW_S = 5.0
+"""How long a member that left in order is expected back: its platform starts it again."""
 
 
-class Gone(msgspec.Struct, frozen=True):
-    """A member that failed or left, and for how long it has been held so (s)."""
+class DepartedMember(msgspec.Struct, frozen=True):
+    """A member that failed or left, and the time since this member recorded that (s)."""
 
-    record: Record
-    ago: float
+    record: MemberRecord
+    departed_for_s: float
 
-    def returns(self) -> bool:
-        """Whether it left in order so lately that its next process is expected."""
-        return self.record.state == LEFT and self.ago < RETURN_S
+    def is_expected_back(self) -> bool:
+        """Returns whether the member left in order so recently that its next process is expected."""
+        return self.record.state == LEFT and self.departed_for_s < RETURN_WINDOW_S
 
 
-class Members(Protocol):
-    """The others as one member sees them."""
+class ClusterMembership(Protocol):
+    """The other members of the cluster, as one member sees them."""
 
-    def alive(self, role: str | None = None) -> list[Record]:
-        """Those that are alive or leaving, of one role or of any; not to be changed by the caller."""
+    def alive(self, role: str | None = None) -> list[MemberRecord]:
+        """Returns the alive and leaving members of a role, or of all roles; the caller must not modify the list."""
 
-    def gone(self, role: str) -> list[Gone]:
-        """Those of a role that failed or left and are not forgotten."""
+    def departed(self, role: str) -> list[DepartedMember]:
+        """Returns the members of a role that failed or left and are not yet forgotten."""
 
     def settled(self) -> bool:
-        """Whether this member has had time to meet the others; until then it may know a few only."""
+        """Returns whether this member has had time to discover the others; before that it may know only a few."""
 
-    def known_for(self, member: Record) -> float:
-        """For how long (s) the present life of a member has been known here."""
+    def known_for(self, member: MemberRecord) -> float:
+        """Returns for how long (s) this member has known the current process of another."""
 
-    def check(self, member: Record) -> None:
-        """Ping a member beside the periods, a few times a second at most however often this is called."""
+    def probe(self, member: MemberRecord) -> None:
+        """Pings a member outside the protocol periods, at most a few times a second however often it is called."""
 
-    def doubts(self, member: Record) -> bool:
-        """Whether the last pings of `check` have all been unanswered."""
+    def suspects(self, member: MemberRecord) -> bool:
+        """Returns whether the last pings of `probe` are all unanswered."""
 
 
-def accepts(record: Record) -> bool:
-    """Whether a member takes new work: it is ready, also while it leaves, until it says otherwise."""
+def accepts(record: MemberRecord) -> bool:
+    """Returns whether a member takes new work: it is ready, even while leaving, until it announces otherwise."""
     return record.ready and record.state in (ALIVE, LEAVING)
 
 
-def outlook(me: Record, others: Members) -> Outlook:
-    """What a leaving member has to know of its region before it stops accepting.
+def drain_conditions(me: MemberRecord, others: ClusterMembership) -> DrainConditions:
+    """Returns the conditions in its region under which a leaving member stops accepting.
 
-    It must stay where nobody else of its role and region accepts and one is on its way back. By the membership alone: a
-    view that is out of date costs a gap, or a stop that uses more of its grace, never an answer.
+    The member must keep accepting if no other member of its role and region accepts and one is expected back. The
+    decision uses the membership only: a view that is out of date costs a gap, or a stop that uses more of its grace
+    period, never an answer.
     """
     neighbours = [record for record in others.alive(me.role) if is_neighbour(record, me)]
     accepting = [record for record in neighbours if accepts(record)]
     if any(record.state == ALIVE for record in accepting):
-        return Outlook(must_stay=False, before=0)
+        return DrainConditions(must_stay=False, leavers_ahead=0)
     if accepting:
-        return Outlook(must_stay=False, before=sum(record.addr < me.addr for record in accepting))
-    gone = [one for one in others.gone(me.role) if is_neighbour(one.record, me)]
-    return Outlook(must_stay=bool(neighbours) or any(one.returns() for one in gone), before=0)
+        return DrainConditions(must_stay=False, leavers_ahead=sum(record.addr < me.addr for record in accepting))
+    departed = [member for member in others.departed(me.role) if is_neighbour(member.record, me)]
+    return DrainConditions(
+        must_stay=bool(neighbours) or any(member.is_expected_back() for member in departed), leavers_ahead=0
+    )
 
 
-def is_neighbour(record: Record, me: Record) -> bool:
-    """Whether a record is that of another member of the same region."""
+def is_neighbour(record: MemberRecord, me: MemberRecord) -> bool:
+    """Returns whether a record is that of another member of the same region."""
     return record.addr != me.addr and record.locality.region == me.locality.region
