--- a/mallowvalve/configuration/items.py
+++ b/mallowvalve/configuration/items.py
@@ -15,7 +15,7 @@
 from mallowvalve.finding import Finding, Findings
 
 
-class Part(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """One service of a split route, with its share."""
 
     service: str
@@ -34,7 +34,7 @@
     aim_ms: float = 0.0
     priority: int = 0
     service: str | None = None
-    split: list[Part] = []
+    split: list[WeightedService] = []
     tries: int = 1
     homes: list[str] = []
 
@@ -82,12 +82,12 @@
     ask: str = ""
 
 
-PARTS = ("routes", "services")
-LIMITS = "limits"
-MOST_HOMES = 10000
+NAMED_KINDS = ("routes", "services")
+LIMITS_KIND = "limits"
+MAX_CACHED_HOSTS = 10000
 """Hosts whose homes are remembered; clients may ask for any name."""
 
-SHOWN_BYTES = 2000
+CONFLICT_EXCERPT_BYTES = 2000
 """How much of the item that holds a conflict shows."""
 
 
@@ -115,12 +115,12 @@
 
         `revision` becomes the items' own where anything changes.
         """
-        turn = self.judge(c)
-        if not turn.found and not turn.clashes:
-            self.take(turn, revision)
-        return turn.found or turn.clashes
+        turn = self.evaluate(c)
+        if not turn.found and not turn.conflicts:
+            self.apply_evaluation(turn, revision)
+        return turn.found or turn.conflicts
 
-    def take(self, turn: Turn, revision: int) -> None:
+    def apply_evaluation(self, turn: Evaluation, revision: int) -> None:
         """Takes in a call that was judged here and had no finding."""
         for i in turn.items:
             self._put(i, turn.docs.get((i.kind, i.name)))
@@ -128,10 +128,10 @@
 
     def check(self, c: Amend) -> Findings:
         """What would keep the call from being taken as things stand; nothing is changed."""
-        turn = self.judge(c)
-        return turn.found or turn.clashes
+        turn = self.evaluate(c)
+        return turn.found or turn.conflicts
 
-    def news(self, c: Amend) -> bool:
+    def has_newer(self, c: Amend) -> bool:
         """Whether the call holds anything newer than what is known."""
         return any((had := self.rows.get((i.kind, i.name))) is None or i.version > had.version for i in c.items)
 
@@ -139,7 +139,7 @@
         """The route of the host whose prefix begins the path and is the longest."""
         by = self.hosts.get(host)
         if by is None:
-            host = plain_host(host)
+            host = normalize_host(host)
             by = self.hosts.get(host)
             if by is None:
                 return None
@@ -153,31 +153,31 @@
 
     def homes(self, host: str) -> frozenset[str] | None:
         """The regions that are homes of all routes of a host that have any; None where none has, or none is known."""
-        host = plain_host(host)
+        host = normalize_host(host)
         if host not in self._homes:
             bound = [frozenset(route.homes) for route in self.hosts.get(host, {}).values() if route.homes]
-            if len(self._homes) >= MOST_HOMES:
+            if len(self._homes) >= MAX_CACHED_HOSTS:
                 self._homes.clear()
             self._homes[host] = frozenset.intersection(*bound) if bound else None
         return self._homes[host]
 
-    def standing(self, kind: str) -> list[msgspec.Raw]:
+    def current_documents(self, kind: str) -> list[msgspec.Raw]:
         """The items of a kind as they were sent, by name."""
         return [msgspec.Raw(i.doc) for k, i in sorted(self.rows.items()) if k[0] == kind and i.doc is not None]
 
     def kinds(self) -> list[str]:
         """The kinds that hold something, those the product uses first."""
         held = {k for (k, _), i in self.rows.items() if i.doc is not None}
-        return [*KINDS, *sorted(held - KINDS.keys())]
+        return [*DOCUMENT_TYPES, *sorted(held - DOCUMENT_TYPES.keys())]
 
-    def adopt(self, rows: list[Item]) -> None:
+    def load_rows(self, rows: list[Item]) -> None:
         """Takes in rows of a snapshot as they are."""
         for i in rows:
-            self._put(i, decode(i).ok() if i.doc is not None and i.kind in KINDS else None)
+            self._put(i, decode(i).ok() if i.doc is not None and i.kind in DOCUMENT_TYPES else None)
 
-    def _put(self, i: Item, doc: Doc | None) -> None:
+    def _put(self, i: Item, doc: ItemDocument | None) -> None:
         self.rows[i.kind, i.name] = i
-        if i.kind == LIMITS:
+        if i.kind == LIMITS_KIND:
             self.limits = doc if isinstance(doc, Limits) else Limits(version=i.version)
         elif i.kind == "routes":
             self._route(i.name, doc if isinstance(doc, HostRoute) else None)
@@ -189,7 +189,7 @@
     def _route(self, name: str, r: HostRoute | None) -> None:
         old = self.routes.pop(name, None)
         if old is not None:
-            host = plain_host(old.host)
+            host = normalize_host(old.host)
             self._homes.pop(host, None)
             by = self.hosts[host]
             if by.get(old.prefix) is old:
@@ -198,24 +198,24 @@
                 del self.hosts[host], self._deep[host]
         if r is None:
             return
-        host = plain_host(r.host)
+        host = normalize_host(r.host)
         self._homes.pop(host, None)
         self.routes[name] = r
         self.hosts.setdefault(host, {})[r.prefix] = r
         self._deep[host] = max(self._deep.get(host, 0), len(r.prefix))
 
-    def judge(self, c: Amend) -> Turn:
+    def evaluate(self, c: Amend) -> Evaluation:
         """What would come of the call as things stand; nothing is changed."""
-        found = twice(c.items)
-        clashes: Findings = []
-        docs: dict[tuple[str, str], Doc] = {}
+        found = contradictory_items(c.items)
+        conflicts: Findings = []
+        docs: dict[tuple[str, str], ItemDocument] = {}
         newest: dict[tuple[str, str], Item] = {}
         given = {i.name for i in c.items if i.kind == "services"}
         for i in c.items:
             key = i.kind, i.name
             held = self.rows.get(key)
             if held is not None and held.version == i.version and not same_content(i, held):
-                clashes.append(clash(held))
+                conflicts.append(version_conflict(held))
                 continue
             had = newest.get(key) or held
             if had is None or i.version > had.version:
@@ -223,7 +223,7 @@
                 docs.pop(key, None)
             elif i.kind != "routes" or i.doc is None:
                 continue
-            if i.doc is None or i.kind not in KINDS:
+            if i.doc is None or i.kind not in DOCUMENT_TYPES:
                 continue
             doc = decode(i)
             if isinstance(doc, Err):
@@ -234,7 +234,7 @@
                 found += self._strange(doc.ok_value, given)
         if not found:
             found = self._whole(newest, docs)
-        return Turn(list(newest.values()), docs, found, sorted(set(clashes)))
+        return Evaluation(list(newest.values()), docs, found, sorted(set(conflicts)))
 
     def _strange(self, r: HostRoute, given: set[str]) -> Findings:
         """An overtaken route changes nothing, but one whose service never was could not have stood at any time."""
@@ -244,7 +244,7 @@
             if s not in given and ("services", s) not in self.rows
         ]
 
-    def _whole(self, newest: dict[tuple[str, str], Item], docs: dict[tuple[str, str], Doc]) -> Findings:
+    def _whole(self, newest: dict[tuple[str, str], Item], docs: dict[tuple[str, str], ItemDocument]) -> Findings:
         """Judges what would stand after the call."""
         found: Findings = []
         gone = {n for (k, n), i in newest.items() if k == "services" and i.doc is None and n in self.services}
@@ -257,7 +257,7 @@
             for s in services_of(r):
                 if s in gone or s not in given and s not in self.services:
                     found.append(Finding(f"routes.{n}.service", f"no service {s!r}"))
-            at = plain_host(r.host), r.prefix
+            at = normalize_host(r.host), r.prefix
             other = self.hosts.get(at[0], {}).get(r.prefix)
             standing = repr(other.name) if other is not None and other.name not in moved else None
             owner = places.get(at) or standing
@@ -270,24 +270,24 @@
         return sorted(set(found))
 
 
-class Turn(msgspec.Struct):
+class Evaluation(msgspec.Struct):
     """A call judged: `found` is what could never stand, `clashes` names versions that hold something else already."""
 
     items: list[Item]
     docs: dict[tuple[str, str], HostRoute | ServiceItem | Limits]
     found: Findings
-    clashes: Findings
+    conflicts: Findings
 
 
-Doc = HostRoute | ServiceItem | Limits
-KINDS: dict[str, type[Doc]] = {"routes": HostRoute, "services": ServiceItem, LIMITS: Limits}
-DOCS = {k: msgspec.json.Decoder(t).decode for k, t in KINDS.items()}
+ItemDocument = HostRoute | ServiceItem | Limits
+DOCUMENT_TYPES: dict[str, type[ItemDocument]] = {"routes": HostRoute, "services": ServiceItem, LIMITS_KIND: Limits}
+DOCUMENT_DECODERS = {k: msgspec.json.Decoder(t).decode for k, t in DOCUMENT_TYPES.items()}
 
 
-def decode(i: Item) -> Result[Doc, Findings]:
+def decode(i: Item) -> Result[ItemDocument, Findings]:
     """The item's document as a checked struct, or what is wrong with it."""
     try:
-        return Ok(DOCS[i.kind](i.doc or b""))
+        return Ok(DOCUMENT_DECODERS[i.kind](i.doc or b""))
     except (msgspec.DecodeError, RecursionError, KeyError) as e:
         return Err([Finding(f"{i.kind}.{i.name}", f"not understood: {e}")])
 
@@ -296,7 +296,7 @@
     """Whether two items say the same: decoded, with the defaults filled in; a JSON value in a kind that is not used."""
     if a.doc == b.doc or a.doc is None or b.doc is None:
         return a.doc == b.doc
-    if a.kind not in KINDS:
+    if a.kind not in DOCUMENT_TYPES:
         return same_json(a.doc, b.doc)
     return decode(a) == decode(b)
 
@@ -306,13 +306,13 @@
     return ".".join(part for part in (i.kind, i.name, "version") if part)
 
 
-def clash(held: Item) -> Finding:
+def version_conflict(held: Item) -> Finding:
     """What holds under a version that something else was sent for."""
-    text = "a drop" if held.doc is None else held.doc[:SHOWN_BYTES].decode(errors="replace")
+    text = "a drop" if held.doc is None else held.doc[:CONFLICT_EXCERPT_BYTES].decode(errors="replace")
     return Finding(version_place(held), f"{held.version} holds already, with other content: {text}")
 
 
-def twice(items: list[Item]) -> Findings:
+def contradictory_items(items: list[Item]) -> Findings:
     """Items that one call gives two contents under one version."""
     first: dict[tuple[str, str, int], Item] = {}
     found = {
@@ -324,7 +324,7 @@
 
 
 @lru_cache(4096)
-def plain_host(host: str) -> str:
+def normalize_host(host: str) -> str:
     """A host as it is compared: lower case, without a port and a last dot."""
     name, sep, port = host.rpartition(":")
     return (name if sep and port.isdigit() else host).rstrip(".").lower()
--- a/mallowvalve/configuration/model.py
+++ b/mallowvalve/configuration/model.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from mallowvalve.routing.compiler import Match, Policy, Request
+from mallowvalve.routing.compiler import Match, Policy, RouteRequest
 
 
 class Service(msgspec.Struct, frozen=True):
@@ -48,7 +48,7 @@
     policy: str = ""
 
 
-class Doc(msgspec.Struct, frozen=True):
+class Document(msgspec.Struct, frozen=True):
     """The whole document."""
 
     services: dict[str, Service] = {}
@@ -72,11 +72,11 @@
 class Tree(msgspec.Struct, frozen=True):
     """A checked document: `cell_of` by tenant, `plans` by cell in the order in which they are tried."""
 
-    doc: Doc
+    doc: Document
     cell_of: dict[str, str]
     plans: dict[str, list[Plan]]
 
-    def choose(self, tenant: str, req: Request) -> Plan | None:
+    def choose(self, tenant: str, req: RouteRequest) -> Plan | None:
         """The first route of the tenant's cell that matches the request; KeyError for an unknown tenant."""
         for p in self.plans.get(self.cell_of[tenant], []):
             if p.match(req):
--- a/mallowvalve/configuration/same.py
+++ b/mallowvalve/configuration/same.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-_value = msgspec.json.Decoder().decode
+_decode = msgspec.json.Decoder().decode
 
 
 def same_json(a: bytes, b: bytes) -> bool:
@@ -13,7 +13,7 @@
     Texts that cannot be decoded are compared as bytes.
     """
     try:
-        pairs = [(_value(a), _value(b))]
+        pairs = [(_decode(a), _decode(b))]
     except (msgspec.DecodeError, RecursionError):
         return a == b
     while pairs:
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -349,7 +349,7 @@
         return p.waits == "held" or self.replicas.in_force(p.outcome.revision, now)
 
     def _housekeep(self, now: float) -> None:
-        if now - self._ticked > 1.0 and self.state.coordination.restless():
+        if now - self._ticked > 1.0 and self.state.coordination.has_leases():
             self._ticked = now
             self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
         if now - self._grown < reconfiguration.LOOK:
--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -12,7 +12,7 @@
 from mallowvalve.control.replica_task import ATTEMPT
 from mallowvalve.control.state import encode
 from mallowvalve.control.wire import Took
-from mallowvalve.coordination.state import Lock, Next, Put, Renew, Said, SaidCode, Unlock
+from mallowvalve.coordination.state import KeyedResult, KeyedResultCode, Lock, Next, Put, Renew, Unlock
 from mallowvalve.finding import Finding
 
 LIMIT = 3.0
@@ -21,13 +21,13 @@
 HOLDER_MOST = 200
 HOLD_LEAST_MS, HOLD_MOST_MS = 100, 600_000
 STATUS = {
-    SaidCode.OK: 200,
-    SaidCode.HELD: 409,
-    SaidCode.CONFLICT: 409,
-    SaidCode.LOST: 410,
-    SaidCode.MISSING: 404,
+    KeyedResultCode.OK: 200,
+    KeyedResultCode.HELD: 409,
+    KeyedResultCode.CONFLICT: 409,
+    KeyedResultCode.LOST: 410,
+    KeyedResultCode.MISSING: 404,
 }
-_said = msgspec.msgpack.Decoder(Said).decode
+_said = msgspec.msgpack.Decoder(KeyedResult).decode
 
 
 class CoordinationDoc(msgspec.Struct):
@@ -52,7 +52,7 @@
             return self.reject(req, resp, t)
         s = _said(t.body)
         body = {"code": s.code, "revision": t.revision}
-        if s.code is SaidCode.HELD:
+        if s.code is KeyedResultCode.HELD:
             body |= {"holder": s.holder, "retry_ms": s.number}
             resp.set_header("Retry-After", str(max(1, s.number // 1000)))
         else:
@@ -138,7 +138,7 @@
             st = self.task.core.state
             if st is None:
                 return self.reject(req, resp, Took(Code.LEADER))
-            events = st.coordination.since(since, prefix)
+            events = st.coordination.events_since(since, prefix)
             if events is None:
                 found = [Finding("since", f"compacted up to {st.coordination.compacted}")]
                 return web.reject(resp, 410, web.NOT_RUN, found)
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -6,8 +6,8 @@
 import msgspec
 
 from mallowvalve import web
-from mallowvalve.configuration.item_request import read
-from mallowvalve.configuration.items import LIMITS, Amend, Items
+from mallowvalve.configuration.item_request import parse_amend
+from mallowvalve.configuration.items import LIMITS_KIND, Amend, Items
 from mallowvalve.control import page_offer
 from mallowvalve.control.api import ATTEMPT, LIMIT, Api
 from mallowvalve.control.outcome import Code
@@ -26,10 +26,10 @@
 
 def _refusal(items: Items, c: Amend) -> tuple[int, Findings] | None:
     """The status and findings of a call that these items refuse."""
-    turn = items.judge(c)
+    turn = items.evaluate(c)
     if turn.found:
         return 400, turn.found
-    return (409, turn.clashes) if turn.clashes else None
+    return (409, turn.conflicts) if turn.conflicts else None
 
 
 class ItemApi(Api):
@@ -60,8 +60,8 @@
         web.say(resp, {kind: self._laid_out(items, kind) for kind in items.kinds()})
 
     def _laid_out(self, items: Items, kind: str):
-        held = items.standing(kind)
-        alone = kind == LIMITS or (kind, "") in items.rows
+        held = items.current_documents(kind)
+        alone = kind == LIMITS_KIND or (kind, "") in items.rows
         return held if not alone else held[0] if held else {}
 
     def on_patch(self, req, resp) -> None:
@@ -69,7 +69,7 @@
         body = web.body_of(req, CALL_BYTES)
         if body is None:
             return web.turn_away(req, resp, 413, [Finding("body", f"larger than {CALL_BYTES} bytes")])
-        r = read(body)
+        r = parse_amend(body)
         if r.is_err():
             return web.turn_away(req, resp, 400, r.err_value)
         c, s = r.ok_value, self.task.core.state
@@ -79,7 +79,7 @@
             refusal = _refusal(self.task.core.state.items, c)
             if refusal is not None:
                 return web.turn_away(req, resp, *refusal)
-        elif s is not None and not s.items.news(c):
+        elif s is not None and not s.items.has_newer(c):
             c = Amend([])
         self.offer(req, resp, c)
 
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -80,7 +80,7 @@
             return
         digest = hashlib.blake2b(encode([d.base, msgspec.json.encode(d.patch)]), digest_size=16).hexdigest()
         c = Change(d.base, b"", key, digest)
-        if self.task.core.state.asks.look(key_of(c), digest) is not None:
+        if self.task.core.state.asks.find(key_of(c), digest) is not None:
             return self.offer(req, resp, c)
         if d.base != s.doc_revision:
             return self.reject(req, resp, Took(Code.CONFLICT, s.doc_revision))
--- a/mallowvalve/control/http_plain.py
+++ b/mallowvalve/control/http_plain.py
@@ -13,7 +13,18 @@
 from mallowvalve.control.state import State, encode
 from mallowvalve.control.task import ControlTask
 from mallowvalve.control.wire import Took
-from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Put, Take, Word, WordCode, Write, group_of
+from mallowvalve.coordination.plain import (
+    Count,
+    Extend,
+    Free,
+    KeyRevision,
+    PlainCoordination,
+    PlainResult,
+    PlainResultCode,
+    Take,
+    Write,
+    group_of,
+)
 from mallowvalve.finding import Finding, Findings
 
 LIMIT, ATTEMPT = 0.85, 0.6
@@ -22,7 +33,7 @@
 NAME_MOST, VALUE_MOST, HOLD_MOST = 200, 64 << 10, 600_000
 BODY_MOST = 8 * VALUE_MOST
 NUMBER_MOST = 1 << 62
-_word = msgspec.msgpack.Decoder(Word).decode
+_word = msgspec.msgpack.Decoder(PlainResult).decode
 
 
 class TakeDoc(msgspec.Struct):
@@ -91,14 +102,14 @@
         found = check(name, d)
         return web.reject(resp, 400, web.NOT_RUN, found) if found else d
 
-    def run(self, req, resp, c: Take | Extend | Free | Count | Write) -> Word | None:
+    def run(self, req, resp, c: Take | Extend | Free | Count | Write) -> PlainResult | None:
         """What was said to the command, or None once the trouble was answered; may offer it more than once."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
         t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
         return _word(t.body) if t.code == Code.OK else self.reject(resp, t)
 
-    def confirm(self, req, resp) -> Plain | None:
+    def confirm(self, req, resp) -> PlainCoordination | None:
         """The state with all that was acknowledged before this call, or None once the trouble was answered."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
@@ -144,8 +155,8 @@
         if w is not None:
             self._say(resp, w, {})
 
-    def _say(self, resp, w: Word, body: dict) -> None:
-        web.say(resp, body) if w.code is WordCode.OK else web.say(resp, {"code": w.code}, 409)
+    def _say(self, resp, w: PlainResult, body: dict) -> None:
+        web.say(resp, body) if w.code is PlainResultCode.OK else web.say(resp, {"code": w.code}, 409)
 
 
 class Numbers(Page):
@@ -172,7 +183,7 @@
         plain = self.confirm(req, resp)
         if plain is None:
             return
-        had = plain.cells.get(name)
+        had = plain.keys.get(name)
         if had is None:
             return web.say(resp, {"revision": 0}, 404)
         web.say(resp, {"value": had[0], "revision": had[1]})
@@ -182,7 +193,7 @@
         d = self.read_as(WriteDoc, req, resp, name)
         w = self.run(req, resp, Write(name, d.value, d.base)) if d is not None else None
         if w is not None:
-            web.say(resp, {"revision": w.number}, 200 if w.code is WordCode.OK else 412)
+            web.say(resp, {"revision": w.number}, 200 if w.code is PlainResultCode.OK else 412)
 
 
 class Bell:
@@ -211,7 +222,7 @@
         seen = None
         while self._waits:
             s = self._task.core.state
-            now = (s, s.plain.writes) if s is not None else None
+            now = (s, s.plain.write_count) if s is not None else None
             if now is None or self._task.node.stopping.is_set():
                 self._ring(lambda group, after: True)
             elif now != seen:
@@ -250,29 +261,31 @@
             return web.say(resp, {"events": [], "revision": plain.revision(name)})
         self._watch(req, resp, plain, name, after, end)
 
-    def _plain(self, req, resp, after: int) -> Plain | None:
+    def _plain(self, req, resp, after: int) -> PlainCoordination | None:
         """What is known here, unless it may lag behind what was acknowledged: then a quorum is asked first."""
         s: State | None = self.task.core.state
         if s is not None and after and self.task.core.current(clock.now()):
             return s.plain
         return self.confirm(req, resp)
 
-    def _sure(self, req, resp, plain: Plain, group: str, after: int, over: bool) -> Plain | None:
+    def _sure(
+        self, req, resp, plain: PlainCoordination, group: str, after: int, over: bool
+    ) -> PlainCoordination | None:
         """What is known here; where that is no news and some may be missing, a quorum is asked first.
 
         A watcher who waits is told of a machine cut off once heartbeats are refused there too.
         """
-        got, now = plain.since(group, after), clock.now()
+        got, now = plain.events_since(group, after), clock.now()
         lags = not (self.task.core.current(now) if over else self.task.core.holds(Answer.HEARTBEAT, now))
         return self.confirm(req, resp) if got is not None and not got[0] and lags else plain
 
-    def _watch(self, req, resp, plain: Plain, group: str, after: int, end: float) -> None:
+    def _watch(self, req, resp, plain: PlainCoordination, group: str, after: int, end: float) -> None:
         while True:
             over = clock.now() >= end or self.task.node.stopping.is_set()
             plain = self._sure(req, resp, plain, group, after, over)
             if plain is None:
                 return
-            got = plain.since(group, after)
+            got = plain.events_since(group, after)
             if got is None:
                 return web.say(resp, {"code": "compacted"}, 410)
             if got[0] or over:
@@ -288,7 +301,7 @@
             plain = s.plain
 
 
-def event(p: Put) -> dict:
+def event(p: KeyRevision) -> dict:
     """A put as watchers are told of it."""
     return {"name": p.name, "value": p.value, "revision": p.revision}
 
--- a/mallowvalve/control/replica.py
+++ b/mallowvalve/control/replica.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Ok, Result
 
-from mallowvalve.configuration.build import EMPTY, build
+from mallowvalve.configuration.build import EMPTY_TREE, build
 from mallowvalve.configuration.model import Tree
 from mallowvalve.control.snapshot import cut, cut_settings
 from mallowvalve.control.snapshot_transfer import Label, label
@@ -71,7 +71,7 @@
         self._sure = self._led = -1e9
         self._answers: dict[float, set[Address]] = {}
         self._on_settings = on_settings
-        self.tree: Tree = EMPTY
+        self.tree: Tree = EMPTY_TREE
         self.understood = True
         self._doc: bytes | None = None
         self._seen: tuple = ()
--- a/mallowvalve/control/snapshot.py
+++ b/mallowvalve/control/snapshot.py
@@ -14,9 +14,9 @@
 from mallowvalve.control.sessions import Kept
 from mallowvalve.control.state import Settings, State, encode
 from mallowvalve.coordination import plain
-from mallowvalve.coordination.state import Event, Held
-from mallowvalve.ledger.asks import Asked
-from mallowvalve.ledger.ledger import Row
+from mallowvalve.coordination.state import KeyedLease, KeyEvent
+from mallowvalve.ledger.asks import RecordedOutcome
+from mallowvalve.ledger.ledger import ClaimRecord
 from mallowvalve.raft.messages import Group, Snapshot, Voters
 from mallowvalve.upstreams.registry import Upstream
 
@@ -31,7 +31,7 @@
     index: int
     clock: int
     settings: Settings
-    locks: dict[str, Held]
+    locks: dict[str, KeyedLease]
     numbers: dict[str, int]
     compacted: int
     items_revision: int = 0
@@ -46,11 +46,11 @@
     k: msgspec.msgpack.Decoder(t).decode
     for k, t in {
         HEAD: Head,
-        ROWS: list[tuple[str, Row]],
+        ROWS: list[tuple[str, ClaimRecord]],
         KEPT: list[str],
-        ASKS: list[tuple[str, Asked]],
+        ASKS: list[tuple[str, RecordedOutcome]],
         KEYS: list[tuple[str, tuple[str, int]]],
-        EVENTS: list[Event],
+        EVENTS: list[KeyEvent],
         ITEMS: list[Item],
         REGISTRY: list[tuple[str, Upstream]],
         PLAIN: plain.PlainSnapshot,
@@ -76,7 +76,9 @@
         s.sessions.times,
     )
     coordination = s.plain.snapshot()
-    return chain(_begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.parts(coordination, SLICE, PIECE)))
+    return chain(
+        _begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.split_snapshot(coordination, SLICE, PIECE))
+    )
 
 
 def cut_settings(s: State) -> Iterator[bytes]:
@@ -99,7 +101,7 @@
 def _rest(s: State) -> Iterator[bytes]:
     parts = (
         (ROWS, s.ledger.rows.copy().items()),
-        (KEPT, s.ledger.kept.copy()),
+        (KEPT, s.ledger.body_sizes.copy()),
         (ASKS, s.asks.rows.copy().items()),
         (KEYS, s.coordination.keys.copy().items()),
         (EVENTS, s.coordination.events.copy()),
@@ -182,16 +184,16 @@
         elif kind == EVENTS:
             s.coordination.events.extend(part)
         elif kind == ITEMS:
-            s.items.adopt(part)
+            s.items.load_rows(part)
         elif kind == REGISTRY:
             s.registry.rows.update(part)
         elif kind == PLAIN:
-            s.plain.adopt(part)
+            s.plain.load_snapshot(part)
         elif kind == SETTINGS_SESSIONS:
             s.settings_sessions.adopt_rows(part)
         elif kind == SESSIONS:
             s.sessions.adopt_rows(part)
-        elif not s.ledger.keep_again(part):
+        elif not s.ledger.restore_body_sizes(part):
             return Err("a kept answer without its row")
         return Ok(None)
 
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -10,10 +10,19 @@
 from mallowvalve.configuration.items import Amend, Items
 from mallowvalve.control.outcome import Code, Outcome
 from mallowvalve.control.sessions import Sessions, body_at, encode_clock, unseal
-from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Take, Write
-from mallowvalve.coordination.state import Coordination, Lock, Next, Put, Renew, Said, SaidCode, Unlock
+from mallowvalve.coordination.plain import Count, Extend, Free, PlainCoordination, Take, Write
+from mallowvalve.coordination.state import (
+    KeyedCoordination,
+    KeyedResult,
+    KeyedResultCode,
+    Lock,
+    Next,
+    Put,
+    Renew,
+    Unlock,
+)
 from mallowvalve.finding import Finding
-from mallowvalve.ledger.asks import Asked, Asks
+from mallowvalve.ledger.asks import IdempotencyTable, RecordedOutcome
 from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Ledger, Lose, Release
 from mallowvalve.types import Address, Locality, Revision
 from mallowvalve.upstreams.registry import Registered, Registry
@@ -127,7 +136,7 @@
     return hashlib.blake2b(encode(msgspec.structs.replace(c, ask="")), digest_size=16).hexdigest()
 
 
-_said = msgspec.msgpack.Decoder(Said).decode
+_said = msgspec.msgpack.Decoder(KeyedResult).decode
 
 
 def number_of(o: Outcome) -> int:
@@ -162,8 +171,13 @@
     def __init__(self, generation: int):
         """The empty state of a generation."""
         self.generation, self.index, self.clock = generation, 0, 0
-        self.settings, self.ledger, self.coordination, self.asks = Settings(), Ledger(), Coordination(), Asks()
-        self.items, self.registry, self.plain = Items(), Registry(), Plain()
+        self.settings, self.ledger, self.coordination, self.asks = (
+            Settings(),
+            Ledger(),
+            KeyedCoordination(),
+            IdempotencyTable(),
+        )
+        self.items, self.registry, self.plain = Items(), Registry(), PlainCoordination()
         self.sessions, self.settings_sessions = Sessions(), Sessions()
 
     @property
@@ -209,23 +223,23 @@
         key = key_of(c)
         if not key:
             return self._do(c)
-        self.asks.forget(self.clock)
+        self.asks.expire(self.clock)
         digest = digest_of(c)
-        had = self.asks.look(key, digest)
+        had = self.asks.find(key, digest)
         if had is not None:
             return self._again(c, Outcome(Code(had.code), had.revision, had.body))
         out = self._do(c)
-        self.asks.keep(key, Asked(self.clock, digest, out.code, out.revision, out.body))
+        self.asks.record(key, RecordedOutcome(self.clock, digest, out.code, out.revision, out.body))
         return out
 
     def _again(self, c: Command, said: Outcome) -> Outcome:
         if (
             said.code != Code.OK
             or not isinstance(c, Lock | Renew)
-            or self.coordination.holds(c.name, c.holder, number_of(said))
+            or self.coordination.is_held(c.name, c.holder, number_of(said))
         ):
             return said
-        return Outcome(Code.LOST, said.revision, encode(Said(SaidCode.LOST)))
+        return Outcome(Code.LOST, said.revision, encode(KeyedResult(KeyedResultCode.LOST)))
 
     def _do(self, c: Command) -> Outcome:
         match c:
@@ -248,8 +262,8 @@
             case Take() | Extend() | Free() | Count() | Write():
                 return Outcome(Code.OK, self.revision, encode(self.plain.apply(c, self.clock)))
             case Tick():
-                self.coordination.lapse(self.clock)
-                self.plain.lapse(self.clock)
+                self.coordination.expire(self.clock)
+                self.plain.expire(self.clock)
                 return Outcome(Code.OK, self.revision)
             case Claim() | Done() | Release() | Forfeit() | Lose():
                 v = self.ledger.apply(c, self.clock, self.revision)
@@ -267,12 +281,12 @@
         return Outcome(Code.OK, self.revision)
 
     def _amend(self, c: Amend) -> Outcome:
-        turn = self.items.judge(c)
+        turn = self.items.evaluate(c)
         if turn.found:
             return Outcome(Code.INVALID, self.settings.revision, encode(turn.found))
-        if turn.clashes:
-            return Outcome(Code.CONFLICT, self.settings.revision, encode(turn.clashes))
-        self.items.take(turn, self.revision)
+        if turn.conflicts:
+            return Outcome(Code.CONFLICT, self.settings.revision, encode(turn.conflicts))
+        self.items.apply_evaluation(turn, self.revision)
         if self.items.revision == self.revision:
             self.settings.revision = self.revision
         return Outcome(Code.OK, self.settings.revision)
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -14,7 +14,7 @@
 from result import Result
 
 from mallowvalve import clock
-from mallowvalve.configuration.build import EMPTY, build
+from mallowvalve.configuration.build import EMPTY_TREE, build
 from mallowvalve.configuration.model import Tree
 from mallowvalve.control import store, wire
 from mallowvalve.control.bootstrap_task import FoundTask
@@ -81,7 +81,7 @@
         self._box: Queue = Queue()
         self.stalled = False
         self._role_said = ""
-        self._tree: tuple[int, Tree] = (0, EMPTY)
+        self._tree: tuple[int, Tree] = (0, EMPTY_TREE)
         self.puller = Puller(node.transport, self.core.snapshot, self.core.base, self.core.settings)
         self._saving = False
         self._fetching = Fetching()
@@ -118,7 +118,7 @@
         """The configuration as this process has it."""
         s = self.core.state
         if s is None:
-            return EMPTY
+            return EMPTY_TREE
         if self._tree[0] != s.settings.doc_revision or self._tree[0] == 0:
             doc = msgspec.json.decode(s.settings.doc)
             self._tree = (s.settings.doc_revision, build(doc).unwrap())
--- a/mallowvalve/coordination/plain.py
+++ b/mallowvalve/coordination/plain.py
@@ -12,11 +12,11 @@
 import msgspec
 
 HISTORY_MS = 60_000
-HISTORY_MOST, HISTORY_BYTES = 100_000, 32 << 20
-SWEEP_MS = 1000
-SLACK_MS = 20
-TOKENS_MOST = 64
-SHORT = 32
+MAX_HISTORY_EVENTS, MAX_HISTORY_BYTES = 100_000, 32 << 20
+SWEEP_INTERVAL_MS = 1000
+LEASE_SLACK_MS = 20
+MAX_TOKENS_PER_LEASE = 64
+VALUE_ID_BYTES = 32
 
 
 class Take(msgspec.Struct, frozen=True, array_like=True, tag="take"):
@@ -58,7 +58,7 @@
     base: int | None = None
 
 
-class WordCode(enum.StrEnum):
+class PlainResultCode(enum.StrEnum):
     """What became of a command: `HELD` by another holder, `LOST` to its holder, in `CONFLICT` with what is there."""
 
     OK = "ok"
@@ -67,14 +67,14 @@
     CONFLICT = "conflict"
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class PlainResult(msgspec.Struct, frozen=True, array_like=True):
     """The outcome of a command; `number` is the token, the value or the revision."""
 
-    code: WordCode
+    code: PlainResultCode
     number: int = 0
 
 
-class Hold(msgspec.Struct, frozen=True, array_like=True):
+class PlainLease(msgspec.Struct, frozen=True, array_like=True):
     """A lock while it is held; `tokens` are those of the unbroken hold, the newest last; `until` in fleet ms."""
 
     holder: str
@@ -82,7 +82,7 @@
     until: int
 
 
-class Put(msgspec.Struct, frozen=True, array_like=True):
+class KeyRevision(msgspec.Struct, frozen=True, array_like=True):
     """A put that took effect; `at` is the fleet's clock (ms)."""
 
     revision: int
@@ -91,7 +91,7 @@
     value: str
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
+class WriteOutcome(msgspec.Struct, frozen=True, array_like=True):
     """What was said to a put; a refused one has revision 0."""
 
     name: str
@@ -104,18 +104,18 @@
     """The whole state, or one part of it on its way."""
 
     token: int = 0
-    locks: dict[str, Hold] = {}
+    locks: dict[str, PlainLease] = {}
     numbers: dict[str, int] = {}
-    cells: dict[str, tuple[str, int]] = {}
+    keys: dict[str, tuple[str, int]] = {}
     revisions: dict[str, int] = {}
-    history: list[Put] = []
-    kept: list[Kept] = []
+    history: list[KeyRevision] = []
+    outcomes: list[WriteOutcome] = []
 
 
-EMPTY = PlainSnapshot()
+EMPTY_SNAPSHOT = PlainSnapshot()
 
 
-class Group:
+class KeyGroup:
     """The keys that are alike up to the first dot: their revision, and their puts that are still known."""
 
     __slots__ = ("revision", "events")
@@ -123,7 +123,7 @@
     def __init__(self) -> None:
         """Nothing was put yet."""
         self.revision = 0
-        self.events: deque[Put] = deque()
+        self.events: deque[KeyRevision] = deque()
 
     @property
     def compacted(self) -> int:
@@ -137,26 +137,26 @@
     return head + dot
 
 
-def mark_of(value: str) -> str:
+def value_id_of(value: str) -> str:
     """What tells a value from others: itself, or its digest if it is long."""
-    if len(value) <= SHORT:
+    if len(value) <= VALUE_ID_BYTES:
         return value
-    return hashlib.blake2b(value.encode(), digest_size=SHORT).hexdigest()
+    return hashlib.blake2b(value.encode(), digest_size=VALUE_ID_BYTES).hexdigest()
 
 
-class Plain:
+class PlainCoordination:
     """Replicated; `clock` is the fleet clock in ms, which only rises."""
 
     __slots__ = (
         "token",
         "locks",
         "numbers",
-        "cells",
+        "keys",
         "groups",
-        "writes",
+        "write_count",
         "_history",
         "_bytes",
-        "_kept",
+        "_outcomes",
         "_said",
         "_swept",
     )
@@ -164,21 +164,21 @@
     def __init__(self) -> None:
         """Nothing is held."""
         self.token = 0
-        self.locks: dict[str, Hold] = {}
+        self.locks: dict[str, PlainLease] = {}
         self.numbers: dict[str, int] = {}
-        self.cells: dict[str, tuple[str, int]] = {}
-        self.groups: dict[str, Group] = {}
-        self.writes = 0
-        self._history: deque[Put] = deque()
+        self.keys: dict[str, tuple[str, int]] = {}
+        self.groups: dict[str, KeyGroup] = {}
+        self.write_count = 0
+        self._history: deque[KeyRevision] = deque()
         self._bytes = 0
-        self._kept: deque[Kept] = deque()
+        self._outcomes: deque[WriteOutcome] = deque()
         self._said: dict[tuple[str, str], int] = {}
         self._swept = 0
 
-    def apply(self, c: Take | Extend | Free | Count | Write, clock: int) -> Word:
+    def apply(self, c: Take | Extend | Free | Count | Write, clock: int) -> PlainResult:
         """Applies a command; the outcome depends on the state and the fleet's clock (ms) alone."""
-        if clock - self._swept >= SWEEP_MS:
-            self.lapse(clock)
+        if clock - self._swept >= SWEEP_INTERVAL_MS:
+            self.expire(clock)
         match c:
             case Take():
                 return self._take(c, clock)
@@ -188,11 +188,11 @@
                 return self._free(c, clock)
             case Count():
                 n = self.numbers[c.name] = self.numbers.get(c.name, 0) + 1
-                return Word(WordCode.OK, n)
+                return PlainResult(PlainResultCode.OK, n)
             case Write():
                 return self._write(c, clock)
 
-    def lapse(self, clock: int) -> None:
+    def expire(self, clock: int) -> None:
         """Forgets what has run out; it is no longer heeded anyway, so when this is called changes no answer."""
         self._swept = clock
         for n in [n for n, h in self.locks.items() if h.until <= clock]:
@@ -200,7 +200,7 @@
         self._trim(clock)
         self._forget(clock)
 
-    def restless(self) -> bool:
+    def has_leases(self) -> bool:
         """Whether time alone will change something."""
         return bool(self.locks)
 
@@ -209,7 +209,7 @@
         g = self.groups.get(group)
         return g.revision if g else 0
 
-    def since(self, group: str, after: int) -> tuple[list[Put], int] | None:
+    def events_since(self, group: str, after: int) -> tuple[list[KeyRevision], int] | None:
         """Puts above `after` and the group's revision, or None when the history begins later."""
         g = self.groups.get(group)
         if g is None:
@@ -218,76 +218,78 @@
             return None
         return list(islice(g.events, after - g.compacted, None)), g.revision
 
-    def _held(self, name: str, clock: int) -> Hold | None:
+    def _held(self, name: str, clock: int) -> PlainLease | None:
         h = self.locks.get(name)
         return h if h is not None and h.until > clock else None
 
-    def _take(self, c: Take, clock: int) -> Word:
+    def _take(self, c: Take, clock: int) -> PlainResult:
         h = self._held(c.name, clock)
         if h is not None and h.holder != c.holder:
-            return Word(WordCode.HELD)
+            return PlainResult(PlainResultCode.HELD)
         self.token += 1
-        until = until_of(clock, c.hold_ms)
+        until = lease_expiry_ms(clock, c.hold_ms)
         before: tuple[int, ...] = ()
         if h is not None:
             until = max(until, h.until)
-            before = h.tokens[1 - TOKENS_MOST :]
-        self.locks[c.name] = Hold(c.holder, (*before, self.token), until)
-        return Word(WordCode.OK, self.token)
+            before = h.tokens[1 - MAX_TOKENS_PER_LEASE :]
+        self.locks[c.name] = PlainLease(c.holder, (*before, self.token), until)
+        return PlainResult(PlainResultCode.OK, self.token)
 
-    def _extend(self, c: Extend, clock: int) -> Word:
+    def _extend(self, c: Extend, clock: int) -> PlainResult:
         h = self._held(c.name, clock)
         if h is None or h.holder != c.holder or c.token not in h.tokens:
-            return Word(WordCode.LOST)
-        self.locks[c.name] = Hold(h.holder, h.tokens, max(h.until, until_of(clock, c.hold_ms)))
-        return Word(WordCode.OK, c.token)
+            return PlainResult(PlainResultCode.LOST)
+        self.locks[c.name] = PlainLease(h.holder, h.tokens, max(h.until, lease_expiry_ms(clock, c.hold_ms)))
+        return PlainResult(PlainResultCode.OK, c.token)
 
-    def _free(self, c: Free, clock: int) -> Word:
+    def _free(self, c: Free, clock: int) -> PlainResult:
         h = self._held(c.name, clock)
         if h is not None and (h.holder, h.tokens[-1]) == (c.holder, c.token):
             del self.locks[c.name]
-        return Word(WordCode.OK, c.token)
+        return PlainResult(PlainResultCode.OK, c.token)
 
-    def _write(self, c: Write, clock: int) -> Word:
+    def _write(self, c: Write, clock: int) -> PlainResult:
         self._forget(clock)
-        value, revision = self.cells.get(c.name, (None, 0))
+        value, revision = self.keys.get(c.name, (None, 0))
         if value == c.value:
-            return Word(WordCode.OK, revision)
-        key = c.name, mark_of(c.value)
+            return PlainResult(PlainResultCode.OK, revision)
+        key = c.name, value_id_of(c.value)
         said = self._said.get(key)
         if said:
-            return Word(WordCode.OK, said)
+            return PlainResult(PlainResultCode.OK, said)
         if said == 0 or c.base not in (None, revision):
             self._keep(key, clock, 0)
-            return Word(WordCode.CONFLICT, revision)
-        g = self.groups.setdefault(group_of(c.name), Group())
+            return PlainResult(PlainResultCode.CONFLICT, revision)
+        g = self.groups.setdefault(group_of(c.name), KeyGroup())
         g.revision += 1
-        self.cells[c.name] = c.value, g.revision
+        self.keys[c.name] = c.value, g.revision
         self._keep(key, clock, g.revision)
-        self._record(g, Put(g.revision, clock, c.name, c.value))
+        self._record(g, KeyRevision(g.revision, clock, c.name, c.value))
         self._trim(clock)
-        return Word(WordCode.OK, g.revision)
+        return PlainResult(PlainResultCode.OK, g.revision)
 
     def _keep(self, key: tuple[str, str], clock: int, revision: int) -> None:
         if key in self._said:
             return
         self._said[key] = revision
-        self._kept.append(Kept(*key, clock, revision))
+        self._outcomes.append(WriteOutcome(*key, clock, revision))
 
     def _forget(self, clock: int) -> None:
-        while self._kept and (self._kept[0].at + HISTORY_MS < clock or len(self._kept) > HISTORY_MOST):
-            k = self._kept.popleft()
+        while self._outcomes and (
+            self._outcomes[0].at + HISTORY_MS < clock or len(self._outcomes) > MAX_HISTORY_EVENTS
+        ):
+            k = self._outcomes.popleft()
             del self._said[k.name, k.mark]
 
-    def _record(self, g: Group, p: Put) -> None:
-        self.writes += 1
+    def _record(self, g: KeyGroup, p: KeyRevision) -> None:
+        self.write_count += 1
         g.events.append(p)
         self._history.append(p)
         self._bytes += len(p.value)
 
     def _trim(self, clock: int) -> None:
         h = self._history
-        while h and (h[0].at + HISTORY_MS < clock or len(h) > HISTORY_MOST or self._bytes > HISTORY_BYTES):
+        while h and (h[0].at + HISTORY_MS < clock or len(h) > MAX_HISTORY_EVENTS or self._bytes > MAX_HISTORY_BYTES):
             p = h.popleft()
             self._bytes -= len(p.value)
             self.groups[group_of(p.name)].events.popleft()
@@ -298,43 +300,43 @@
             self.token,
             self.locks.copy(),
             self.numbers.copy(),
-            self.cells.copy(),
+            self.keys.copy(),
             {n: g.revision for n, g in self.groups.items()},
             list(self._history),
-            list(self._kept),
+            list(self._outcomes),
         )
 
-    def adopt(self, p: PlainSnapshot) -> None:
+    def load_snapshot(self, p: PlainSnapshot) -> None:
         """Takes a snapshot in, or one part after the other."""
         self.token = max(self.token, p.token)
         self.locks.update(p.locks)
         self.numbers.update(p.numbers)
-        self.cells.update(p.cells)
+        self.keys.update(p.keys)
         for n, r in p.revisions.items():
-            self.groups.setdefault(n, Group()).revision = r
+            self.groups.setdefault(n, KeyGroup()).revision = r
         for e in p.history:
-            self._record(self.groups.setdefault(group_of(e.name), Group()), e)
-        for k in p.kept:
+            self._record(self.groups.setdefault(group_of(e.name), KeyGroup()), e)
+        for k in p.outcomes:
             self._keep((k.name, k.mark), k.at, k.revision)
 
 
-def until_of(clock: int, hold_ms: float) -> int:
+def lease_expiry_ms(clock: int, hold_ms: float) -> int:
     """A little later than asked: the fleet clock counts whole ms, and no two clocks run alike."""
-    return clock + math.ceil(hold_ms) + SLACK_MS
+    return clock + math.ceil(hold_ms) + LEASE_SLACK_MS
 
 
-def parts(p: PlainSnapshot, rows: int = 2000, size: int = 1 << 20) -> Iterator[PlainSnapshot]:
+def split_snapshot(p: PlainSnapshot, rows: int = 2000, size: int = 1 << 20) -> Iterator[PlainSnapshot]:
     """A snapshot in parts of about so many rows and characters, to be adopted in this order."""
     yield PlainSnapshot(p.token)
-    for field in ("locks", "numbers", "cells", "revisions"):
-        for some in _slices(getattr(p, field).items(), rows, size):
-            yield msgspec.structs.replace(EMPTY, **{field: dict(some)})
-    for field in ("history", "kept"):
-        for some in _slices(getattr(p, field), rows, size):
-            yield msgspec.structs.replace(EMPTY, **{field: some})
+    for field in ("locks", "numbers", "keys", "revisions"):
+        for some in _batches(getattr(p, field).items(), rows, size):
+            yield msgspec.structs.replace(EMPTY_SNAPSHOT, **{field: dict(some)})
+    for field in ("history", "outcomes"):
+        for some in _batches(getattr(p, field), rows, size):
+            yield msgspec.structs.replace(EMPTY_SNAPSHOT, **{field: some})
 
 
-def _slices(items: Iterable, rows: int, size: int) -> Iterator[list]:
+def _batches(items: Iterable, rows: int, size: int) -> Iterator[list]:
     some, chars = [], 0
     for i in items:
         some.append(i)
--- a/mallowvalve/coordination/state.py
+++ b/mallowvalve/coordination/state.py
@@ -8,7 +8,7 @@
 import msgspec
 
 HISTORY_MS = 60_000
-HISTORY_MOST = 100_000
+MAX_HISTORY_EVENTS = 100_000
 
 
 class Lock(msgspec.Struct, frozen=True, array_like=True, tag="lock"):
@@ -55,7 +55,7 @@
     ask: str = ""
 
 
-class Held(msgspec.Struct, array_like=True):
+class KeyedLease(msgspec.Struct, array_like=True):
     """A lock while it is held, `until` by the fleet's clock (ms)."""
 
     holder: str
@@ -63,7 +63,7 @@
     until: int
 
 
-class SaidCode(enum.StrEnum):
+class KeyedResultCode(enum.StrEnum):
     """What became of a command: `HELD` by another, `LOST` to its holder, `MISSING`: nothing to delete."""
 
     OK = "ok"
@@ -73,15 +73,15 @@
     MISSING = "missing"
 
 
-class Said(msgspec.Struct, array_like=True, frozen=True):
+class KeyedResult(msgspec.Struct, array_like=True, frozen=True):
     """The outcome of a command; `number` is a token, a value, a revision, or how long a lock is still held (ms)."""
 
-    code: SaidCode
+    code: KeyedResultCode
     number: int = 0
     holder: str = ""
 
 
-class Event(msgspec.Struct, array_like=True, frozen=True):
+class KeyEvent(msgspec.Struct, array_like=True, frozen=True):
     """A key was put or deleted; `at` is the fleet's clock (ms)."""
 
     revision: int
@@ -90,76 +90,76 @@
     value: str | None
 
 
-class Coordination:
+class KeyedCoordination:
     """The replicated state: only `apply` and `lapse` change it."""
 
     __slots__ = ("locks", "numbers", "keys", "events", "compacted")
 
     def __init__(self) -> None:
         """Nothing is held."""
-        self.locks: dict[str, Held] = {}
+        self.locks: dict[str, KeyedLease] = {}
         self.numbers: dict[str, int] = {}
         self.keys: dict[str, tuple[str, int]] = {}
-        self.events: deque[Event] = deque()
+        self.events: deque[KeyEvent] = deque()
         self.compacted = 0
 
-    def apply(self, c: Lock | Renew | Unlock | Next | Put, revision: int, at: int) -> Said:
+    def apply(self, c: Lock | Renew | Unlock | Next | Put, revision: int, at: int) -> KeyedResult:
         """Applies a command under a revision and the fleet's clock (ms)."""
-        self.lapse(at)
+        self.expire(at)
         match c:
             case Lock():
                 h = self.locks.get(c.name)
                 if h is not None:
-                    return Said(SaidCode.HELD, h.until - at, h.holder)
-                self.locks[c.name] = Held(c.holder, revision, at + c.ttl_ms)
-                return Said(SaidCode.OK, revision, c.holder)
+                    return KeyedResult(KeyedResultCode.HELD, h.until - at, h.holder)
+                self.locks[c.name] = KeyedLease(c.holder, revision, at + c.ttl_ms)
+                return KeyedResult(KeyedResultCode.OK, revision, c.holder)
             case Renew():
-                if not self.holds(c.name, c.holder, c.token):
-                    return Said(SaidCode.LOST)
+                if not self.is_held(c.name, c.holder, c.token):
+                    return KeyedResult(KeyedResultCode.LOST)
                 h = self.locks[c.name]
                 h.until = at + c.ttl_ms
-                return Said(SaidCode.OK, h.token, h.holder)
+                return KeyedResult(KeyedResultCode.OK, h.token, h.holder)
             case Unlock():
-                if not self.holds(c.name, c.holder, c.token):
-                    return Said(SaidCode.LOST)
+                if not self.is_held(c.name, c.holder, c.token):
+                    return KeyedResult(KeyedResultCode.LOST)
                 del self.locks[c.name]
-                return Said(SaidCode.OK, c.token)
+                return KeyedResult(KeyedResultCode.OK, c.token)
             case Next():
                 self.numbers[c.name] = revision
-                return Said(SaidCode.OK, revision)
+                return KeyedResult(KeyedResultCode.OK, revision)
             case Put():
                 return self._put(c, revision, at)
 
-    def _put(self, c: Put, revision: int, at: int) -> Said:
+    def _put(self, c: Put, revision: int, at: int) -> KeyedResult:
         had = self.keys.get(c.name)
         if c.base is not None and c.base != (had[1] if had else 0):
-            return Said(SaidCode.CONFLICT, had[1] if had else 0)
+            return KeyedResult(KeyedResultCode.CONFLICT, had[1] if had else 0)
         if c.value is None:
             if had is None:
-                return Said(SaidCode.MISSING)
+                return KeyedResult(KeyedResultCode.MISSING)
             del self.keys[c.name]
         else:
             self.keys[c.name] = (c.value, revision)
-        self.events.append(Event(revision, at, c.name, c.value))
-        return Said(SaidCode.OK, revision)
+        self.events.append(KeyEvent(revision, at, c.name, c.value))
+        return KeyedResult(KeyedResultCode.OK, revision)
 
-    def lapse(self, at: int) -> None:
+    def expire(self, at: int) -> None:
         """Forgets locks that have run out and events that are too old or too many."""
         for n in [n for n, h in self.locks.items() if h.until <= at]:
             del self.locks[n]
-        while self.events and (self.events[0].at + HISTORY_MS < at or len(self.events) > HISTORY_MOST):
+        while self.events and (self.events[0].at + HISTORY_MS < at or len(self.events) > MAX_HISTORY_EVENTS):
             self.compacted = self.events.popleft().revision
 
-    def holds(self, name: str, holder: str, token: int) -> bool:
+    def is_held(self, name: str, holder: str, token: int) -> bool:
         """Whether the lock is held under this token."""
         h = self.locks.get(name)
         return h is not None and (h.holder, h.token) == (holder, token)
 
-    def restless(self) -> bool:
+    def has_leases(self) -> bool:
         """Whether time alone will change something."""
         return bool(self.locks)
 
-    def since(self, revision: int, prefix: str) -> list[Event] | None:
+    def events_since(self, revision: int, prefix: str) -> list[KeyEvent] | None:
         """The events after a revision whose names begin so; None if some of them are forgotten."""
         if revision < self.compacted:
             return None
--- a/mallowvalve/ledger/asks.py
+++ b/mallowvalve/ledger/asks.py
@@ -4,10 +4,10 @@
 
 import msgspec
 
-KEEP_MS = 900_000
+OUTCOME_RETENTION_MS = 900_000
 
 
-class Asked(msgspec.Struct, array_like=True, frozen=True):
+class RecordedOutcome(msgspec.Struct, array_like=True, frozen=True):
     """The outcome of one command at `at` (ms, fleet clock); `digest` tells the command from others."""
 
     at: int
@@ -17,30 +17,30 @@
     body: bytes
 
 
-class Asks:
+class IdempotencyTable:
     """What was said to each keyed command: the same command gets it again, another under that key is a conflict."""
 
     __slots__ = ("rows",)
 
     def __init__(self) -> None:
         """Nothing was said yet."""
-        self.rows: dict[str, Asked] = {}
+        self.rows: dict[str, RecordedOutcome] = {}
 
-    def look(self, key: str, digest: str) -> Asked | None:
+    def find(self, key: str, digest: str) -> RecordedOutcome | None:
         """What was said under the key; with the code `reused` if that was another command; None if nothing."""
         a = self.rows.get(key)
         if a is None or a.digest == digest:
             return a
         return msgspec.structs.replace(a, code="reused", body=b"")
 
-    def keep(self, key: str, a: Asked) -> None:
+    def record(self, key: str, a: RecordedOutcome) -> None:
         """Stores what was said to a command just applied."""
         self.rows[key] = a
 
-    def forget(self, at: int) -> None:
+    def expire(self, at: int) -> None:
         """Drops what is older than `KEEP_MS`."""
         while self.rows:
             key, a = next(iter(self.rows.items()))
-            if a.at + KEEP_MS > at:
+            if a.at + OUTCOME_RETENTION_MS > at:
                 return
             del self.rows[key]
--- a/mallowvalve/ledger/ledger.py
+++ b/mallowvalve/ledger/ledger.py
@@ -10,22 +10,22 @@
 import msgspec
 from msgspec.structs import replace
 
-KEEP_MS = 900_000
+KEY_RETENTION_MS = 900_000
 """How long a key is remembered."""
 
-KEEP_BYTES = 32 << 20
+MAX_STORED_BODY_BYTES = 32 << 20
 """Bytes of answers that are kept in all; the oldest are dropped first."""
 
-State = Literal["open", "done", "released", "lost"]
-Said = Literal["open", "done", "released", "lost", "granted", "conflict", "gone", "ok", "undecided"]
+ClaimState = Literal["open", "done", "released", "lost"]
+ResultState = Literal["open", "done", "released", "lost", "granted", "conflict", "gone", "ok", "undecided"]
 """What a command is told: the key's state, or granted (the key is the claimer's), conflict (another request has it),
 gone (there is no such claim), ok. A proxy that hears nothing in time takes it as undecided.
 """
 
-OPEN: State = "open"
-DONE: State = "done"
-RELEASED: State = "released"
-LOST: State = "lost"
+OPEN: ClaimState = "open"
+DONE: ClaimState = "done"
+RELEASED: ClaimState = "released"
+LOST: ClaimState = "lost"
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
@@ -74,11 +74,11 @@
 Command = Claim | Done | Release | Forfeit | Lose
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
+class ClaimRecord(msgspec.Struct, array_like=True, frozen=True):
     """A key: its last claim, claimed at `at`, and how that ended; `freed` is the revision of its release."""
 
     digest: str
-    state: State
+    state: ClaimState
     holder: str
     nonce: str
     at: int
@@ -88,10 +88,10 @@
     freed: int = 0
 
 
-class Verdict(msgspec.Struct, array_like=True, frozen=True):
+class LedgerResult(msgspec.Struct, array_like=True, frozen=True):
     """What a command is told, with the answer that was kept where the key is done."""
 
-    state: Said
+    state: ResultState
     status: int = 0
     kind: str = ""
     body: bytes | None = None
@@ -100,17 +100,17 @@
 class Ledger:
     """All keys, the oldest claim first; `kept` gives the bytes of each answer that is held, the oldest first."""
 
-    __slots__ = ("rows", "kept", "_bytes")
+    __slots__ = ("rows", "body_sizes", "_stored_bytes")
 
     def __init__(self) -> None:
         """No key at first."""
-        self.rows: dict[str, Row] = {}
-        self.kept: dict[str, int] = {}
-        self._bytes = 0
+        self.rows: dict[str, ClaimRecord] = {}
+        self.body_sizes: dict[str, int] = {}
+        self._stored_bytes = 0
 
-    def apply(self, command: Command, at: int, revision: int = 0) -> Verdict:
+    def apply(self, command: Command, at: int, revision: int = 0) -> LedgerResult:
         """Take in a command of the entry `revision`, at that entry's time."""
-        self._forget(at)
+        self._expire(at)
         match command:
             case Claim():
                 return self._claim(command, at)
@@ -123,87 +123,87 @@
             case Lose():
                 return self._lose(command)
 
-    def look(self, key: str, digest: str) -> Verdict | None:
+    def find(self, key: str, digest: str) -> LedgerResult | None:
         """What is known of a key, None if nothing; it changes nothing."""
         row = self.rows.get(key)
         if row is None:
             return None
-        return Verdict("conflict") if row.digest not in ("", digest) else _known(row)
+        return LedgerResult("conflict") if row.digest not in ("", digest) else _result_of(row)
 
-    def keep_again(self, keys: list[str]) -> bool:
+    def restore_body_sizes(self, keys: list[str]) -> bool:
         """Answers kept by a snapshot, in its order; false where a row lacks its answer."""
         for key in keys:
             row = self.rows.get(key)
             if row is None or not row.body:
                 return False
-            self.kept[key] = len(row.body)
-            self._bytes += len(row.body)
+            self.body_sizes[key] = len(row.body)
+            self._stored_bytes += len(row.body)
         return True
 
-    def _claim(self, claim: Claim, at: int) -> Verdict:
+    def _claim(self, claim: Claim, at: int) -> LedgerResult:
         row = self.rows.get(claim.key)
         if row is not None and row.digest not in ("", claim.digest):
-            return Verdict("conflict")
+            return LedgerResult("conflict")
         if row is None or row.state == RELEASED and row.nonce != claim.nonce and claim.seen >= row.freed:
             self.rows.pop(claim.key, None)
-            self.rows[claim.key] = Row(claim.digest, OPEN, claim.holder, claim.nonce, at)
-            return Verdict("granted")
+            self.rows[claim.key] = ClaimRecord(claim.digest, OPEN, claim.holder, claim.nonce, at)
+            return LedgerResult("granted")
         if row.state == OPEN and row.nonce == claim.nonce:
-            return Verdict("granted")
-        return _known(row)
+            return LedgerResult("granted")
+        return _result_of(row)
 
-    def _release(self, release: Release, at: int, revision: int) -> Verdict:
+    def _release(self, release: Release, at: int, revision: int) -> LedgerResult:
         """A release that overtook its claim stays, so that the claim is refused when it comes."""
         if release.key not in self.rows:
-            self.rows[release.key] = Row("", RELEASED, "", release.nonce, at)
+            self.rows[release.key] = ClaimRecord("", RELEASED, "", release.nonce, at)
         verdict = self._close(release.key, release.nonce, RELEASED)
         row = self.rows[release.key]
         if verdict.state == RELEASED and not row.freed:
             self.rows[release.key] = replace(row, freed=revision)
         return verdict
 
-    def _lose(self, lose: Lose) -> Verdict:
+    def _lose(self, lose: Lose) -> LedgerResult:
         for key, row in self.rows.items():
             if row.state == OPEN and row.holder == lose.holder:
                 self.rows[key] = replace(row, state=LOST)
-        return Verdict("ok")
+        return LedgerResult("ok")
 
-    def _close(self, key: str, nonce: str, state: State, done: Done | None = None) -> Verdict:
+    def _close(self, key: str, nonce: str, state: ClaimState, done: Done | None = None) -> LedgerResult:
         """A claim ends in `state` if it has not ended otherwise; the verdict says how it stands."""
         row = self.rows.get(key)
         if row is None or row.nonce != nonce:
-            return Verdict("gone")
+            return LedgerResult("gone")
         if row.state == DONE or state == RELEASED and row.state == LOST:
-            return Verdict(row.state)
+            return LedgerResult(row.state)
         if row.state == RELEASED and state != RELEASED:
-            return Verdict(RELEASED)
+            return LedgerResult(RELEASED)
         if done is None:
             self.rows[key] = replace(row, state=state)
-            return Verdict(state)
+            return LedgerResult(state)
         self.rows[key] = replace(row, state=state, status=done.status, kind=done.kind, body=done.body)
         if done.body:
-            self._keep(key, done.body)
-        return Verdict(state)
-
-    def _keep(self, key: str, body: bytes) -> None:
-        self.kept[key] = len(body)
-        self._bytes += len(body)
-        while self._bytes > KEEP_BYTES:
-            oldest = next(iter(self.kept))
-            self._drop(oldest)
+            self._store_body(key, done.body)
+        return LedgerResult(state)
+
+    def _store_body(self, key: str, body: bytes) -> None:
+        self.body_sizes[key] = len(body)
+        self._stored_bytes += len(body)
+        while self._stored_bytes > MAX_STORED_BODY_BYTES:
+            oldest = next(iter(self.body_sizes))
+            self._drop_body(oldest)
             self.rows[oldest] = replace(self.rows[oldest], body=None)
 
-    def _drop(self, key: str) -> None:
-        self._bytes -= self.kept.pop(key, 0)
+    def _drop_body(self, key: str) -> None:
+        self._stored_bytes -= self.body_sizes.pop(key, 0)
 
-    def _forget(self, at: int) -> None:
+    def _expire(self, at: int) -> None:
         while self.rows:
             key, row = next(iter(self.rows.items()))
-            if row.at + KEEP_MS > at:
+            if row.at + KEY_RETENTION_MS > at:
                 return
             del self.rows[key]
-            self._drop(key)
+            self._drop_body(key)
 
 
-def _known(row: Row) -> Verdict:
-    return Verdict(row.state, row.status, row.kind, row.body)
+def _result_of(row: ClaimRecord) -> LedgerResult:
+    return LedgerResult(row.state, row.status, row.kind, row.body)
--- a/mallowvalve/localfleet/judge.py
+++ b/mallowvalve/localfleet/judge.py
@@ -10,7 +10,7 @@
 
 from mallowvalve.configuration.build import build
 from mallowvalve.configuration.model import Tree
-from mallowvalve.routing.model import Request
+from mallowvalve.routing.model import RouteRequest
 
 IN_FORCE = 3.5
 LEFT = 3.5
@@ -99,7 +99,7 @@
 
 
 def _refused(t: Tree, r: dict) -> str | None:
-    plan = t.choose(r["tenant"], Request(r["method"], r["path"], {})) if r["tenant"] in t.cell_of else None
+    plan = t.choose(r["tenant"], RouteRequest(r["method"], r["path"], {})) if r["tenant"] in t.cell_of else None
     if plan is None or plan.service != r["service"]:
         return "no configuration allows it"
     homes = t.homes(r["tenant"])
--- a/mallowvalve/proxy/call.py
+++ b/mallowvalve/proxy/call.py
@@ -10,7 +10,7 @@
 
 from mallowvalve.configuration.model import Plan, Tree
 from mallowvalve.proxy.steps import Ask
-from mallowvalve.routing.compiler import Request
+from mallowvalve.routing.compiler import RouteRequest
 
 HOP = frozenset(
     (
@@ -36,7 +36,7 @@
     """A request that was understood; its plan is chosen anew before anything is sent."""
 
     ask: Ask
-    request: Request
+    request: RouteRequest
     tenant: str
     plan: Plan
     key: str
@@ -74,7 +74,7 @@
         return Err((400, "Mallow-Tenant", "missing"))
     if tenant not in tree.cell_of:
         return Err((404, "Mallow-Tenant", f"no tenant {tenant[:64]!r}"))
-    request = Request(a.method, path, a.headers)
+    request = RouteRequest(a.method, path, a.headers)
     plan = tree.choose(tenant, request)
     if plan is None:
         return Err((404, "path", "no route takes this request"))
--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/path.py
@@ -9,7 +9,7 @@
 
 from mallowvalve.control.replica import Replica
 from mallowvalve.finding import Finding
-from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Release, Verdict
+from mallowvalve.ledger.ledger import Claim, Done, Forfeit, LedgerResult, Release
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.admission import outlasts
 from mallowvalve.proxy.call import Call, check_body, understand
@@ -238,13 +238,13 @@
             if not w[s]:
                 del w[s]
 
-    def _wait(self, c: Call) -> Generator[Step, object, Verdict]:
+    def _wait(self, c: Call) -> Generator[Step, object, LedgerResult]:
         while self.now() < c.end:
-            v = self.replica.state.ledger.look(c.key, c.digest)
+            v = self.replica.state.ledger.find(c.key, c.digest)
             if v is not None and v.state != "open":
                 return v
             yield Pause(LOOK)
-        return Verdict("open")
+        return LedgerResult("open")
 
     def _release(self, c: Call, nonce: str, r: Reply) -> Generator[Step, object, Reply]:
         v = yield Offer(Release(c.key, nonce), max(0.2, min(CLOSE_LIMIT, c.end - self.now())))
@@ -293,7 +293,7 @@
         once = c.plan.kind == "once"
         return Reply(a.status, answer=a, lease=lease, close=self._emptied is not None, runs_on=once)
 
-    def _known(self, c: Call, v: Verdict) -> Reply:
+    def _known(self, c: Call, v: LedgerResult) -> Reply:
         self.counts.add(f"repeat_{v.state}")
         match v.state:
             case "done" if v.body is not None:
--- a/mallowvalve/proxy/serve.py
+++ b/mallowvalve/proxy/serve.py
@@ -14,7 +14,7 @@
 from mallowvalve import clock, web
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.control.state import encode
-from mallowvalve.ledger.ledger import Verdict
+from mallowvalve.ledger.ledger import LedgerResult
 from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.path import Path
 from mallowvalve.proxy.steps import (
@@ -36,7 +36,7 @@
     import falcon
 
 INSIST = 10.0
-_verdict = msgspec.msgpack.Decoder(Verdict).decode
+_verdict = msgspec.msgpack.Decoder(LedgerResult).decode
 
 
 class Rejections:
@@ -125,9 +125,9 @@
             return Err((400, "body", "broken off or badly chunked"))
         return Err((413, "body", f"larger than {self.body_bytes} bytes")) if body is None else Ok(body)
 
-    def _offer(self, command, limit: float) -> Verdict:
+    def _offer(self, command, limit: float) -> LedgerResult:
         t = self.replica.offer(encode(command), limit)
-        return _verdict(t.body) if t.body else Verdict("undecided")
+        return _verdict(t.body) if t.body else LedgerResult("undecided")
 
     def _insist(self, s: Insist) -> None:
         end = clock.now() + INSIST
--- a/mallowvalve/routing/compiler.py
+++ b/mallowvalve/routing/compiler.py
@@ -10,39 +10,39 @@
 from result import Result
 
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.routing.model import BOUNDS, DEFAULT, METHODS, Match, Policy, Request
+from mallowvalve.routing.model import DEFAULT_POLICY, METHODS, POLICY_BOUNDS, Match, Policy, RouteRequest
 
-__all__ = ["BOUNDS", "DEFAULT", "METHODS", "Match", "Policy", "Request", "match", "policy"]
+__all__ = ["DEFAULT_POLICY", "METHODS", "POLICY_BOUNDS", "Match", "Policy", "RouteRequest", "match", "policy"]
 
-REMEMBERED = 65536
+MAX_CACHED_TEXTS = 65536
 Compiled = TypeVar("Compiled")
-Unplaced = tuple[str, str]
+LocatedError = tuple[str, str]
 """Where in the text something is wrong ("@LINE:COLUMN", or nothing), and what."""
 
 
 def match(text: str, place: str) -> Result[Match, Findings]:
     """The test that `text` describes; findings name `place`."""
-    return _placed(_match(text), place)
+    return _with_place(_match(text), place)
 
 
 def policy(text: str, place: str) -> Result[Policy, Findings]:
     """The policy that `text` describes; findings name `place`."""
-    return _placed(_policy(text), place)
+    return _with_place(_policy(text), place)
 
 
-@lru_cache(maxsize=REMEMBERED)
-def _match(text: str) -> Result[Match, Unplaced]:
+@lru_cache(maxsize=MAX_CACHED_TEXTS)
+def _match(text: str) -> Result[Match, LocatedError]:
     from mallowvalve.routing import maker
 
     return maker.match(text)
 
 
-@lru_cache(maxsize=REMEMBERED)
-def _policy(text: str) -> Result[Policy, Unplaced]:
+@lru_cache(maxsize=MAX_CACHED_TEXTS)
+def _policy(text: str) -> Result[Policy, LocatedError]:
     from mallowvalve.routing import maker
 
     return maker.policy(text)
 
 
-def _placed(result: Result[Compiled, Unplaced], place: str) -> Result[Compiled, Findings]:
+def _with_place(result: Result[Compiled, LocatedError], place: str) -> Result[Compiled, Findings]:
     return result.map_err(lambda wrong: [Finding(place + wrong[0], wrong[1])])
--- a/mallowvalve/routing/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -11,13 +11,13 @@
 from lark.exceptions import VisitError
 from result import Err, Ok, Result
 
-from mallowvalve.routing.model import BOUNDS, METHODS, Match, Policy
+from mallowvalve.routing.model import METHODS, POLICY_BOUNDS, Match, Policy
 
-ANY_PART = "*"
-ANY_REST = "**"
+ANY_SEGMENT = "*"
+ANY_SUFFIX = "**"
 MS_PER_SECOND = 1000
 BYTES_PER_KB = 1024
-WORDS = {"limit_ms": "limit", "ramp_ms": "ramp", "chooser": "draw"}
+KEYWORDS = {"limit_ms": "limit", "ramp_ms": "ramp", "chooser": "draw"}
 """The language's words for those fields of `Policy` that are named otherwise."""
 
 Setting = tuple[str, int | str]
@@ -26,12 +26,12 @@
 
 def match(text: str) -> Result[Match, tuple[str, str]]:
     """The test that `text` describes, or where in it ("@LINE:COLUMN", or nothing) something is wrong and what."""
-    return _run("match.lark", _MatchMaker(), text)
+    return _parse("match.lark", _MatchTransformer(), text)
 
 
 def policy(text: str) -> Result[Policy, tuple[str, str]]:
     """The policy that `text` describes, or what is wrong as for `match`."""
-    return _run("policy.lark", _PolicyMaker(), text)
+    return _parse("policy.lark", _PolicyTransformer(), text)
 
 
 @cache
@@ -39,7 +39,7 @@
     return Lark((Path(__file__).parent / name).read_text(), parser="lalr", maybe_placeholders=False)
 
 
-def _run(grammar: str, maker: Transformer, text: str) -> Result[Any, tuple[str, str]]:
+def _parse(grammar: str, maker: Transformer, text: str) -> Result[Any, tuple[str, str]]:
     try:
         return Ok(maker.transform(_grammar(grammar).parse(text)))
     except UnexpectedInput as e:
@@ -50,10 +50,10 @@
         return Err(("", str(e.orig_exc)))
 
 
-def path_test(pattern: str) -> Callable[[str], bool]:
+def path_matcher(pattern: str) -> Callable[[str], bool]:
     """A test of whole paths: `*` stands for one part, a last `**` for any rest."""
     wanted = pattern.strip("/").split("/")
-    open_ended = wanted[-1] == ANY_REST
+    open_ended = wanted[-1] == ANY_SUFFIX
     if open_ended:
         wanted = wanted[:-1]
 
@@ -61,12 +61,12 @@
         parts = path.strip("/").split("/")
         if len(parts) < len(wanted) or not open_ended and len(parts) != len(wanted):
             return False
-        return all(want in (ANY_PART, part) for want, part in zip(wanted, parts, strict=False))
+        return all(want in (ANY_SEGMENT, part) for want, part in zip(wanted, parts, strict=False))
 
     return test
 
 
-class _MatchMaker(Transformer):
+class _MatchTransformer(Transformer):
     """Methods are named after the rules of match.lark."""
 
     def any_of(self, tests: list[Match]) -> Match:
@@ -88,9 +88,9 @@
         pattern = _unquoted(tokens[0])
         if not pattern.startswith("/"):
             raise ValueError(f"path {pattern!r} must begin with /")
-        if ANY_REST in pattern and not pattern.endswith("/" + ANY_REST):
+        if ANY_SUFFIX in pattern and not pattern.endswith("/" + ANY_SUFFIX):
             raise ValueError(f"path {pattern!r} may hold ** only as its last part")
-        test = path_test(pattern)
+        test = path_matcher(pattern)
         return lambda request: test(request.path)
 
     def header(self, tokens: list[Token]) -> Match:
@@ -103,7 +103,7 @@
     return str(token)[1:-1]
 
 
-class _PolicyMaker(Transformer):
+class _PolicyTransformer(Transformer):
     """Methods are named after the rules of policy.lark."""
 
     def span(self, tokens: list[Token]) -> int:
@@ -136,11 +136,11 @@
     def start(self, settings: list[Setting]) -> Policy:
         values: dict[str, Any] = {}
         for field, value in settings:
-            word = WORDS.get(field, field)
+            word = KEYWORDS.get(field, field)
             if field in values:
                 raise ValueError(f"{word} is set twice")
             if isinstance(value, int):
-                lowest, highest = BOUNDS[field]
+                lowest, highest = POLICY_BOUNDS[field]
                 if not lowest <= value <= highest:
                     raise ValueError(f"{word} must be {lowest} to {highest}, got {value}")
             values[field] = value
--- a/mallowvalve/routing/model.py
+++ b/mallowvalve/routing/model.py
@@ -9,7 +9,7 @@
 METHODS = frozenset(("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"))
 
 
-class Request(msgspec.Struct):
+class RouteRequest(msgspec.Struct):
     """The part of a request that a match may look at; `headers` have names in lower case, `path` has no query."""
 
     method: str
@@ -17,7 +17,7 @@
     headers: Mapping[str, str]
 
 
-Match = Callable[[Request], bool]
+Match = Callable[[RouteRequest], bool]
 
 
 class Policy(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -36,7 +36,7 @@
     keep: int | None = None
     chooser: str | None = None
 
-    def under(self, lower: Policy) -> Policy:
+    def overridden_by(self, lower: Policy) -> Policy:
         """This policy with every field that `lower` sets replaced by its value."""
         values = {}
         for field in self.__struct_fields__:
@@ -45,8 +45,8 @@
         return Policy(**values)
 
 
-DEFAULT = Policy(limit_ms=5000, ramp_ms=10000, retry=1, queue=64, width=16, keep=16384, chooser="near")
-BOUNDS = {
+DEFAULT_POLICY = Policy(limit_ms=5000, ramp_ms=10000, retry=1, queue=64, width=16, keep=16384, chooser="near")
+POLICY_BOUNDS = {
     "limit_ms": (10, 60000),
     "ramp_ms": (0, 600000),
     "retry": (0, 3),
--- a/sim/callers.py
+++ b/sim/callers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from mallowvalve.configuration.items import HostRoute, Item, ServiceItem
-from mallowvalve.coordination.plain import Count, Free, Take, Word, Write
+from mallowvalve.coordination.plain import Count, Free, PlainResult, Take, Write
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
 from sim import pages
@@ -34,7 +34,7 @@
 REDIRECTS = 1
 PAUSE, PAUSE_MOST = 0.05, 1.0
 SERVICE = Item("services", "s", 1, msgspec.json.encode(ServiceItem(name="s", version=1)))
-_word = msgspec.msgpack.Decoder(Word).decode
+_word = msgspec.msgpack.Decoder(PlainResult).decode
 
 
 def route(name: str, version: int, content: str | None) -> Item:
--- a/sim/door.py
+++ b/sim/door.py
@@ -1,7 +1,7 @@
 """A core machine with its pages: the steps that the daemon's tasks take for a call, over simulated messages.
 
 The pages under `mallowvalve/control` wait in greenlets; here the same steps are callbacks around the same machines
-(`Core`, `Items`, `Plain`, `Liveness`), with the pages' own limits.
+(`Core`, `Items`, `PlainCoordination`, `Liveness`), with the pages' own limits.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from mallowvalve.control.state import Evacuate
 from mallowvalve.control.state import encode as encode_command
 from mallowvalve.control.wire import Took
-from mallowvalve.coordination.plain import Word
+from mallowvalve.coordination.plain import PlainResult
 from mallowvalve.raft.progress import Times
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address
@@ -94,7 +94,7 @@
         s = self.core.state
         if s is not None and http_items._refusal(s.items, c) is not None:
             return self._confirmed(READ_LIMIT, say, lambda: self._judged(c, say))
-        if s is not None and not s.items.news(c):
+        if s is not None and not s.items.has_newer(c):
             c = Amend([])
         self._order(c, say)
 
@@ -145,13 +145,13 @@
         def took(t: Took) -> None:
             if t.code != Code.OK:
                 return say(self._rejected(t))
-            w: Word = _word(t.body)
+            w: PlainResult = _word(t.body)
             say(Answer(OK if w.code == "ok" else CONFLICT, t.body))
 
         self.offer(encode_command(c), http_plain.LIMIT, http_plain.ATTEMPT, took)
 
     def _cell(self, name: str) -> Answer:
-        value, revision = self.core.state.plain.cells.get(name, (None, 0))
+        value, revision = self.core.state.plain.keys.get(name, (None, 0))
         return Answer(OK, pages.encode(pages.CellSeen(value, revision)))
 
     def _watch(self, p: pages.Watch, say) -> None:
@@ -163,7 +163,7 @@
         plain = self.core.state.plain
         if p.after == 0 and plain.revision(p.group):
             return Answer(OK, pages.encode(pages.Events([], plain.revision(p.group))))
-        got = plain.since(p.group, p.after)
+        got = plain.events_since(p.group, p.after)
         if got is None:
             return Answer(OK, pages.encode(pages.Events([], plain.revision(p.group), True)))
         if got[1] < p.after:
--- a/sim/large.py
+++ b/sim/large.py
@@ -15,7 +15,7 @@
 from mallowvalve.control.snapshot import dump
 from mallowvalve.control.state import State
 from mallowvalve.fault import FLEET
-from mallowvalve.ledger.ledger import DONE, Row
+from mallowvalve.ledger.ledger import DONE, ClaimRecord
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import Fleet, Proc, until
 from mallowvalve.localfleet.main import load_shape
@@ -35,11 +35,11 @@
     dig = digest("POST", "/runs", b"{}")
     for i in range(rows):
         k = f"runner\0{i:032x}"
-        s.ledger.rows[k] = Row(
+        s.ledger.rows[k] = ClaimRecord(
             dig, DONE, "10.0.0.1:7000#123456789012345678", f"{i:032x}", 0, 200, "application/json", ANSWER + b" " * body
         )
-        s.ledger.kept[k] = len(ANSWER) + body
-    s.ledger._bytes = sum(s.ledger.kept.values())
+        s.ledger.body_sizes[k] = len(ANSWER) + body
+    s.ledger._stored_bytes = sum(s.ledger.body_sizes.values())
     return s
 
 
--- a/sim/pages.py
+++ b/sim/pages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from mallowvalve.configuration.items import Item
-from mallowvalve.coordination.plain import Count, Extend, Free, Put, Take, Write
+from mallowvalve.coordination.plain import Count, Extend, Free, KeyRevision, Take, Write
 from mallowvalve.types import Address
 from mallowvalve.upstreams.registry import Upstream
 
@@ -91,7 +91,7 @@
 class Events(msgspec.Struct, frozen=True, array_like=True):
     """A watch's answer; `compacted` where the history begins later than was asked."""
 
-    puts: list[Put]
+    puts: list[KeyRevision]
     revision: int
     compacted: bool = False
 
--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -4,7 +4,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve.control.state import encode
-from mallowvalve.ledger.ledger import Verdict
+from mallowvalve.ledger.ledger import LedgerResult
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.path import Path
 from mallowvalve.proxy.pool import Pool
@@ -27,7 +27,7 @@
 from sim.history import History
 from sim.replica import ReplicaNode
 
-_verdict = msgspec.msgpack.Decoder(Verdict).decode
+_verdict = msgspec.msgpack.Decoder(LedgerResult).decode
 _heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
 _aged = msgspec.msgpack.Decoder(list[Aged]).decode
 _digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
@@ -150,7 +150,7 @@
                 self.wake(min(slow, max(0.0, s.end - self.now)), lambda: go(body))
             case Offer():
                 self.offer(
-                    encode(s.command), s.limit, lambda t: go(_verdict(t.body) if t.body else Verdict("undecided"))
+                    encode(s.command), s.limit, lambda t: go(_verdict(t.body) if t.body else LedgerResult("undecided"))
                 )
             case Insist():
                 self._insist(s, self.now + 10.0)
--- a/sim/target.py
+++ b/sim/target.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from mallowvalve.configuration.items import Amend, HostRoute, Item, Items, Part, ServiceItem
+from mallowvalve.configuration.items import Amend, HostRoute, Item, Items, ServiceItem, WeightedService
 from mallowvalve.control import wire
 from mallowvalve.control.core import Core
 from mallowvalve.control.snapshot import founding
@@ -51,7 +51,10 @@
 
 
 def route(i: int, version: int = 7) -> HostRoute:
-    split = [Part(f"service-{i % SERVICES:04d}", 90.0), Part(f"service-{(i + 1) % SERVICES:04d}", 10.0)]
+    split = [
+        WeightedService(f"service-{i % SERVICES:04d}", 90.0),
+        WeightedService(f"service-{(i + 1) % SERVICES:04d}", 10.0),
+    ]
     one = i % 4
     return HostRoute(
         name=f"r-{i:07x}",
--- a/sim/users.py
+++ b/sim/users.py
@@ -9,7 +9,7 @@
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.replica_task import ATTEMPT
 from mallowvalve.control.state import Change, Evacuate, encode
-from mallowvalve.coordination.state import Lock, Next, Put, Said, Unlock
+from mallowvalve.coordination.state import KeyedResult, Lock, Next, Put, Unlock
 from mallowvalve.localfleet.history import Op
 from mallowvalve.types import Address
 from sim.config import config
@@ -19,7 +19,7 @@
 from verification import histories
 from verification.histories import Kind, outcome_of
 
-_said = msgspec.msgpack.Decoder(Said).decode
+_said = msgspec.msgpack.Decoder(KeyedResult).decode
 LIMIT = 4.0
 CONFIGURATION = "configuration"
 FOUNDING = (0, b"{}")
@@ -289,7 +289,7 @@
         self.history.coord.ops.append(op)
 
         def took(t: wire.Took) -> None:
-            said = _said(t.body) if t.body else Said("undecided")
+            said = _said(t.body) if t.body else KeyedResult("undecided")
             op.ended, op.said, op.revision = self.now, said.code, said.number
             self.wake(0.1 + self.rng.random() * 0.2, self._read)
 
@@ -313,7 +313,7 @@
             if t is None or t.code != Code.OK or node is None or node.core.state is None:
                 self.leader = t.leader if t is not None else None
                 return
-            events = node.core.state.coordination.since(self.since, "")
+            events = node.core.state.coordination.events_since(self.since, "")
             if events is None:
                 self.history.compacted.append((self.now, str(self.addr), self.since))
                 self.since = node.core.state.revision
--- a/tests/plainplay.py
+++ b/tests/plainplay.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Take, Write, group_of
+from mallowvalve.coordination.plain import Count, Extend, Free, PlainCoordination, Take, Write, group_of
 from verification import histories, linearizability
 from verification.histories import Kind, Operation, Outcome, outcome_of
 
@@ -35,7 +35,7 @@
 class World:
     """The core behind its log: one clock in ms, outages after which a new leader goes on from the last entry's clock."""
 
-    def __init__(self, seed: int, make=Plain):
+    def __init__(self, seed: int, make=PlainCoordination):
         self.rng = random.Random(seed)
         self.now, self._n, self._due = 0.0, 0, []
         self.plain, self.entry = make(), 0
@@ -86,9 +86,9 @@
 
     def do(self, c):
         if isinstance(c, str):
-            return "ok", self.plain.cells.get(c, ("", 0))[1], []
+            return "ok", self.plain.keys.get(c, ("", 0))[1], []
         if isinstance(c, tuple):
-            got = self.plain.since(*c)
+            got = self.plain.events_since(*c)
             return ("gone", 0, []) if got is None else ("ok", got[1], got[0])
         self.entry = max(self.entry, self.clock())
         w = self.plain.apply(c, self.entry)
@@ -207,7 +207,7 @@
         self.say((g, self.revision[g]), then)
 
 
-def play(seed: int, ms: float = 60_000, make=Plain) -> World:
+def play(seed: int, ms: float = 60_000, make=PlainCoordination) -> World:
     w = World(seed, make)
     for i in range(4):
         Caller(w, f"a{i}")
@@ -218,7 +218,7 @@
 def judge(w: World) -> set[str]:
     """The rules that were broken."""
     told = sorted((t for t in w.told if t.got is not None and t.got < float("inf")), key=lambda t: t.got)
-    return one(w, told) | order(told) | puts(w, told) | seen(w, told) | orders(w)
+    return one(w, told) | order(told) | puts(w, told) | seen(w, told) | check_linearizability(w)
 
 
 def one(w: World, told: list[Told]) -> set[str]:
@@ -254,7 +254,7 @@
 def puts(w: World, told: list[Told]) -> set[str]:
     broken = set()
     done = [t for t in told if isinstance(t.c, Write) and t.code == "ok"]
-    shown = {(e.name, e.value): e.revision for g in ("g.", "h.") for e in w.plain.since(g, 0)[0]}
+    shown = {(e.name, e.value): e.revision for g in ("g.", "h.") for e in w.plain.events_since(g, 0)[0]}
     got = {}
     for (name, _), r in shown.items():
         got.setdefault(name, set()).add(r)
@@ -288,7 +288,7 @@
     return broken
 
 
-def orders(w: World) -> set[str]:
+def check_linearizability(w: World) -> set[str]:
     """The rules that the checker of histories finds broken; what it left undecided is one."""
     report = linearizability.check(recorded(w))
     return {f"LINEAR {b.partition.kind}" for b in report.breaches} | {f"UNDECIDED {p}" for p in report.undecided}
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -4,7 +4,7 @@
 from falcon import testing
 
 from mallowvalve import clock, web
-from mallowvalve.configuration.build import EMPTY
+from mallowvalve.configuration.build import EMPTY_TREE
 from mallowvalve.configuration.items import Amend, Item, Items
 from mallowvalve.control import lease
 from mallowvalve.directory import pages
@@ -28,7 +28,7 @@
     def __init__(self):
         self.rows, self.membership, self.counts = [], self, web.Counts()
         self.asked, self.gauges = clock.now(), {}
-        self.tree, self.evacuated = EMPTY, {"us-a": 1}
+        self.tree, self.evacuated = EMPTY_TREE, {"us-a": 1}
         self.ages = {}
         self.left, self.joined, self.checked, self.silent, self.items = [], True, [], set(), Items()
 
@@ -287,8 +287,8 @@
 def test_a_tenant_that_is_pinned_to_regions_is_led_to_no_other(directory, monkeypatch):
     n, c = directory
     n.evacuated = {}
-    monkeypatch.setattr(type(EMPTY), "homes", lambda tree, tenant: HOME_BOTH)
-    EMPTY.cell_of["t"] = "cell"
+    monkeypatch.setattr(type(EMPTY_TREE), "homes", lambda tree, tenant: HOME_BOTH)
+    EMPTY_TREE.cell_of["t"] = "cell"
     try:
         n.rows = [at(1, A, LEAVING), at(2, A), at(4, Locality("ap", "ap-a")), at(5, Locality("ap", "ap-a"))]
         for rows, want in ((n.rows, ["n2"]), (n.rows[:1] + n.rows[2:], ["n1"])):
@@ -296,4 +296,4 @@
             told = c.simulate_get("/connect?locality=us/us-a&tenant=t").json
             assert [p["name"] for p in told["proxies"]] == want and told["life_ms"] == 1500
     finally:
-        del EMPTY.cell_of["t"]
+        del EMPTY_TREE.cell_of["t"]
--- a/tests/test_http_items.py
+++ b/tests/test_http_items.py
@@ -5,8 +5,8 @@
 from falcon import testing
 
 from mallowvalve import web
-from mallowvalve.configuration.build import EMPTY
-from mallowvalve.configuration.item_request import read
+from mallowvalve.configuration.build import EMPTY_TREE
+from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import http_items, http_operators
 from mallowvalve.control.snapshot import dump, load
@@ -35,7 +35,7 @@
         return True
 
     def tree(self):
-        return EMPTY
+        return EMPTY_TREE
 
     def offer(self, data, limit, *_):
         self.offered.append(command(data))
@@ -95,7 +95,7 @@
 def test_a_node_that_lags_asks_before_it_refuses(control):
     t, c = control
     t.leader = State(3)
-    t.leader.apply(1, 0, encode(read(FIRST).unwrap()))
+    t.leader.apply(1, 0, encode(parse_amend(FIRST).unwrap()))
     assert c.simulate_patch("/items", body=call([route("n")])).status_code == 200 and t.state is t.leader
     t.state, t.confirms = State(3), Took("leader")
     assert c.simulate_patch("/items", body=call([route("m")])).status_code == 503
@@ -158,7 +158,7 @@
     t, c = control
     assert c.simulate_patch("/items", body=call([route("r", 5)], [service("s", 5)])).status_code == 200
     t.leader = load(dump(t.leader))
-    assert t.leader.items.apply(read(call([route("r", 7)])).unwrap(), 99) == []
+    assert t.leader.items.apply(parse_amend(call([route("r", 7)])).unwrap(), 99) == []
     assert c.simulate_patch("/items", body=call([route("r", 5, limit_ms=9)])).status_code == 200
 
 
--- a/tests/test_http_operators.py
+++ b/tests/test_http_operators.py
@@ -2,7 +2,7 @@
 from falcon import testing
 
 from mallowvalve import web
-from mallowvalve.configuration.build import EMPTY, build
+from mallowvalve.configuration.build import EMPTY_TREE, build
 from mallowvalve.control import http_operators
 from mallowvalve.control.state import Seat, State, encode
 from mallowvalve.control.wire import Took
@@ -39,7 +39,7 @@
         return Took("ok", self.state.revision)
 
     def tree(self):
-        return EMPTY
+        return EMPTY_TREE
 
     def check(self, doc):
         return build(doc)
--- a/tests/test_http_plain.py
+++ b/tests/test_http_plain.py
@@ -244,7 +244,7 @@
     t.do(Write("g.a", "0"))
     (j,) = waiting(c, "/api/watch/g.?after=1&wait_ms=20000")
     new = State(3)
-    new.plain.adopt(t.state.plain.snapshot())
+    new.plain.load_snapshot(t.state.plain.snapshot())
     t.state = new
     t.do(Write("g.a", "1"))
     assert j.get(timeout=10).json["revision"] == 2
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -5,8 +5,8 @@
 import msgspec
 import pytest
 
-from mallowvalve.configuration.item_request import read
-from mallowvalve.configuration.items import Amend, Item, Items, plain_host
+from mallowvalve.configuration.item_request import parse_amend
+from mallowvalve.configuration.items import Amend, Item, Items, normalize_host
 
 
 def route(name="r", version=1, **more):
@@ -35,7 +35,7 @@
 
 
 def amend(*a, **k) -> Amend:
-    return read(call(*a, **k)).unwrap()
+    return parse_amend(call(*a, **k)).unwrap()
 
 
 def items(*calls) -> Items:
@@ -84,7 +84,7 @@
     assert i.find("A.Example:8080", "/a/x").name == "r2"
     assert i.find("b.example", "/y") is None and i.find("c.example", "/x/") is None and i.find("b.example", "") is None
     assert i.find("b.example", "/x/" + "/" * 10000).name == "o"
-    assert plain_host("B.example.:80") == "b.example"
+    assert normalize_host("B.example.:80") == "b.example"
 
 
 def test_the_highest_version_holds_in_any_order_and_a_dropped_one_leaves_its_version():
@@ -120,7 +120,7 @@
         amend([route("r", 4, prefix="/z/")]),
         amend(drop={"routes": [{"name": "r", "version": 4}]}),
     ):
-        assert not i.news(again) and i.apply(again, 99) == []
+        assert not i.has_newer(again) and i.apply(again, 99) == []
     assert compiled(i) == before and i.revision == n
 
 
@@ -176,7 +176,7 @@
     ],
 )
 def test_an_invalid_route_is_found_with_its_place(bad, place):
-    r = read(call([route("fine"), {**route("r"), **bad}], [service()]))
+    r = parse_amend(call([route("fine"), {**route("r"), **bad}], [service()]))
     assert places(r) == [f"set.routes[1].{place}"]
 
 
@@ -194,7 +194,7 @@
         },
         "drop": {"routes": [{"name": "", "version": 1}]},
     }
-    assert places(read(json.dumps(body).encode())) == [
+    assert places(parse_amend(json.dumps(body).encode())) == [
         "set.routes[0].name",
         "set.routes[0].version",
         "set.routes[0].host",
@@ -226,7 +226,7 @@
     ],
 )
 def test_what_cannot_be_read_whole_is_refused_whole(body, place):
-    assert places(read(body)) == [place]
+    assert places(parse_amend(body)) == [place]
 
 
 def test_calls_are_judged_by_what_would_stand_after_them():
@@ -288,11 +288,13 @@
     ]
     svc, limits = [service(cold_s=3.0, cold_per_s=11, tls=False)], {"version": 7, "header_ms": 3000, "x": 0.1}
     i = items(amend(sent, svc, limits))
-    text = msgspec.json.encode({k: i.standing(k) for k in ("routes", "services", "limits")}).decode()
+    text = msgspec.json.encode({k: i.current_documents(k) for k in ("routes", "services", "limits")}).decode()
     assert json.loads(text) == {"routes": sent, "services": svc, "limits": [limits]}
     assert '"limit_ms": 1500.0' in text and '"header_ms": 3000,' in text
     i.apply(amend(drop={"routes": [{"name": "r", "version": 8}], "limits": {"version": 8}}), 2)
-    assert [json.loads(bytes(r))["name"] for r in i.standing("routes")] == ["é"] and i.standing("limits") == []
+    assert [json.loads(bytes(r))["name"] for r in i.current_documents("routes")] == ["é"] and i.current_documents(
+        "limits"
+    ) == []
 
 
 def test_a_call_touches_only_what_it_names():
@@ -310,18 +312,18 @@
     )
     j, rows = Items(), list(i.rows.values())
     for row in rows:
-        j.adopt([msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=Item)])
-    assert compiled(i) == compiled(j) and not j.news(amend([route("q", 4)]))
+        j.load_rows([msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=Item)])
+    assert compiled(i) == compiled(j) and not j.has_newer(amend([route("q", 4)]))
 
 
 def test_kinds_that_the_product_does_not_use_are_versioned_and_read_back_as_sent():
     x = Items()
     body = b'{"set":{"tenants":[{"name":"t","version":2,"homes":["north"]}],"quota":{"version":1,"most":5}}}'
-    assert x.apply(read(body).unwrap(), 1) == [] and x.kinds()[-2:] == ["quota", "tenants"]
-    assert [bytes(r) for r in x.standing("tenants")] == [b'{"name":"t","version":2,"homes":["north"]}']
-    assert x.apply(read(b'{"set":{"tenants":[{"name":"t","version":1}]}}').unwrap(), 2) == [] and x.revision == 1
-    assert x.apply(read(b'{"drop":{"tenants":[{"name":"t","version":3}]}}').unwrap(), 3) == []
-    assert x.standing("tenants") == [] and x.kinds()[-1] == "quota"
+    assert x.apply(parse_amend(body).unwrap(), 1) == [] and x.kinds()[-2:] == ["quota", "tenants"]
+    assert [bytes(r) for r in x.current_documents("tenants")] == [b'{"name":"t","version":2,"homes":["north"]}']
+    assert x.apply(parse_amend(b'{"set":{"tenants":[{"name":"t","version":1}]}}').unwrap(), 2) == [] and x.revision == 1
+    assert x.apply(parse_amend(b'{"drop":{"tenants":[{"name":"t","version":3}]}}').unwrap(), 3) == []
+    assert x.current_documents("tenants") == [] and x.kinds()[-1] == "quota"
 
 
 @pytest.mark.parametrize(
@@ -337,38 +339,38 @@
 )
 def test_a_kind_that_is_not_used_is_compared_by_its_json_value(a, b, same):
     i = Items()
-    first, second = (read(f'{{"set": {{"notes": {text}}}}}'.encode()).unwrap() for text in (a, b))
+    first, second = (parse_amend(f'{{"set": {{"notes": {text}}}}}'.encode()).unwrap() for text in (a, b))
     assert i.apply(first, 1) == [] and (i.apply(second, 2) == []) == same and i.revision == 1
 
 
 def test_defaults_and_unknown_fields_make_no_other_content():
     i = Items()
-    assert i.apply(read(b'{"set": {"services": [{"name": "s", "version": 1}]}}').unwrap(), 1) == []
+    assert i.apply(parse_amend(b'{"set": {"services": [{"name": "s", "version": 1}]}}').unwrap(), 1) == []
     again = b'{"set": {"services": [{"version": 1, "name": "s", "status": "/health", "connections": 0, "new": 1}]}}'
-    assert i.apply(read(again).unwrap(), 2) == [] and i.revision == 1
+    assert i.apply(parse_amend(again).unwrap(), 2) == [] and i.revision == 1
 
 
 def test_the_same_item_twice_in_a_call_must_say_the_same():
-    assert read(call([route("r", 5), route("r", 5)], [service()])).is_ok()
+    assert parse_amend(call([route("r", 5), route("r", 5)], [service()])).is_ok()
     for bad in (
         call([route("r", 5), route("r", 5, limit_ms=9)], [service()]),
         call([route("r", 5)], [service()], drop={"routes": [{"name": "r", "version": 5}]}),
     ):
-        assert places(read(bad)) == ["routes.r.version"]
+        assert places(parse_amend(bad)) == ["routes.r.version"]
     two = [Item("notes", "n", 1, b'{"version": 1, "x": 1}'), Item("notes", "n", 1, b'{"version": 1, "x": 2}')]
     assert [f.place for f in Items().apply(Amend(two), 1)] == ["notes.n.version"], "judged by the leader as well"
 
 
 @pytest.mark.parametrize("version", [2**63, -(2**63) - 1, 2**64, 2**70])
 def test_a_version_beyond_64_bits_is_refused(version):
-    assert places(read(call([route("r", version)]))) == ["set.routes[0].version"]
-    assert places(read(call(drop={"routes": [{"name": "r", "version": version}]}))) == ["drop.routes[0].version"]
-    assert places(read(call(limits={"version": version}))) == ["set.limits.version"]
-    assert places(read(b'{"set": {"notes": {"version": %d}}}' % version)) == ["set.notes.version"]
+    assert places(parse_amend(call([route("r", version)]))) == ["set.routes[0].version"]
+    assert places(parse_amend(call(drop={"routes": [{"name": "r", "version": version}]}))) == ["drop.routes[0].version"]
+    assert places(parse_amend(call(limits={"version": version}))) == ["set.limits.version"]
+    assert places(parse_amend(b'{"set": {"notes": {"version": %d}}}' % version)) == ["set.notes.version"]
 
 
 def test_an_item_without_a_version_is_refused():
-    assert places(read(b'{"set": {"services": [{"name": "s"}]}}')) == ["set.services[0].version"]
-    assert places(read(b'{"drop": {"services": [{"name": "s"}]}}')) == ["drop.services[0].version"]
-    assert places(read(b'{"set": {"limits": {}}}')) == ["set.limits.version"]
-    assert places(read(b'{"set": {"notes": [{"name": "n"}]}}')) == ["set.notes[0].version"]
+    assert places(parse_amend(b'{"set": {"services": [{"name": "s"}]}}')) == ["set.services[0].version"]
+    assert places(parse_amend(b'{"drop": {"services": [{"name": "s"}]}}')) == ["drop.services[0].version"]
+    assert places(parse_amend(b'{"set": {"limits": {}}}')) == ["set.limits.version"]
+    assert places(parse_amend(b'{"set": {"notes": [{"name": "n"}]}}')) == ["set.notes[0].version"]
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -5,7 +5,7 @@
 from mallowvalve.control.snapshot import dump, load
 from mallowvalve.control.state import State
 from mallowvalve.ledger import ledger
-from mallowvalve.ledger.ledger import KEEP_MS, Claim, Done, Forfeit, Ledger, Lose, Release
+from mallowvalve.ledger.ledger import KEY_RETENTION_MS, Claim, Done, Forfeit, Ledger, Lose, Release
 
 A, B = Claim("k", "d", "p1", "n1"), Claim("k", "d", "p2", "n2", 1)
 
@@ -19,7 +19,7 @@
     s = State(1)
     s.ledger = x
     s = load(dump(s))
-    y.rows, y.kept, y._bytes = s.ledger.rows, s.ledger.kept, s.ledger._bytes
+    y.rows, y.body_sizes, y._stored_bytes = s.ledger.rows, s.ledger.body_sizes, s.ledger._stored_bytes
 
 
 @pytest.mark.parametrize(
@@ -65,8 +65,8 @@
     x = Ledger()
     x.apply(A, 0)
     x.apply(Done("k", "n1", 200, "t", b"x"), 1)
-    assert x.apply(B, KEEP_MS - 1).state == "done"
-    assert x.apply(B, KEEP_MS).state == "granted"
+    assert x.apply(B, KEY_RETENTION_MS - 1).state == "done"
+    assert x.apply(B, KEY_RETENTION_MS).state == "granted"
 
 
 def test_a_snapshot_holds_everything():
@@ -77,18 +77,18 @@
 
 
 def test_stored_answers_have_a_bound_and_the_oldest_go_first_but_never_the_fact(monkeypatch):
-    monkeypatch.setattr(ledger, "KEEP_BYTES", 1000)
+    monkeypatch.setattr(ledger, "MAX_STORED_BODY_BYTES", 1000)
     x = Ledger()
     for i in range(20):
         x.apply(Claim(f"k{i}", "d", "p", "n"), i)
         x.apply(Done(f"k{i}", "n", 200, "t", b"x" * 100), i)
-    states = [x.look(f"k{i}", "d") for i in range(20)]
+    states = [x.find(f"k{i}", "d") for i in range(20)]
     assert {v.state for v in states} == {"done"}
     assert [v.body is None for v in states] == [True] * 10 + [False] * 10
 
 
 def test_a_replica_that_came_by_snapshot_forgets_the_same_answers(monkeypatch):
-    monkeypatch.setattr(ledger, "KEEP_BYTES", 350)
+    monkeypatch.setattr(ledger, "MAX_STORED_BODY_BYTES", 350)
     x, y = Ledger(), Ledger()
     for i in range(3):
         x.apply(Claim(f"k{i}", "d", "p", "n"), 0)
@@ -98,8 +98,8 @@
     for z in (x, y):
         z.apply(Claim("k3", "d", "p", "n"), 2)
         z.apply(Done("k3", "n", 200, "t", b"x" * 100), 2)
-    assert [x.look(f"k{i}", "d") for i in range(4)] == [y.look(f"k{i}", "d") for i in range(4)]
-    assert x.look("k2", "d").body is None
+    assert [x.find(f"k{i}", "d") for i in range(4)] == [y.find(f"k{i}", "d") for i in range(4)]
+    assert x.find("k2", "d").body is None
 
 
 def test_no_order_of_commands_grants_a_key_twice_without_a_release():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,7 +3,7 @@
 import pytest
 from result import Err, Ok
 
-from mallowvalve.ledger.ledger import Verdict
+from mallowvalve.ledger.ledger import LedgerResult
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     Answer,
@@ -68,7 +68,9 @@
             case Body():
                 return Ok(b"")
             case Offer():
-                return Verdict({"Claim": "granted", "Release": "released", "Done": "done"}[type(s.command).__name__])
+                return LedgerResult(
+                    {"Claim": "granted", "Release": "released", "Done": "done"}[type(s.command).__name__]
+                )
             case Open():
                 return Ok(Kept(s.heartbeat))
             case Exchange():
@@ -167,7 +169,7 @@
     p = Played(open=pass_time(6.0))
     assert p.run(ONCE).outcome == "not-run" and p.count(Insist) == 0
     p = Played(open=pass_time(6.0))
-    p.say["offer"] = Verdict("granted")
+    p.say["offer"] = LedgerResult("granted")
     r = p.run(ONCE)
     assert r.outcome == "undecided" and p.count(Insist) == 1
     assert p.b.path.rejections[-1].outcome == "undecided"
@@ -175,7 +177,7 @@
 
 def test_a_claim_that_was_not_confirmed_sends_nothing_and_is_taken_back():
     p = Played()
-    p.say["offer"] = Verdict("undecided")
+    p.say["offer"] = LedgerResult("undecided")
     r = p.run(ONCE)
     assert (r.outcome, r.status, p.count(Exchange), p.count(Insist)) == ("undecided", 503, 0, 1)
 
@@ -213,7 +215,7 @@
     p = Played()
     led = p.b.replica.state.ledger
     led.apply(Claim("t\0k", digest("POST", "/o", b""), "other#1", "n0"), 0)
-    p.say["offer"] = Verdict("open")
+    p.say["offer"] = LedgerResult("open")
     p.acts["pause"] = lambda p: led.apply(Done("t\0k", "n0", 201, "a/b", b"first"), 0)
     r = p.run(ONCE)
     assert (r.status, r.answer.body, r.again, p.count(Exchange), p.count(Pause)) == (201, b"first", True, 0, 1)
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -6,18 +6,18 @@
 from mallowvalve.control.state import State, Tick, encode
 from mallowvalve.coordination.plain import (
     HISTORY_MS,
-    SLACK_MS,
+    LEASE_SLACK_MS,
     Count,
     Extend,
     Free,
-    Plain,
+    KeyRevision,
+    PlainCoordination,
+    PlainResult,
     PlainSnapshot,
-    Put,
     Take,
-    Word,
     Write,
     group_of,
-    parts,
+    split_snapshot,
 )
 
 OK = "ok"
@@ -25,46 +25,46 @@
 
 @pytest.fixture
 def p():
-    return Plain()
+    return PlainCoordination()
 
 
 def test_a_lock_goes_to_one_holder_and_to_the_next_when_it_lapses(p):
-    assert p.apply(Take("l", "a", 1000), 0) == Word(OK, 1)
-    assert p.apply(Take("l", "b", 1000), 1000) == Word("held")
-    assert p.apply(Extend("l", "a", 1, 500), 1000 + SLACK_MS) == Word("lost")
-    assert p.apply(Take("l", "b", 1000), 1000 + SLACK_MS) == Word(OK, 2)
-    assert p.apply(Take("m", "a", 1000), 1100) == Word(OK, 3)
+    assert p.apply(Take("l", "a", 1000), 0) == PlainResult(OK, 1)
+    assert p.apply(Take("l", "b", 1000), 1000) == PlainResult("held")
+    assert p.apply(Extend("l", "a", 1, 500), 1000 + LEASE_SLACK_MS) == PlainResult("lost")
+    assert p.apply(Take("l", "b", 1000), 1000 + LEASE_SLACK_MS) == PlainResult(OK, 2)
+    assert p.apply(Take("m", "a", 1000), 1100) == PlainResult(OK, 3)
 
 
 def test_a_renewal_never_shortens_and_needs_its_token(p):
     p.apply(Take("l", "a", 5000), 0)
-    assert p.apply(Extend("l", "a", 1, 100), 10) == Word(OK, 1)
-    assert p.apply(Take("l", "b", 100), 4999) == Word("held")
-    assert p.apply(Extend("l", "a", 1, 5000), 4999) == Word(OK, 1)
-    assert p.apply(Take("l", "b", 100), 9999) == Word("held")
+    assert p.apply(Extend("l", "a", 1, 100), 10) == PlainResult(OK, 1)
+    assert p.apply(Take("l", "b", 100), 4999) == PlainResult("held")
+    assert p.apply(Extend("l", "a", 1, 5000), 4999) == PlainResult(OK, 1)
+    assert p.apply(Take("l", "b", 100), 9999) == PlainResult("held")
     for wrong in (Extend("l", "a", 2, 9), Extend("l", "b", 1, 9), Extend("x", "a", 1, 9)):
-        assert p.apply(wrong, 9999) == Word("lost")
+        assert p.apply(wrong, 9999) == PlainResult("lost")
 
 
 def test_a_late_free_does_not_end_the_hold_taken_after_it(p):
     p.apply(Take("l", "a", 1000), 0)
-    assert p.apply(Take("l", "a", 1000), 100) == Word(OK, 2)
-    assert p.apply(Free("l", "a", 1), 200) == Word(OK, 1)
-    assert p.apply(Take("l", "b", 1000), 300) == Word("held")
+    assert p.apply(Take("l", "a", 1000), 100) == PlainResult(OK, 2)
+    assert p.apply(Free("l", "a", 1), 200) == PlainResult(OK, 1)
+    assert p.apply(Take("l", "b", 1000), 300) == PlainResult("held")
     p.apply(Free("l", "a", 2), 400)
-    assert p.apply(Take("l", "b", 1000), 500) == Word(OK, 3)
+    assert p.apply(Take("l", "b", 1000), 500) == PlainResult(OK, 3)
     p.apply(Free("l", "a", 2), 600)
-    assert p.apply(Take("l", "c", 1000), 700) == Word("held")
+    assert p.apply(Take("l", "c", 1000), 700) == PlainResult("held")
 
 
 def test_a_take_whose_answer_was_lost_is_taken_again_and_either_token_extends(p):
     p.apply(Take("l", "a", 1000), 0)
     p.apply(Take("l", "a", 1000), 500)
-    assert p.apply(Extend("l", "a", 1, 1000), 600) == Word(OK, 1)
-    assert p.apply(Extend("l", "a", 2, 1000), 700) == Word(OK, 2)
+    assert p.apply(Extend("l", "a", 1, 1000), 600) == PlainResult(OK, 1)
+    assert p.apply(Extend("l", "a", 2, 1000), 700) == PlainResult(OK, 2)
     p.apply(Free("l", "a", 2), 800)
-    assert p.apply(Take("l", "a", 1000), 900) == Word(OK, 3)
-    assert p.apply(Extend("l", "a", 2, 1000), 1000) == Word("lost")
+    assert p.apply(Take("l", "a", 1000), 900) == PlainResult(OK, 3)
+    assert p.apply(Extend("l", "a", 2, 1000), 1000) == PlainResult("lost")
 
 
 def test_a_hold_taken_again_without_end_keeps_few_tokens(p):
@@ -84,41 +84,41 @@
 
 
 def test_a_put_that_arrives_again_gets_its_first_revision_even_after_a_newer_one(p):
-    assert p.apply(Write("g.a", "one"), 0) == Word(OK, 1)
-    assert p.apply(Write("g.a", "one"), 1) == Word(OK, 1)
-    assert p.apply(Write("g.a", "two", 1), 2) == Word(OK, 2)
-    assert p.apply(Write("g.a", "one"), 3) == Word(OK, 1)
-    assert p.apply(Write("g.a", "two", 1), 4) == Word(OK, 2)
-    assert p.cells["g.a"] == ("two", 2) and [e.value for e in p.since("g.", 0)[0]] == ["one", "two"]
+    assert p.apply(Write("g.a", "one"), 0) == PlainResult(OK, 1)
+    assert p.apply(Write("g.a", "one"), 1) == PlainResult(OK, 1)
+    assert p.apply(Write("g.a", "two", 1), 2) == PlainResult(OK, 2)
+    assert p.apply(Write("g.a", "one"), 3) == PlainResult(OK, 1)
+    assert p.apply(Write("g.a", "two", 1), 4) == PlainResult(OK, 2)
+    assert p.keys["g.a"] == ("two", 2) and [e.value for e in p.events_since("g.", 0)[0]] == ["one", "two"]
 
 
 def test_a_present_value_is_known_for_ever(p):
     p.apply(Write("g.a", "one"), 0)
-    assert p.apply(Write("g.a", "one", 7), 10 * HISTORY_MS) == Word(OK, 1)
+    assert p.apply(Write("g.a", "one", 7), 10 * HISTORY_MS) == PlainResult(OK, 1)
 
 
 def test_a_put_on_revision_0_wants_no_cell_there(p):
-    assert p.apply(Write("g.a", "first", 0), 1) == Word("ok", 1)
-    assert p.apply(Write("g.a", "second", 0), 2) == Word("conflict", 1)
-    assert p.apply(Write("g.a", "third"), 3) == Word("ok", 2)
+    assert p.apply(Write("g.a", "first", 0), 1) == PlainResult("ok", 1)
+    assert p.apply(Write("g.a", "second", 0), 2) == PlainResult("conflict", 1)
+    assert p.apply(Write("g.a", "third"), 3) == PlainResult("ok", 2)
 
 
 @pytest.mark.parametrize("base", [0, 3, 99])
 def test_a_refused_put_stays_refused(p, base):
     p.apply(Write("g.a", "one"), 0)
     p.apply(Write("g.a", "two"), 1)
-    assert p.apply(Write("g.a", "mine", base), 2) == Word("conflict", 2)
+    assert p.apply(Write("g.a", "mine", base), 2) == PlainResult("conflict", 2)
     p.apply(Write("g.a", "three"), 3)
     for again in (Write("g.a", "mine", base), Write("g.a", "mine", 3), Write("g.a", "mine")):
-        assert p.apply(again, 4) == Word("conflict", 3)
-    assert p.cells["g.a"] == ("three", 3) and "mine" not in [e.value for e in p.since("g.", 0)[0]]
+        assert p.apply(again, 4) == PlainResult("conflict", 3)
+    assert p.keys["g.a"] == ("three", 3) and "mine" not in [e.value for e in p.events_since("g.", 0)[0]]
 
 
 def test_a_conflict_names_no_revision_of_another_key(p):
     p.apply(Write("g.a", "one"), 0)
-    assert p.apply(Write("g.b", "x", 1), 0) == Word("conflict", 0)
-    assert p.apply(Write("g.b", "y"), 0) == Word(OK, 2)
-    assert p.apply(Write("g.a", "two", 1), 0) == Word(OK, 3)
+    assert p.apply(Write("g.b", "x", 1), 0) == PlainResult("conflict", 0)
+    assert p.apply(Write("g.b", "y"), 0) == PlainResult(OK, 2)
+    assert p.apply(Write("g.a", "two", 1), 0) == PlainResult(OK, 3)
 
 
 def test_long_values_are_known_again_too(p):
@@ -129,21 +129,28 @@
 def test_history_holds_a_minute_and_says_when_it_holds_no_more(p):
     for i in range(10):
         p.apply(Write("g.a", str(i)), i * 1000)
-    assert p.since("g.", 0)[1] == 10 and [e.revision for e in p.since("g.", 7)[0]] == [8, 9, 10]
-    assert p.since("g.", 10) == ([], 10) and p.since("g.", 99) == ([], 10) and p.since("h.", 3) == ([], 0)
-    p.lapse(HISTORY_MS + 4500)
-    assert p.since("g.", 4) is None and [e.revision for e in p.since("g.", 5)[0]] == [6, 7, 8, 9, 10]
-    p.lapse(3 * HISTORY_MS)
-    assert p.since("g.", 9) is None and p.since("g.", 10) == ([], 10)
-    assert p.apply(Write("g.b", "new"), 3 * HISTORY_MS) == Word(OK, 11)
-    assert p.since("g.", 10)[0] == [Put(11, 3 * HISTORY_MS, "g.b", "new")] and p.since("g.", 9) is None
+    assert p.events_since("g.", 0)[1] == 10 and [e.revision for e in p.events_since("g.", 7)[0]] == [8, 9, 10]
+    assert (
+        p.events_since("g.", 10) == ([], 10)
+        and p.events_since("g.", 99) == ([], 10)
+        and p.events_since("h.", 3) == ([], 0)
+    )
+    p.expire(HISTORY_MS + 4500)
+    assert p.events_since("g.", 4) is None and [e.revision for e in p.events_since("g.", 5)[0]] == [6, 7, 8, 9, 10]
+    p.expire(3 * HISTORY_MS)
+    assert p.events_since("g.", 9) is None and p.events_since("g.", 10) == ([], 10)
+    assert p.apply(Write("g.b", "new"), 3 * HISTORY_MS) == PlainResult(OK, 11)
+    assert (
+        p.events_since("g.", 10)[0] == [KeyRevision(11, 3 * HISTORY_MS, "g.b", "new")]
+        and p.events_since("g.", 9) is None
+    )
 
 
 def test_history_is_bounded_by_its_bytes_across_groups(p):
     for i in range(600):
         p.apply(Write(f"g{i % 2}.a", str(i).rjust(65536)), 0)
-    held = [p.since(g, p.groups[g].compacted)[0] for g in ("g0.", "g1.")]
-    assert 500 < sum(map(len, held)) <= 512 and p.since("g0.", 0) is None
+    held = [p.events_since(g, p.groups[g].compacted)[0] for g in ("g0.", "g1.")]
+    assert 500 < sum(map(len, held)) <= 512 and p.events_since("g0.", 0) is None
     assert all([e.revision for e in h] == list(range(301 - len(h), 301)) for h in held)
 
 
@@ -151,23 +158,23 @@
     for i in range(100):
         p.apply(Take(f"l{i}", "a", 10), 0)
         p.apply(Write(f"g{i}.a", "v", i), 0)
-    assert p.restless()
-    p.lapse(HISTORY_MS + 1)
-    assert not p.restless() and p.snapshot().kept == [] and p.snapshot().history == []
+    assert p.has_leases()
+    p.expire(HISTORY_MS + 1)
+    assert not p.has_leases() and p.snapshot().outcomes == [] and p.snapshot().history == []
 
 
 def test_the_state_routes_commands_and_ticks():
     s = State(1)
     o = s.apply(1, 50, encode(Take("l", "a", 100)))
-    assert msgspec.msgpack.decode(o.body, type=Word) == Word(OK, 1) and s.plain.restless()
+    assert msgspec.msgpack.decode(o.body, type=PlainResult) == PlainResult(OK, 1) and s.plain.has_leases()
     s.apply(2, 500, encode(Tick()))
-    assert not s.plain.restless()
+    assert not s.plain.has_leases()
 
 
 @pytest.mark.parametrize("gap", [HISTORY_MS - 1, HISTORY_MS, HISTORY_MS + 1, HISTORY_MS + 900])
 def test_replicas_that_swept_at_different_times_agree_on_every_put(gap):
     """One swept just before, one was made from a snapshot, one had ticks all along."""
-    a, b, c = Plain(), Plain(), Plain()
+    a, b, c = PlainCoordination(), PlainCoordination(), PlainCoordination()
     lines = [
         (500, Write("g.a", "old")),
         (500, Write("g.a", "new")),
@@ -175,11 +182,11 @@
         (500 + gap, Write("g.a", "old")),
     ]
     for at, line in lines:
-        c.lapse(at)
-        b, was = Plain(), b
-        b.adopt(was.snapshot())
+        c.expire(at)
+        b, was = PlainCoordination(), b
+        b.load_snapshot(was.snapshot())
         assert len({p.apply(line, at) for p in (a, b, c)}) == 1
-    assert a.cells == b.cells == c.cells and (a.revision("g.") == 3) is (gap > HISTORY_MS)
+    assert a.keys == b.keys == c.keys and (a.revision("g.") == 3) is (gap > HISTORY_MS)
 
 
 def history(seed: int, n: int):
@@ -201,11 +208,11 @@
         )
 
 
-def same(a: Plain, b: Plain, clock: int) -> bool:
-    a.lapse(clock)
-    b.lapse(clock)
+def same(a: PlainCoordination, b: PlainCoordination, clock: int) -> bool:
+    a.expire(clock)
+    b.expire(clock)
     return a.snapshot() == b.snapshot() and all(
-        a.since(g, n) == b.since(g, n) for g in a.groups for n in range(a.revision(g) + 1)
+        a.events_since(g, n) == b.events_since(g, n) for g in a.groups for n in range(a.revision(g) + 1)
     )
 
 
@@ -213,15 +220,15 @@
 def test_a_snapshot_taken_anywhere_goes_on_as_the_original_does(seed):
     lines = list(history(seed, 300))
     cut = random.Random(seed).randrange(300)
-    whole = Plain()
+    whole = PlainCoordination()
     for at, c in lines[:cut]:
         whole.apply(c, at)
     pic = whole.snapshot()
     wire = msgspec.msgpack.encode(pic)
-    one, many = Plain(), Plain()
-    one.adopt(msgspec.msgpack.decode(wire, type=PlainSnapshot))
-    for part in parts(pic, rows=7):
-        many.adopt(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=PlainSnapshot))
+    one, many = PlainCoordination(), PlainCoordination()
+    one.load_snapshot(msgspec.msgpack.decode(wire, type=PlainSnapshot))
+    for part in split_snapshot(pic, rows=7):
+        many.load_snapshot(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=PlainSnapshot))
     for at, c in lines[cut:]:
         assert whole.apply(c, at) == one.apply(c, at) == many.apply(c, at)
     assert same(whole, one, lines[-1][0]) and same(whole, many, lines[-1][0])
--- a/tests/test_plainplay.py
+++ b/tests/test_plainplay.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mallowvalve.coordination import plain
-from mallowvalve.coordination.plain import Free, Hold, Plain, Take, Word, Write
+from mallowvalve.coordination.plain import Free, PlainCoordination, PlainLease, PlainResult, Take, Write
 from tests.plainplay import Caller, World, judge, play
 
 
@@ -25,40 +25,40 @@
             Caller(w, f"a{i}")
         for at in range(1000, 50_000, 1000):
             w.run(at)
-            pic, w.plain = w.plain.snapshot(), Plain()
-            w.plain.adopt(pic)
+            pic, w.plain = w.plain.snapshot(), PlainCoordination()
+            w.plain.load_snapshot(pic)
         assert judge(w) == set()
 
 
-class AnyFree(Plain):
+class FreesWithAnyToken(PlainCoordination):
     __slots__ = ()
 
     def _free(self, c, clock):
         h = self._held(c.name, clock)
         if h is not None and c.token in h.tokens:
             del self.locks[c.name]
-        return Word("ok")
+        return PlainResult("ok")
 
 
-class SameToken(Plain):
+class ReusesToken(PlainCoordination):
     __slots__ = ()
 
     def _take(self, c, clock):
         h = self._held(c.name, clock)
         if h is None or h.holder != c.holder:
             return super()._take(c, clock)
-        self.locks[c.name] = Hold(h.holder, h.tokens, max(h.until, plain.until_of(clock, c.hold_ms)))
-        return Word("ok", h.tokens[-1])
+        self.locks[c.name] = PlainLease(h.holder, h.tokens, max(h.until, plain.lease_expiry_ms(clock, c.hold_ms)))
+        return PlainResult("ok", h.tokens[-1])
 
 
-class Early(Plain):
+class ExpiresEarly(PlainCoordination):
     __slots__ = ()
 
     def _take(self, c, clock):
         return super()._take(Take(c.name, c.holder, c.hold_ms * 0.8), clock)
 
 
-class ByLock(Plain):
+class CountsTokensPerLock(PlainCoordination):
     __slots__ = ()
 
     def _take(self, c, clock):
@@ -67,7 +67,7 @@
         return super()._take(c, clock)
 
 
-class Forgetful(Plain):
+class ForgetsWrites(PlainCoordination):
     """Knows no put again but the present one."""
 
     __slots__ = ()
@@ -76,40 +76,40 @@
         pass
 
 
-class Baseless(Plain):
+class IgnoresBase(PlainCoordination):
     __slots__ = ()
 
     def _write(self, c, clock):
         return super()._write(Write(c.name, c.value), clock)
 
 
-class Stuck(Plain):
+class RepeatsNumbers(PlainCoordination):
     __slots__ = ()
 
     def apply(self, c, clock):
         w = super().apply(c, clock)
-        return Word(w.code, math.ceil(w.number / 2)) if isinstance(c, plain.Count) else w
+        return PlainResult(w.code, math.ceil(w.number / 2)) if isinstance(c, plain.Count) else w
 
 
-class Skipping(Plain):
+class SkipsEvents(PlainCoordination):
     __slots__ = ()
 
-    def since(self, group, after):
-        got = super().since(group, after)
+    def events_since(self, group, after):
+        got = super().events_since(group, after)
         return got and (got[0][1:], got[1])
 
 
 @pytest.mark.parametrize(
     "make, rules",
     [
-        (AnyFree, {"ONE two holders"}),
-        (SameToken, {"ONE two holders"}),
-        (Early, {"ONE two holders"}),
-        (ByLock, {"ONE token"}),
-        (Forgetful, {"MIXED another revision", "REFUSED"}),
-        (Baseless, {"ORDER base"}),
-        (Stuck, {"ORDER number"}),
-        (Skipping, {"ORDER watch"}),
+        (FreesWithAnyToken, {"ONE two holders"}),
+        (ReusesToken, {"ONE two holders"}),
+        (ExpiresEarly, {"ONE two holders"}),
+        (CountsTokensPerLock, {"ONE token"}),
+        (ForgetsWrites, {"MIXED another revision", "REFUSED"}),
+        (IgnoresBase, {"ORDER base"}),
+        (RepeatsNumbers, {"ORDER number"}),
+        (SkipsEvents, {"ORDER watch"}),
     ],
 )
 def test_a_planted_breach_is_found(make, rules):
@@ -135,7 +135,7 @@
 
 
 def test_the_planted_free_differs_from_the_real_one():
-    for make, left in ((Plain, True), (AnyFree, False)):
+    for make, left in ((PlainCoordination, True), (FreesWithAnyToken, False)):
         p = make()
         p.apply(Take("l", "a", 1000), 0)
         p.apply(Take("l", "a", 1000), 1)
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -8,7 +8,7 @@
 from mallowvalve.proxy.choose import Chooser, cap
 from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.repeats import Repeats
-from mallowvalve.routing.compiler import DEFAULT
+from mallowvalve.routing.compiler import DEFAULT_POLICY
 from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
 
@@ -71,40 +71,40 @@
 def test_near_first_then_the_lesser_load_of_two():
     rs = rows(heartbeat(0, at=US), heartbeat(1, at=EU, usage=9.0), heartbeat(2, at=EU, usage=1.0))
     d = Chooser(EU, random.Random(1))
-    got = [d.pick(rs, DEFAULT, 1, set(), 0.0).heartbeat.instance for _ in range(200)]
+    got = [d.pick(rs, DEFAULT_POLICY, 1, set(), 0.0).heartbeat.instance for _ in range(200)]
     assert "i0" not in got and got.count("i2") > got.count("i1")
-    assert Chooser(EU2, random.Random(1)).pick(rs, DEFAULT, 1, set(), 0.0).heartbeat.locality == EU
+    assert Chooser(EU2, random.Random(1)).pick(rs, DEFAULT_POLICY, 1, set(), 0.0).heartbeat.locality == EU
 
 
 def test_a_cold_upstream_is_chosen_little_and_capped():
     rs = rows(heartbeat(0), heartbeat(1))
     rs[0].since = 0.0
     d = Chooser(EU, random.Random(2))
-    got = [d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
+    got = [d.pick(rs, DEFAULT_POLICY, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
     assert got.count("i0") < 40
-    assert cap(rs[0], DEFAULT, 1, 0.5) == 1 and cap(rs[0], DEFAULT, 1, 100.0) == DEFAULT.width
+    assert cap(rs[0], DEFAULT_POLICY, 1, 0.5) == 1 and cap(rs[0], DEFAULT_POLICY, 1, 100.0) == DEFAULT_POLICY.width
 
 
 def test_a_cold_upstream_alone_in_its_zone_does_not_get_the_zones_whole_work():
     rs = rows(heartbeat(0), heartbeat(1, at=EU2), heartbeat(2, at=US))
     rs[0].since = 0.0
     d = Chooser(EU, random.Random(2))
-    got = [d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
+    got = [d.pick(rs, DEFAULT_POLICY, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
     assert got.count("i0") < 40 and got.count("i1") > 300 and got.count("i2") == 0
     for r in rs:
         r.since = 0.0
-    assert {d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(40)} == {"i0"}
-    assert {d.pick(rs[:1], DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(20)} == {"i0"}
+    assert {d.pick(rs, DEFAULT_POLICY, 1, set(), 0.5).heartbeat.instance for _ in range(40)} == {"i0"}
+    assert {d.pick(rs[:1], DEFAULT_POLICY, 1, set(), 0.5).heartbeat.instance for _ in range(20)} == {"i0"}
 
 
 def test_full_upstreams_are_not_chosen():
     rs = rows(heartbeat(0))
     d = Chooser(EU, random.Random(3))
-    for _ in range(DEFAULT.width):
+    for _ in range(DEFAULT_POLICY.width):
         d.enter(rs[0].heartbeat.address)
-    assert d.pick(rs, DEFAULT, 1, set(), 0.0) is None
+    assert d.pick(rs, DEFAULT_POLICY, 1, set(), 0.0) is None
     d.leave(rs[0].heartbeat.address)
-    assert d.pick(rs, DEFAULT, 1, set(), 0.0) is rs[0]
+    assert d.pick(rs, DEFAULT_POLICY, 1, set(), 0.0) is rs[0]
 
 
 def shares(firsts, seconds=60.0, seed=4):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -19,7 +19,7 @@
 from mallowvalve.control.task import ControlTask
 from mallowvalve.control.waiting import turns_settings, waits_for
 from mallowvalve.control.wire import Took
-from mallowvalve.coordination.plain import Count, Take, Word, Write
+from mallowvalve.coordination.plain import Count, PlainResult, Take, Write
 from mallowvalve.coordination.state import Lock, Next, Put
 from mallowvalve.ledger.ledger import Claim
 from mallowvalve.settings import Acks
@@ -210,9 +210,9 @@
 def test_one_call_that_is_offered_thrice_is_applied_once(c):
     t = Lossy(2)
     took = t.offer(encode(c), 2.0)
-    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=Word) == Word("ok", 1)
+    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 1)
     took = t.offer(encode(c), 2.0)
-    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=Word) == Word("ok", 2)
+    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 2)
 
 
 @pytest.mark.parametrize("wrong", [-2500, -3_600_000, AHEAD_MOST_MS + 60_000], ids=["behind", "hour behind", "ahead"])
@@ -220,7 +220,7 @@
     t = Lossy(0)
     t.core.clock.restart(t.leading.clock.read(t.now) + wrong, clock.now())
     took = t.offer(encode(Count("n")), 2.0)
-    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=Word) == Word("ok", 1)
+    assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 1)
     assert unseal(t.sealed[-1])[0].number == 2 and len(t.sealed) == 2
     took = t.offer(encode(Count("n")), 2.0)
     assert took.code == "ok" and len(t.sealed) == 3, "the next call goes by what was learnt"
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -46,8 +46,8 @@
         (
             a.revision == b.revision,
             a.ledger.rows == b.ledger.rows,
-            list(a.ledger.kept) == list(b.ledger.kept),
-            a.ledger._bytes == b.ledger._bytes,
+            list(a.ledger.body_sizes) == list(b.ledger.body_sizes),
+            a.ledger._stored_bytes == b.ledger._stored_bytes,
             a.coordination.keys == b.coordination.keys,
             a.coordination.events == b.coordination.events,
             a.coordination.locks == b.coordination.locks,
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -2,12 +2,12 @@
 
 from mallowvalve.configuration.build import build
 from mallowvalve.routing import compiler
-from mallowvalve.routing.compiler import Policy, Request
+from mallowvalve.routing.compiler import Policy, RouteRequest
 from tests.shapes import CONFIG
 
 
 def get(path, method="GET", **headers):
-    return Request(method, path, headers)
+    return RouteRequest(method, path, headers)
 
 
 def test_a_route_inherits_from_its_cell_and_a_cell_from_its_region():
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from mallowvalve.configuration import items as items_module
-from mallowvalve.configuration.item_request import read
+from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import Items
 from mallowvalve.control.snapshot import cut_settings, dump, load
 from mallowvalve.control.state import State, encode
@@ -50,12 +50,12 @@
 
     @rule(changes=st.lists(CHANGE, min_size=1, max_size=3))
     def change(self, changes):
-        call = read(body(changes))
+        call = parse_amend(body(changes))
         given: dict[tuple, str | None] = {}
         if any(given.setdefault((k, n, v), c) != c for k, n, v, c, _ in changes):
             assert call.is_err()
             return
-        clashes = {
+        conflicts = {
             (k, n) for k, n, v, c, _ in changes if (v, c) != self.model.get((k, n), (v, c)) and self.same(k, n, v)
         }
         foreseen = self.state.items.check(call.unwrap())
@@ -63,9 +63,9 @@
         said = self.state.apply(index, 0, encode(call.unwrap()))
         if self.state.turned == index:
             self.part.apply(index, 0, encode(call.unwrap()))
-        if clashes:
+        if conflicts:
             assert said.code == "conflict" and self.state.items.rows == before
-            assert {f.place for f in foreseen} == {f"{k}.{n}.version" for k, n in clashes}
+            assert {f.place for f in foreseen} == {f"{k}.{n}.version" for k, n in conflicts}
             return
         assert said.code == "ok" and foreseen == []
         for k, n, v, c, _ in changes:
@@ -124,6 +124,6 @@
 def test_a_drop_and_a_set_under_one_version_conflict_both_ways():
     for first, second in (("x", None), (None, "x")):
         i = Items()
-        assert i.apply(read(body([("services", "a", 1, first, False)])).unwrap(), 1) == []
-        (found,) = i.apply(read(body([("services", "a", 1, second, False)])).unwrap(), 2)
+        assert i.apply(parse_amend(body([("services", "a", 1, first, False)])).unwrap(), 1) == []
+        (found,) = i.apply(parse_amend(body([("services", "a", 1, second, False)])).unwrap(), 2)
         assert found.place == "services.a.version" and ("a drop" in found.text) == (first is None)
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -5,7 +5,7 @@
 from result import Err, Ok
 
 from mallowvalve import settings
-from mallowvalve.configuration.items import HostRoute, Limits, Part, ServiceItem
+from mallowvalve.configuration.items import HostRoute, Limits, ServiceItem, WeightedService
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
@@ -190,5 +190,5 @@
     return r
 
 
-def split(name: str, weight: float) -> Part:
-    return Part(name, weight)
+def split(name: str, weight: float) -> WeightedService:
+    return WeightedService(name, weight)
