--- a/mallowvalve/coordination/state.py
+++ b/mallowvalve/coordination/state.py
@@ -85,7 +85,7 @@
     """A key was put or deleted; `at` is the fleet's clock (ms)."""
 
     revision: int
-    at: int
+    applied_at_ms: int
     name: str
     value: str | None
 
@@ -147,7 +147,7 @@
         """Forgets locks that have run out and events that are too old or too many."""
         for n in [n for n, h in self.locks.items() if h.until <= at]:
             del self.locks[n]
-        while self.events and (self.events[0].at + HISTORY_MS < at or len(self.events) > MAX_HISTORY_EVENTS):
+        while self.events and (self.events[0].applied_at_ms + HISTORY_MS < at or len(self.events) > MAX_HISTORY_EVENTS):
             self.compacted = self.events.popleft().revision
 
     def is_held(self, name: str, holder: str, token: int) -> bool:
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -62,8 +62,8 @@
                 return f"once: call {number} took effect at {seen[event.name]} and {event.revision}"
             seen[event.name] = event.revision
             latest = max(unseal(frame)[0].not_after for frame in self.callers[number].frames)
-            if event.at > latest:
-                return f"not after: call {number} took effect at {event.at} ms, its end was {latest}"
+            if event.applied_at_ms > latest:
+                return f"not after: call {number} took effect at {event.applied_at_ms} ms, its end was {latest}"
         return None
 
     def answered(self, caller: Caller, number: int, revision: int, now: float) -> str | None:
