--- a/tests/plainplay.py
+++ b/tests/plainplay.py
@@ -207,7 +207,7 @@
         self.say((g, self.revision[g]), then)
 
 
-def play(seed: int, ms: float = 60_000, make=PlainCoordination) -> World:
+def simulate(seed: int, ms: float = 60_000, make=PlainCoordination) -> World:
     w = World(seed, make)
     for i in range(4):
         Caller(w, f"a{i}")
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -14,7 +14,7 @@
 from mallowvalve.localfleet import history
 from tests import test_plainplay
 from tests.concurrent import DONE, REFUSED, UNKNOWN, amend, concurrent, draw, glance, lock, look, op, put, read
-from tests.plainplay import check_linearizability, play
+from tests.plainplay import check_linearizability, simulate
 from verification import histories
 from verification.histories import Draw, Extend, Free, Kind, Put, Take
 from verification.linearizability import FOUND, UNDECIDED, UNREADABLE, Partition, check, main_check
@@ -266,7 +266,7 @@
     ],
 )
 def test_a_machine_with_a_planted_fault_is_found_by_its_history_alone(make, rule):
-    assert any(rule in check_linearizability(play(seed, 60_000, make)) for seed in range(200))
+    assert any(rule in check_linearizability(simulate(seed, 60_000, make)) for seed in range(200))
 
 
 def test_a_recorded_history_is_checked_by_the_command(tmp_path: Path, capsys):
--- a/tests/test_plainplay.py
+++ b/tests/test_plainplay.py
@@ -4,18 +4,18 @@
 
 from mallowvalve.coordination import plain
 from mallowvalve.coordination.plain import Free, PlainCoordination, PlainLease, PlainResult, Take, Write
-from tests.plainplay import Caller, World, judge, play
+from tests.plainplay import Caller, World, judge, simulate
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_no_rule_is_broken_by_late_lost_and_doubled_calls(seed):
-    w = play(seed)
+    w = simulate(seed)
     assert judge(w) == set()
     assert len(w.spans) > 10 and sum(t.code == "conflict" for t in w.told) > 0
 
 
 def test_a_seed_plays_the_same_day():
-    assert play(3, 20_000).told == play(3, 20_000).told
+    assert simulate(3, 20_000).told == simulate(3, 20_000).told
 
 
 def test_the_machine_taken_over_from_snapshots_breaks_no_rule_either():
@@ -115,7 +115,7 @@
 def test_a_planted_breach_is_found(make, rules):
     found = set()
     for seed in range(200):
-        found |= judge(play(seed, 60_000, make))
+        found |= judge(simulate(seed, 60_000, make))
         if rules <= found:
             return
     raise AssertionError(found)
