--- a/mallowvalve/coordination/__init__.py
+++ b/mallowvalve/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Locks, numbers and watched keys as parts of the replicated state."""
+"""Locks, numbers and watched keys, as parts of the replicated state."""
--- a/mallowvalve/coordination/plain.py
+++ b/mallowvalve/coordination/plain.py
@@ -1,4 +1,7 @@
-"""Locks, numbers and keys for callers without keys of their own: a repeat is known by its content."""
+"""Locks, numbers and keys for callers without idempotency keys: a repeated command is recognised by its content.
+
+Times are ms of the fleet clock, which never goes back.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +15,19 @@
 import msgspec
 
 HISTORY_MS = 60_000
-MAX_HISTORY_EVENTS, MAX_HISTORY_BYTES = 100_000, 32 << 20
+"""How long revisions and write outcomes are retained."""
+
+MAX_HISTORY_EVENTS = 100_000
+MAX_HISTORY_BYTES = 32 << 20
 SWEEP_INTERVAL_MS = 1000
 LEASE_SLACK_MS = 20
 MAX_TOKENS_PER_LEASE = 64
 VALUE_ID_BYTES = 32
+"""The size of a value's digest; a value of at most as many characters identifies itself."""
 
 
 class Take(msgspec.Struct, frozen=True, array_like=True, tag="take"):
-    """Take a lock for `hold_ms`, or hold it longer."""
+    """Acquires a lock for `hold_ms`, or extends the lease of its holder."""
 
     name: str
     holder: str
@@ -28,7 +35,7 @@
 
 
 class Extend(msgspec.Struct, frozen=True, array_like=True, tag="extend"):
-    """Hold a lock longer, under a token of the hold."""
+    """Extends a lease, given any of its fencing tokens."""
 
     name: str
     holder: str
@@ -37,7 +44,7 @@
 
 
 class Free(msgspec.Struct, frozen=True, array_like=True, tag="free"):
-    """Give a lock back; without effect unless `token` is the newest of the hold."""
+    """Releases a lock; has no effect unless `token` is the newest fencing token of the lease."""
 
     name: str
     holder: str
@@ -45,13 +52,13 @@
 
 
 class Count(msgspec.Struct, frozen=True, array_like=True, tag="count"):
-    """Draw the next number of a name."""
+    """Draws the next number of a sequence."""
 
     name: str
 
 
 class Write(msgspec.Struct, frozen=True, array_like=True, tag="write"):
-    """Put a key; `base` is the revision that it must have (0: none), or None for any."""
+    """Sets a key; `base` is the revision that the key must have (0: absent), or None for any."""
 
     name: str
     value: str
@@ -59,7 +66,10 @@
 
 
 class PlainResultCode(enum.StrEnum):
-    """What became of a command: `HELD` by another holder, `LOST` to its holder, in `CONFLICT` with what is there."""
+    """The outcome of a command.
+
+    `HELD`: another holder has the lock. `LOST`: the caller no longer has it. `CONFLICT`: the key has another revision.
+    """
 
     OK = "ok"
     HELD = "held"
@@ -68,40 +78,40 @@
 
 
 class PlainResult(msgspec.Struct, frozen=True, array_like=True):
-    """The outcome of a command; `number` is the token, the value or the revision."""
+    """The result of a command; `number` is the fencing token, the number drawn or the revision."""
 
     code: PlainResultCode
     number: int = 0
 
 
 class PlainLease(msgspec.Struct, frozen=True, array_like=True):
-    """A lock while it is held; `tokens` are those of the unbroken hold, the newest last; `until` in fleet ms."""
+    """The lease of a lock; `tokens` are the fencing tokens issued since the holder acquired it, newest last."""
 
     holder: str
     tokens: tuple[int, ...]
-    until: int
+    expires_at_ms: int
 
 
 class KeyRevision(msgspec.Struct, frozen=True, array_like=True):
-    """A put that took effect; `at` is the fleet's clock (ms)."""
+    """A revision of a key, written by a write that took effect."""
 
     revision: int
-    at: int
+    written_at_ms: int
     name: str
     value: str
 
 
 class WriteOutcome(msgspec.Struct, frozen=True, array_like=True):
-    """What was said to a put; a refused one has revision 0."""
+    """The retained outcome of a write, for deduplication; revision 0 means that it was rejected."""
 
     name: str
-    mark: str
-    at: int
+    value_id: str
+    decided_at_ms: int
     revision: int
 
 
 class PlainSnapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The whole state, or one part of it on its way."""
+    """The whole state, or one part of it in a transfer."""
 
     token: int = 0
     locks: dict[str, PlainLease] = {}
@@ -116,36 +126,36 @@
 
 
 class KeyGroup:
-    """The keys that are alike up to the first dot: their revision, and their puts that are still known."""
+    """The keys that share their name up to the first dot: the group's revision and its retained revisions of keys."""
 
     __slots__ = ("revision", "events")
 
     def __init__(self) -> None:
-        """Nothing was put yet."""
+        """Creates a group without writes."""
         self.revision = 0
         self.events: deque[KeyRevision] = deque()
 
     @property
     def compacted(self) -> int:
-        """The revision up to which puts are no longer known."""
+        """The revision up to which the history is compacted."""
         return self.events[0].revision - 1 if self.events else self.revision
 
 
 def group_of(name: str) -> str:
-    """The group of a key, with its dot."""
+    """Returns the group of a key: its name up to and including the first dot."""
     head, dot, _ = name.partition(".")
     return head + dot
 
 
 def value_id_of(value: str) -> str:
-    """What tells a value from others: itself, or its digest if it is long."""
+    """Returns what identifies a value in deduplication: the value itself, or its digest if it is long."""
     if len(value) <= VALUE_ID_BYTES:
         return value
     return hashlib.blake2b(value.encode(), digest_size=VALUE_ID_BYTES).hexdigest()
 
 
 class PlainCoordination:
-    """Replicated; `clock` is the fleet clock in ms, which only rises."""
+    """The replicated state machine: the same commands at the same times give the same state on every replica."""
 
     __slots__ = (
         "token",
@@ -155,14 +165,14 @@
         "groups",
         "write_count",
         "_history",
-        "_bytes",
+        "_history_chars",
         "_outcomes",
-        "_said",
-        "_swept",
+        "_outcome_revisions",
+        "_swept_at_ms",
     )
 
     def __init__(self) -> None:
-        """Nothing is held."""
+        """Creates the empty state."""
         self.token = 0
         self.locks: dict[str, PlainLease] = {}
         self.numbers: dict[str, int] = {}
@@ -170,181 +180,192 @@
         self.groups: dict[str, KeyGroup] = {}
         self.write_count = 0
         self._history: deque[KeyRevision] = deque()
-        self._bytes = 0
+        self._history_chars = 0
         self._outcomes: deque[WriteOutcome] = deque()
-        self._said: dict[tuple[str, str], int] = {}
-        self._swept = 0
-
-    def apply(self, c: Take | Extend | Free | Count | Write, clock: int) -> PlainResult:
-        """Applies a command; the outcome depends on the state and the fleet's clock (ms) alone."""
-        if clock - self._swept >= SWEEP_INTERVAL_MS:
-            self.expire(clock)
-        match c:
+        self._outcome_revisions: dict[tuple[str, str], int] = {}
+        self._swept_at_ms = 0
+
+    def apply(self, command: Take | Extend | Free | Count | Write, now_ms: int) -> PlainResult:
+        """Applies a command; the result depends only on the state and the fleet clock."""
+        if now_ms - self._swept_at_ms >= SWEEP_INTERVAL_MS:
+            self.expire(now_ms)
+        match command:
             case Take():
-                return self._take(c, clock)
+                return self._take(command, now_ms)
             case Extend():
-                return self._extend(c, clock)
+                return self._extend(command, now_ms)
             case Free():
-                return self._free(c, clock)
+                return self._free(command, now_ms)
             case Count():
-                n = self.numbers[c.name] = self.numbers.get(c.name, 0) + 1
-                return PlainResult(PlainResultCode.OK, n)
+                number = self.numbers[command.name] = self.numbers.get(command.name, 0) + 1
+                return PlainResult(PlainResultCode.OK, number)
             case Write():
-                return self._write(c, clock)
+                return self._write(command, now_ms)
 
-    def expire(self, clock: int) -> None:
-        """Forgets what has run out; it is no longer heeded anyway, so when this is called changes no answer."""
-        self._swept = clock
-        for n in [n for n, h in self.locks.items() if h.until <= clock]:
-            del self.locks[n]
-        self._trim(clock)
-        self._forget(clock)
+    def expire(self, now_ms: int) -> None:
+        """Drops expired leases, history and outcomes.
+
+        Commands ignore what has expired, so the time of this call changes no result.
+        """
+        self._swept_at_ms = now_ms
+        for name in [name for name, lease in self.locks.items() if lease.expires_at_ms <= now_ms]:
+            del self.locks[name]
+        self._trim_history(now_ms)
+        self._trim_outcomes(now_ms)
 
     def has_leases(self) -> bool:
-        """Whether time alone will change something."""
+        """Returns whether the passing of time alone will change the locks."""
         return bool(self.locks)
 
     def revision(self, group: str) -> int:
-        """The revision of a group; 0 if nothing was put in it."""
-        g = self.groups.get(group)
-        return g.revision if g else 0
+        """Returns the revision of a group, 0 if it has no writes."""
+        known = self.groups.get(group)
+        return known.revision if known else 0
 
     def events_since(self, group: str, after: int) -> tuple[list[KeyRevision], int] | None:
-        """Puts above `after` and the group's revision, or None when the history begins later."""
-        g = self.groups.get(group)
-        if g is None:
+        """Returns the writes above revision `after` and the group's revision, or None if some of them are compacted."""
+        known = self.groups.get(group)
+        if known is None:
             return [], 0
-        if after < g.compacted:
+        if after < known.compacted:
             return None
-        return list(islice(g.events, after - g.compacted, None)), g.revision
+        return list(islice(known.events, after - known.compacted, None)), known.revision
 
-    def _held(self, name: str, clock: int) -> PlainLease | None:
-        h = self.locks.get(name)
-        return h if h is not None and h.until > clock else None
+    def _lease_of(self, name: str, now_ms: int) -> PlainLease | None:
+        lease = self.locks.get(name)
+        return lease if lease is not None and lease.expires_at_ms > now_ms else None
 
-    def _take(self, c: Take, clock: int) -> PlainResult:
-        h = self._held(c.name, clock)
-        if h is not None and h.holder != c.holder:
+    def _take(self, command: Take, now_ms: int) -> PlainResult:
+        lease = self._lease_of(command.name, now_ms)
+        if lease is not None and lease.holder != command.holder:
             return PlainResult(PlainResultCode.HELD)
         self.token += 1
-        until = lease_expiry_ms(clock, c.hold_ms)
-        before: tuple[int, ...] = ()
-        if h is not None:
-            until = max(until, h.until)
-            before = h.tokens[1 - MAX_TOKENS_PER_LEASE :]
-        self.locks[c.name] = PlainLease(c.holder, (*before, self.token), until)
+        expires_at_ms = lease_expiry_ms(now_ms, command.hold_ms)
+        earlier_tokens: tuple[int, ...] = ()
+        if lease is not None:
+            expires_at_ms = max(expires_at_ms, lease.expires_at_ms)
+            earlier_tokens = lease.tokens[1 - MAX_TOKENS_PER_LEASE :]
+        self.locks[command.name] = PlainLease(command.holder, (*earlier_tokens, self.token), expires_at_ms)
         return PlainResult(PlainResultCode.OK, self.token)
 
-    def _extend(self, c: Extend, clock: int) -> PlainResult:
-        h = self._held(c.name, clock)
-        if h is None or h.holder != c.holder or c.token not in h.tokens:
+    def _extend(self, command: Extend, now_ms: int) -> PlainResult:
+        lease = self._lease_of(command.name, now_ms)
+        if lease is None or lease.holder != command.holder or command.token not in lease.tokens:
             return PlainResult(PlainResultCode.LOST)
-        self.locks[c.name] = PlainLease(h.holder, h.tokens, max(h.until, lease_expiry_ms(clock, c.hold_ms)))
-        return PlainResult(PlainResultCode.OK, c.token)
-
-    def _free(self, c: Free, clock: int) -> PlainResult:
-        h = self._held(c.name, clock)
-        if h is not None and (h.holder, h.tokens[-1]) == (c.holder, c.token):
-            del self.locks[c.name]
-        return PlainResult(PlainResultCode.OK, c.token)
-
-    def _write(self, c: Write, clock: int) -> PlainResult:
-        self._forget(clock)
-        value, revision = self.keys.get(c.name, (None, 0))
-        if value == c.value:
+        self.locks[command.name] = PlainLease(
+            lease.holder, lease.tokens, max(lease.expires_at_ms, lease_expiry_ms(now_ms, command.hold_ms))
+        )
+        return PlainResult(PlainResultCode.OK, command.token)
+
+    def _free(self, command: Free, now_ms: int) -> PlainResult:
+        lease = self._lease_of(command.name, now_ms)
+        if lease is not None and (lease.holder, lease.tokens[-1]) == (command.holder, command.token):
+            del self.locks[command.name]
+        return PlainResult(PlainResultCode.OK, command.token)
+
+    def _write(self, command: Write, now_ms: int) -> PlainResult:
+        self._trim_outcomes(now_ms)
+        value, revision = self.keys.get(command.name, (None, 0))
+        if value == command.value:
             return PlainResult(PlainResultCode.OK, revision)
-        key = c.name, value_id_of(c.value)
-        said = self._said.get(key)
-        if said:
-            return PlainResult(PlainResultCode.OK, said)
-        if said == 0 or c.base not in (None, revision):
-            self._keep(key, clock, 0)
+        write_id = command.name, value_id_of(command.value)
+        earlier_revision = self._outcome_revisions.get(write_id)
+        if earlier_revision:
+            return PlainResult(PlainResultCode.OK, earlier_revision)
+        if earlier_revision == 0 or command.base not in (None, revision):
+            self._record_outcome(write_id, now_ms, 0)
             return PlainResult(PlainResultCode.CONFLICT, revision)
-        g = self.groups.setdefault(group_of(c.name), KeyGroup())
-        g.revision += 1
-        self.keys[c.name] = c.value, g.revision
-        self._keep(key, clock, g.revision)
-        self._record(g, KeyRevision(g.revision, clock, c.name, c.value))
-        self._trim(clock)
-        return PlainResult(PlainResultCode.OK, g.revision)
-
-    def _keep(self, key: tuple[str, str], clock: int, revision: int) -> None:
-        if key in self._said:
+        group = self.groups.setdefault(group_of(command.name), KeyGroup())
+        group.revision += 1
+        self.keys[command.name] = command.value, group.revision
+        self._record_outcome(write_id, now_ms, group.revision)
+        self._record_revision(group, KeyRevision(group.revision, now_ms, command.name, command.value))
+        self._trim_history(now_ms)
+        return PlainResult(PlainResultCode.OK, group.revision)
+
+    def _record_outcome(self, write_id: tuple[str, str], now_ms: int, revision: int) -> None:
+        if write_id in self._outcome_revisions:
             return
-        self._said[key] = revision
-        self._outcomes.append(WriteOutcome(*key, clock, revision))
+        self._outcome_revisions[write_id] = revision
+        self._outcomes.append(WriteOutcome(*write_id, now_ms, revision))
 
-    def _forget(self, clock: int) -> None:
-        while self._outcomes and (
-            self._outcomes[0].at + HISTORY_MS < clock or len(self._outcomes) > MAX_HISTORY_EVENTS
-        ):
-            k = self._outcomes.popleft()
-            del self._said[k.name, k.mark]
+    def _trim_outcomes(self, now_ms: int) -> None:
+        outcomes = self._outcomes
+        while outcomes and (outcomes[0].decided_at_ms + HISTORY_MS < now_ms or len(outcomes) > MAX_HISTORY_EVENTS):
+            oldest = outcomes.popleft()
+            del self._outcome_revisions[oldest.name, oldest.value_id]
 
-    def _record(self, g: KeyGroup, p: KeyRevision) -> None:
+    def _record_revision(self, group: KeyGroup, event: KeyRevision) -> None:
         self.write_count += 1
-        g.events.append(p)
-        self._history.append(p)
-        self._bytes += len(p.value)
-
-    def _trim(self, clock: int) -> None:
-        h = self._history
-        while h and (h[0].at + HISTORY_MS < clock or len(h) > MAX_HISTORY_EVENTS or self._bytes > MAX_HISTORY_BYTES):
-            p = h.popleft()
-            self._bytes -= len(p.value)
-            self.groups[group_of(p.name)].events.popleft()
+        group.events.append(event)
+        self._history.append(event)
+        self._history_chars += len(event.value)
+
+    def _trim_history(self, now_ms: int) -> None:
+        history = self._history
+        while history and (
+            history[0].written_at_ms + HISTORY_MS < now_ms
+            or len(history) > MAX_HISTORY_EVENTS
+            or self._history_chars > MAX_HISTORY_BYTES
+        ):
+            oldest = history.popleft()
+            self._history_chars -= len(oldest.value)
+            self.groups[group_of(oldest.name)].events.popleft()
 
     def snapshot(self) -> PlainSnapshot:
-        """A copy of the whole state."""
+        """Returns a copy of the whole state."""
         return PlainSnapshot(
             self.token,
             self.locks.copy(),
             self.numbers.copy(),
             self.keys.copy(),
-            {n: g.revision for n, g in self.groups.items()},
+            {name: group.revision for name, group in self.groups.items()},
             list(self._history),
             list(self._outcomes),
         )
 
-    def load_snapshot(self, p: PlainSnapshot) -> None:
-        """Takes a snapshot in, or one part after the other."""
-        self.token = max(self.token, p.token)
-        self.locks.update(p.locks)
-        self.numbers.update(p.numbers)
-        self.keys.update(p.keys)
-        for n, r in p.revisions.items():
-            self.groups.setdefault(n, KeyGroup()).revision = r
-        for e in p.history:
-            self._record(self.groups.setdefault(group_of(e.name), KeyGroup()), e)
-        for k in p.outcomes:
-            self._keep((k.name, k.mark), k.at, k.revision)
+    def load_snapshot(self, snapshot: PlainSnapshot) -> None:
+        """Loads a snapshot, or one of its parts; parts are loaded in order."""
+        self.token = max(self.token, snapshot.token)
+        self.locks.update(snapshot.locks)
+        self.numbers.update(snapshot.numbers)
+        self.keys.update(snapshot.keys)
+        for name, revision in snapshot.revisions.items():
+            self.groups.setdefault(name, KeyGroup()).revision = revision
+        for event in snapshot.history:
+            self._record_revision(self.groups.setdefault(group_of(event.name), KeyGroup()), event)
+        for outcome in snapshot.outcomes:
+            self._record_outcome((outcome.name, outcome.value_id), outcome.decided_at_ms, outcome.revision)
+
 
+def lease_expiry_ms(now_ms: int, hold_ms: float) -> int:
+    """Returns when a lease expires: a little later than requested.
 
-def lease_expiry_ms(clock: int, hold_ms: float) -> int:
-    """A little later than asked: the fleet clock counts whole ms, and no two clocks run alike."""
-    return clock + math.ceil(hold_ms) + LEASE_SLACK_MS
+    The slack covers the whole ms in which the fleet clock counts and the drift between clocks.
+    """
+    return now_ms + math.ceil(hold_ms) + LEASE_SLACK_MS
 
 
-def split_snapshot(p: PlainSnapshot, rows: int = 2000, size: int = 1 << 20) -> Iterator[PlainSnapshot]:
-    """A snapshot in parts of about so many rows and characters, to be adopted in this order."""
-    yield PlainSnapshot(p.token)
+def split_snapshot(snapshot: PlainSnapshot, rows: int = 2000, size: int = 1 << 20) -> Iterator[PlainSnapshot]:
+    """Yields a snapshot in parts of about `rows` rows and `size` characters, in the order in which to load them."""
+    yield PlainSnapshot(snapshot.token)
     for field in ("locks", "numbers", "keys", "revisions"):
-        for some in _batches(getattr(p, field).items(), rows, size):
-            yield msgspec.structs.replace(EMPTY_SNAPSHOT, **{field: dict(some)})
+        for batch in _batches(getattr(snapshot, field).items(), rows, size):
+            yield msgspec.structs.replace(EMPTY_SNAPSHOT, **{field: dict(batch)})
     for field in ("history", "outcomes"):
-        for some in _batches(getattr(p, field), rows, size):
-            yield msgspec.structs.replace(EMPTY_SNAPSHOT, **{field: some})
+        for batch in _batches(getattr(snapshot, field), rows, size):
+            yield msgspec.structs.replace(EMPTY_SNAPSHOT, **{field: batch})
 
 
 def _batches(items: Iterable, rows: int, size: int) -> Iterator[list]:
-    some, chars = [], 0
-    for i in items:
-        some.append(i)
-        v = i[1] if isinstance(i, tuple) else i
-        body = v[0] if isinstance(v, tuple) else getattr(v, "value", "")
-        chars += len(body)
-        if len(some) >= rows or chars >= size:
-            yield some
-            some, chars = [], 0
-    if some:
-        yield some
+    batch, chars = [], 0
+    for item in items:
+        batch.append(item)
+        row = item[1] if isinstance(item, tuple) else item
+        text = row[0] if isinstance(row, tuple) else getattr(row, "value", "")
+        chars += len(text)
+        if len(batch) >= rows or chars >= size:
+            yield batch
+            batch, chars = [], 0
+    if batch:
+        yield batch
--- a/mallowvalve/coordination/state.py
+++ b/mallowvalve/coordination/state.py
@@ -1,4 +1,4 @@
-"""Locks, numbers and keys for callers that bring a key for each command, which makes a repeat of it known."""
+"""Locks, numbers and keys for callers that send an idempotency key with each command."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 import msgspec
 
 HISTORY_MS = 60_000
+"""How long events are retained."""
+
 MAX_HISTORY_EVENTS = 100_000
 
 
 class Lock(msgspec.Struct, frozen=True, array_like=True, tag="lock"):
-    """Take a lock for `ttl_ms`."""
+    """Acquires a lock for `ttl_ms`; `ask` is the idempotency key, here and below."""
 
     name: str
     holder: str
@@ -21,7 +23,7 @@
 
 
 class Renew(msgspec.Struct, frozen=True, array_like=True, tag="renew"):
-    """Hold a lock longer, under its token."""
+    """Renews a lease, given its fencing token."""
 
     name: str
     holder: str
@@ -31,7 +33,7 @@
 
 
 class Unlock(msgspec.Struct, frozen=True, array_like=True, tag="unlock"):
-    """Give a lock back."""
+    """Releases a lock, given its fencing token."""
 
     name: str
     holder: str
@@ -40,14 +42,14 @@
 
 
 class Next(msgspec.Struct, frozen=True, array_like=True, tag="next"):
-    """Draw the next number of a name."""
+    """Draws the next number of a sequence."""
 
     name: str
     ask: str = ""
 
 
 class Put(msgspec.Struct, frozen=True, array_like=True, tag="put"):
-    """Put a key, or with no value delete it; `base` is the revision that it must have (0: none), or None for any."""
+    """Sets a key, or deletes it if `value` is None; `base` is the revision the key must have (0: absent), if given."""
 
     name: str
     value: str | None
@@ -56,15 +58,19 @@
 
 
 class KeyedLease(msgspec.Struct, array_like=True):
-    """A lock while it is held, `until` by the fleet's clock (ms)."""
+    """The lease of a lock; `expires_at_ms` is in fleet clock ms."""
 
     holder: str
     token: int
-    until: int
+    expires_at_ms: int
 
 
 class KeyedResultCode(enum.StrEnum):
-    """What became of a command: `HELD` by another, `LOST` to its holder, `MISSING`: nothing to delete."""
+    """The outcome of a command.
+
+    `HELD`: another holder has the lock. `LOST`: the caller no longer has it. `CONFLICT`: the key has another revision.
+    `MISSING`: the key to delete does not exist.
+    """
 
     OK = "ok"
     HELD = "held"
@@ -74,7 +80,10 @@
 
 
 class KeyedResult(msgspec.Struct, array_like=True, frozen=True):
-    """The outcome of a command; `number` is a token, a value, a revision, or how long a lock is still held (ms)."""
+    """The result of a command.
+
+    `number` is the fencing token, the number drawn, the revision, or the remaining time of another holder's lease (ms).
+    """
 
     code: KeyedResultCode
     number: int = 0
@@ -82,7 +91,7 @@
 
 
 class KeyEvent(msgspec.Struct, array_like=True, frozen=True):
-    """A key was put or deleted; `at` is the fleet's clock (ms)."""
+    """A key was set, or deleted if `value` is None; `applied_at_ms` is in fleet clock ms."""
 
     revision: int
     applied_at_ms: int
@@ -91,76 +100,78 @@
 
 
 class KeyedCoordination:
-    """The replicated state: only `apply` and `lapse` change it."""
+    """The replicated state machine; only `apply` and `expire` change it."""
 
     __slots__ = ("locks", "numbers", "keys", "events", "compacted")
 
     def __init__(self) -> None:
-        """Nothing is held."""
+        """Creates the empty state."""
         self.locks: dict[str, KeyedLease] = {}
         self.numbers: dict[str, int] = {}
         self.keys: dict[str, tuple[str, int]] = {}
         self.events: deque[KeyEvent] = deque()
         self.compacted = 0
 
-    def apply(self, c: Lock | Renew | Unlock | Next | Put, revision: int, at: int) -> KeyedResult:
-        """Applies a command under a revision and the fleet's clock (ms)."""
-        self.expire(at)
-        match c:
+    def apply(self, command: Lock | Renew | Unlock | Next | Put, revision: int, now_ms: int) -> KeyedResult:
+        """Applies a command at a revision and a time of the fleet clock."""
+        self.expire(now_ms)
+        match command:
             case Lock():
-                h = self.locks.get(c.name)
-                if h is not None:
-                    return KeyedResult(KeyedResultCode.HELD, h.until - at, h.holder)
-                self.locks[c.name] = KeyedLease(c.holder, revision, at + c.ttl_ms)
-                return KeyedResult(KeyedResultCode.OK, revision, c.holder)
+                lease = self.locks.get(command.name)
+                if lease is not None:
+                    return KeyedResult(KeyedResultCode.HELD, lease.expires_at_ms - now_ms, lease.holder)
+                self.locks[command.name] = KeyedLease(command.holder, revision, now_ms + command.ttl_ms)
+                return KeyedResult(KeyedResultCode.OK, revision, command.holder)
             case Renew():
-                if not self.is_held(c.name, c.holder, c.token):
+                if not self.is_held(command.name, command.holder, command.token):
                     return KeyedResult(KeyedResultCode.LOST)
-                h = self.locks[c.name]
-                h.until = at + c.ttl_ms
-                return KeyedResult(KeyedResultCode.OK, h.token, h.holder)
+                lease = self.locks[command.name]
+                lease.expires_at_ms = now_ms + command.ttl_ms
+                return KeyedResult(KeyedResultCode.OK, lease.token, lease.holder)
             case Unlock():
-                if not self.is_held(c.name, c.holder, c.token):
+                if not self.is_held(command.name, command.holder, command.token):
                     return KeyedResult(KeyedResultCode.LOST)
-                del self.locks[c.name]
-                return KeyedResult(KeyedResultCode.OK, c.token)
+                del self.locks[command.name]
+                return KeyedResult(KeyedResultCode.OK, command.token)
             case Next():
-                self.numbers[c.name] = revision
+                self.numbers[command.name] = revision
                 return KeyedResult(KeyedResultCode.OK, revision)
             case Put():
-                return self._put(c, revision, at)
-
-    def _put(self, c: Put, revision: int, at: int) -> KeyedResult:
-        had = self.keys.get(c.name)
-        if c.base is not None and c.base != (had[1] if had else 0):
-            return KeyedResult(KeyedResultCode.CONFLICT, had[1] if had else 0)
-        if c.value is None:
-            if had is None:
+                return self._put(command, revision, now_ms)
+
+    def _put(self, command: Put, revision: int, now_ms: int) -> KeyedResult:
+        current = self.keys.get(command.name)
+        if command.base is not None and command.base != (current[1] if current else 0):
+            return KeyedResult(KeyedResultCode.CONFLICT, current[1] if current else 0)
+        if command.value is None:
+            if current is None:
                 return KeyedResult(KeyedResultCode.MISSING)
-            del self.keys[c.name]
+            del self.keys[command.name]
         else:
-            self.keys[c.name] = (c.value, revision)
-        self.events.append(KeyEvent(revision, at, c.name, c.value))
+            self.keys[command.name] = (command.value, revision)
+        self.events.append(KeyEvent(revision, now_ms, command.name, command.value))
         return KeyedResult(KeyedResultCode.OK, revision)
 
-    def expire(self, at: int) -> None:
-        """Forgets locks that have run out and events that are too old or too many."""
-        for n in [n for n, h in self.locks.items() if h.until <= at]:
-            del self.locks[n]
-        while self.events and (self.events[0].applied_at_ms + HISTORY_MS < at or len(self.events) > MAX_HISTORY_EVENTS):
+    def expire(self, now_ms: int) -> None:
+        """Drops expired leases, and events beyond the retention time or count."""
+        for name in [name for name, lease in self.locks.items() if lease.expires_at_ms <= now_ms]:
+            del self.locks[name]
+        while self.events and (
+            self.events[0].applied_at_ms + HISTORY_MS < now_ms or len(self.events) > MAX_HISTORY_EVENTS
+        ):
             self.compacted = self.events.popleft().revision
 
     def is_held(self, name: str, holder: str, token: int) -> bool:
-        """Whether the lock is held under this token."""
-        h = self.locks.get(name)
-        return h is not None and (h.holder, h.token) == (holder, token)
+        """Returns whether the holder has the lock under this fencing token."""
+        lease = self.locks.get(name)
+        return lease is not None and (lease.holder, lease.token) == (holder, token)
 
     def has_leases(self) -> bool:
-        """Whether time alone will change something."""
+        """Returns whether the passing of time alone will change the locks."""
         return bool(self.locks)
 
     def events_since(self, revision: int, prefix: str) -> list[KeyEvent] | None:
-        """The events after a revision whose names begin so; None if some of them are forgotten."""
+        """Returns the events above a revision whose keys begin with `prefix`, or None if some are compacted."""
         if revision < self.compacted:
             return None
         return [e for e in self.events if e.revision > revision and e.name.startswith(prefix)]
--- a/tests/plainplay.py
+++ b/tests/plainplay.py
@@ -1,4 +1,4 @@
-"""Callers with clocks of their own play against the plain machine over a bad network; what each was told is judged."""
+"""Simulates callers with their own clocks against `PlainCoordination` over an unreliable network, and checks answers."""
 
 import random
 from heapq import heappop, heappush
@@ -9,342 +9,381 @@
 from verification import histories, linearizability
 from verification.histories import Kind, Operation, Outcome, outcome_of
 
-PATIENCE = 1000
+CALL_TIMEOUT_MS = 1000
 KEYS = ("g.a", "g.b", "h.a")
 
 
-class Told(msgspec.Struct):
-    """A call as its caller saw it, in real ms; `got` is None while there is no answer. A read or watch has no command."""
+class CallRecord(msgspec.Struct):
+    """A call as its caller saw it, in real ms.
+
+    `answered_ms` is None while the call runs, infinite after a timeout. In place of a command, a read has the key, a
+    watch the group and revision.
+    """
 
     caller: str
-    sent: float
-    c: object
-    got: float | None = None
+    sent_ms: float
+    command: object
+    answered_ms: float | None = None
     code: str = ""
     number: int = 0
     events: list = []
 
 
-class Span(msgspec.Struct):
+class HeldInterval(msgspec.Struct):
+    """The time (real ms) in which a caller counts on a lock."""
+
     name: str
     holder: str
-    begin: float
-    end: float
+    begin_ms: float
+    end_ms: float
 
 
-class World:
-    """The core behind its log: one clock in ms, outages after which a new leader goes on from the last entry's clock."""
+class PlainSimulation:
+    """A control process behind its log: one clock, and outages.
+
+    After an outage a new leader continues from the time of the last entry.
+    """
 
     def __init__(self, seed: int, make=PlainCoordination):
         self.rng = random.Random(seed)
-        self.now, self._n, self._due = 0.0, 0, []
-        self.plain, self.entry = make(), 0
-        self._base, self._since, self._rate = 0.0, 0.0, 1 + self.rng.uniform(-1e-4, 1e-4)
-        self._down = -1.0
-        self.told: list[Told] = []
-        self.spans: list[Span] = []
-        self.at(self.rng.uniform(3000, 9000), self.outage)
-
-    def at(self, when: float, act, *args) -> None:
-        self._n += 1
-        heappush(self._due, (when, self._n, act, args))
-
-    def run(self, until: float) -> None:
-        while self._due and self._due[0][0] < until:
-            self.now, _, act, args = heappop(self._due)
-            act(*args)
-
-    def outage(self) -> None:
-        self._down = self.now + self.rng.uniform(500, 4000)
-        self._base, self._since = self.entry, self._down
-        self.at(self._down + self.rng.uniform(3000, 9000), self.outage)
-
-    def clock(self) -> int:
-        return int(self._base + (self.now - self._since) * self._rate)
-
-    def directory(self) -> float:
+        self.now_ms, self._scheduled, self._queue = 0.0, 0, []
+        self.plain, self.last_entry_ms = make(), 0
+        self._clock_base_ms, self._clock_start_ms, self._clock_rate = 0.0, 0.0, 1 + self.rng.uniform(-1e-4, 1e-4)
+        self._down_until_ms = -1.0
+        self.calls: list[CallRecord] = []
+        self.intervals: list[HeldInterval] = []
+        self.schedule(self.rng.uniform(3000, 9000), self.start_outage)
+
+    def schedule(self, time_ms: float, action, *args) -> None:
+        self._scheduled += 1
+        heappush(self._queue, (time_ms, self._scheduled, action, args))
+
+    def run(self, until_ms: float) -> None:
+        while self._queue and self._queue[0][0] < until_ms:
+            self.now_ms, _, action, args = heappop(self._queue)
+            action(*args)
+
+    def start_outage(self) -> None:
+        self._down_until_ms = self.now_ms + self.rng.uniform(500, 4000)
+        self._clock_base_ms, self._clock_start_ms = self.last_entry_ms, self._down_until_ms
+        self.schedule(self._down_until_ms + self.rng.uniform(3000, 9000), self.start_outage)
+
+    def clock_ms(self) -> int:
+        return int(self._clock_base_ms + (self.now_ms - self._clock_start_ms) * self._clock_rate)
+
+    def network_delay_ms(self) -> float:
         return self.rng.uniform(1, 3000) if self.rng.random() < 0.1 else self.rng.uniform(1, 60)
 
-    def lost(self) -> bool:
+    def is_lost(self) -> bool:
         return self.rng.random() < 0.1
 
-    def call(self, t: Told, then) -> None:
-        self.told.append(t)
+    def call(self, record: CallRecord, done) -> None:
+        self.calls.append(record)
         for _ in range(2 if self.rng.random() < 0.15 else 1):
-            if not self.lost():
-                self.at(self.now + self.directory(), self.arrive, t, then)
-        self.at(self.now + PATIENCE, self.end, t, then)
-
-    def arrive(self, t: Told, then) -> None:
-        if self.now < self._down:
-            if not self.lost():
-                self.at(self._down + self.directory(), self.arrive, t, then)
+            if not self.is_lost():
+                self.schedule(self.now_ms + self.network_delay_ms(), self.arrive, record, done)
+        self.schedule(self.now_ms + CALL_TIMEOUT_MS, self.time_out, record, done)
+
+    def arrive(self, record: CallRecord, done) -> None:
+        if self.now_ms < self._down_until_ms:
+            if not self.is_lost():
+                self.schedule(self._down_until_ms + self.network_delay_ms(), self.arrive, record, done)
             return
-        said = self.do(t.c)
-        if not self.lost():
-            self.at(self.now + self.directory(), self.answer, t, said, then)
-
-    def do(self, c):
-        if isinstance(c, str):
-            return "ok", self.plain.keys.get(c, ("", 0))[1], []
-        if isinstance(c, tuple):
-            got = self.plain.events_since(*c)
-            return ("gone", 0, []) if got is None else ("ok", got[1], got[0])
-        self.entry = max(self.entry, self.clock())
-        w = self.plain.apply(c, self.entry)
-        return w.code, w.number, []
-
-    def answer(self, t: Told, said, then) -> None:
-        if t.got is not None:
+        answer = self.execute(record.command)
+        if not self.is_lost():
+            self.schedule(self.now_ms + self.network_delay_ms(), self.deliver_answer, record, answer, done)
+
+    def execute(self, command):
+        if isinstance(command, str):
+            return "ok", self.plain.keys.get(command, ("", 0))[1], []
+        if isinstance(command, tuple):
+            found = self.plain.events_since(*command)
+            return ("gone", 0, []) if found is None else ("ok", found[1], found[0])
+        self.last_entry_ms = max(self.last_entry_ms, self.clock_ms())
+        result = self.plain.apply(command, self.last_entry_ms)
+        return result.code, result.number, []
+
+    def deliver_answer(self, record: CallRecord, answer, done) -> None:
+        if record.answered_ms is not None:
             return
-        t.got, t.code, t.number, t.events = self.now, *said
-        then(t)
+        record.answered_ms, record.code, record.number, record.events = self.now_ms, *answer
+        done(record)
 
-    def end(self, t: Told, then) -> None:
-        if t.got is None:
-            t.got = float("inf")
-            then(t)
+    def time_out(self, record: CallRecord, done) -> None:
+        if record.answered_ms is None:
+            record.answered_ms = float("inf")
+            done(record)
 
 
-class Caller:
-    """Holds locks, counts, puts and watches; it repeats what got no answer, and sleeps or dies at times."""
+class PlainCaller:
+    """Takes locks, draws numbers, writes, reads and watches; repeats unanswered calls, and at times pauses or crashes."""
 
-    def __init__(self, world: World, name: str):
-        self.w, self.name, self.rng = world, name, world.rng
-        self.revision, self.bases, self.values = {"g.": 1, "h.": 1}, dict.fromkeys(KEYS, 0), 0
-        world.at(world.rng.uniform(0, 500), self.next)
+    def __init__(self, simulation: PlainSimulation, name: str):
+        self.simulation, self.name, self.rng = simulation, name, simulation.rng
+        self.revisions, self.bases, self.values = {"g.": 1, "h.": 1}, dict.fromkeys(KEYS, 0), 0
+        simulation.schedule(simulation.rng.uniform(0, 500), self.next_action)
 
-    def say(self, c, then, again=None) -> None:
-        self.w.call(
-            Told(self.name, self.w.now, c), lambda t: then(t) if t.got < float("inf") else (again or self.rest)()
+    def call(self, command, done, retry=None) -> None:
+        self.simulation.call(
+            CallRecord(self.name, self.simulation.now_ms, command),
+            lambda record: done(record) if record.answered_ms < float("inf") else (retry or self.pause)(),
         )
 
-    def rest(self, *_) -> None:
-        self.w.at(self.w.now + self.rng.uniform(1, 400), self.next)
+    def pause(self, *_) -> None:
+        self.simulation.schedule(self.simulation.now_ms + self.rng.uniform(1, 400), self.next_action)
 
-    def next(self) -> None:
-        self.rng.choice((self.take, self.take, self.count, self.put, self.put, self.look, self.watch))()
+    def next_action(self) -> None:
+        self.rng.choice((self.take, self.take, self.count, self.write, self.write, self.read, self.watch))()
 
     def count(self) -> None:
-        self.say(Count(self.rng.choice("mn")), self.rest)
+        self.call(Count(self.rng.choice("mn")), self.pause)
 
     def take(self) -> None:
-        c = Take(self.rng.choice("kl"), self.name, self.rng.choice((300, 1500, 3000)))
-        tries = [3]
-
-        def again():
-            tries[0] -= 1
-            self.say(c, self.hold, again) if tries[0] else self.rest()
-
-        self.say(c, self.hold, again)
-
-    def hold(self, t: Told) -> None:
-        end = t.sent + t.c.hold_ms
-        if t.code != "ok" or end <= self.w.now:
-            return self.rest()
-        span = Span(t.c.name, self.name, self.w.now, end)
-        self.w.spans.append(span)
-        self.keep(span, t.number)
-
-    def keep(self, span: Span, token: int) -> None:
-        what = self.rng.choice(("free", "free", "extend", "extend", "die", "sleep"))
-        when = self.w.now + self.rng.uniform(1, 600)
-        if what == "die":
-            return self.rest()
-        if what == "sleep" or when >= span.end:
-            return self.w.at(span.end + self.rng.uniform(0, 1000), self.next)
-        self.w.at(when, self.free if what == "free" else self.extend, span, token)
-
-    def free(self, span: Span, token: int) -> None:
-        for s in self.w.spans:
-            if (s.name, s.holder) == (span.name, self.name):
-                s.end = min(s.end, self.w.now)
-        self.say(Free(span.name, self.name, token), self.rest)
-
-    def extend(self, span: Span, token: int) -> None:
-        def then(t: Told):
-            if t.code != "ok" or self.w.now >= span.end:
-                return self.give_up(span)
-            span.end = max(span.end, t.sent + t.c.hold_ms)
-            self.keep(span, token)
-
-        self.say(Extend(span.name, self.name, token, self.rng.choice((300, 2000))), then, lambda: self.give_up(span))
-
-    def give_up(self, span: Span) -> None:
-        span.end = min(span.end, self.w.now)
-        self.rest()
-
-    def put(self) -> None:
+        command = Take(self.rng.choice("kl"), self.name, self.rng.choice((300, 1500, 3000)))
+        tries_left = [3]
+
+        def retry():
+            tries_left[0] -= 1
+            self.call(command, self.hold, retry) if tries_left[0] else self.pause()
+
+        self.call(command, self.hold, retry)
+
+    def hold(self, record: CallRecord) -> None:
+        end_ms = record.sent_ms + record.command.hold_ms
+        if record.code != "ok" or end_ms <= self.simulation.now_ms:
+            return self.pause()
+        interval = HeldInterval(record.command.name, self.name, self.simulation.now_ms, end_ms)
+        self.simulation.intervals.append(interval)
+        self.use_lock(interval, record.number)
+
+    def use_lock(self, interval: HeldInterval, token: int) -> None:
+        action = self.rng.choice(("free", "free", "extend", "extend", "crash", "sleep"))
+        time_ms = self.simulation.now_ms + self.rng.uniform(1, 600)
+        if action == "crash":
+            return self.pause()
+        if action == "sleep" or time_ms >= interval.end_ms:
+            return self.simulation.schedule(interval.end_ms + self.rng.uniform(0, 1000), self.next_action)
+        self.simulation.schedule(time_ms, self.free if action == "free" else self.extend, interval, token)
+
+    def free(self, interval: HeldInterval, token: int) -> None:
+        for held in self.simulation.intervals:
+            if (held.name, held.holder) == (interval.name, self.name):
+                held.end_ms = min(held.end_ms, self.simulation.now_ms)
+        self.call(Free(interval.name, self.name, token), self.pause)
+
+    def extend(self, interval: HeldInterval, token: int) -> None:
+        def done(record: CallRecord):
+            if record.code != "ok" or self.simulation.now_ms >= interval.end_ms:
+                return self.give_up(interval)
+            interval.end_ms = max(interval.end_ms, record.sent_ms + record.command.hold_ms)
+            self.use_lock(interval, token)
+
+        command = Extend(interval.name, self.name, token, self.rng.choice((300, 2000)))
+        self.call(command, done, lambda: self.give_up(interval))
+
+    def give_up(self, interval: HeldInterval) -> None:
+        interval.end_ms = min(interval.end_ms, self.simulation.now_ms)
+        self.pause()
+
+    def write(self) -> None:
         key = self.rng.choice(KEYS)
         self.values += 1
-        c = Write(key, f"{self.name}-{self.values}", self.rng.choice((None, self.bases[key], self.bases[key])))
-        tries = [6]
+        base = self.rng.choice((None, self.bases[key], self.bases[key]))
+        command = Write(key, f"{self.name}-{self.values}", base)
+        tries_left = [6]
 
-        def again():
-            tries[0] -= 1
-            self.say(c, then, again) if tries[0] else self.rest()
+        def retry():
+            tries_left[0] -= 1
+            self.call(command, done, retry) if tries_left[0] else self.pause()
 
-        def then(t: Told):
-            self.bases[key] = t.number
-            self.rest()
+        def done(record: CallRecord):
+            self.bases[key] = record.number
+            self.pause()
 
-        self.say(c, then, again)
+        self.call(command, done, retry)
 
-    def look(self) -> None:
-        def then(t: Told):
-            self.bases[t.c] = t.number
-            self.rest()
+    def read(self) -> None:
+        def done(record: CallRecord):
+            self.bases[record.command] = record.number
+            self.pause()
 
-        self.say(self.rng.choice(KEYS), then)
+        self.call(self.rng.choice(KEYS), done)
 
     def watch(self) -> None:
-        g = self.rng.choice(("g.", "h."))
+        group = self.rng.choice(("g.", "h."))
 
-        def then(t: Told):
-            self.revision[g] = max(1, t.number)
-            self.rest()
+        def done(record: CallRecord):
+            self.revisions[group] = max(1, record.number)
+            self.pause()
 
-        self.say((g, self.revision[g]), then)
+        self.call((group, self.revisions[group]), done)
 
 
-def simulate(seed: int, ms: float = 60_000, make=PlainCoordination) -> World:
-    w = World(seed, make)
+def simulate(seed: int, duration_ms: float = 60_000, make=PlainCoordination) -> PlainSimulation:
+    simulation = PlainSimulation(seed, make)
     for i in range(4):
-        Caller(w, f"a{i}")
-    w.run(ms)
-    return w
+        PlainCaller(simulation, f"a{i}")
+    simulation.run(duration_ms)
+    return simulation
 
 
-def judge(w: World) -> set[str]:
-    """The rules that were broken."""
-    told = sorted((t for t in w.told if t.got is not None and t.got < float("inf")), key=lambda t: t.got)
-    return one(w, told) | order(told) | puts(w, told) | seen(w, told) | check_linearizability(w)
+def broken_rules(simulation: PlainSimulation) -> set[str]:
+    """Returns the rules that the answered calls break."""
+    calls = sorted((call for call in simulation.calls if answered(call)), key=lambda call: call.answered_ms)
+    return (
+        broken_lock_rules(simulation, calls)
+        | broken_number_order(calls)
+        | broken_write_rules(simulation, calls)
+        | broken_read_rules(simulation, calls)
+        | check_linearizability(simulation)
+    )
 
 
-def one(w: World, told: list[Told]) -> set[str]:
+def broken_lock_rules(simulation: PlainSimulation, calls: list[CallRecord]) -> set[str]:
     broken = set()
-    for s in w.spans:
-        if any(s.name == o.name and s.holder != o.holder and s.begin < o.end and o.begin < s.end for o in w.spans):
+    held = simulation.intervals
+    for one in held:
+        if any(
+            one.name == other.name
+            and one.holder != other.holder
+            and one.begin_ms < other.end_ms
+            and other.begin_ms < one.end_ms
+            for other in held
+        ):
             broken.add("ONE two holders")
-    takes = [t for t in told if isinstance(t.c, Take) and t.code == "ok"]
-    for t in takes:
-        for o in takes:
+    takes = [call for call in calls if isinstance(call.command, Take) and call.code == "ok"]
+    for take in takes:
+        for other in takes:
             if (
-                o.caller != t.caller
-                and o.c.name == t.c.name
-                and (o.number == t.number or o.got < t.sent and o.number >= t.number)
+                other.caller != take.caller
+                and other.command.name == take.command.name
+                and (other.number == take.number or other.answered_ms < take.sent_ms and other.number >= take.number)
             ):
                 broken.add("ONE token")
     return broken
 
 
-def order(told: list[Told]) -> set[str]:
-    counts = [t for t in told if isinstance(t.c, Count)]
-    for t in counts:
-        for o in counts:
+def broken_number_order(calls: list[CallRecord]) -> set[str]:
+    counts = [call for call in calls if isinstance(call.command, Count)]
+    for count in counts:
+        for other in counts:
             if (
-                o is not t
-                and o.c.name == t.c.name
-                and (o.number == t.number or o.got < t.sent and o.number >= t.number)
+                other is not count
+                and other.command.name == count.command.name
+                and (other.number == count.number or other.answered_ms < count.sent_ms and other.number >= count.number)
             ):
                 return {"ORDER number"}
     return set()
 
 
-def puts(w: World, told: list[Told]) -> set[str]:
+def broken_write_rules(simulation: PlainSimulation, calls: list[CallRecord]) -> set[str]:
     broken = set()
-    done = [t for t in told if isinstance(t.c, Write) and t.code == "ok"]
-    shown = {(e.name, e.value): e.revision for g in ("g.", "h.") for e in w.plain.events_since(g, 0)[0]}
-    got = {}
-    for (name, _), r in shown.items():
-        got.setdefault(name, set()).add(r)
-    for t in done:
-        group, key = group_of(t.c.name), (t.c.name, t.c.value)
-        if shown.get(key) != t.number:
+    done = [call for call in calls if isinstance(call.command, Write) and call.code == "ok"]
+    applied = {(e.name, e.value): e.revision for g in ("g.", "h.") for e in simulation.plain.events_since(g, 0)[0]}
+    revisions = {}
+    for (name, _), revision in applied.items():
+        revisions.setdefault(name, set()).add(revision)
+    for call in done:
+        command, number = call.command, call.number
+        group, key = group_of(command.name), (command.name, command.value)
+        if applied.get(key) != number:
             broken.add("MIXED another revision")
-        if t.c.base is not None and any(t.c.base < r < t.number for r in got[t.c.name]):
+        if command.base is not None and any(command.base < revision < number for revision in revisions[command.name]):
             broken.add("ORDER base")
-        first = min(o.sent for o in w.told if isinstance(o.c, Write) and o.c.value == t.c.value)
-        if any(group_of(o.c.name) == group and o.got < first and o.number >= t.number for o in done):
+        first_sent_ms = min(
+            other.sent_ms
+            for other in simulation.calls
+            if isinstance(other.command, Write) and other.command.value == command.value
+        )
+        if any(
+            group_of(other.command.name) == group and other.answered_ms < first_sent_ms and other.number >= number
+            for other in done
+        ):
             broken.add("ORDER revision")
-    for t in told:
-        if isinstance(t.c, Write) and t.code == "conflict":
-            if (t.c.name, t.c.value) in shown:
+    for call in calls:
+        if isinstance(call.command, Write) and call.code == "conflict":
+            if (call.command.name, call.command.value) in applied:
                 broken.add("REFUSED")
-            if t.number and t.number not in got.get(t.c.name, ()):
+            if call.number and call.number not in revisions.get(call.command.name, ()):
                 broken.add("MIXED conflict")
     return broken
 
 
-def seen(w: World, told: list[Told]) -> set[str]:
-    broken, acked = set(), [t for t in told if isinstance(t.c, Write) and t.code == "ok"]
-    for t in told:
-        if isinstance(t.c, str) and any(a.c.name == t.c and a.got < t.sent and a.number > t.number for a in acked):
+def broken_read_rules(simulation: PlainSimulation, calls: list[CallRecord]) -> set[str]:
+    broken, writes = set(), [call for call in calls if isinstance(call.command, Write) and call.code == "ok"]
+    for call in calls:
+        if isinstance(call.command, str) and any(
+            write.command.name == call.command and write.answered_ms < call.sent_ms and write.number > call.number
+            for write in writes
+        ):
             broken.add("STALE")
-        if isinstance(t.c, tuple):
-            want = [] if t.code == "gone" else list(range(t.c[1] + 1, t.number + 1))
-            if [e.revision for e in t.events] != want:
+        if isinstance(call.command, tuple):
+            expected = [] if call.code == "gone" else list(range(call.command[1] + 1, call.number + 1))
+            if [event.revision for event in call.events] != expected:
                 broken.add("ORDER watch")
     return broken
 
 
-def check_linearizability(w: World) -> set[str]:
-    """The rules that the checker of histories finds broken; what it left undecided is one."""
-    report = linearizability.check(recorded(w))
+def check_linearizability(simulation: PlainSimulation) -> set[str]:
+    """Returns the rules that the linearizability checker finds broken; what it leaves undecided counts as broken."""
+    report = linearizability.check(recorded(simulation))
     return {f"LINEAR {b.partition.kind}" for b in report.breaches} | {f"UNDECIDED {p}" for p in report.undecided}
 
 
-def recorded(w: World) -> list[Operation]:
-    """What callers were told, by names; each group's revisions besides, as numbers that rise over all its keys."""
-    writes = [written(some) for some in tries(w).values()]
+def recorded(simulation: PlainSimulation) -> list[Operation]:
+    """Returns the calls as operations, and besides each group's revisions, as numbers that rise over all its keys."""
+    writes = [write_operation(attempts) for attempts in write_attempts(simulation).values()]
     revisions = [
         msgspec.structs.replace(o, kind=Kind.NUMBER, name=f"revision of {group_of(o.name)}", call=histories.Draw())
         for o in writes
         if o.outcome is Outcome.DONE
     ]
-    others = [o for t in w.told if (o := other(t)) is not None]
+    others = [o for call in simulation.calls if (o := other_operation(call)) is not None]
     return writes + revisions + others
 
 
-def tries(w: World) -> dict[tuple[str, str], list[Told]]:
-    """Each put with its repeats: one operation, for the machine knows it by its content."""
-    by: dict[tuple[str, str], list[Told]] = {}
-    for t in w.told:
-        if isinstance(t.c, Write):
-            by.setdefault((t.c.name, t.c.value), []).append(t)
-    return by
+def write_attempts(simulation: PlainSimulation) -> dict[tuple[str, str], list[CallRecord]]:
+    """Groups the attempts of each write: they are one operation, as writes are deduplicated by content."""
+    attempts: dict[tuple[str, str], list[CallRecord]] = {}
+    for call in simulation.calls:
+        if isinstance(call.command, Write):
+            attempts.setdefault((call.command.name, call.command.value), []).append(call)
+    return attempts
 
 
-def written(some: list[Told]) -> Operation:
-    """One put: from its first call to its first clear answer."""
-    t = min((t for t in some if answered(t)), key=lambda t: t.got, default=some[0])
-    call = histories.Put(t.c.value, t.c.base)
-    return operation(Kind.KEY, t, call, min(t.sent for t in some))
+def write_operation(attempts: list[CallRecord]) -> Operation:
+    """Returns the operation of one write, from its first attempt to its first answer."""
+    call = min((c for c in attempts if answered(c)), key=lambda c: c.answered_ms, default=attempts[0])
+    put = histories.Put(call.command.value, call.command.base)
+    return operation(Kind.KEY, call, put, min(c.sent_ms for c in attempts))
 
 
-def other(t: Told) -> Operation | None:
-    """A call that is no put; none for a watch, and for a read without an answer."""
-    match t.c:
+def other_operation(call: CallRecord) -> Operation | None:
+    """Returns the operation of a call that is no write; None for a watch and for a read without an answer."""
+    command, sent_ms = call.command, call.sent_ms
+    match command:
         case Take():
-            return operation(Kind.LOCK, t, histories.Take(t.c.holder, (t.sent + t.c.hold_ms) / 1000), t.sent)
+            take = histories.Take(command.holder, (sent_ms + command.hold_ms) / 1000)
+            return operation(Kind.LOCK, call, take, sent_ms)
         case Extend():
-            call = histories.Extend(t.c.holder, t.c.token, (t.sent + t.c.hold_ms) / 1000)
-            return operation(Kind.LOCK, t, call, t.sent)
+            extend = histories.Extend(command.holder, command.token, (sent_ms + command.hold_ms) / 1000)
+            return operation(Kind.LOCK, call, extend, sent_ms)
         case Free():
-            return operation(Kind.LOCK, t, histories.Free(t.c.holder, t.c.token), t.sent)
+            return operation(Kind.LOCK, call, histories.Free(command.holder, command.token), sent_ms)
         case Count():
-            return operation(Kind.NUMBER, t, histories.Draw(), t.sent)
+            return operation(Kind.NUMBER, call, histories.Draw(), sent_ms)
         case str():
-            return operation(Kind.KEY, t, histories.Read(shows_value=False), t.sent) if answered(t) else None
+            return operation(Kind.KEY, call, histories.Read(shows_value=False), sent_ms) if answered(call) else None
     return None
 
 
-def answered(t: Told) -> bool:
-    return t.got is not None and t.got < float("inf")
+def answered(call: CallRecord) -> bool:
+    return call.answered_ms is not None and call.answered_ms < float("inf")
 
 
-def operation(kind: Kind, t: Told, call: histories.Call, sent: float) -> Operation:
-    name = t.c if isinstance(t.c, str) else t.c.name
-    if not answered(t):
-        return Operation(kind, name, t.caller, call, sent / 1000, None, Outcome.UNKNOWN)
-    return Operation(kind, name, t.caller, call, sent / 1000, t.got / 1000, outcome_of(t.code), t.number)
+def operation(kind: Kind, call: CallRecord, invocation: histories.Call, sent_ms: float) -> Operation:
+    name = call.command if isinstance(call.command, str) else call.command.name
+    if not answered(call):
+        return Operation(kind, name, call.caller, invocation, sent_ms / 1000, None, Outcome.UNKNOWN)
+    outcome = outcome_of(call.code)
+    return Operation(kind, name, call.caller, invocation, sent_ms / 1000, call.answered_ms / 1000, outcome, call.number)
--- a/tests/test_plainplay.py
+++ b/tests/test_plainplay.py
@@ -4,99 +4,115 @@
 
 from mallowvalve.coordination import plain
 from mallowvalve.coordination.plain import Free, PlainCoordination, PlainLease, PlainResult, Take, Write
-from tests.plainplay import Caller, World, judge, simulate
+from tests.plainplay import PlainCaller, PlainSimulation, broken_rules, simulate
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_no_rule_is_broken_by_late_lost_and_doubled_calls(seed):
-    w = simulate(seed)
-    assert judge(w) == set()
-    assert len(w.spans) > 10 and sum(t.code == "conflict" for t in w.told) > 0
+def test_late_lost_and_duplicated_calls_break_no_rule(seed):
+    simulation = simulate(seed)
+    assert broken_rules(simulation) == set()
+    assert len(simulation.intervals) > 10 and sum(call.code == "conflict" for call in simulation.calls) > 0
 
 
-def test_a_seed_plays_the_same_day():
-    assert simulate(3, 20_000).told == simulate(3, 20_000).told
+def test_a_seed_gives_the_same_run():
+    assert simulate(3, 20_000).calls == simulate(3, 20_000).calls
 
 
-def test_the_machine_taken_over_from_snapshots_breaks_no_rule_either():
+def test_replacing_the_state_by_its_snapshot_breaks_no_rule():
     for seed in range(5):
-        w = World(seed)
+        simulation = PlainSimulation(seed)
         for i in range(4):
-            Caller(w, f"a{i}")
-        for at in range(1000, 50_000, 1000):
-            w.run(at)
-            pic, w.plain = w.plain.snapshot(), PlainCoordination()
-            w.plain.load_snapshot(pic)
-        assert judge(w) == set()
+            PlainCaller(simulation, f"a{i}")
+        for until_ms in range(1000, 50_000, 1000):
+            simulation.run(until_ms)
+            snapshot, simulation.plain = simulation.plain.snapshot(), PlainCoordination()
+            simulation.plain.load_snapshot(snapshot)
+        assert broken_rules(simulation) == set()
 
 
 class FreesWithAnyToken(PlainCoordination):
+    """Fault: an older token of a lease releases it."""
+
     __slots__ = ()
 
-    def _free(self, c, clock):
-        h = self._held(c.name, clock)
-        if h is not None and c.token in h.tokens:
-            del self.locks[c.name]
+    def _free(self, command, now_ms):
+        lease = self._lease_of(command.name, now_ms)
+        if lease is not None and command.token in lease.tokens:
+            del self.locks[command.name]
         return PlainResult("ok")
 
 
 class ReusesToken(PlainCoordination):
+    """Fault: a repeated take gets the token of the lease in place of a new one."""
+
     __slots__ = ()
 
-    def _take(self, c, clock):
-        h = self._held(c.name, clock)
-        if h is None or h.holder != c.holder:
-            return super()._take(c, clock)
-        self.locks[c.name] = PlainLease(h.holder, h.tokens, max(h.until, plain.lease_expiry_ms(clock, c.hold_ms)))
-        return PlainResult("ok", h.tokens[-1])
+    def _take(self, command, now_ms):
+        lease = self._lease_of(command.name, now_ms)
+        if lease is None or lease.holder != command.holder:
+            return super()._take(command, now_ms)
+        self.locks[command.name] = PlainLease(
+            lease.holder, lease.tokens, max(lease.expires_at_ms, plain.lease_expiry_ms(now_ms, command.hold_ms))
+        )
+        return PlainResult("ok", lease.tokens[-1])
 
 
 class ExpiresEarly(PlainCoordination):
+    """Fault: a lease expires before its time."""
+
     __slots__ = ()
 
-    def _take(self, c, clock):
-        return super()._take(Take(c.name, c.holder, c.hold_ms * 0.8), clock)
+    def _take(self, command, now_ms):
+        return super()._take(Take(command.name, command.holder, command.hold_ms * 0.8), now_ms)
 
 
 class CountsTokensPerLock(PlainCoordination):
+    """Fault: tokens start again when a lock is free."""
+
     __slots__ = ()
 
-    def _take(self, c, clock):
-        if c.name not in self.locks:
+    def _take(self, command, now_ms):
+        if command.name not in self.locks:
             self.token = 0
-        return super()._take(c, clock)
+        return super()._take(command, now_ms)
 
 
 class ForgetsWrites(PlainCoordination):
-    """Knows no put again but the present one."""
+    """Fault: deduplicates only writes of a key's current value."""
 
     __slots__ = ()
 
-    def _keep(self, key, clock, revision):
+    def _record_outcome(self, write_id, now_ms, revision):
         pass
 
 
 class IgnoresBase(PlainCoordination):
+    """Fault: writes whatever revision the key has."""
+
     __slots__ = ()
 
-    def _write(self, c, clock):
-        return super()._write(Write(c.name, c.value), clock)
+    def _write(self, command, now_ms):
+        return super()._write(Write(command.name, command.value), now_ms)
 
 
 class RepeatsNumbers(PlainCoordination):
+    """Fault: draws each number twice."""
+
     __slots__ = ()
 
-    def apply(self, c, clock):
-        w = super().apply(c, clock)
-        return PlainResult(w.code, math.ceil(w.number / 2)) if isinstance(c, plain.Count) else w
+    def apply(self, command, now_ms):
+        result = super().apply(command, now_ms)
+        return PlainResult(result.code, math.ceil(result.number / 2)) if isinstance(command, plain.Count) else result
 
 
 class SkipsEvents(PlainCoordination):
+    """Fault: a watch misses its first event."""
+
     __slots__ = ()
 
     def events_since(self, group, after):
-        got = super().events_since(group, after)
-        return got and (got[0][1:], got[1])
+        found = super().events_since(group, after)
+        return found and (found[0][1:], found[1])
 
 
 @pytest.mark.parametrize(
@@ -112,32 +128,32 @@
         (SkipsEvents, {"ORDER watch"}),
     ],
 )
-def test_a_planted_breach_is_found(make, rules):
+def test_a_planted_fault_is_found(make, rules):
     found = set()
     for seed in range(200):
-        found |= judge(simulate(seed, 60_000, make))
+        found |= broken_rules(simulate(seed, 60_000, make))
         if rules <= found:
             return
     raise AssertionError(found)
 
 
 def test_a_stale_read_is_found():
-    class Stale(World):
-        def do(self, c):
-            code, number, events = super().do(c)
-            return (code, max(0, number - 2), events) if isinstance(c, str) else (code, number, events)
+    class StaleReads(PlainSimulation):
+        def execute(self, command):
+            code, number, events = super().execute(command)
+            return (code, max(0, number - 2), events) if isinstance(command, str) else (code, number, events)
 
-    w = Stale(1)
+    simulation = StaleReads(1)
     for i in range(4):
-        Caller(w, f"a{i}")
-    w.run(30_000)
-    assert "STALE" in judge(w)
-
-
-def test_the_planted_free_differs_from_the_real_one():
-    for make, left in ((PlainCoordination, True), (FreesWithAnyToken, False)):
-        p = make()
-        p.apply(Take("l", "a", 1000), 0)
-        p.apply(Take("l", "a", 1000), 1)
-        p.apply(Free("l", "a", 1), 2)
-        assert ("l" in p.locks) is left
+        PlainCaller(simulation, f"a{i}")
+    simulation.run(30_000)
+    assert "STALE" in broken_rules(simulation)
+
+
+def test_the_planted_release_differs_from_the_real_one():
+    for make, still_held in ((PlainCoordination, True), (FreesWithAnyToken, False)):
+        state = make()
+        state.apply(Take("l", "a", 1000), 0)
+        state.apply(Take("l", "a", 1000), 1)
+        state.apply(Free("l", "a", 1), 2)
+        assert ("l" in state.locks) is still_held
