--- a/mallowvalve/ledger/__init__.py
+++ b/mallowvalve/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""What was asked for once: claims of keys, and commands that are decided once."""
+"""Requests and commands that take effect once: claims of idempotency keys, and outcomes of deduplicated commands."""
--- a/mallowvalve/ledger/asks.py
+++ b/mallowvalve/ledger/asks.py
@@ -1,4 +1,4 @@
-"""What was said to commands that came under a key of their caller, so that a repeat is answered alike."""
+"""Outcomes of commands that came with an idempotency key, so that a repeated command gets the same answer."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class RecordedOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """The outcome of one command at `at` (ms, fleet clock); `digest` tells the command from others."""
+    """The outcome of a command; `digest` identifies the command's content, `applied_at_ms` is in fleet clock ms."""
 
-    at: int
+    applied_at_ms: int
     digest: str
     code: str
     revision: int
@@ -18,29 +18,29 @@
 
 
 class IdempotencyTable:
-    """What was said to each keyed command: the same command gets it again, another under that key is a conflict."""
+    """The outcomes by idempotency key; replicated. A key used again for another command is a conflict."""
 
     __slots__ = ("rows",)
 
     def __init__(self) -> None:
-        """Nothing was said yet."""
+        """Creates an empty table."""
         self.rows: dict[str, RecordedOutcome] = {}
 
     def find(self, key: str, digest: str) -> RecordedOutcome | None:
-        """What was said under the key; with the code `reused` if that was another command; None if nothing."""
-        a = self.rows.get(key)
-        if a is None or a.digest == digest:
-            return a
-        return msgspec.structs.replace(a, code="reused", body=b"")
-
-    def record(self, key: str, a: RecordedOutcome) -> None:
-        """Stores what was said to a command just applied."""
-        self.rows[key] = a
-
-    def expire(self, at: int) -> None:
-        """Drops what is older than `KEEP_MS`."""
+        """Returns the outcome under the key, None if there is none; its code is `reused` if the commands differ."""
+        outcome = self.rows.get(key)
+        if outcome is None or outcome.digest == digest:
+            return outcome
+        return msgspec.structs.replace(outcome, code="reused", body=b"")
+
+    def record(self, key: str, outcome: RecordedOutcome) -> None:
+        """Stores the outcome of a command that was just applied."""
+        self.rows[key] = outcome
+
+    def expire(self, now_ms: int) -> None:
+        """Drops outcomes that are older than `OUTCOME_RETENTION_MS`."""
         while self.rows:
-            key, a = next(iter(self.rows.items()))
-            if a.at + OUTCOME_RETENTION_MS > at:
+            key, outcome = next(iter(self.rows.items()))
+            if outcome.applied_at_ms + OUTCOME_RETENTION_MS > now_ms:
                 return
             del self.rows[key]
--- a/mallowvalve/ledger/ledger.py
+++ b/mallowvalve/ledger/ledger.py
@@ -1,6 +1,6 @@
-"""The ledger of requests that may run once: who claimed a key, and how that ended.
+"""The ledger of requests that run at most once: which proxy claimed an idempotency key, and how the claim ended.
 
-Replicated: `Ledger.apply` is the same on every node. Times are ms of the fleet's clock.
+The ledger is replicated: `Ledger.apply` gives the same result on every replica. Times are ms of the fleet clock.
 """
 
 from __future__ import annotations
@@ -11,15 +11,17 @@
 from msgspec.structs import replace
 
 KEY_RETENTION_MS = 900_000
-"""How long a key is remembered."""
+"""How long a key is retained after its claim."""
 
 MAX_STORED_BODY_BYTES = 32 << 20
-"""Bytes of answers that are kept in all; the oldest are dropped first."""
+"""The bound of all stored response bodies together; the oldest are dropped first."""
 
 ClaimState = Literal["open", "done", "released", "lost"]
 ResultState = Literal["open", "done", "released", "lost", "granted", "conflict", "gone", "ok", "undecided"]
-"""What a command is told: the key's state, or granted (the key is the claimer's), conflict (another request has it),
-gone (there is no such claim), ok. A proxy that hears nothing in time takes it as undecided.
+"""The result of a command: the state of the key's claim, or one of these.
+
+granted: the claimer has the key. conflict: another request has the key. gone: there is no such claim. ok: the command
+took effect. undecided: not a result of the ledger; a proxy assumes it when it gets no answer in time.
 """
 
 OPEN: ClaimState = "open"
@@ -29,9 +31,10 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Asks for a key. `digest` is of the request, `holder` the proxy, `nonce` tells its attempts apart.
+    """Claims a key. `digest` is that of the request, `holder` the proxy; `nonce` identifies the attempt.
 
-    `seen` is the revision that the proxy held when the request came: a claim from before a release is refused after it.
+    `seen` is the revision that the proxy had when the request arrived: a claim from before a release is refused after
+    it.
     """
 
     key: str
@@ -42,7 +45,7 @@
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag="done"):
-    """The request ran: its answer's status, content type and body, None if it was too large to keep."""
+    """Closes a claim whose request ran, with the response: `kind` is its content type, `body` None if too large."""
 
     key: str
     nonce: str
@@ -52,21 +55,21 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """Nothing was sent under this claim: the key is free again."""
+    """Closes a claim under which nothing was sent upstream: the key may be claimed again."""
 
     key: str
     nonce: str
 
 
 class Forfeit(msgspec.Struct, frozen=True, array_like=True, tag="forfeit"):
-    """Something was sent under this claim and no whole answer came: the key is lost for good."""
+    """Closes a claim under which something was sent without a complete response: the key is lost for good."""
 
     key: str
     nonce: str
 
 
 class Lose(msgspec.Struct, frozen=True, array_like=True, tag="lose"):
-    """A proxy is gone: its open claims are lost."""
+    """Closes all open claims of a proxy that is gone: their keys are lost."""
 
     holder: str
 
@@ -75,21 +78,21 @@
 
 
 class ClaimRecord(msgspec.Struct, array_like=True, frozen=True):
-    """A key: its last claim, claimed at `at`, and how that ended; `freed` is the revision of its release."""
+    """The last claim of a key, and how it ended; `released_revision` is the revision of its release, 0 before."""
 
     digest: str
     state: ClaimState
     holder: str
     nonce: str
-    at: int
+    claimed_at_ms: int
     status: int = 0
     kind: str = ""
     body: bytes | None = None
-    freed: int = 0
+    released_revision: int = 0
 
 
 class LedgerResult(msgspec.Struct, array_like=True, frozen=True):
-    """What a command is told, with the answer that was kept where the key is done."""
+    """The result of a command, with the stored response where the request is done; `kind` is its content type."""
 
     state: ResultState
     status: int = 0
@@ -98,40 +101,40 @@
 
 
 class Ledger:
-    """All keys, the oldest claim first; `kept` gives the bytes of each answer that is held, the oldest first."""
+    """The claims by key, oldest first; `body_sizes` has the bytes of each stored response body, oldest first."""
 
     __slots__ = ("rows", "body_sizes", "_stored_bytes")
 
     def __init__(self) -> None:
-        """No key at first."""
+        """Creates an empty ledger."""
         self.rows: dict[str, ClaimRecord] = {}
         self.body_sizes: dict[str, int] = {}
         self._stored_bytes = 0
 
-    def apply(self, command: Command, at: int, revision: int = 0) -> LedgerResult:
-        """Take in a command of the entry `revision`, at that entry's time."""
-        self._expire(at)
+    def apply(self, command: Command, now_ms: int, revision: int = 0) -> LedgerResult:
+        """Applies the command of the log entry with this revision and time."""
+        self._expire(now_ms)
         match command:
             case Claim():
-                return self._claim(command, at)
+                return self._claim(command, now_ms)
             case Done():
                 return self._close(command.key, command.nonce, DONE, command)
             case Release():
-                return self._release(command, at, revision)
+                return self._release(command, now_ms, revision)
             case Forfeit():
                 return self._close(command.key, command.nonce, LOST)
             case Lose():
                 return self._lose(command)
 
     def find(self, key: str, digest: str) -> LedgerResult | None:
-        """What is known of a key, None if nothing; it changes nothing."""
+        """Returns the state of a key, None if it has no claim; changes nothing."""
         row = self.rows.get(key)
         if row is None:
             return None
         return LedgerResult("conflict") if row.digest not in ("", digest) else _result_of(row)
 
     def restore_body_sizes(self, keys: list[str]) -> bool:
-        """Answers kept by a snapshot, in its order; false where a row lacks its answer."""
+        """Restores the order of stored bodies from a snapshot; returns False if a key has no stored body."""
         for key in keys:
             row = self.rows.get(key)
             if row is None or not row.body:
@@ -140,27 +143,27 @@
             self._stored_bytes += len(row.body)
         return True
 
-    def _claim(self, claim: Claim, at: int) -> LedgerResult:
+    def _claim(self, claim: Claim, now_ms: int) -> LedgerResult:
         row = self.rows.get(claim.key)
         if row is not None and row.digest not in ("", claim.digest):
             return LedgerResult("conflict")
-        if row is None or row.state == RELEASED and row.nonce != claim.nonce and claim.seen >= row.freed:
+        if row is None or row.state == RELEASED and row.nonce != claim.nonce and claim.seen >= row.released_revision:
             self.rows.pop(claim.key, None)
-            self.rows[claim.key] = ClaimRecord(claim.digest, OPEN, claim.holder, claim.nonce, at)
+            self.rows[claim.key] = ClaimRecord(claim.digest, OPEN, claim.holder, claim.nonce, now_ms)
             return LedgerResult("granted")
         if row.state == OPEN and row.nonce == claim.nonce:
             return LedgerResult("granted")
         return _result_of(row)
 
-    def _release(self, release: Release, at: int, revision: int) -> LedgerResult:
-        """A release that overtook its claim stays, so that the claim is refused when it comes."""
+    def _release(self, release: Release, now_ms: int, revision: int) -> LedgerResult:
+        """Records also a release that arrives before its claim, so that the claim is refused when it arrives."""
         if release.key not in self.rows:
-            self.rows[release.key] = ClaimRecord("", RELEASED, "", release.nonce, at)
-        verdict = self._close(release.key, release.nonce, RELEASED)
+            self.rows[release.key] = ClaimRecord("", RELEASED, "", release.nonce, now_ms)
+        result = self._close(release.key, release.nonce, RELEASED)
         row = self.rows[release.key]
-        if verdict.state == RELEASED and not row.freed:
-            self.rows[release.key] = replace(row, freed=revision)
-        return verdict
+        if result.state == RELEASED and not row.released_revision:
+            self.rows[release.key] = replace(row, released_revision=revision)
+        return result
 
     def _lose(self, lose: Lose) -> LedgerResult:
         for key, row in self.rows.items():
@@ -169,7 +172,7 @@
         return LedgerResult("ok")
 
     def _close(self, key: str, nonce: str, state: ClaimState, done: Done | None = None) -> LedgerResult:
-        """A claim ends in `state` if it has not ended otherwise; the verdict says how it stands."""
+        """Closes a claim in `state` unless it was closed otherwise; the result has its state afterwards."""
         row = self.rows.get(key)
         if row is None or row.nonce != nonce:
             return LedgerResult("gone")
@@ -196,10 +199,10 @@
     def _drop_body(self, key: str) -> None:
         self._stored_bytes -= self.body_sizes.pop(key, 0)
 
-    def _expire(self, at: int) -> None:
+    def _expire(self, now_ms: int) -> None:
         while self.rows:
             key, row = next(iter(self.rows.items()))
-            if row.at + KEY_RETENTION_MS > at:
+            if row.claimed_at_ms + KEY_RETENTION_MS > now_ms:
                 return
             del self.rows[key]
             self._drop_body(key)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -7,122 +7,123 @@
 from mallowvalve.ledger import ledger
 from mallowvalve.ledger.ledger import KEY_RETENTION_MS, Claim, Done, Forfeit, Ledger, Lose, Release
 
-A, B = Claim("k", "d", "p1", "n1"), Claim("k", "d", "p2", "n2", 1)
+FIRST = Claim("k", "d", "p1", "n1")
+SECOND = Claim("k", "d", "p2", "n2", 1)
 
 
-def play(*commands, at=0):
-    x = Ledger()
-    return x, [x.apply(c, at + i).state for i, c in enumerate(commands)]
+def apply_all(*commands, start_ms=0):
+    claims = Ledger()
+    return claims, [claims.apply(command, start_ms + i).state for i, command in enumerate(commands)]
 
 
-def copy(x, y):
-    s = State(1)
-    s.ledger = x
-    s = load(dump(s))
-    y.rows, y.body_sizes, y._stored_bytes = s.ledger.rows, s.ledger.body_sizes, s.ledger._stored_bytes
+def copy_by_snapshot(source, target):
+    state = State(1)
+    state.ledger = source
+    copy = load(dump(state)).ledger
+    target.rows, target.body_sizes, target._stored_bytes = copy.rows, copy.body_sizes, copy._stored_bytes
 
 
 @pytest.mark.parametrize(
     "commands,states",
     [
-        ([A, A], ["granted", "granted"]),
-        ([A, B], ["granted", "open"]),
-        ([A, Done("k", "n1", 200, "t", b"x"), B], ["granted", "done", "done"]),
-        ([A, Release("k", "n1"), B, Release("k", "n1")], ["granted", "released", "granted", "gone"]),
-        ([A, Release("k", "n1"), A], ["granted", "released", "released"]),
-        ([A, Forfeit("k", "n1"), B], ["granted", "lost", "lost"]),
-        ([A, Lose("p1"), B, Release("k", "n1")], ["granted", "ok", "lost", "lost"]),
-        ([A, Lose("p1"), Done("k", "n1", 200, "t", b"x"), B], ["granted", "ok", "done", "done"]),
+        ([FIRST, FIRST], ["granted", "granted"]),
+        ([FIRST, SECOND], ["granted", "open"]),
+        ([FIRST, Done("k", "n1", 200, "t", b"x"), SECOND], ["granted", "done", "done"]),
+        ([FIRST, Release("k", "n1"), SECOND, Release("k", "n1")], ["granted", "released", "granted", "gone"]),
+        ([FIRST, Release("k", "n1"), FIRST], ["granted", "released", "released"]),
+        ([FIRST, Forfeit("k", "n1"), SECOND], ["granted", "lost", "lost"]),
+        ([FIRST, Lose("p1"), SECOND, Release("k", "n1")], ["granted", "ok", "lost", "lost"]),
+        ([FIRST, Lose("p1"), Done("k", "n1", 200, "t", b"x"), SECOND], ["granted", "ok", "done", "done"]),
         (
-            [A, Done("k", "n1", 200, "t", b"x"), Release("k", "n1"), Forfeit("k", "n1")],
+            [FIRST, Done("k", "n1", 200, "t", b"x"), Release("k", "n1"), Forfeit("k", "n1")],
             ["granted", "done", "done", "done"],
         ),
-        ([A, Claim("k", "other", "p2", "n2")], ["granted", "conflict"]),
-        ([A, Release("k", "n2"), Done("k", "n2", 200, "t", b"")], ["granted", "gone", "gone"]),
-        ([A, Release("k", "n1"), Claim("k", "other", "p2", "n2")], ["granted", "released", "conflict"]),
+        ([FIRST, Claim("k", "other", "p2", "n2")], ["granted", "conflict"]),
+        ([FIRST, Release("k", "n2"), Done("k", "n2", 200, "t", b"")], ["granted", "gone", "gone"]),
+        ([FIRST, Release("k", "n1"), Claim("k", "other", "p2", "n2")], ["granted", "released", "conflict"]),
     ],
 )
-def test_traces(commands, states):
-    assert play(*commands)[1] == states
+def test_commands_give_these_states(commands, states):
+    assert apply_all(*commands)[1] == states
 
 
-def test_a_claim_asked_before_a_release_is_not_granted_after_it():
-    x = Ledger()
+def test_a_claim_from_before_a_release_is_not_granted_after_it():
+    claims = Ledger()
     early = Claim("k", "d", "p2", "n2", 5)
-    assert x.apply(A, 0, 6).state == "granted" and x.apply(Release("k", "n1"), 1, 7).state == "released"
-    assert x.apply(early, 2, 8).state == "released"
-    assert x.apply(Claim("k", "d", "p3", "n3", 7), 3, 9).state == "granted"
+    assert claims.apply(FIRST, 0, 6).state == "granted" and claims.apply(Release("k", "n1"), 1, 7).state == "released"
+    assert claims.apply(early, 2, 8).state == "released"
+    assert claims.apply(Claim("k", "d", "p3", "n3", 7), 3, 9).state == "granted"
 
 
-def test_a_release_that_overtakes_its_own_claim_keeps_it_from_being_granted():
-    x = Ledger()
-    assert x.apply(Release("k", "n1"), 0, 1).state == "released"
-    assert x.apply(A, 1, 2).state == "released"
-    assert x.apply(Claim("k", "d", "p2", "n2", 1), 2, 3).state == "granted"
+def test_a_release_that_arrives_before_its_claim_keeps_the_claim_from_being_granted():
+    claims = Ledger()
+    assert claims.apply(Release("k", "n1"), 0, 1).state == "released"
+    assert claims.apply(FIRST, 1, 2).state == "released"
+    assert claims.apply(Claim("k", "d", "p2", "n2", 1), 2, 3).state == "granted"
 
 
-def test_keys_are_kept_for_their_stated_time():
-    x = Ledger()
-    x.apply(A, 0)
-    x.apply(Done("k", "n1", 200, "t", b"x"), 1)
-    assert x.apply(B, KEY_RETENTION_MS - 1).state == "done"
-    assert x.apply(B, KEY_RETENTION_MS).state == "granted"
+def test_keys_are_retained_for_the_stated_time():
+    claims = Ledger()
+    claims.apply(FIRST, 0)
+    claims.apply(Done("k", "n1", 200, "t", b"x"), 1)
+    assert claims.apply(SECOND, KEY_RETENTION_MS - 1).state == "done"
+    assert claims.apply(SECOND, KEY_RETENTION_MS).state == "granted"
 
 
-def test_a_snapshot_holds_everything():
-    x, _ = play(A, Done("k", "n1", 201, "t", b"x"), Claim("j", "d", "p", "n"))
-    y = Ledger()
-    copy(x, y)
-    assert y.apply(B, 5).body == b"x" and y.apply(Claim("j", "d", "q", "m"), 6).state == "open"
+def test_a_snapshot_contains_all_claims():
+    claims, _ = apply_all(FIRST, Done("k", "n1", 201, "t", b"x"), Claim("j", "d", "p", "n"))
+    copy = Ledger()
+    copy_by_snapshot(claims, copy)
+    assert copy.apply(SECOND, 5).body == b"x" and copy.apply(Claim("j", "d", "q", "m"), 6).state == "open"
 
 
-def test_stored_answers_have_a_bound_and_the_oldest_go_first_but_never_the_fact(monkeypatch):
+def test_stored_bodies_are_bounded_and_dropped_oldest_first_without_the_claim(monkeypatch):
     monkeypatch.setattr(ledger, "MAX_STORED_BODY_BYTES", 1000)
-    x = Ledger()
+    claims = Ledger()
     for i in range(20):
-        x.apply(Claim(f"k{i}", "d", "p", "n"), i)
-        x.apply(Done(f"k{i}", "n", 200, "t", b"x" * 100), i)
-    states = [x.find(f"k{i}", "d") for i in range(20)]
-    assert {v.state for v in states} == {"done"}
-    assert [v.body is None for v in states] == [True] * 10 + [False] * 10
+        claims.apply(Claim(f"k{i}", "d", "p", "n"), i)
+        claims.apply(Done(f"k{i}", "n", 200, "t", b"x" * 100), i)
+    results = [claims.find(f"k{i}", "d") for i in range(20)]
+    assert {result.state for result in results} == {"done"}
+    assert [result.body is None for result in results] == [True] * 10 + [False] * 10
 
 
-def test_a_replica_that_came_by_snapshot_forgets_the_same_answers(monkeypatch):
+def test_a_replica_loaded_from_a_snapshot_drops_the_same_bodies(monkeypatch):
     monkeypatch.setattr(ledger, "MAX_STORED_BODY_BYTES", 350)
-    x, y = Ledger(), Ledger()
+    original, copy = Ledger(), Ledger()
     for i in range(3):
-        x.apply(Claim(f"k{i}", "d", "p", "n"), 0)
+        original.apply(Claim(f"k{i}", "d", "p", "n"), 0)
     for i in (2, 0, 1):
-        x.apply(Done(f"k{i}", "n", 200, "t", b"x" * 100), 1)
-    copy(x, y)
-    for z in (x, y):
-        z.apply(Claim("k3", "d", "p", "n"), 2)
-        z.apply(Done("k3", "n", 200, "t", b"x" * 100), 2)
-    assert [x.find(f"k{i}", "d") for i in range(4)] == [y.find(f"k{i}", "d") for i in range(4)]
-    assert x.find("k2", "d").body is None
+        original.apply(Done(f"k{i}", "n", 200, "t", b"x" * 100), 1)
+    copy_by_snapshot(original, copy)
+    for claims in (original, copy):
+        claims.apply(Claim("k3", "d", "p", "n"), 2)
+        claims.apply(Done("k3", "n", 200, "t", b"x" * 100), 2)
+    assert [original.find(f"k{i}", "d") for i in range(4)] == [copy.find(f"k{i}", "d") for i in range(4)]
+    assert original.find("k2", "d").body is None
 
 
 def test_no_order_of_commands_grants_a_key_twice_without_a_release():
     for seed in range(300):
-        rng, x, open_by, ran = random.Random(seed), Ledger(), set(), set()
-        for i in range(40):
-            n = f"n{rng.randrange(5)}"
-            c = rng.choice(
+        rng, claims, granted, ran = random.Random(seed), Ledger(), set(), set()
+        for now_ms in range(40):
+            nonce = f"n{rng.randrange(5)}"
+            command = rng.choice(
                 [
-                    Claim("k", "d", f"p{n}", n),
-                    Done("k", n, 200, "", b""),
-                    Release("k", n),
-                    Forfeit("k", n),
-                    Lose(f"p{n}"),
+                    Claim("k", "d", f"p{nonce}", nonce),
+                    Done("k", nonce, 200, "", b""),
+                    Release("k", nonce),
+                    Forfeit("k", nonce),
+                    Lose(f"p{nonce}"),
                 ]
             )
-            if isinstance(c, Release) and n in ran:
+            if isinstance(command, Release) and nonce in ran:
                 continue
-            v = x.apply(c, i).state
-            if isinstance(c, Claim) and v == "granted":
-                open_by.add(n)
+            state = claims.apply(command, now_ms).state
+            if isinstance(command, Claim) and state == "granted":
+                granted.add(nonce)
                 if rng.random() < 0.3:
-                    ran.add(n)
-            if isinstance(c, Done) and n in open_by and v == "done":
-                ran.add(n)
+                    ran.add(nonce)
+            if isinstance(command, Done) and nonce in granted and state == "done":
+                ran.add(nonce)
         assert len(ran) <= 1, seed
