--- a/mallowvalve/configuration/__init__.py
+++ b/mallowvalve/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What operators configure: the tree of tenants and routes, and settings as versioned items."""
+"""What operators configure: the document of tenants and routes, and settings as versioned items."""
--- a/mallowvalve/configuration/build.py
+++ b/mallowvalve/configuration/build.py
@@ -1,4 +1,4 @@
-"""Checks a configuration document and compiles it to the tree that requests are routed by."""
+"""Checks a configuration document and compiles it to the tree by which requests are routed."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def build(data: object) -> Result[Tree, Findings]:
-    """The tree of a decoded document, or all that is wrong with it, each with its place."""
-    r = finding.read(Document, data, "")
-    if isinstance(r, Err):
-        return r
-    doc: Document = r.ok_value
+    """Returns the tree of a decoded document, or all findings with their places."""
+    result = finding.read(Document, data, "")
+    if isinstance(result, Err):
+        return result
+    doc: Document = result.ok_value
     found = _check_names(doc) + _check_regions(doc) + _check_cells(doc)
     cell_of = _cells_by_tenant(doc, found)
     plans = _compile_plans(doc, found)
@@ -27,91 +27,91 @@
 
 
 def _check_names(doc: Document) -> Findings:
-    out = []
-    for part in ("services", "regions", "cells", "routes"):
-        for n in getattr(doc, part):
-            if not n or len(n) > MAX_NAME_CHARS or not n.isprintable() or "/" in n:
-                out.append(Finding(f"{part}.{n}", "a name is 1 to 128 printable characters without /"))
-    for n, s in doc.services.items():
-        if not s.status.startswith("/"):
-            out.append(Finding(f"services.{n}.status", "must begin with /"))
-    return out
+    found = []
+    for section in ("services", "regions", "cells", "routes"):
+        for name in getattr(doc, section):
+            if not name or len(name) > MAX_NAME_CHARS or not name.isprintable() or "/" in name:
+                found.append(Finding(f"{section}.{name}", "a name is 1 to 128 printable characters without /"))
+    for name, service in doc.services.items():
+        if not service.status.startswith("/"):
+            found.append(Finding(f"services.{name}.status", "must begin with /"))
+    return found
 
 
 def _check_regions(doc: Document) -> Findings:
-    out: Findings = []
-    owner: dict[str, str] = {}
-    for n, r in doc.regions.items():
-        if not r.zones:
-            out.append(Finding(f"regions.{n}.zones", "at least one"))
-        for i, z in enumerate(r.zones):
-            if z in owner:
-                out.append(Finding(f"regions.{n}.zones[{i}]", f"{z!r} is in {owner[z]!r} already"))
-            owner[z] = n
-    return out
+    found: Findings = []
+    region_of: dict[str, str] = {}
+    for name, region in doc.regions.items():
+        if not region.zones:
+            found.append(Finding(f"regions.{name}.zones", "at least one"))
+        for i, zone in enumerate(region.zones):
+            if zone in region_of:
+                found.append(Finding(f"regions.{name}.zones[{i}]", f"{zone!r} is in {region_of[zone]!r} already"))
+            region_of[zone] = name
+    return found
 
 
 def _check_cells(doc: Document) -> Findings:
-    out = []
-    for n, c in doc.cells.items():
-        out += _check_references(f"cells.{n}.region", [c.region], doc.regions, "region", one=True)
-        out += _check_references(f"cells.{n}.regions", c.regions, doc.regions, "region")
-        for t, v in c.tenants.items():
-            place = f"cells.{n}.tenants.{t}.homes"
-            out += _check_references(place, v.homes, doc.regions, "region")
-            out += [
-                Finding(f"{place}[{i}]", f"{h!r} is outside the cell's regions")
-                for i, h in enumerate(v.homes)
-                if c.regions and h not in c.regions
+    found = []
+    for name, cell in doc.cells.items():
+        found += _check_references(f"cells.{name}.region", [cell.region], doc.regions, "region", one=True)
+        found += _check_references(f"cells.{name}.regions", cell.regions, doc.regions, "region")
+        for tenant_name, tenant in cell.tenants.items():
+            place = f"cells.{name}.tenants.{tenant_name}.homes"
+            found += _check_references(place, tenant.homes, doc.regions, "region")
+            found += [
+                Finding(f"{place}[{i}]", f"{home!r} is outside the cell's regions")
+                for i, home in enumerate(tenant.homes)
+                if cell.regions and home not in cell.regions
             ]
-    return out
+    return found
 
 
-def _check_references(place: str, names: list[str], among: dict, what: str, one: bool = False) -> Findings:
+def _check_references(place: str, names: list[str], known: dict, what: str, one: bool = False) -> Findings:
     return [
-        Finding(place if one else f"{place}[{i}]", f"no {what} {n!r}") for i, n in enumerate(names) if n not in among
+        Finding(place if one else f"{place}[{i}]", f"no {what} {n!r}") for i, n in enumerate(names) if n not in known
     ]
 
 
 def _cells_by_tenant(doc: Document, found: Findings) -> dict[str, str]:
-    out: dict[str, str] = {}
-    for n, c in doc.cells.items():
-        for t in c.tenants:
-            if t in out:
-                found.append(Finding(f"cells.{n}.tenants.{t}", f"owned by cell {out[t]!r} already"))
-            out[t] = n
-    return out
+    cell_of: dict[str, str] = {}
+    for name, cell in doc.cells.items():
+        for tenant in cell.tenants:
+            if tenant in cell_of:
+                found.append(Finding(f"cells.{name}.tenants.{tenant}", f"owned by cell {cell_of[tenant]!r} already"))
+            cell_of[tenant] = name
+    return cell_of
 
 
 def _compile_policy(text: str, place: str, found: Findings) -> Policy:
-    r = compiler.policy(text, place)
-    if isinstance(r, Err):
-        found += r.err_value
+    result = compiler.policy(text, place)
+    if isinstance(result, Err):
+        found += result.err_value
         return Policy()
-    return r.ok_value
+    return result.ok_value
 
 
 def _compile_plans(doc: Document, found: Findings) -> dict[str, list[Plan]]:
     regions = {n: _compile_policy(r.policy, f"regions.{n}.policy", found) for n, r in doc.regions.items()}
     cells = {n: _compile_policy(c.policy, f"cells.{n}.policy", found) for n, c in doc.cells.items()}
-    out: dict[str, list[Plan]] = {n: [] for n in doc.cells}
-    for n, r in doc.routes.items():
-        own = _compile_policy(r.policy, f"routes.{n}.policy", found)
-        m = compiler.match(r.match, f"routes.{n}.match")
-        if isinstance(m, Err):
-            found += m.err_value
-        found += _check_references(f"routes.{n}.service", [r.service], doc.services, "service", one=True)
-        missing = _check_references(f"routes.{n}.cell", [r.cell], doc.cells, "cell", one=True)
+    plans: dict[str, list[Plan]] = {name: [] for name in doc.cells}
+    for name, route in doc.routes.items():
+        own_policy = _compile_policy(route.policy, f"routes.{name}.policy", found)
+        match = compiler.match(route.match, f"routes.{name}.match")
+        if isinstance(match, Err):
+            found += match.err_value
+        found += _check_references(f"routes.{name}.service", [route.service], doc.services, "service", one=True)
+        missing = _check_references(f"routes.{name}.cell", [route.cell], doc.cells, "cell", one=True)
         found += missing
-        if missing or isinstance(m, Err):
+        if missing or isinstance(match, Err):
             continue
-        cell: Cell = doc.cells[r.cell]
+        cell: Cell = doc.cells[route.cell]
         policy = (
             DEFAULT_POLICY.overridden_by(regions.get(cell.region, Policy()))
-            .overridden_by(cells[r.cell])
-            .overridden_by(own)
+            .overridden_by(cells[route.cell])
+            .overridden_by(own_policy)
         )
-        out[r.cell].append(Plan(n, r.cell, r.service, r.kind, policy, m.ok_value, r.order))
-    for ps in out.values():
-        ps.sort(key=lambda p: (p.order, p.route))
-    return out
+        plans[route.cell].append(Plan(name, route.cell, route.service, route.kind, policy, match.ok_value, route.order))
+    for cell_plans in plans.values():
+        cell_plans.sort(key=lambda plan: (plan.order, plan.route))
+    return plans
--- a/mallowvalve/configuration/model.py
+++ b/mallowvalve/configuration/model.py
@@ -1,4 +1,4 @@
-"""The configuration document as its operators write it, and the tree that it is compiled to."""
+"""The configuration document as operators write it, and the tree that it is compiled to."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service; `status` is the path of its upstreams' status page."""
+    """A service; `status` is the path of the health check of its upstreams."""
 
     status: str = "/health"
 
 
 class Region(msgspec.Struct, frozen=True):
-    """A region with its zones and the policy of its cells."""
+    """A region with its zones, and the policy of its cells."""
 
     zones: list[str]
     policy: str = ""
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """A tenant; `homes` are the regions that may serve it, none for all of its cell's."""
+    """A tenant; `homes` are the regions that may serve it, empty for all regions of its cell."""
 
     homes: list[str] = []
 
 
 class Cell(msgspec.Struct, frozen=True):
-    """A cell and its tenants; `regions` are those that may serve it, none for all."""
+    """A cell and its tenants; `regions` are those that may serve it, empty for all."""
 
     region: str
     regions: list[str] = []
@@ -38,7 +38,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """A route of a cell; a request of kind `once` runs at most once. Lower `order` is tried first."""
+    """A route of a cell; a request of kind `once` runs at most once. Routes of lower `order` are matched first."""
 
     cell: str
     match: str
@@ -49,7 +49,7 @@
 
 
 class Document(msgspec.Struct, frozen=True):
-    """The whole document."""
+    """The whole configuration document."""
 
     services: dict[str, Service] = {}
     regions: dict[str, Region] = {}
@@ -58,7 +58,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A route, compiled, with the policy in force on it."""
+    """A compiled route with its effective policy."""
 
     route: str
     cell: str
@@ -70,20 +70,20 @@
 
 
 class Tree(msgspec.Struct, frozen=True):
-    """A checked document: `cell_of` by tenant, `plans` by cell in the order in which they are tried."""
+    """A checked document: `cell_of` gives the cell by tenant, `plans` the routes by cell in matching order."""
 
     doc: Document
     cell_of: dict[str, str]
     plans: dict[str, list[Plan]]
 
-    def choose(self, tenant: str, req: RouteRequest) -> Plan | None:
-        """The first route of the tenant's cell that matches the request; KeyError for an unknown tenant."""
-        for p in self.plans.get(self.cell_of[tenant], []):
-            if p.match(req):
-                return p
+    def choose(self, tenant: str, request: RouteRequest) -> Plan | None:
+        """Returns the first route of the tenant's cell that matches the request; KeyError for an unknown tenant."""
+        for plan in self.plans.get(self.cell_of[tenant], []):
+            if plan.match(request):
+                return plan
         return None
 
     def homes(self, tenant: str) -> frozenset[str] | None:
-        """The regions that may serve the tenant; None for any. KeyError for an unknown tenant."""
+        """Returns the regions that may serve the tenant, None for any; KeyError for an unknown tenant."""
         cell = self.doc.cells[self.cell_of[tenant]]
         return frozenset(cell.tenants[tenant].homes or cell.regions) or None
--- a/mallowvalve/configuration/same.py
+++ b/mallowvalve/configuration/same.py
@@ -1,4 +1,4 @@
-"""Whether two JSON texts say the same value."""
+"""Compares JSON texts by value."""
 
 from __future__ import annotations
 
@@ -8,27 +8,28 @@
 
 
 def same_json(a: bytes, b: bytes) -> bool:
-    """Compares by value: order of fields, spaces and spellings of a number are passed over, true is not 1.
+    """Returns whether two JSON texts have the same value.
 
-    Texts that cannot be decoded are compared as bytes.
+    The order of fields, white space and the notation of numbers do not matter; true differs from 1. Texts that cannot
+    be decoded are compared as bytes.
     """
     try:
         pairs = [(_decode(a), _decode(b))]
     except (msgspec.DecodeError, RecursionError):
         return a == b
     while pairs:
-        x, y = pairs.pop()
-        if isinstance(x, dict) and isinstance(y, dict):
-            if x.keys() != y.keys():
+        left, right = pairs.pop()
+        if isinstance(left, dict) and isinstance(right, dict):
+            if left.keys() != right.keys():
                 return False
-            pairs += [(x[k], y[k]) for k in x]
-        elif isinstance(x, list) and isinstance(y, list):
-            if len(x) != len(y):
+            pairs += [(left[k], right[k]) for k in left]
+        elif isinstance(left, list) and isinstance(right, list):
+            if len(left) != len(right):
                 return False
-            pairs += zip(x, y, strict=True)
-        elif isinstance(x, bool) or isinstance(y, bool):
-            if x is not y:
+            pairs += zip(left, right, strict=True)
+        elif isinstance(left, bool) or isinstance(right, bool):
+            if left is not right:
                 return False
-        elif x != y:
+        elif left != right:
             return False
     return True
--- a/mallowvalve/routing/__init__.py
+++ b/mallowvalve/routing/__init__.py
@@ -1,1 +1,1 @@
-"""The language of routes: what matches a request, and the policy it is carried by."""
+"""The route language: which requests a route matches, and the policy by which they are forwarded."""
--- a/mallowvalve/routing/compiler.py
+++ b/mallowvalve/routing/compiler.py
@@ -1,6 +1,7 @@
-"""Texts of the route language compiled, each distinct text once.
+"""Compiles texts of the route language, each distinct text once.
 
-The module with the grammars is loaded with the first of them: a daemon whose configuration has none does without."""
+The grammars are imported with the first text: a process whose configuration has none does not load their parser.
+"""
 
 from __future__ import annotations
 
@@ -17,16 +18,16 @@
 MAX_CACHED_TEXTS = 65536
 Compiled = TypeVar("Compiled")
 LocatedError = tuple[str, str]
-"""Where in the text something is wrong ("@LINE:COLUMN", or nothing), and what."""
+"""The position of an error in the text ("@LINE:COLUMN", or empty), and its message."""
 
 
 def match(text: str, place: str) -> Result[Match, Findings]:
-    """The test that `text` describes; findings name `place`."""
+    """Returns the predicate that `text` describes, or findings at `place`."""
     return _with_place(_match(text), place)
 
 
 def policy(text: str, place: str) -> Result[Policy, Findings]:
-    """The policy that `text` describes; findings name `place`."""
+    """Returns the policy that `text` describes, or findings at `place`."""
     return _with_place(_policy(text), place)
 
 
@@ -45,4 +46,4 @@
 
 
 def _with_place(result: Result[Compiled, LocatedError], place: str) -> Result[Compiled, Findings]:
-    return result.map_err(lambda wrong: [Finding(place + wrong[0], wrong[1])])
+    return result.map_err(lambda error: [Finding(place + error[0], error[1])])
--- a/mallowvalve/routing/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -1,4 +1,4 @@
-"""The grammars of the route language and what their words mean."""
+"""Parses the route language and compiles its syntax trees."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 MS_PER_SECOND = 1000
 BYTES_PER_KB = 1024
 KEYWORDS = {"limit_ms": "limit", "ramp_ms": "ramp", "chooser": "draw"}
-"""The language's words for those fields of `Policy` that are named otherwise."""
+"""The keywords of the language for those fields of `Policy` whose names differ."""
 
 Setting = tuple[str, int | str]
 """A field of `Policy` and its value."""
 
 
 def match(text: str) -> Result[Match, tuple[str, str]]:
-    """The test that `text` describes, or where in it ("@LINE:COLUMN", or nothing) something is wrong and what."""
+    """Returns the predicate that `text` describes, or an error: its position ("@LINE:COLUMN", or empty) and message."""
     return _parse("match.lark", _MatchTransformer(), text)
 
 
 def policy(text: str) -> Result[Policy, tuple[str, str]]:
-    """The policy that `text` describes, or what is wrong as for `match`."""
+    """Returns the policy that `text` describes, or an error as `match` does."""
     return _parse("policy.lark", _PolicyTransformer(), text)
 
 
@@ -39,44 +39,44 @@
     return Lark((Path(__file__).parent / name).read_text(), parser="lalr", maybe_placeholders=False)
 
 
-def _parse(grammar: str, maker: Transformer, text: str) -> Result[Any, tuple[str, str]]:
+def _parse(grammar: str, transformer: Transformer, text: str) -> Result[Any, tuple[str, str]]:
     try:
-        return Ok(maker.transform(_grammar(grammar).parse(text)))
-    except UnexpectedInput as e:
-        line = getattr(e, "line", 1)
-        column = getattr(e, "column", 1)
+        return Ok(transformer.transform(_grammar(grammar).parse(text)))
+    except UnexpectedInput as error:
+        line = getattr(error, "line", 1)
+        column = getattr(error, "column", 1)
         return Err((f"@{line}:{column}", "not understood here"))
-    except VisitError as e:
-        return Err(("", str(e.orig_exc)))
+    except VisitError as error:
+        return Err(("", str(error.orig_exc)))
 
 
 def path_matcher(pattern: str) -> Callable[[str], bool]:
-    """A test of whole paths: `*` stands for one part, a last `**` for any rest."""
+    """Returns a predicate on whole paths: `*` matches one segment, a final `**` any further segments."""
     wanted = pattern.strip("/").split("/")
     open_ended = wanted[-1] == ANY_SUFFIX
     if open_ended:
         wanted = wanted[:-1]
 
-    def test(path: str) -> bool:
-        parts = path.strip("/").split("/")
-        if len(parts) < len(wanted) or not open_ended and len(parts) != len(wanted):
+    def matches(path: str) -> bool:
+        segments = path.strip("/").split("/")
+        if len(segments) < len(wanted) or not open_ended and len(segments) != len(wanted):
             return False
-        return all(want in (ANY_SEGMENT, part) for want, part in zip(wanted, parts, strict=False))
+        return all(want in (ANY_SEGMENT, segment) for want, segment in zip(wanted, segments, strict=False))
 
-    return test
+    return matches
 
 
 class _MatchTransformer(Transformer):
-    """Methods are named after the rules of match.lark."""
+    """Compiles a match expression to a predicate; methods are named after the rules of match.lark."""
 
-    def any_of(self, tests: list[Match]) -> Match:
-        return lambda request: any(test(request) for test in tests)
+    def any_of(self, matches: list[Match]) -> Match:
+        return lambda request: any(match(request) for match in matches)
 
-    def all_of(self, tests: list[Match]) -> Match:
-        return lambda request: all(test(request) for test in tests)
+    def all_of(self, matches: list[Match]) -> Match:
+        return lambda request: all(match(request) for match in matches)
 
-    def negate(self, tests: list[Match]) -> Match:
-        return lambda request: not tests[0](request)
+    def negate(self, matches: list[Match]) -> Match:
+        return lambda request: not matches[0](request)
 
     def method(self, tokens: list[Token]) -> Match:
         names = frozenset(str(token) for token in tokens)
@@ -90,8 +90,8 @@
             raise ValueError(f"path {pattern!r} must begin with /")
         if ANY_SUFFIX in pattern and not pattern.endswith("/" + ANY_SUFFIX):
             raise ValueError(f"path {pattern!r} may hold ** only as its last part")
-        test = path_matcher(pattern)
-        return lambda request: test(request.path)
+        matches = path_matcher(pattern)
+        return lambda request: matches(request.path)
 
     def header(self, tokens: list[Token]) -> Match:
         name = _unquoted(tokens[0]).lower()
@@ -104,7 +104,7 @@
 
 
 class _PolicyTransformer(Transformer):
-    """Methods are named after the rules of policy.lark."""
+    """Compiles policy statements to a `Policy`; methods are named after the rules of policy.lark."""
 
     def span(self, tokens: list[Token]) -> int:
         return int(tokens[0]) * (MS_PER_SECOND if tokens[1] == "s" else 1)
@@ -136,12 +136,12 @@
     def start(self, settings: list[Setting]) -> Policy:
         values: dict[str, Any] = {}
         for field, value in settings:
-            word = KEYWORDS.get(field, field)
+            keyword = KEYWORDS.get(field, field)
             if field in values:
-                raise ValueError(f"{word} is set twice")
+                raise ValueError(f"{keyword} is set twice")
             if isinstance(value, int):
                 lowest, highest = POLICY_BOUNDS[field]
                 if not lowest <= value <= highest:
-                    raise ValueError(f"{word} must be {lowest} to {highest}, got {value}")
+                    raise ValueError(f"{keyword} must be {lowest} to {highest}, got {value}")
             values[field] = value
         return Policy(**values)
--- a/mallowvalve/routing/model.py
+++ b/mallowvalve/routing/model.py
@@ -1,4 +1,4 @@
-"""What the route language speaks about: a request as matches see it, and the policy of a route with its bounds."""
+"""The types of the route language: the request as matches see it, and the policy of a route with its bounds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteRequest(msgspec.Struct):
-    """The part of a request that a match may look at; `headers` have names in lower case, `path` has no query."""
+    """The part of a request that a match may read; `headers` have names in lower case, `path` has no query."""
 
     method: str
     path: str
@@ -21,11 +21,12 @@
 
 
 class Policy(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How requests of a route are carried; a field that is None is left to the level above.
+    """How requests of a route are forwarded; a field that is None is inherited from the level above.
 
-    `limit_ms` is the time a request may take, `ramp_ms` how long a cold upstream is spared, `retry` the further tries,
-    `queue` the requests that may wait, `width` those an upstream takes at once, `keep` the bytes of an answer that the
-    ledger stores, `chooser` whether upstreams of one zone come first ("near") or all are alike ("any").
+    `limit_ms` is the time limit of a request, `ramp_ms` the slow-start time of a cold upstream, `retry` the number of
+    further tries, `queue` the number of requests that may wait, `width` the number of requests that an upstream takes
+    at once, `keep` the bytes of a response that the ledger stores, `chooser` whether upstreams of the same zone are
+    preferred ("near") or all are alike ("any").
     """
 
     limit_ms: int | None = None
@@ -37,7 +38,7 @@
     chooser: str | None = None
 
     def overridden_by(self, lower: Policy) -> Policy:
-        """This policy with every field that `lower` sets replaced by its value."""
+        """Returns this policy with the fields that `lower` sets."""
         values = {}
         for field in self.__struct_fields__:
             value = getattr(lower, field)
