--- a/mallowvalve/configuration/items.py
+++ b/mallowvalve/configuration/items.py
@@ -179,8 +179,7 @@
     def load_rows(self, rows: list[Item]) -> None:
         """Loads rows of a snapshot."""
         for item in rows:
-            interpreted = item.doc is not None and item.kind in DOCUMENT_TYPES
-            self._put(item, decode(item).ok() if interpreted else None)
+            self._put(item, decode(item).ok() if item.doc is not None and item.kind in DOCUMENT_TYPES else None)
 
     def _put(self, item: Item, document: ItemDocument | None) -> None:
         self.rows[item.kind, item.name] = item
--- a/mallowvalve/coordination/plain.py
+++ b/mallowvalve/coordination/plain.py
@@ -290,9 +290,10 @@
         self._outcomes.append(WriteOutcome(*write_id, now_ms, revision))
 
     def _trim_outcomes(self, now_ms: int) -> None:
-        outcomes = self._outcomes
-        while outcomes and (outcomes[0].decided_at_ms + HISTORY_MS < now_ms or len(outcomes) > MAX_HISTORY_EVENTS):
-            oldest = outcomes.popleft()
+        while self._outcomes and (
+            self._outcomes[0].decided_at_ms + HISTORY_MS < now_ms or len(self._outcomes) > MAX_HISTORY_EVENTS
+        ):
+            oldest = self._outcomes.popleft()
             del self._outcome_revisions[oldest.name, oldest.value_id]
 
     def _record_revision(self, group: KeyGroup, event: KeyRevision) -> None:
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -10,15 +10,17 @@
 from mallowvalve.control.wire import Took
 from mallowvalve.coordination.state import Lock, Next, Put
 
-MINUTE = 60_000
+MINUTE_MS = 60_000
 
 
-class Machine:
+class AppliedState:
+    """A state that applies each command as its next log entry."""
+
     def __init__(self):
-        self.s = State(3)
+        self.state = State(3)
 
-    def do(self, c, at=0):
-        return self.s.apply(self.s.index + 1, at, encode(c))
+    def apply(self, command, now_ms=0):
+        return self.state.apply(self.state.index + 1, now_ms, encode(command))
 
 
 @pytest.mark.parametrize(
@@ -30,51 +32,55 @@
         (Lock("n", "x", 1000, "k"), Lock("n", "y", 1000, "k")),
     ],
 )
-def test_a_key_with_another_body_is_a_conflict_and_changes_nothing(one, other):
-    m = Machine()
-    first = m.do(one)
-    before = m.s.settings.revision, dict(m.s.coordination.keys), dict(m.s.coordination.locks)
-    assert first.code == "ok" and m.do(other).code == "reused"
-    assert (m.s.settings.revision, m.s.coordination.keys, m.s.coordination.locks) == before
-    assert m.do(one) == first
-
-
-def test_a_repeated_evacuation_does_not_overtake_a_give_back():
-    m = Machine()
-    e = Evacuate("eu-a", True, "a")
-    assert m.do(e).code == "ok" and m.do(Evacuate("eu-a", False, "b")).code == "ok"
-    m.do(e)
-    assert m.s.settings.evacuated == {}
-
-
-def test_a_refusal_is_repeated_too_so_that_what_was_told_stays_true():
-    m = Machine()
-    m.do(Put("n", "1"))
-    late = Put("n", "2", 0, "k")
-    assert m.do(late).code == "conflict"
-    m.do(Put("n", None))
-    assert m.do(late).code == "conflict" and m.s.coordination.keys == {}
-
-
-def test_keys_hold_for_their_stated_time_however_many_come():
-    m = Machine()
-    first = m.do(Change(None, b"{}", "mine"))
-    number = m.do(Next("n", "mine"))
+def test_a_key_used_again_for_another_command_is_a_conflict_and_changes_nothing(one, other):
+    applied = AppliedState()
+    first = applied.apply(one)
+    state = applied.state
+    before = state.settings.revision, dict(state.coordination.keys), dict(state.coordination.locks)
+    assert first.code == "ok" and applied.apply(other).code == "reused"
+    assert (state.settings.revision, state.coordination.keys, state.coordination.locks) == before
+    assert applied.apply(one) == first
+
+
+def test_a_repeated_evacuation_does_not_undo_the_end_of_the_evacuation():
+    applied = AppliedState()
+    evacuate = Evacuate("eu-a", True, "a")
+    assert applied.apply(evacuate).code == "ok" and applied.apply(Evacuate("eu-a", False, "b")).code == "ok"
+    applied.apply(evacuate)
+    assert applied.state.settings.evacuated == {}
+
+
+def test_a_repeated_command_gets_its_first_conflict_again():
+    applied = AppliedState()
+    applied.apply(Put("n", "1"))
+    conflicting = Put("n", "2", 0, "k")
+    assert applied.apply(conflicting).code == "conflict"
+    applied.apply(Put("n", None))
+    assert applied.apply(conflicting).code == "conflict" and applied.state.coordination.keys == {}
+
+
+def test_keys_are_retained_for_the_stated_time_whatever_their_number():
+    applied = AppliedState()
+    first = applied.apply(Change(None, b"{}", "mine"))
+    number = applied.apply(Next("n", "mine"))
     for i in range(2000):
-        m.do(Change(None, b"{}", f"c{i}"), 14 * MINUTE)
-    assert m.do(Change(None, b"{}", "mine"), 14 * MINUTE) == first and m.do(Next("n", "mine"), 14 * MINUTE) == number
-    assert m.do(Change(None, b"{}", "mine"), 30 * MINUTE).revision != first.revision
+        applied.apply(Change(None, b"{}", f"c{i}"), 14 * MINUTE_MS)
+    assert (
+        applied.apply(Change(None, b"{}", "mine"), 14 * MINUTE_MS) == first
+        and applied.apply(Next("n", "mine"), 14 * MINUTE_MS) == number
+    )
+    assert applied.apply(Change(None, b"{}", "mine"), 30 * MINUTE_MS).revision != first.revision
 
 
-def test_a_snapshot_carries_the_keys():
-    m = Machine()
-    first = m.do(Change(None, b"{}", "mine"))
-    m.s = load(dump(m.s))
-    assert m.do(Change(None, b"{}", "mine")) == first
+def test_a_snapshot_contains_the_outcomes_by_key():
+    applied = AppliedState()
+    first = applied.apply(Change(None, b"{}", "mine"))
+    applied.state = load(dump(applied.state))
+    assert applied.apply(Change(None, b"{}", "mine")) == first
 
 
-def test_a_control_process_whose_disk_refuses_asks_another_one():
-    asked = []
+def test_a_control_process_with_a_failed_disk_forwards_offers_to_another_one():
+    calls = []
 
     class Node:
         class settings:
@@ -85,22 +91,24 @@
 
         class transport:
             call = staticmethod(
-                lambda to, kind, body, limit: asked.append((to, kind)) or Ok(wire.encode(Took("ok", 5)))
+                lambda address, kind, body, limit: calls.append((address, kind)) or Ok(wire.encode(Took("ok", 5)))
             )
 
-    t = ControlTask.__new__(ControlTask)
-    t._over = False
-    t.node, t.stalled, t._hint = Node, True, None
-    t.core, t._session = type("C", (), {"raft": object(), "clock": FleetClock()}), Session(lambda: 7)
-    assert t.offer(b"x", 1.0).revision == 5 and asked == [("other", "offer")]
-    assert t.read(1.0).code == "leader" and len(asked) == 1
-
-
-def test_an_offer_that_may_have_run_never_ends_as_no_leader(monkeypatch):
-    ends = [Took("undecided")]
-    monkeypatch.setattr(ControlTask, "_offer_once", lambda self, c, left: ends.pop() if ends else Took("leader"))
-    t = ControlTask.__new__(ControlTask)
-    t._over = False
-    t.core, t._session = type("C", (), {"clock": FleetClock()}), Session(lambda: 7)
-    assert t.offer(b"", 0.12, 0.05).code == "undecided"
-    assert t.offer(b"", 0.06, 0.05).code == "leader"
+    task = ControlTask.__new__(ControlTask)
+    task._over = False
+    task.node, task.stalled, task._hint = Node, True, None
+    task.core, task._session = type("C", (), {"raft": object(), "clock": FleetClock()}), Session(lambda: 7)
+    assert task.offer(b"x", 1.0).revision == 5 and calls == [("other", "offer")]
+    assert task.read(1.0).code == "leader" and len(calls) == 1
+
+
+def test_an_offer_that_may_have_been_applied_never_ends_as_no_leader(monkeypatch):
+    results = [Took("undecided")]
+    monkeypatch.setattr(
+        ControlTask, "_offer_once", lambda self, command, left: results.pop() if results else Took("leader")
+    )
+    task = ControlTask.__new__(ControlTask)
+    task._over = False
+    task.core, task._session = type("C", (), {"clock": FleetClock()}), Session(lambda: 7)
+    assert task.offer(b"", 0.12, 0.05).code == "undecided"
+    assert task.offer(b"", 0.06, 0.05).code == "leader"
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -19,8 +19,9 @@
 def copy_by_snapshot(source, target):
     state = State(1)
     state.ledger = source
-    copy = load(dump(state)).ledger
-    target.rows, target.body_sizes, target._stored_bytes = copy.rows, copy.body_sizes, copy._stored_bytes
+    state = load(dump(state))
+    target.rows, target.body_sizes = state.ledger.rows, state.ledger.body_sizes
+    target._stored_bytes = state.ledger._stored_bytes
 
 
 @pytest.mark.parametrize(
