--- a/mallowvalve/configuration/build.py
+++ b/mallowvalve/configuration/build.py
@@ -44,9 +44,9 @@
     for name, region in doc.regions.items():
         if not region.zones:
             found.append(Finding(f"regions.{name}.zones", "at least one"))
-        for i, zone in enumerate(region.zones):
+        for index, zone in enumerate(region.zones):
             if zone in region_of:
-                found.append(Finding(f"regions.{name}.zones[{i}]", f"{zone!r} is in {region_of[zone]!r} already"))
+                found.append(Finding(f"regions.{name}.zones[{index}]", f"{zone!r} is in {region_of[zone]!r} already"))
             region_of[zone] = name
     return found
 
--- a/mallowvalve/configuration/item_request.py
+++ b/mallowvalve/configuration/item_request.py
@@ -202,9 +202,9 @@
         found.append(Finding(f"{place}.aim_ms", "a minute or more above limit_ms"))
     if (route.service is None) != bool(route.split):
         found.append(Finding(f"{place}.service", "want either service or split"))
-    for i, part in enumerate(route.split):
+    for index, part in enumerate(route.split):
         if part.weight < 0:
-            found.append(Finding(f"{place}.split[{i}].weight", "must not be negative"))
+            found.append(Finding(f"{place}.split[{index}].weight", "must not be negative"))
     if route.split and sum(part.weight for part in route.split) <= 0:
         found.append(Finding(f"{place}.split", "the weights add up to 0"))
 
--- a/mallowvalve/configuration/same.py
+++ b/mallowvalve/configuration/same.py
@@ -7,16 +7,16 @@
 _decode = msgspec.json.Decoder().decode
 
 
-def same_json(a: bytes, b: bytes) -> bool:
+def same_json(first: bytes, second: bytes) -> bool:
     """Returns whether two JSON texts have the same value.
 
     The order of fields, white space and the notation of numbers do not matter; true differs from 1. Texts that cannot
     be decoded are compared as bytes.
     """
     try:
-        pairs = [(_decode(a), _decode(b))]
+        pairs = [(_decode(first), _decode(second))]
     except (msgspec.DecodeError, RecursionError):
-        return a == b
+        return first == second
     while pairs:
         left, right = pairs.pop()
         if isinstance(left, dict) and isinstance(right, dict):
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -62,12 +62,12 @@
 def test_keys_are_retained_for_the_stated_time_whatever_their_number():
     applied = AppliedState()
     first = applied.apply(Change(None, b"{}", "mine"))
-    number = applied.apply(Next("n", "mine"))
-    for i in range(2000):
-        applied.apply(Change(None, b"{}", f"c{i}"), 14 * MINUTE_MS)
+    drawn = applied.apply(Next("n", "mine"))
+    for number in range(2000):
+        applied.apply(Change(None, b"{}", f"c{number}"), 14 * MINUTE_MS)
     assert (
         applied.apply(Change(None, b"{}", "mine"), 14 * MINUTE_MS) == first
-        and applied.apply(Next("n", "mine"), 14 * MINUTE_MS) == number
+        and applied.apply(Next("n", "mine"), 14 * MINUTE_MS) == drawn
     )
     assert applied.apply(Change(None, b"{}", "mine"), 30 * MINUTE_MS).revision != first.revision
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -92,10 +92,10 @@
 def test_a_replica_loaded_from_a_snapshot_drops_the_same_bodies(monkeypatch):
     monkeypatch.setattr(ledger, "MAX_STORED_BODY_BYTES", 350)
     original, copy = Ledger(), Ledger()
-    for i in range(3):
-        original.apply(Claim(f"k{i}", "d", "p", "n"), 0)
-    for i in (2, 0, 1):
-        original.apply(Done(f"k{i}", "n", 200, "t", b"x" * 100), 1)
+    for number in range(3):
+        original.apply(Claim(f"k{number}", "d", "p", "n"), 0)
+    for number in (2, 0, 1):
+        original.apply(Done(f"k{number}", "n", 200, "t", b"x" * 100), 1)
     copy_by_snapshot(original, copy)
     for claims in (original, copy):
         claims.apply(Claim("k3", "d", "p", "n"), 2)
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -24,212 +24,214 @@
 
 
 @pytest.fixture
-def p():
+def state():
     return PlainCoordination()
 
 
-def test_a_lock_goes_to_one_holder_and_to_the_next_when_it_lapses(p):
-    assert p.apply(Take("l", "a", 1000), 0) == PlainResult(OK, 1)
-    assert p.apply(Take("l", "b", 1000), 1000) == PlainResult("held")
-    assert p.apply(Extend("l", "a", 1, 500), 1000 + LEASE_SLACK_MS) == PlainResult("lost")
-    assert p.apply(Take("l", "b", 1000), 1000 + LEASE_SLACK_MS) == PlainResult(OK, 2)
-    assert p.apply(Take("m", "a", 1000), 1100) == PlainResult(OK, 3)
+def test_a_lock_has_one_holder_until_its_lease_expires(state):
+    assert state.apply(Take("l", "a", 1000), 0) == PlainResult(OK, 1)
+    assert state.apply(Take("l", "b", 1000), 1000) == PlainResult("held")
+    assert state.apply(Extend("l", "a", 1, 500), 1000 + LEASE_SLACK_MS) == PlainResult("lost")
+    assert state.apply(Take("l", "b", 1000), 1000 + LEASE_SLACK_MS) == PlainResult(OK, 2)
+    assert state.apply(Take("m", "a", 1000), 1100) == PlainResult(OK, 3)
 
 
-def test_a_renewal_never_shortens_and_needs_its_token(p):
-    p.apply(Take("l", "a", 5000), 0)
-    assert p.apply(Extend("l", "a", 1, 100), 10) == PlainResult(OK, 1)
-    assert p.apply(Take("l", "b", 100), 4999) == PlainResult("held")
-    assert p.apply(Extend("l", "a", 1, 5000), 4999) == PlainResult(OK, 1)
-    assert p.apply(Take("l", "b", 100), 9999) == PlainResult("held")
-    for wrong in (Extend("l", "a", 2, 9), Extend("l", "b", 1, 9), Extend("x", "a", 1, 9)):
-        assert p.apply(wrong, 9999) == PlainResult("lost")
+def test_an_extension_never_shortens_a_lease_and_needs_a_token_of_it(state):
+    state.apply(Take("l", "a", 5000), 0)
+    assert state.apply(Extend("l", "a", 1, 100), 10) == PlainResult(OK, 1)
+    assert state.apply(Take("l", "b", 100), 4999) == PlainResult("held")
+    assert state.apply(Extend("l", "a", 1, 5000), 4999) == PlainResult(OK, 1)
+    assert state.apply(Take("l", "b", 100), 9999) == PlainResult("held")
+    for invalid in (Extend("l", "a", 2, 9), Extend("l", "b", 1, 9), Extend("x", "a", 1, 9)):
+        assert state.apply(invalid, 9999) == PlainResult("lost")
 
 
-def test_a_late_free_does_not_end_the_hold_taken_after_it(p):
-    p.apply(Take("l", "a", 1000), 0)
-    assert p.apply(Take("l", "a", 1000), 100) == PlainResult(OK, 2)
-    assert p.apply(Free("l", "a", 1), 200) == PlainResult(OK, 1)
-    assert p.apply(Take("l", "b", 1000), 300) == PlainResult("held")
-    p.apply(Free("l", "a", 2), 400)
-    assert p.apply(Take("l", "b", 1000), 500) == PlainResult(OK, 3)
-    p.apply(Free("l", "a", 2), 600)
-    assert p.apply(Take("l", "c", 1000), 700) == PlainResult("held")
+def test_a_late_release_does_not_end_a_newer_lease(state):
+    state.apply(Take("l", "a", 1000), 0)
+    assert state.apply(Take("l", "a", 1000), 100) == PlainResult(OK, 2)
+    assert state.apply(Free("l", "a", 1), 200) == PlainResult(OK, 1)
+    assert state.apply(Take("l", "b", 1000), 300) == PlainResult("held")
+    state.apply(Free("l", "a", 2), 400)
+    assert state.apply(Take("l", "b", 1000), 500) == PlainResult(OK, 3)
+    state.apply(Free("l", "a", 2), 600)
+    assert state.apply(Take("l", "c", 1000), 700) == PlainResult("held")
 
 
-def test_a_take_whose_answer_was_lost_is_taken_again_and_either_token_extends(p):
-    p.apply(Take("l", "a", 1000), 0)
-    p.apply(Take("l", "a", 1000), 500)
-    assert p.apply(Extend("l", "a", 1, 1000), 600) == PlainResult(OK, 1)
-    assert p.apply(Extend("l", "a", 2, 1000), 700) == PlainResult(OK, 2)
-    p.apply(Free("l", "a", 2), 800)
-    assert p.apply(Take("l", "a", 1000), 900) == PlainResult(OK, 3)
-    assert p.apply(Extend("l", "a", 2, 1000), 1000) == PlainResult("lost")
+def test_a_take_repeated_after_a_lost_answer_leaves_both_tokens_valid_for_extending(state):
+    state.apply(Take("l", "a", 1000), 0)
+    state.apply(Take("l", "a", 1000), 500)
+    assert state.apply(Extend("l", "a", 1, 1000), 600) == PlainResult(OK, 1)
+    assert state.apply(Extend("l", "a", 2, 1000), 700) == PlainResult(OK, 2)
+    state.apply(Free("l", "a", 2), 800)
+    assert state.apply(Take("l", "a", 1000), 900) == PlainResult(OK, 3)
+    assert state.apply(Extend("l", "a", 2, 1000), 1000) == PlainResult("lost")
 
 
-def test_a_hold_taken_again_without_end_keeps_few_tokens(p):
+def test_the_number_of_tokens_of_a_lease_is_bounded(state):
     for i in range(500):
-        p.apply(Take("l", "a", 1000), i)
-    assert len(p.locks["l"].tokens) == 64 and p.locks["l"].tokens[-1] == 500
+        state.apply(Take("l", "a", 1000), i)
+    assert len(state.locks["l"].tokens) == 64 and state.locks["l"].tokens[-1] == 500
 
 
-def test_numbers_rise_by_name(p):
-    assert [p.apply(Count(n), 0).number for n in "aabab"] == [1, 2, 1, 3, 2]
+def test_numbers_rise_per_name(state):
+    assert [state.apply(Count(n), 0).number for n in "aabab"] == [1, 2, 1, 3, 2]
 
 
-def test_groups_count_their_own_revisions(p):
+def test_each_group_has_its_own_revisions(state):
     names = ["g1.a", "g1.b", "g2.a", "g1.a.x", "g1", "g2.b"]
-    assert [p.apply(Write(n, f"v{i}"), 0).number for i, n in enumerate(names)] == [1, 2, 1, 3, 1, 2]
+    assert [state.apply(Write(n, f"v{i}"), 0).number for i, n in enumerate(names)] == [1, 2, 1, 3, 1, 2]
     assert list(map(group_of, names)) == ["g1.", "g1.", "g2.", "g1.", "g1", "g2."]
 
 
-def test_a_put_that_arrives_again_gets_its_first_revision_even_after_a_newer_one(p):
-    assert p.apply(Write("g.a", "one"), 0) == PlainResult(OK, 1)
-    assert p.apply(Write("g.a", "one"), 1) == PlainResult(OK, 1)
-    assert p.apply(Write("g.a", "two", 1), 2) == PlainResult(OK, 2)
-    assert p.apply(Write("g.a", "one"), 3) == PlainResult(OK, 1)
-    assert p.apply(Write("g.a", "two", 1), 4) == PlainResult(OK, 2)
-    assert p.keys["g.a"] == ("two", 2) and [e.value for e in p.events_since("g.", 0)[0]] == ["one", "two"]
+def test_a_repeated_write_gets_its_first_revision_even_after_a_newer_write(state):
+    assert state.apply(Write("g.a", "one"), 0) == PlainResult(OK, 1)
+    assert state.apply(Write("g.a", "one"), 1) == PlainResult(OK, 1)
+    assert state.apply(Write("g.a", "two", 1), 2) == PlainResult(OK, 2)
+    assert state.apply(Write("g.a", "one"), 3) == PlainResult(OK, 1)
+    assert state.apply(Write("g.a", "two", 1), 4) == PlainResult(OK, 2)
+    assert state.keys["g.a"] == ("two", 2) and [e.value for e in state.events_since("g.", 0)[0]] == ["one", "two"]
 
 
-def test_a_present_value_is_known_for_ever(p):
-    p.apply(Write("g.a", "one"), 0)
-    assert p.apply(Write("g.a", "one", 7), 10 * HISTORY_MS) == PlainResult(OK, 1)
+def test_a_write_of_the_current_value_is_deduplicated_at_any_time(state):
+    state.apply(Write("g.a", "one"), 0)
+    assert state.apply(Write("g.a", "one", 7), 10 * HISTORY_MS) == PlainResult(OK, 1)
 
 
-def test_a_put_on_revision_0_wants_no_cell_there(p):
-    assert p.apply(Write("g.a", "first", 0), 1) == PlainResult("ok", 1)
-    assert p.apply(Write("g.a", "second", 0), 2) == PlainResult("conflict", 1)
-    assert p.apply(Write("g.a", "third"), 3) == PlainResult("ok", 2)
+def test_a_write_with_base_0_needs_an_absent_key(state):
+    assert state.apply(Write("g.a", "first", 0), 1) == PlainResult("ok", 1)
+    assert state.apply(Write("g.a", "second", 0), 2) == PlainResult("conflict", 1)
+    assert state.apply(Write("g.a", "third"), 3) == PlainResult("ok", 2)
 
 
 @pytest.mark.parametrize("base", [0, 3, 99])
-def test_a_refused_put_stays_refused(p, base):
-    p.apply(Write("g.a", "one"), 0)
-    p.apply(Write("g.a", "two"), 1)
-    assert p.apply(Write("g.a", "mine", base), 2) == PlainResult("conflict", 2)
-    p.apply(Write("g.a", "three"), 3)
-    for again in (Write("g.a", "mine", base), Write("g.a", "mine", 3), Write("g.a", "mine")):
-        assert p.apply(again, 4) == PlainResult("conflict", 3)
-    assert p.keys["g.a"] == ("three", 3) and "mine" not in [e.value for e in p.events_since("g.", 0)[0]]
+def test_a_rejected_write_stays_rejected(state, base):
+    state.apply(Write("g.a", "one"), 0)
+    state.apply(Write("g.a", "two"), 1)
+    assert state.apply(Write("g.a", "mine", base), 2) == PlainResult("conflict", 2)
+    state.apply(Write("g.a", "three"), 3)
+    for repeated in (Write("g.a", "mine", base), Write("g.a", "mine", 3), Write("g.a", "mine")):
+        assert state.apply(repeated, 4) == PlainResult("conflict", 3)
+    assert state.keys["g.a"] == ("three", 3) and "mine" not in [e.value for e in state.events_since("g.", 0)[0]]
 
 
-def test_a_conflict_names_no_revision_of_another_key(p):
-    p.apply(Write("g.a", "one"), 0)
-    assert p.apply(Write("g.b", "x", 1), 0) == PlainResult("conflict", 0)
-    assert p.apply(Write("g.b", "y"), 0) == PlainResult(OK, 2)
-    assert p.apply(Write("g.a", "two", 1), 0) == PlainResult(OK, 3)
+def test_a_conflict_has_the_revision_of_its_own_key(state):
+    state.apply(Write("g.a", "one"), 0)
+    assert state.apply(Write("g.b", "x", 1), 0) == PlainResult("conflict", 0)
+    assert state.apply(Write("g.b", "y"), 0) == PlainResult(OK, 2)
+    assert state.apply(Write("g.a", "two", 1), 0) == PlainResult(OK, 3)
 
 
-def test_long_values_are_known_again_too(p):
-    long = ["x" * 65536, "x" * 65535 + "y"]
-    assert [p.apply(Write("g.a", v), 0).number for v in (*long, *long)] == [1, 2, 1, 2]
+def test_writes_of_long_values_are_deduplicated(state):
+    values = ["x" * 65536, "x" * 65535 + "y"]
+    assert [state.apply(Write("g.a", v), 0).number for v in (*values, *values)] == [1, 2, 1, 2]
 
 
-def test_history_holds_a_minute_and_says_when_it_holds_no_more(p):
-    for i in range(10):
-        p.apply(Write("g.a", str(i)), i * 1000)
-    assert p.events_since("g.", 0)[1] == 10 and [e.revision for e in p.events_since("g.", 7)[0]] == [8, 9, 10]
+def test_history_is_retained_for_its_time_and_reports_compaction(state):
+    for second in range(10):
+        state.apply(Write("g.a", str(second)), second * 1000)
+    assert state.events_since("g.", 0)[1] == 10 and [e.revision for e in state.events_since("g.", 7)[0]] == [8, 9, 10]
     assert (
-        p.events_since("g.", 10) == ([], 10)
-        and p.events_since("g.", 99) == ([], 10)
-        and p.events_since("h.", 3) == ([], 0)
+        state.events_since("g.", 10) == ([], 10)
+        and state.events_since("g.", 99) == ([], 10)
+        and state.events_since("h.", 3) == ([], 0)
     )
-    p.expire(HISTORY_MS + 4500)
-    assert p.events_since("g.", 4) is None and [e.revision for e in p.events_since("g.", 5)[0]] == [6, 7, 8, 9, 10]
-    p.expire(3 * HISTORY_MS)
-    assert p.events_since("g.", 9) is None and p.events_since("g.", 10) == ([], 10)
-    assert p.apply(Write("g.b", "new"), 3 * HISTORY_MS) == PlainResult(OK, 11)
+    state.expire(HISTORY_MS + 4500)
+    assert state.events_since("g.", 4) is None
+    assert [e.revision for e in state.events_since("g.", 5)[0]] == [6, 7, 8, 9, 10]
+    state.expire(3 * HISTORY_MS)
+    assert state.events_since("g.", 9) is None and state.events_since("g.", 10) == ([], 10)
+    assert state.apply(Write("g.b", "new"), 3 * HISTORY_MS) == PlainResult(OK, 11)
     assert (
-        p.events_since("g.", 10)[0] == [KeyRevision(11, 3 * HISTORY_MS, "g.b", "new")]
-        and p.events_since("g.", 9) is None
+        state.events_since("g.", 10)[0] == [KeyRevision(11, 3 * HISTORY_MS, "g.b", "new")]
+        and state.events_since("g.", 9) is None
     )
 
 
-def test_history_is_bounded_by_its_bytes_across_groups(p):
+def test_history_is_bounded_by_its_size_across_groups(state):
     for i in range(600):
-        p.apply(Write(f"g{i % 2}.a", str(i).rjust(65536)), 0)
-    held = [p.events_since(g, p.groups[g].compacted)[0] for g in ("g0.", "g1.")]
-    assert 500 < sum(map(len, held)) <= 512 and p.events_since("g0.", 0) is None
-    assert all([e.revision for e in h] == list(range(301 - len(h), 301)) for h in held)
+        state.apply(Write(f"g{i % 2}.a", str(i).rjust(65536)), 0)
+    retained = [state.events_since(g, state.groups[g].compacted)[0] for g in ("g0.", "g1.")]
+    assert 500 < sum(map(len, retained)) <= 512 and state.events_since("g0.", 0) is None
+    assert all([e.revision for e in h] == list(range(301 - len(h), 301)) for h in retained)
 
 
-def test_what_ran_out_is_forgotten(p):
+def test_expired_leases_history_and_outcomes_are_dropped(state):
     for i in range(100):
-        p.apply(Take(f"l{i}", "a", 10), 0)
-        p.apply(Write(f"g{i}.a", "v", i), 0)
-    assert p.has_leases()
-    p.expire(HISTORY_MS + 1)
-    assert not p.has_leases() and p.snapshot().outcomes == [] and p.snapshot().history == []
-
-
-def test_the_state_routes_commands_and_ticks():
-    s = State(1)
-    o = s.apply(1, 50, encode(Take("l", "a", 100)))
-    assert msgspec.msgpack.decode(o.body, type=PlainResult) == PlainResult(OK, 1) and s.plain.has_leases()
-    s.apply(2, 500, encode(Tick()))
-    assert not s.plain.has_leases()
-
-
-@pytest.mark.parametrize("gap", [HISTORY_MS - 1, HISTORY_MS, HISTORY_MS + 1, HISTORY_MS + 900])
-def test_replicas_that_swept_at_different_times_agree_on_every_put(gap):
-    """One swept just before, one was made from a snapshot, one had ticks all along."""
-    a, b, c = PlainCoordination(), PlainCoordination(), PlainCoordination()
-    lines = [
+        state.apply(Take(f"l{i}", "a", 10), 0)
+        state.apply(Write(f"g{i}.a", "v", i), 0)
+    assert state.has_leases()
+    state.expire(HISTORY_MS + 1)
+    assert not state.has_leases() and state.snapshot().outcomes == [] and state.snapshot().history == []
+
+
+def test_the_replicated_state_applies_commands_and_ticks():
+    state = State(1)
+    outcome = state.apply(1, 50, encode(Take("l", "a", 100)))
+    assert msgspec.msgpack.decode(outcome.body, type=PlainResult) == PlainResult(OK, 1) and state.plain.has_leases()
+    state.apply(2, 500, encode(Tick()))
+    assert not state.plain.has_leases()
+
+
+@pytest.mark.parametrize("gap_ms", [HISTORY_MS - 1, HISTORY_MS, HISTORY_MS + 1, HISTORY_MS + 900])
+def test_replicas_that_swept_at_different_times_agree_on_every_write(gap_ms):
+    """One replica swept at the command before, one is loaded from a snapshot each time, one expires at each entry."""
+    swept, loaded, ticked = PlainCoordination(), PlainCoordination(), PlainCoordination()
+    entries = [
         (500, Write("g.a", "old")),
         (500, Write("g.a", "new")),
-        (500 + gap - 200, Count("n")),
-        (500 + gap, Write("g.a", "old")),
+        (500 + gap_ms - 200, Count("n")),
+        (500 + gap_ms, Write("g.a", "old")),
     ]
-    for at, line in lines:
-        c.expire(at)
-        b, was = PlainCoordination(), b
-        b.load_snapshot(was.snapshot())
-        assert len({p.apply(line, at) for p in (a, b, c)}) == 1
-    assert a.keys == b.keys == c.keys and (a.revision("g.") == 3) is (gap > HISTORY_MS)
-
-
-def history(seed: int, n: int):
-    r, at = random.Random(seed), 0
-    for i in range(n):
-        at += r.choice((0, 1, 20, 400, 3000))
-        name, holder = f"g{r.randrange(2)}.{r.randrange(3)}", f"h{r.randrange(3)}"
+    for now_ms, command in entries:
+        ticked.expire(now_ms)
+        loaded, previous = PlainCoordination(), loaded
+        loaded.load_snapshot(previous.snapshot())
+        assert len({replica.apply(command, now_ms) for replica in (swept, loaded, ticked)}) == 1
+    assert swept.keys == loaded.keys == ticked.keys and (swept.revision("g.") == 3) is (gap_ms > HISTORY_MS)
+
+
+def random_entries(seed: int, count: int):
+    rng, now_ms = random.Random(seed), 0
+    for step in range(count):
+        now_ms += rng.choice((0, 1, 20, 400, 3000))
+        name, holder = f"g{rng.randrange(2)}.{rng.randrange(3)}", f"h{rng.randrange(3)}"
         yield (
-            at,
-            r.choice(
+            now_ms,
+            rng.choice(
                 (
-                    Take(name, holder, r.choice((50, 900))),
-                    Extend(name, holder, r.randrange(1, 9), 300),
-                    Free(name, holder, r.randrange(1, 9)),
+                    Take(name, holder, rng.choice((50, 900))),
+                    Extend(name, holder, rng.randrange(1, 9), 300),
+                    Free(name, holder, rng.randrange(1, 9)),
                     Count(name),
-                    Write(name, f"v{r.randrange(i + 1)}", r.choice((0, 0, 1, 5))),
+                    Write(name, f"v{rng.randrange(step + 1)}", rng.choice((0, 0, 1, 5))),
                 )
             ),
         )
 
 
-def same(a: PlainCoordination, b: PlainCoordination, clock: int) -> bool:
-    a.expire(clock)
-    b.expire(clock)
+def same_state(a: PlainCoordination, b: PlainCoordination, now_ms: int) -> bool:
+    a.expire(now_ms)
+    b.expire(now_ms)
     return a.snapshot() == b.snapshot() and all(
         a.events_since(g, n) == b.events_since(g, n) for g in a.groups for n in range(a.revision(g) + 1)
     )
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_snapshot_taken_anywhere_goes_on_as_the_original_does(seed):
-    lines = list(history(seed, 300))
+def test_a_state_loaded_from_a_snapshot_continues_as_the_original(seed):
+    entries = list(random_entries(seed, 300))
     cut = random.Random(seed).randrange(300)
-    whole = PlainCoordination()
-    for at, c in lines[:cut]:
-        whole.apply(c, at)
-    pic = whole.snapshot()
-    wire = msgspec.msgpack.encode(pic)
-    one, many = PlainCoordination(), PlainCoordination()
-    one.load_snapshot(msgspec.msgpack.decode(wire, type=PlainSnapshot))
-    for part in split_snapshot(pic, rows=7):
-        many.load_snapshot(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=PlainSnapshot))
-    for at, c in lines[cut:]:
-        assert whole.apply(c, at) == one.apply(c, at) == many.apply(c, at)
-    assert same(whole, one, lines[-1][0]) and same(whole, many, lines[-1][0])
-    assert msgspec.msgpack.encode(pic) == wire
+    original = PlainCoordination()
+    for now_ms, command in entries[:cut]:
+        original.apply(command, now_ms)
+    snapshot = original.snapshot()
+    encoded = msgspec.msgpack.encode(snapshot)
+    from_whole, from_parts = PlainCoordination(), PlainCoordination()
+    from_whole.load_snapshot(msgspec.msgpack.decode(encoded, type=PlainSnapshot))
+    for part in split_snapshot(snapshot, rows=7):
+        from_parts.load_snapshot(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=PlainSnapshot))
+    for now_ms, command in entries[cut:]:
+        result = original.apply(command, now_ms)
+        assert result == from_whole.apply(command, now_ms) == from_parts.apply(command, now_ms)
+    assert same_state(original, from_whole, entries[-1][0]) and same_state(original, from_parts, entries[-1][0])
+    assert msgspec.msgpack.encode(snapshot) == encoded
--- a/tests/test_plainplay.py
+++ b/tests/test_plainplay.py
@@ -21,8 +21,8 @@
 def test_replacing_the_state_by_its_snapshot_breaks_no_rule():
     for seed in range(5):
         simulation = PlainSimulation(seed)
-        for i in range(4):
-            PlainCaller(simulation, f"a{i}")
+        for number in range(4):
+            PlainCaller(simulation, f"a{number}")
         for until_ms in range(1000, 50_000, 1000):
             simulation.run(until_ms)
             snapshot, simulation.plain = simulation.plain.snapshot(), PlainCoordination()
@@ -144,8 +144,8 @@
             return (code, max(0, number - 2), events) if isinstance(command, str) else (code, number, events)
 
     simulation = StaleReads(1)
-    for i in range(4):
-        PlainCaller(simulation, f"a{i}")
+    for number in range(4):
+        PlainCaller(simulation, f"a{number}")
     simulation.run(30_000)
     assert "STALE" in broken_rules(simulation)
 
