--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -28,40 +28,40 @@
 
 
 def call(routes=(), services=(), limits=None, drop=None):
-    d = {"set": {"routes": list(routes), "services": list(services)}, "drop": drop or {}}
+    body = {"set": {"routes": list(routes), "services": list(services)}, "drop": drop or {}}
     if limits is not None:
-        d["set"]["limits"] = limits
-    return json.dumps(d).encode()
+        body["set"]["limits"] = limits
+    return json.dumps(body).encode()
 
 
-def amend(*a, **k) -> Amend:
-    return parse_amend(call(*a, **k)).unwrap()
+def amend(*args, **kwargs) -> Amend:
+    return parse_amend(call(*args, **kwargs)).unwrap()
 
 
-def items(*calls) -> Items:
-    i = Items()
-    for n, c in enumerate(calls):
-        assert i.apply(c, n + 1) == []
-    return i
+def items(*commands) -> Items:
+    stored = Items()
+    for revision, command in enumerate(commands, 1):
+        assert stored.apply(command, revision) == []
+    return stored
 
 
-def places(r) -> list[str]:
-    return [f.place for f in r.err_value]
+def places(result) -> list[str]:
+    return [finding.place for finding in result.err_value]
 
 
-def compiled(i: Items):
+def compiled(stored: Items):
     return (
-        i.rows,
-        i.routes,
-        i.services,
-        i.limits,
-        {h: by for h, by in i.hosts.items()},
-        {n: i.find(r.host, r.prefix + "x") for n, r in i.routes.items()},
+        stored.rows,
+        stored.routes,
+        stored.services,
+        stored.limits,
+        {host: by_prefix for host, by_prefix in stored.hosts.items()},
+        {name: stored.find(route.host, route.prefix + "x") for name, route in stored.routes.items()},
     )
 
 
-def test_the_longest_prefix_of_the_host_is_found_and_no_half_one():
-    i = items(
+def test_the_longest_prefix_of_whole_segments_is_found():
+    stored = items(
         amend(
             [
                 route("r1", prefix="/"),
@@ -72,7 +72,7 @@
             [service()],
         )
     )
-    for path, want in (
+    for path, expected in (
         ("/", "r1"),
         ("/a", "r1"),
         ("/a/", "r2"),
@@ -80,14 +80,18 @@
         ("/a/b/c/d/e", "r3"),
         ("/ab/c/", "r1"),
     ):
-        assert i.find("a.example", path).name == want, path
-    assert i.find("A.Example:8080", "/a/x").name == "r2"
-    assert i.find("b.example", "/y") is None and i.find("c.example", "/x/") is None and i.find("b.example", "") is None
-    assert i.find("b.example", "/x/" + "/" * 10000).name == "o"
+        assert stored.find("a.example", path).name == expected, path
+    assert stored.find("A.Example:8080", "/a/x").name == "r2"
+    assert (
+        stored.find("b.example", "/y") is None
+        and stored.find("c.example", "/x/") is None
+        and stored.find("b.example", "") is None
+    )
+    assert stored.find("b.example", "/x/" + "/" * 10000).name == "o"
     assert normalize_host("B.example.:80") == "b.example"
 
 
-def test_the_highest_version_holds_in_any_order_and_a_dropped_one_leaves_its_version():
+def test_the_highest_version_is_in_force_in_any_order_also_if_it_drops_the_item():
     base = amend([], [service("s"), service("t")])
     steps = [
         amend([route("r", 3, service="t")]),
@@ -100,33 +104,40 @@
         amend([route("r", 2, service="s")]),
         amend([], [service("s", 4, connections=20)]),
     ]
-    want = compiled(items(base, *steps))
-    assert want[1].keys() == {"q"} and want[1]["q"].version == 9 and want[3].idle_ms == 9000 and "u" not in want[2]
+    expected = compiled(items(base, *steps))
+    assert (
+        expected[1].keys() == {"q"}
+        and expected[1]["q"].version == 9
+        and expected[3].idle_ms == 9000
+        and "u" not in expected[2]
+    )
     rng = random.Random(5)
     for _ in range(200):
-        some = [*steps, *rng.sample(steps, 4)]
-        rng.shuffle(some)
-        got = compiled(items(base, *some))
-        assert {k: i.version for k, i in got[0].items()} == {k: i.version for k, i in want[0].items()}
-        assert got[1:] == want[1:]
-
-
-def test_a_lower_version_or_the_same_again_changes_nothing():
-    i = items(amend([route("r", 5)], [service()]))
-    before, n = compiled(i), i.revision
-    for again in (
+        shuffled = [*steps, *rng.sample(steps, 4)]
+        rng.shuffle(shuffled)
+        got = compiled(items(base, *shuffled))
+        assert {key: item.version for key, item in got[0].items()} == {
+            key: item.version for key, item in expected[0].items()
+        }
+        assert got[1:] == expected[1:]
+
+
+def test_a_lower_or_repeated_version_changes_nothing():
+    stored = items(amend([route("r", 5)], [service()]))
+    before, revision = compiled(stored), stored.revision
+    for repeated in (
         amend([route("r", 5)]),
         amend([route("r", 5, limit_ms=1500.0, tries=2)]),
         amend([route("r", 4, prefix="/z/")]),
         amend(drop={"routes": [{"name": "r", "version": 4}]}),
     ):
-        assert not i.has_newer(again) and i.apply(again, 99) == []
-    assert compiled(i) == before and i.revision == n
+        assert not stored.has_newer(repeated) and stored.apply(repeated, 99) == []
+    assert compiled(stored) == before and stored.revision == revision
 
 
-def test_an_equal_version_with_other_content_changes_nothing_and_says_what_holds():
-    i = items(amend([route("r", 5)], [service()], limits={"version": 5}))
-    before, n = compiled(i), i.revision
+def test_a_stored_version_with_other_content_is_a_conflict_that_shows_the_stored_item():
+    stored = items(amend([route("r", 5)], [service()], limits={"version": 5}))
+    before, revision = compiled(stored), stored.revision
     for other, place in (
         (amend([route("r", 5, limit_ms=9)]), "routes.r.version"),
         (amend(drop={"routes": [{"name": "r", "version": 5}]}), "routes.r.version"),
@@ -134,23 +145,23 @@
         (amend(limits={"version": 5, "idle_ms": 9}), "limits.version"),
         (amend([route("q", 9), route("r", 5, service="s", limit_ms=9)], [service("t", 9)]), "routes.r.version"),
     ):
-        (found,) = i.apply(other, 99)
+        (found,) = stored.apply(other, 99)
         assert found.place == place and "5 holds" in found.text or "1 holds" in found.text
-        assert i.check(other) == [found]
-    assert compiled(i) == before and i.revision == n
-    assert '"limit_ms": 1500' in i.apply(amend([route("r", 5, limit_ms=9)]), 99)[0].text
+        assert stored.check(other) == [found]
+    assert compiled(stored) == before and stored.revision == revision
+    assert '"limit_ms": 1500' in stored.apply(amend([route("r", 5, limit_ms=9)]), 99)[0].text
 
 
-def test_a_turned_down_call_leaves_nothing_behind():
-    i = items(amend([route("r", 1)], [service()]))
-    before = compiled(i)
-    c = amend([route("x"), route("y", service="nobody")], [service("new")])
-    assert [f.place for f in i.apply(c, 9)] == ["routes.y.service"] and i.check(c) != []
-    assert compiled(i) == before and i.revision == 1
+def test_a_rejected_call_changes_nothing():
+    stored = items(amend([route("r", 1)], [service()]))
+    before = compiled(stored)
+    rejected = amend([route("x"), route("y", service="nobody")], [service("new")])
+    assert [f.place for f in stored.apply(rejected, 9)] == ["routes.y.service"] and stored.check(rejected) != []
+    assert compiled(stored) == before and stored.revision == 1
 
 
 @pytest.mark.parametrize(
-    "bad, place",
+    "invalid, place",
     [
         ({"limit_ms": 0}, "limit_ms"),
         ({"limit_ms": -1}, "limit_ms"),
@@ -175,12 +186,12 @@
         ({"limit_ms": None}, "limit_ms"),
     ],
 )
-def test_an_invalid_route_is_found_with_its_place(bad, place):
-    r = parse_amend(call([route("fine"), {**route("r"), **bad}], [service()]))
-    assert places(r) == [f"set.routes[1].{place}"]
+def test_a_finding_of_an_invalid_route_has_its_place(invalid, place):
+    result = parse_amend(call([route("valid"), {**route("r"), **invalid}], [service()]))
+    assert places(result) == [f"set.routes[1].{place}"]
 
 
-def test_every_finding_of_a_call_is_told():
+def test_all_findings_of_a_call_are_reported():
     body = {
         "set": {
             "routes": [
@@ -225,13 +236,13 @@
         (b'{"set":{"routes":[{"name":"r","version":1e999}]}}', "set.routes[0]"),
     ],
 )
-def test_what_cannot_be_read_whole_is_refused_whole(body, place):
+def test_a_body_with_an_unreadable_part_is_rejected(body, place):
     assert places(parse_amend(body)) == [place]
 
 
-def test_calls_are_judged_by_what_would_stand_after_them():
-    i = items(amend([route("r", 3, prefix="/x/"), route("q", 3, service="t")], [service("s", 3), service("t", 3)]))
-    for bad, place in (
+def test_a_call_is_checked_against_the_items_that_it_leaves_in_force():
+    stored = items(amend([route("r", 3, prefix="/x/"), route("q", 3, service="t")], [service("s", 3), service("t", 3)]))
+    for invalid, place in (
         (amend([route("n", service="nobody")]), "routes.n.service"),
         (
             amend([route("n", split=[{"service": "s", "weight": 1}, {"service": "nobody", "weight": 1}])]),
@@ -248,8 +259,9 @@
         ),
         (amend([route("r", 2, service="nobody")]), "routes.r.service"),
     ):
-        assert [f.place for f in i.check(bad)] == [place] and [f.place for f in i.apply(bad, 50)] == [place]
-    for good in (
+        assert [f.place for f in stored.check(invalid)] == [place]
+        assert [f.place for f in stored.apply(invalid, 50)] == [place]
+    for valid in (
         amend([route("n", prefix="/x/"), route("r", 4, prefix="/y/")]),
         amend([route("n", 2, prefix="/y/"), route("r", 5, prefix="/x/")]),
         amend(drop={"services": [{"name": "t", "version": 2}]}),
@@ -258,11 +270,15 @@
         amend([route("r", 1, prefix="/q/")]),
         amend([route("z", service="new")], [service("new")]),
     ):
-        assert i.apply(good, 60) == []
-    assert i.find("a.example", "/x/1").name == "r" and i.find("a.example", "/y/1").name == "n" and "t" not in i.services
+        assert stored.apply(valid, 60) == []
+    assert (
+        stored.find("a.example", "/x/1").name == "r"
+        and stored.find("a.example", "/y/1").name == "n"
+        and "t" not in stored.services
+    )
 
 
-def test_racing_calls_that_cannot_stand_together_never_do():
+def test_concurrent_calls_never_leave_routes_without_service_or_with_the_same_prefix():
     calls = [
         amend([route("a", 2, prefix="/p/")]),
         amend([route("b", 2, prefix="/p/")]),
@@ -272,58 +288,60 @@
         amend([route("a", 3, prefix="/o/", service="t")]),
     ]
     for order in itertools.permutations(calls):
-        i = items(amend([], [service("s"), service("t")]))
-        for n, c in enumerate(order):
-            i.apply(c, n + 2)
-            named = {r.service for r in i.routes.values()}
-            at = [(r.host, r.prefix) for r in i.routes.values()]
-            assert named <= i.services.keys() and len(set(at)) == len(at)
-            assert all(i.find(r.host, r.prefix) is r for r in i.routes.values())
+        stored = items(amend([], [service("s"), service("t")]))
+        for revision, command in enumerate(order, 2):
+            stored.apply(command, revision)
+            named = {r.service for r in stored.routes.values()}
+            locations = [(r.host, r.prefix) for r in stored.routes.values()]
+            assert named <= stored.services.keys() and len(set(locations)) == len(locations)
+            assert all(stored.find(r.host, r.prefix) is r for r in stored.routes.values())
 
 
-def test_what_was_sent_is_given_back_with_its_unknown_fields_and_kinds_of_numbers():
+def test_items_are_returned_as_sent_with_unknown_fields_and_number_types():
     sent = [
         route("r", 7, limit_ms=1500.0, protocol="h1", tls=False, extra={"a": [1, 1.0, None], "big": 2**70}),
         route("é", 8),
     ]
-    svc, limits = [service(cold_s=3.0, cold_per_s=11, tls=False)], {"version": 7, "header_ms": 3000, "x": 0.1}
-    i = items(amend(sent, svc, limits))
-    text = msgspec.json.encode({k: i.current_documents(k) for k in ("routes", "services", "limits")}).decode()
-    assert json.loads(text) == {"routes": sent, "services": svc, "limits": [limits]}
+    services, limits = [service(cold_s=3.0, cold_per_s=11, tls=False)], {"version": 7, "header_ms": 3000, "x": 0.1}
+    stored = items(amend(sent, services, limits))
+    text = msgspec.json.encode({k: stored.current_documents(k) for k in ("routes", "services", "limits")}).decode()
+    assert json.loads(text) == {"routes": sent, "services": services, "limits": [limits]}
     assert '"limit_ms": 1500.0' in text and '"header_ms": 3000,' in text
-    i.apply(amend(drop={"routes": [{"name": "r", "version": 8}], "limits": {"version": 8}}), 2)
-    assert [json.loads(bytes(r))["name"] for r in i.current_documents("routes")] == ["é"] and i.current_documents(
-        "limits"
-    ) == []
+    stored.apply(amend(drop={"routes": [{"name": "r", "version": 8}], "limits": {"version": 8}}), 2)
+    assert [json.loads(bytes(r))["name"] for r in stored.current_documents("routes")] == ["é"]
+    assert stored.current_documents("limits") == []
 
 
-def test_a_call_touches_only_what_it_names():
-    i = items(amend([route(f"r{n}", host=f"h{n % 7}") for n in range(300)], [service()]))
-    before = dict(i.routes)
-    i.apply(amend([route(f"n{n}", host=f"h{n % 7}") for n in range(370)]), 2)
-    assert len(i.routes) == 670 and all(i.routes[n] is r for n, r in before.items())
-    assert i.find("h3", "/n10/x").name == "n10"
+def test_a_call_changes_only_the_items_that_it_names():
+    stored = items(amend([route(f"r{n}", host=f"h{n % 7}") for n in range(300)], [service()]))
+    before = dict(stored.routes)
+    stored.apply(amend([route(f"n{n}", host=f"h{n % 7}") for n in range(370)]), 2)
+    assert len(stored.routes) == 670 and all(stored.routes[n] is r for n, r in before.items())
+    assert stored.find("h3", "/n10/x").name == "n10"
 
 
-def test_rows_adopted_part_by_part_make_the_same_items():
-    i = items(
+def test_rows_loaded_in_parts_give_the_same_items():
+    stored = items(
         amend([route("r", 5), route("q", 2)], [service()], {"version": 3}),
         amend(drop={"routes": [{"name": "q", "version": 4}]}),
     )
-    j, rows = Items(), list(i.rows.values())
+    loaded, rows = Items(), list(stored.rows.values())
     for row in rows:
-        j.load_rows([msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=Item)])
-    assert compiled(i) == compiled(j) and not j.has_newer(amend([route("q", 4)]))
+        loaded.load_rows([msgspec.msgpack.decode(msgspec.msgpack.encode(row), type=Item)])
+    assert compiled(stored) == compiled(loaded) and not loaded.has_newer(amend([route("q", 4)]))
 
 
-def test_kinds_that_the_product_does_not_use_are_versioned_and_read_back_as_sent():
-    x = Items()
+def test_uninterpreted_kinds_are_versioned_and_returned_as_sent():
+    stored = Items()
     body = b'{"set":{"tenants":[{"name":"t","version":2,"homes":["north"]}],"quota":{"version":1,"most":5}}}'
-    assert x.apply(parse_amend(body).unwrap(), 1) == [] and x.kinds()[-2:] == ["quota", "tenants"]
-    assert [bytes(r) for r in x.current_documents("tenants")] == [b'{"name":"t","version":2,"homes":["north"]}']
-    assert x.apply(parse_amend(b'{"set":{"tenants":[{"name":"t","version":1}]}}').unwrap(), 2) == [] and x.revision == 1
-    assert x.apply(parse_amend(b'{"drop":{"tenants":[{"name":"t","version":3}]}}').unwrap(), 3) == []
-    assert x.current_documents("tenants") == [] and x.kinds()[-1] == "quota"
+    assert stored.apply(parse_amend(body).unwrap(), 1) == [] and stored.kinds()[-2:] == ["quota", "tenants"]
+    assert [bytes(r) for r in stored.current_documents("tenants")] == [b'{"name":"t","version":2,"homes":["north"]}']
+    assert (
+        stored.apply(parse_amend(b'{"set":{"tenants":[{"name":"t","version":1}]}}').unwrap(), 2) == []
+        and stored.revision == 1
+    )
+    assert stored.apply(parse_amend(b'{"drop":{"tenants":[{"name":"t","version":3}]}}').unwrap(), 3) == []
+    assert stored.current_documents("tenants") == [] and stored.kinds()[-1] == "quota"
 
 
 @pytest.mark.parametrize(
@@ -337,28 +355,28 @@
         ('{"version": 3, "x": "\\u0041"}', '{"version": 3, "x": "A"}', True),
     ],
 )
-def test_a_kind_that_is_not_used_is_compared_by_its_json_value(a, b, same):
-    i = Items()
+def test_uninterpreted_items_are_compared_by_json_value(a, b, same):
+    stored = Items()
     first, second = (parse_amend(f'{{"set": {{"notes": {text}}}}}'.encode()).unwrap() for text in (a, b))
-    assert i.apply(first, 1) == [] and (i.apply(second, 2) == []) == same and i.revision == 1
+    assert stored.apply(first, 1) == [] and (stored.apply(second, 2) == []) == same and stored.revision == 1
 
 
-def test_defaults_and_unknown_fields_make_no_other_content():
-    i = Items()
-    assert i.apply(parse_amend(b'{"set": {"services": [{"name": "s", "version": 1}]}}').unwrap(), 1) == []
+def test_defaults_and_unknown_fields_do_not_change_the_content():
+    stored = Items()
+    assert stored.apply(parse_amend(b'{"set": {"services": [{"name": "s", "version": 1}]}}').unwrap(), 1) == []
     again = b'{"set": {"services": [{"version": 1, "name": "s", "status": "/health", "connections": 0, "new": 1}]}}'
-    assert i.apply(parse_amend(again).unwrap(), 2) == [] and i.revision == 1
+    assert stored.apply(parse_amend(again).unwrap(), 2) == [] and stored.revision == 1
 
 
-def test_the_same_item_twice_in_a_call_must_say_the_same():
+def test_an_item_given_twice_in_a_call_must_have_the_same_content():
     assert parse_amend(call([route("r", 5), route("r", 5)], [service()])).is_ok()
-    for bad in (
+    for invalid in (
         call([route("r", 5), route("r", 5, limit_ms=9)], [service()]),
         call([route("r", 5)], [service()], drop={"routes": [{"name": "r", "version": 5}]}),
     ):
-        assert places(parse_amend(bad)) == ["routes.r.version"]
-    two = [Item("notes", "n", 1, b'{"version": 1, "x": 1}'), Item("notes", "n", 1, b'{"version": 1, "x": 2}')]
-    assert [f.place for f in Items().apply(Amend(two), 1)] == ["notes.n.version"], "judged by the leader as well"
+        assert places(parse_amend(invalid)) == ["routes.r.version"]
+    pair = [Item("notes", "n", 1, b'{"version": 1, "x": 1}'), Item("notes", "n", 1, b'{"version": 1, "x": 2}')]
+    assert [f.place for f in Items().apply(Amend(pair), 1)] == ["notes.n.version"], "checked by the leader as well"
 
 
 @pytest.mark.parametrize("version", [2**63, -(2**63) - 1, 2**64, 2**70])
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -11,31 +11,31 @@
 
 
 def test_a_route_inherits_from_its_cell_and_a_cell_from_its_region():
-    d = copy.deepcopy(CONFIG)
-    d["regions"]["eu"]["policy"] = "limit 4s; retry 2; queue 10"
-    d["cells"]["racing"]["policy"] = "retry 1; width 8"
-    d["routes"]["rankings"]["policy"] = "queue 3"
-    p = build(d).unwrap().choose("overlay", get("/rankings/7")).policy
-    assert (p.limit_ms, p.retry, p.width, p.queue, p.keep) == (4000, 1, 8, 3, 16384)
-    d["regions"]["eu"]["policy"] = "limit 9s"
-    assert build(d).unwrap().choose("overlay", get("/rankings/7")).policy.limit_ms == 9000
+    config = copy.deepcopy(CONFIG)
+    config["regions"]["eu"]["policy"] = "limit 4s; retry 2; queue 10"
+    config["cells"]["racing"]["policy"] = "retry 1; width 8"
+    config["routes"]["rankings"]["policy"] = "queue 3"
+    policy = build(config).unwrap().choose("overlay", get("/rankings/7")).policy
+    assert (policy.limit_ms, policy.retry, policy.width, policy.queue, policy.keep) == (4000, 1, 8, 3, 16384)
+    config["regions"]["eu"]["policy"] = "limit 9s"
+    assert build(config).unwrap().choose("overlay", get("/rankings/7")).policy.limit_ms == 9000
 
 
 def test_routes_match_whole_paths_only():
-    t = build(CONFIG).unwrap()
-    assert t.choose("overlay", get("/rankings/7")).route == "rankings"
-    for p in ("/rankings", "/rankings/7/8", "/other", "/runs"):
-        assert t.choose("overlay", get(p)) is None
-    assert t.choose("runner", get("/runs", "POST")).kind == "once"
+    tree = build(CONFIG).unwrap()
+    assert tree.choose("overlay", get("/rankings/7")).route == "rankings"
+    for path in ("/rankings", "/rankings/7/8", "/other", "/runs"):
+        assert tree.choose("overlay", get(path)) is None
+    assert tree.choose("runner", get("/runs", "POST")).kind == "once"
 
 
-def test_the_language():
-    m = compiler.match('(method GET, HEAD and not path "/a/**") or header "X-Kind" = "y"', "m").unwrap()
-    assert m(get("/b")) and not m(get("/a/b/c")) and m(get("/a", x_kind="n", **{"x-kind": "y"}))
-    assert not m(get("/b", "POST"))
+def test_a_match_of_all_operators_is_compiled():
+    match = compiler.match('(method GET, HEAD and not path "/a/**") or header "X-Kind" = "y"', "m").unwrap()
+    assert match(get("/b")) and not match(get("/a/b/c")) and match(get("/a", x_kind="n", **{"x-kind": "y"}))
+    assert not match(get("/b", "POST"))
 
 
-def test_every_statement_of_a_policy_is_understood():
+def test_every_statement_of_a_policy_is_parsed():
     text = "limit 4s; ramp 20s; retry 1; queue 64; width 32; keep 16kb; draw any"
     assert compiler.policy(text, "p").unwrap() == Policy(
         limit_ms=4000, ramp_ms=20000, retry=1, queue=64, width=32, keep=16384, chooser="any"
@@ -44,21 +44,21 @@
     assert compiler.policy("draw far", "p").is_err()
 
 
-def test_a_statement_given_twice_is_named_as_it_was_written():
-    for text, name in (("draw any; draw near", "draw"), ("limit 1s; limit 2s", "limit")):
-        assert [f.text for f in compiler.policy(text, "p").unwrap_err()] == [f"{name} is set twice"]
+def test_a_statement_given_twice_is_named_by_its_keyword():
+    for text, keyword in (("draw any; draw near", "draw"), ("limit 1s; limit 2s", "limit")):
+        assert [f.text for f in compiler.policy(text, "p").unwrap_err()] == [f"{keyword} is set twice"]
 
 
-def test_homes_are_the_tenants_or_the_cells_regions():
-    d = copy.deepcopy(CONFIG)
-    d["cells"]["racing"]["regions"] = ["eu", "us"]
-    t = build(d).unwrap()
-    assert t.homes("runner") == {"eu"} and t.homes("overlay") == {"eu", "us"}
+def test_homes_are_those_of_the_tenant_or_the_regions_of_the_cell():
+    config = copy.deepcopy(CONFIG)
+    config["cells"]["racing"]["regions"] = ["eu", "us"]
+    tree = build(config).unwrap()
+    assert tree.homes("runner") == {"eu"} and tree.homes("overlay") == {"eu", "us"}
     assert build(CONFIG).unwrap().homes("overlay") is None
 
 
-def test_every_finding_comes_with_its_place_and_all_at_once():
-    bad = {
+def test_all_findings_are_reported_with_their_places():
+    invalid = {
         "services": {"s": {"status": "x"}},
         "regions": {"eu": {"zones": ["a"], "policy": "limit 1h"}, "us": {"zones": ["a"]}, "ap": {"zones": []}},
         "cells": {
@@ -69,8 +69,8 @@
             "r": {"cell": "x", "match": "path 5", "kind": "read", "service": "none", "policy": "retry 1; retry 2"}
         },
     }
-    places = [str(f.place) for f in build(bad).err_value]
-    for want in (
+    places = [str(f.place) for f in build(invalid).err_value]
+    for expected in (
         "services.s.status",
         "regions.eu.policy@1:8",
         "regions.us.zones[0]",
@@ -84,10 +84,13 @@
         "routes.r.cell",
         "routes.r.policy",
     ):
-        assert want in places, want
+        assert expected in places, expected
 
 
-def test_ill_typed_parts_are_all_found():
-    bad = {"services": 3, "routes": {"r": {"cell": 1, "match": 'path "/a"', "kind": "twice", "service": "s", "x": 1}}}
-    assert {f.place for f in build(bad).err_value} == {"services", "routes.r.cell", "routes.r.kind", "routes.r.x"}
+def test_all_fields_of_a_wrong_type_are_found():
+    invalid = {
+        "services": 3,
+        "routes": {"r": {"cell": 1, "match": 'path "/a"', "kind": "twice", "service": "s", "x": 1}},
+    }
+    assert {f.place for f in build(invalid).err_value} == {"services", "routes.r.cell", "routes.r.kind", "routes.r.x"}
     assert {f.place for f in build([]).err_value} == {""}
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -1,4 +1,7 @@
-"""Items and versions in any order, against a plain model: one version has one content, the highest holds."""
+"""Versioned items against a plain model, with calls in any order.
+
+A version has one content, and the highest version is in force.
+"""
 
 import json
 
@@ -14,7 +17,9 @@
 from mallowvalve.control.snapshot import cut_settings, dump, load
 from mallowvalve.control.state import State, encode
 
-NAMES, VERSIONS, CONTENTS = ("a", "b"), (1, 2, 3), ("x", "y", None)
+NAMES = ("a", "b")
+VERSIONS = (1, 2, 3)
+CONTENTS = ("x", "y", None)
 CHANGE = st.tuples(
     st.sampled_from(["services", "notes"]),
     st.sampled_from(NAMES),
@@ -25,105 +30,108 @@
 
 
 def body(changes) -> bytes:
-    """A call; `spelled` writes the same content in another way. A content of None is a drop."""
+    """The body of a call; a content of None is a drop. `respelled` writes the same content in another way."""
     call = {"set": {"services": [], "notes": []}, "drop": {"services": [], "notes": []}}
-    for kind, name, version, said, spelled in changes:
-        if said is None:
+    for kind, name, version, content, respelled in changes:
+        if content is None:
             call["drop"][kind].append({"name": name, "version": version})
             continue
-        item = {"name": name, "version": version, "status": f"/{said}"}
-        if spelled:
-            item = {"status": f"/{said}", "version": version, "name": name}
+        item = {"name": name, "version": version, "status": f"/{content}"}
+        if respelled:
+            item = {"status": f"/{content}", "version": version, "name": name}
             item |= {"connections": 0} if kind == "services" else {}
         call["set"][kind].append(item)
     return json.dumps(call).encode()
 
 
-class Changes(RuleBasedStateMachine):
-    """Calls to a leader that may be loaded anew; the model holds name, version and content, nothing else."""
+class ItemVersions(RuleBasedStateMachine):
+    """Applies calls to a leader's state, which may be reloaded from a snapshot; the model has versions and contents."""
 
     def __init__(self):
         super().__init__()
-        self.state, self.part = State(3), State(3)
+        self.state, self.settings_part = State(3), State(3)
         self.model: dict[tuple[str, str], tuple[int, str | None]] = {}
         self.acknowledged: list[tuple[bytes, dict]] = []
 
     @rule(changes=st.lists(CHANGE, min_size=1, max_size=3))
-    def change(self, changes):
+    def apply_call(self, changes):
         call = parse_amend(body(changes))
         given: dict[tuple, str | None] = {}
         if any(given.setdefault((k, n, v), c) != c for k, n, v, c, _ in changes):
             assert call.is_err()
             return
         conflicts = {
-            (k, n) for k, n, v, c, _ in changes if (v, c) != self.model.get((k, n), (v, c)) and self.same(k, n, v)
+            (k, n) for k, n, v, c, _ in changes if (v, c) != self.model.get((k, n), (v, c)) and self.is_current(k, n, v)
         }
-        foreseen = self.state.items.check(call.unwrap())
+        predicted = self.state.items.check(call.unwrap())
         index, before = self.state.index + 1, self.state.items.rows.copy()
-        said = self.state.apply(index, 0, encode(call.unwrap()))
+        outcome = self.state.apply(index, 0, encode(call.unwrap()))
         if self.state.turned == index:
-            self.part.apply(index, 0, encode(call.unwrap()))
+            self.settings_part.apply(index, 0, encode(call.unwrap()))
         if conflicts:
-            assert said.code == "conflict" and self.state.items.rows == before
-            assert {f.place for f in foreseen} == {f"{k}.{n}.version" for k, n in conflicts}
+            assert outcome.code == "conflict" and self.state.items.rows == before
+            assert {f.place for f in predicted} == {f"{k}.{n}.version" for k, n in conflicts}
             return
-        assert said.code == "ok" and foreseen == []
-        for k, n, v, c, _ in changes:
-            if v > self.model.get((k, n), (0, None))[0]:
-                self.model[k, n] = v, c
+        assert outcome.code == "ok" and predicted == []
+        for kind, name, version, content, _ in changes:
+            if version > self.model.get((kind, name), (0, None))[0]:
+                self.model[kind, name] = version, content
         self.acknowledged.append((encode(call.unwrap()), dict(self.model)))
 
-    def same(self, kind, name, version) -> bool:
+    def is_current(self, kind, name, version) -> bool:
         return self.model.get((kind, name), (0, None))[0] == version
 
     @rule(data=st.data())
-    def send_an_acknowledged_change_again(self, data):
+    def repeat_an_acknowledged_call(self, data):
         if not self.acknowledged:
             return
         call, _ = data.draw(st.sampled_from(self.acknowledged))
         before = self.state.items.rows.copy()
-        assert self.state.apply(self.state.index + 1, 0, call).code == "ok", "acknowledged, then refused"
+        assert self.state.apply(self.state.index + 1, 0, call).code == "ok", "acknowledged, then rejected"
         assert self.state.items.rows == before
 
     @rule()
-    def load_anew(self):
+    def reload(self):
         self.state = load(dump(self.state))
-        self.part = load(list(cut_settings(self.state)))
+        self.settings_part = load(list(cut_settings(self.state)))
 
     @invariant()
-    def what_holds_is_the_model(self):
-        held = {k: (i.version, i.doc and json.loads(i.doc)["status"][1:]) for k, i in self.state.items.rows.items()}
-        assert held == self.model and self.part.items.rows == self.state.items.rows
+    def items_equal_the_model(self):
+        rows = self.state.items.rows
+        stored = {key: (item.version, item.doc and json.loads(item.doc)["status"][1:]) for key, item in rows.items()}
+        assert stored == self.model and self.settings_part.items.rows == rows
         assert self.state.items.services.keys() == {n for (k, n), (_, c) in self.model.items() if k == "services" and c}
 
 
-def first_content_holds_unsaid(a, b):
-    """Without the comparison: both contents of a version are acknowledged."""
+def ignores_content(a, b):
+    """Fault: both contents of a version are acknowledged."""
     return True
 
 
 def compares_bytes(a, b):
-    """Without decoding: what was acknowledged is refused when it is spelled in another way."""
+    """Fault: an acknowledged item is rejected when it is spelled in another way."""
     return a.doc == b.doc
 
 
-@pytest.mark.parametrize("instead", [first_content_holds_unsaid, compares_bytes])
-def test_without_the_comparison_the_play_of_changes_fails(monkeypatch, instead):
-    monkeypatch.setattr(items_module, "same_content", instead)
+@pytest.mark.parametrize("comparison", [ignores_content, compares_bytes])
+def test_a_fault_of_the_comparison_is_found(monkeypatch, comparison):
+    monkeypatch.setattr(items_module, "same_content", comparison)
     with pytest.raises(AssertionError):
         only_first = {"phases": [Phase.generate], "report_multiple_bugs": False}
-        run_state_machine_as_test(Changes, settings=hypothesis_settings(Changes.TestCase.settings, **only_first))
+        run_state_machine_as_test(
+            ItemVersions, settings=hypothesis_settings(ItemVersions.TestCase.settings, **only_first)
+        )
 
 
-Changes.TestCase.settings = hypothesis_settings(
+ItemVersions.TestCase.settings = hypothesis_settings(
     phases=[Phase.generate], derandomize=True, max_examples=100, stateful_step_count=30, deadline=None
 )
-test_items_and_versions_in_any_order_are_as_the_model_says = Changes.TestCase
+test_items_and_versions_in_any_order_equal_the_model = ItemVersions.TestCase
 
 
 def test_a_drop_and_a_set_under_one_version_conflict_both_ways():
     for first, second in (("x", None), (None, "x")):
-        i = Items()
-        assert i.apply(parse_amend(body([("services", "a", 1, first, False)])).unwrap(), 1) == []
-        (found,) = i.apply(parse_amend(body([("services", "a", 1, second, False)])).unwrap(), 2)
+        stored = Items()
+        assert stored.apply(parse_amend(body([("services", "a", 1, first, False)])).unwrap(), 1) == []
+        (found,) = stored.apply(parse_amend(body([("services", "a", 1, second, False)])).unwrap(), 2)
         assert found.place == "services.a.version" and ("a drop" in found.text) == (first is None)
