--- a/mallowvalve/coordination/plain.py
+++ b/mallowvalve/coordination/plain.py
@@ -126,7 +126,7 @@
 
 
 class KeyGroup:
-    """The keys that share their name up to the first dot: the group's revision and its retained revisions of keys."""
+    """The keys whose names are alike up to the first dot: the group's revision and its retained history."""
 
     __slots__ = ("revision", "events")
 
@@ -342,7 +342,7 @@
 def lease_expiry_ms(now_ms: int, hold_ms: float) -> int:
     """Returns when a lease expires: a little later than requested.
 
-    The slack covers the whole ms in which the fleet clock counts and the drift between clocks.
+    The slack covers the rounding of the fleet clock to whole ms and the drift between clocks.
     """
     return now_ms + math.ceil(hold_ms) + LEASE_SLACK_MS
 
--- a/mallowvalve/ledger/ledger.py
+++ b/mallowvalve/ledger/ledger.py
@@ -20,8 +20,8 @@
 ResultState = Literal["open", "done", "released", "lost", "granted", "conflict", "gone", "ok", "undecided"]
 """The result of a command: the state of the key's claim, or one of these.
 
-granted: the claimer has the key. conflict: another request has the key. gone: there is no such claim. ok: the command
-took effect. undecided: not a result of the ledger; a proxy assumes it when it gets no answer in time.
+granted: the key is claimed. conflict: another request has claimed the key. gone: there is no such claim. ok: the
+command took effect. undecided: not a result of the ledger; a proxy assumes it when it gets no answer in time.
 """
 
 OPEN: ClaimState = "open"
@@ -69,7 +69,7 @@
 
 
 class Lose(msgspec.Struct, frozen=True, array_like=True, tag="lose"):
-    """Closes all open claims of a proxy that is gone: their keys are lost."""
+    """Closes all open claims of a proxy that has left or failed: their keys are lost."""
 
     holder: str
 
--- a/mallowvalve/routing/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -52,16 +52,18 @@
 
 def path_matcher(pattern: str) -> Callable[[str], bool]:
     """Returns a predicate on whole paths: `*` matches one segment, a final `**` any further segments."""
-    wanted = pattern.strip("/").split("/")
-    open_ended = wanted[-1] == ANY_SUFFIX
+    pattern_segments = pattern.strip("/").split("/")
+    open_ended = pattern_segments[-1] == ANY_SUFFIX
     if open_ended:
-        wanted = wanted[:-1]
+        pattern_segments = pattern_segments[:-1]
 
     def matches(path: str) -> bool:
         segments = path.strip("/").split("/")
-        if len(segments) < len(wanted) or not open_ended and len(segments) != len(wanted):
+        if len(segments) < len(pattern_segments) or not open_ended and len(segments) != len(pattern_segments):
             return False
-        return all(want in (ANY_SEGMENT, segment) for want, segment in zip(wanted, segments, strict=False))
+        return all(
+            expected in (ANY_SEGMENT, segment) for expected, segment in zip(pattern_segments, segments, strict=False)
+        )
 
     return matches
 
