--- a/mallowvalve/configuration/build.py
+++ b/mallowvalve/configuration/build.py
@@ -54,7 +54,7 @@
 def _check_cells(doc: Document) -> Findings:
     found = []
     for name, cell in doc.cells.items():
-        found += _check_references(f"cells.{name}.region", [cell.region], doc.regions, "region", one=True)
+        found += _check_references(f"cells.{name}.region", [cell.region], doc.regions, "region", single=True)
         found += _check_references(f"cells.{name}.regions", cell.regions, doc.regions, "region")
         for tenant_name, tenant in cell.tenants.items():
             place = f"cells.{name}.tenants.{tenant_name}.homes"
@@ -67,9 +67,9 @@
     return found
 
 
-def _check_references(place: str, names: list[str], known: dict, what: str, one: bool = False) -> Findings:
+def _check_references(place: str, names: list[str], known: dict, kind: str, single: bool = False) -> Findings:
     return [
-        Finding(place if one else f"{place}[{i}]", f"no {what} {n!r}") for i, n in enumerate(names) if n not in known
+        Finding(place if single else f"{place}[{i}]", f"no {kind} {n!r}") for i, n in enumerate(names) if n not in known
     ]
 
 
@@ -100,8 +100,8 @@
         match = compiler.match(route.match, f"routes.{name}.match")
         if isinstance(match, Err):
             found += match.err_value
-        found += _check_references(f"routes.{name}.service", [route.service], doc.services, "service", one=True)
-        missing = _check_references(f"routes.{name}.cell", [route.cell], doc.cells, "cell", one=True)
+        found += _check_references(f"routes.{name}.service", [route.service], doc.services, "service", single=True)
+        missing = _check_references(f"routes.{name}.cell", [route.cell], doc.cells, "cell", single=True)
         found += missing
         if missing or isinstance(match, Err):
             continue
