--- a/mallowvalve/configuration/item_request.py
+++ b/mallowvalve/configuration/item_request.py
@@ -1,4 +1,4 @@
-"""A call that sets and drops items, read whole, with every finding's place."""
+"""Parses the body of a call that sets and drops items, and reports all findings with their places."""
 
 from __future__ import annotations
 
@@ -7,210 +7,217 @@
 
 from mallowvalve import finding
 from mallowvalve.configuration.items import (
-    DOCS,
-    KINDS,
-    LIMITS,
-    PARTS,
+    DOCUMENT_DECODERS,
+    DOCUMENT_TYPES,
+    LIMITS_KIND,
+    NAMED_KINDS,
     Amend,
-    Doc,
     HostRoute,
     Item,
+    ItemDocument,
     Limits,
-    Part,
     ServiceItem,
+    WeightedService,
+    contradictory_items,
     decode,
-    plain_host,
-    twice,
+    normalize_host,
 )
 from mallowvalve.finding import Finding, Findings
 
-AIM_OVER_MS = 60_000.0
-NAME_BYTES = 1024
-VERSION_LEAST, VERSION_MOST = -(1 << 63), (1 << 63) - 1
+MAX_AIM_OVER_LIMIT_MS = 60_000.0
+MAX_NAME_CHARS = 1024
+MIN_VERSION = -(1 << 63)
+MAX_VERSION = (1 << 63) - 1
 
 
-class Gone(msgspec.Struct, frozen=True, kw_only=True):
-    """A dropped item of a named kind."""
+class DroppedItem(msgspec.Struct, frozen=True, kw_only=True):
+    """An item to drop, of a kind whose items have names."""
 
     name: str
     version: int
 
 
-class GoneLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """The limits, dropped."""
+class DroppedLimits(msgspec.Struct, frozen=True, kw_only=True):
+    """The limits, to drop."""
 
     version: int
 
 
-class OtherItem(msgspec.Struct, frozen=True, kw_only=True):
-    """What an item of a kind that the product does not use must say."""
+class UninterpretedItem(msgspec.Struct, frozen=True, kw_only=True):
+    """The required fields of an item whose kind is not interpreted."""
 
     version: int
     name: str = ""
 
 
-class CallDoc(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The body of a call, by kind: items to set and to drop."""
+class AmendBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The body of a call: the items to set and to drop, by kind."""
 
     set: dict[str, msgspec.Raw] = {}
     drop: dict[str, msgspec.Raw] = {}
 
 
-_call = msgspec.json.Decoder(CallDoc).decode
-_raws = msgspec.json.Decoder(list[msgspec.Raw]).decode
-_other_item = msgspec.json.Decoder(OtherItem).decode
+_decode_body = msgspec.json.Decoder(AmendBody).decode
+_decode_list = msgspec.json.Decoder(list[msgspec.Raw]).decode
+_decode_uninterpreted = msgspec.json.Decoder(UninterpretedItem).decode
 
 
-def read(body: bytes) -> Result[Amend, Findings]:
-    """A whole call, every finding with its place; what it must stand with is left to `Items.check`."""
+def parse_amend(body: bytes) -> Result[Amend, Findings]:
+    """Returns the parsed call, or all findings with their places; `Items.check` checks it against the current items."""
     try:
         body.decode()
-        call = _call(body)
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        text, _, place = str(e).partition(" - at `$.")
-        return Err([Finding(place.removesuffix("`") or "body", text)])
+        call = _decode_body(body)
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        message, _, place = str(error).partition(" - at `$.")
+        return Err([Finding(place.removesuffix("`") or "body", message)])
     found: Findings = []
     items: list[Item] = []
     for kind, raw in call.set.items():
-        for place, one in _each(kind, raw, f"set.{kind}", found):
-            doc = _read(kind, one, place, found)
-            if doc is not None:
-                items.append(Item(kind, getattr(doc, "name", ""), doc.version, one))
+        for place, text in _items_of_kind(kind, raw, f"set.{kind}", found):
+            document = _parse_item(kind, text, place, found)
+            if document is not None:
+                items.append(Item(kind, getattr(document, "name", ""), document.version, text))
     for kind, raw in call.drop.items():
-        for place, one in _each(kind, raw, f"drop.{kind}", found):
-            gone = _gone(kind, one, place, found)
-            if gone is not None:
-                items.append(Item(kind, getattr(gone, "name", ""), gone.version, None))
-    found += twice(items) + _places_twice(items)
+        for place, text in _items_of_kind(kind, raw, f"drop.{kind}", found):
+            dropped = _parse_dropped(kind, text, place, found)
+            if dropped is not None:
+                items.append(Item(kind, getattr(dropped, "name", ""), dropped.version, None))
+    found += contradictory_items(items) + _route_clashes(items)
     return Err(found) if found else Ok(Amend(items))
 
 
-def _each(kind: str, raw: msgspec.Raw, place: str, found: Findings) -> list[tuple[str, bytes]]:
-    """The items of one kind: a list of them, or the only one it has."""
+def _items_of_kind(kind: str, raw: msgspec.Raw, place: str, found: Findings) -> list[tuple[str, bytes]]:
+    """Returns the items of one kind with their places: those of a list, or the only one."""
     text = bytes(raw)
     if text == b"null":
         return []
-    many = kind in PARTS or kind != LIMITS and text[:1] == b"["
+    many = kind in NAMED_KINDS or kind != LIMITS_KIND and text[:1] == b"["
     if not many:
         return [(place, text)]
     try:
-        return [(f"{place}[{n}]", bytes(r)) for n, r in enumerate(_raws(text))]
-    except (msgspec.DecodeError, RecursionError) as e:
-        found.append(Finding(place, str(e)))
+        return [(f"{place}[{i}]", bytes(item)) for i, item in enumerate(_decode_list(text))]
+    except (msgspec.DecodeError, RecursionError) as error:
+        found.append(Finding(place, str(error)))
         return []
 
 
-def _gone(kind: str, raw: bytes, place: str, found: Findings) -> Gone | GoneLimits | OtherItem | None:
-    shape: type[Gone | GoneLimits | OtherItem] = OtherItem
-    if kind in PARTS:
-        shape = Gone
-    elif kind == LIMITS:
-        shape = GoneLimits
+def _parse_dropped(
+    kind: str, raw: bytes, place: str, found: Findings
+) -> DroppedItem | DroppedLimits | UninterpretedItem | None:
+    shape: type[DroppedItem | DroppedLimits | UninterpretedItem] = UninterpretedItem
+    if kind in NAMED_KINDS:
+        shape = DroppedItem
+    elif kind == LIMITS_KIND:
+        shape = DroppedLimits
     data = finding.parse_json(raw, place)
     if isinstance(data, Err):
         return None
-    doc: Gone | GoneLimits | OtherItem | None = finding.read_into(found, shape, _known(shape, data.ok_value), place)
-    if isinstance(doc, Gone):
-        _name(doc.name, f"{place}.name", found)
-    return doc if doc is not None and _version(doc.version, place, found) else None
+    dropped: DroppedItem | DroppedLimits | UninterpretedItem | None = finding.read_into(
+        found, shape, _known_fields(shape, data.ok_value), place
+    )
+    if isinstance(dropped, DroppedItem):
+        _check_name(dropped.name, f"{place}.name", found)
+    return dropped if dropped is not None and _check_version(dropped.version, place, found) else None
 
 
-def _places_twice(items: list[Item]) -> Findings:
-    """Routes of one call that could not stand beside each other, whatever else stands."""
+def _route_clashes(items: list[Item]) -> Findings:
+    """Finds routes of the call with the same host and prefix: they are invalid whatever items are in force."""
     found: Findings = []
     newest: dict[str, HostRoute] = {}
-    for i in items:
-        if i.kind == "routes" and i.doc is not None:
-            route = decode(i).ok()
+    for item in items:
+        if item.kind == "routes" and item.doc is not None:
+            route = decode(item).ok()
             if not isinstance(route, HostRoute):
                 continue
             if route.name not in newest or route.version > newest[route.name].version:
                 newest[route.name] = route
-    owner: dict[tuple[str, str], str] = {}
-    for r in newest.values():
-        had = owner.setdefault((plain_host(r.host), r.prefix), r.name)
-        if had != r.name:
-            found.append(Finding(f"set.routes.{r.name}.prefix", f"{had!r} has this host and prefix already"))
+    owners: dict[tuple[str, str], str] = {}
+    for route in newest.values():
+        owner = owners.setdefault((normalize_host(route.host), route.prefix), route.name)
+        if owner != route.name:
+            found.append(Finding(f"set.routes.{route.name}.prefix", f"{owner!r} has this host and prefix already"))
     return found
 
 
-def _read(kind: str, raw: bytes, place: str, found: Findings) -> Doc | OtherItem | None:
-    before = len(found)
+def _parse_item(kind: str, raw: bytes, place: str, found: Findings) -> ItemDocument | UninterpretedItem | None:
+    found_before = len(found)
     try:
-        doc: Doc | OtherItem = DOCS[kind](raw) if kind in DOCS else _other_item(raw)
-    except (msgspec.DecodeError, RecursionError) as e:
+        document: ItemDocument | UninterpretedItem = (
+            DOCUMENT_DECODERS[kind](raw) if kind in DOCUMENT_DECODERS else _decode_uninterpreted(raw)
+        )
+    except (msgspec.DecodeError, RecursionError) as error:
         data = finding.parse_json(raw, place)
         if isinstance(data, Ok):
-            shape: type[Doc | OtherItem] = KINDS.get(kind, OtherItem)
-            finding.read_into(found, shape, _known(shape, data.ok_value), place)
-        if len(found) == before:
-            found.append(Finding(place, f"not understood: {e}"))
+            shape: type[ItemDocument | UninterpretedItem] = DOCUMENT_TYPES.get(kind, UninterpretedItem)
+            finding.read_into(found, shape, _known_fields(shape, data.ok_value), place)
+        if len(found) == found_before:
+            found.append(Finding(place, f"not understood: {error}"))
         return None
-    if not _version(doc.version, place, found):
+    if not _check_version(document.version, place, found):
         return None
-    match doc:
+    match document:
         case HostRoute():
-            _name(doc.name, f"{place}.name", found)
-            _route_found(doc, place, found)
+            _check_name(document.name, f"{place}.name", found)
+            _check_route(document, place, found)
         case ServiceItem():
-            _name(doc.name, f"{place}.name", found)
-            _service_found(doc, place, found)
+            _check_name(document.name, f"{place}.name", found)
+            _check_service(document, place, found)
         case Limits():
-            _limits_found(doc, place, found)
-    return doc if len(found) == before else None
+            _check_limits(document, place, found)
+    return document if len(found) == found_before else None
 
 
-def _known(kind: type[msgspec.Struct], data: object) -> object:
-    """Without the fields that the product does not know: those are passed over."""
+def _known_fields(shape: type[msgspec.Struct], data: object) -> object:
+    """Returns the data without its unknown fields, which are ignored."""
     if not isinstance(data, dict):
         return data
-    data = {f: data[f] for f in kind.__struct_fields__ if f in data}
-    if kind is HostRoute and isinstance(data.get("split"), list):
-        data["split"] = [_known(Part, p) for p in data["split"]]
+    data = {f: data[f] for f in shape.__struct_fields__ if f in data}
+    if shape is HostRoute and isinstance(data.get("split"), list):
+        data["split"] = [_known_fields(WeightedService, part) for part in data["split"]]
     return data
 
 
-def _version(version: int, place: str, found: Findings) -> bool:
-    fits = VERSION_LEAST <= version <= VERSION_MOST
+def _check_version(version: int, place: str, found: Findings) -> bool:
+    fits = MIN_VERSION <= version <= MAX_VERSION
     if not fits:
         found.append(Finding(f"{place}.version", "want a whole number of 64 bits"))
     return fits
 
 
-def _name(name: str, place: str, found: Findings) -> None:
-    if not 0 < len(name) <= NAME_BYTES:
-        found.append(Finding(place, f"want 1 to {NAME_BYTES} characters"))
+def _check_name(name: str, place: str, found: Findings) -> None:
+    if not 0 < len(name) <= MAX_NAME_CHARS:
+        found.append(Finding(place, f"want 1 to {MAX_NAME_CHARS} characters"))
 
 
-def _route_found(r: HostRoute, place: str, found: Findings) -> None:
-    if not r.host:
+def _check_route(route: HostRoute, place: str, found: Findings) -> None:
+    if not route.host:
         found.append(Finding(f"{place}.host", "must not be empty"))
-    if not r.prefix.startswith("/") or not r.prefix.endswith("/"):
+    if not route.prefix.startswith("/") or not route.prefix.endswith("/"):
         found.append(Finding(f"{place}.prefix", "must begin and end with /"))
-    if r.limit_ms <= 0:
+    if route.limit_ms <= 0:
         found.append(Finding(f"{place}.limit_ms", "must be above 0"))
-    if r.aim_ms < 0:
+    if route.aim_ms < 0:
         found.append(Finding(f"{place}.aim_ms", "must not be negative"))
-    if r.aim_ms >= r.limit_ms + AIM_OVER_MS:
+    if route.aim_ms >= route.limit_ms + MAX_AIM_OVER_LIMIT_MS:
         found.append(Finding(f"{place}.aim_ms", "a minute or more above limit_ms"))
-    if (r.service is None) != bool(r.split):
+    if (route.service is None) != bool(route.split):
         found.append(Finding(f"{place}.service", "want either service or split"))
-    for n, p in enumerate(r.split):
-        if p.weight < 0:
-            found.append(Finding(f"{place}.split[{n}].weight", "must not be negative"))
-    if r.split and sum(p.weight for p in r.split) <= 0:
+    for index, part in enumerate(route.split):
+        if part.weight < 0:
+            found.append(Finding(f"{place}.split[{index}].weight", "must not be negative"))
+    if route.split and sum(part.weight for part in route.split) <= 0:
         found.append(Finding(f"{place}.split", "the weights add up to 0"))
 
 
-def _service_found(s: ServiceItem, place: str, found: Findings) -> None:
-    if not s.status.startswith("/"):
+def _check_service(service: ServiceItem, place: str, found: Findings) -> None:
+    if not service.status.startswith("/"):
         found.append(Finding(f"{place}.status", "must begin with /"))
-    _not_negative(s, ("connections", "cold_s", "cold_per_s"), place, found)
+    _check_not_negative(service, ("connections", "cold_s", "cold_per_s"), place, found)
 
 
-def _limits_found(limits: Limits, place: str, found: Findings) -> None:
-    _not_negative(limits, ("header_bytes", "body_bytes", "header_ms", "idle_ms"), place, found)
+def _check_limits(limits: Limits, place: str, found: Findings) -> None:
+    _check_not_negative(limits, ("header_bytes", "body_bytes", "header_ms", "idle_ms"), place, found)
 
 
-def _not_negative(doc: Doc, names: tuple[str, ...], place: str, found: Findings) -> None:
-    found += [Finding(f"{place}.{n}", "must not be negative") for n in names if getattr(doc, n) < 0]
+def _check_not_negative(document: ItemDocument, fields: tuple[str, ...], place: str, found: Findings) -> None:
+    found += [Finding(f"{place}.{field}", "must not be negative") for field in fields if getattr(document, field) < 0]
--- a/mallowvalve/ledger/ledger.py
+++ b/mallowvalve/ledger/ledger.py
@@ -1,6 +1,6 @@
-"""The ledger of requests that may run once: who claimed a key, and how that ended.
+"""The ledger of requests that run at most once: which proxy claimed an idempotency key, and how the claim ended.
 
-Replicated: `Ledger.apply` is the same on every node. Times are ms of the fleet's clock.
+The ledger is replicated: `Ledger.apply` gives the same result on every replica. Times are ms of the fleet clock.
 """
 
 from __future__ import annotations
@@ -10,28 +10,31 @@
 import msgspec
 from msgspec.structs import replace
 
-KEEP_MS = 900_000
-"""How long a key is remembered."""
+KEY_RETENTION_MS = 900_000
+"""How long a key is retained after its claim."""
 
-KEEP_BYTES = 32 << 20
-"""Bytes of answers that are kept in all; the oldest are dropped first."""
+MAX_STORED_BODY_BYTES = 32 << 20
+"""The bound of all stored response bodies together; the oldest are dropped first."""
 
-State = Literal["open", "done", "released", "lost"]
-Said = Literal["open", "done", "released", "lost", "granted", "conflict", "gone", "ok", "undecided"]
-"""What a command is told: the key's state, or granted (the key is the claimer's), conflict (another request has it),
-gone (there is no such claim), ok. A proxy that hears nothing in time takes it as undecided.
+ClaimState = Literal["open", "done", "released", "lost"]
+ResultState = Literal["open", "done", "released", "lost", "granted", "conflict", "gone", "ok", "undecided"]
+"""The result of a command: the state of the key's claim, or one of these.
+
+granted: the key is claimed. conflict: another request has claimed the key. gone: there is no such claim. ok: the
+command took effect. undecided: not a result of the ledger; a proxy assumes it when it gets no answer in time.
 """
 
-OPEN: State = "open"
-DONE: State = "done"
-RELEASED: State = "released"
-LOST: State = "lost"
+OPEN: ClaimState = "open"
+DONE: ClaimState = "done"
+RELEASED: ClaimState = "released"
+LOST: ClaimState = "lost"
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag="claim"):
-    """Asks for a key. `digest` is of the request, `holder` the proxy, `nonce` tells its attempts apart.
+    """Claims a key. `digest` is that of the request, `holder` the proxy; `nonce` identifies the attempt.
 
-    `seen` is the revision that the proxy held when the request came: a claim from before a release is refused after it.
+    `seen` is the revision that the proxy had when the request arrived: a claim from before a release is refused after
+    it.
     """
 
     key: str
@@ -42,7 +45,7 @@
 
 
 class Done(msgspec.Struct, frozen=True, array_like=True, tag="done"):
-    """The request ran: its answer's status, content type and body, None if it was too large to keep."""
+    """Closes a claim whose request ran, with the response: `kind` is its content type, `body` None if too large."""
 
     key: str
     nonce: str
@@ -52,21 +55,21 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """Nothing was sent under this claim: the key is free again."""
+    """Closes a claim under which nothing was sent upstream: the key may be claimed again."""
 
     key: str
     nonce: str
 
 
 class Forfeit(msgspec.Struct, frozen=True, array_like=True, tag="forfeit"):
-    """Something was sent under this claim and no whole answer came: the key is lost for good."""
+    """Closes a claim under which something was sent without a complete response: the key is lost for good."""
 
     key: str
     nonce: str
 
 
 class Lose(msgspec.Struct, frozen=True, array_like=True, tag="lose"):
-    """A proxy is gone: its open claims are lost."""
+    """Closes all open claims of a proxy that has left or failed: their keys are lost."""
 
     holder: str
 
@@ -74,136 +77,136 @@
 Command = Claim | Done | Release | Forfeit | Lose
 
 
-class Row(msgspec.Struct, array_like=True, frozen=True):
-    """A key: its last claim, claimed at `at`, and how that ended; `freed` is the revision of its release."""
+class ClaimRecord(msgspec.Struct, array_like=True, frozen=True):
+    """The last claim of a key, and how it ended; `released_revision` is the revision of its release, 0 before."""
 
     digest: str
-    state: State
+    state: ClaimState
     holder: str
     nonce: str
-    at: int
+    claimed_at_ms: int
     status: int = 0
     kind: str = ""
     body: bytes | None = None
-    freed: int = 0
+    released_revision: int = 0
 
 
-class Verdict(msgspec.Struct, array_like=True, frozen=True):
-    """What a command is told, with the answer that was kept where the key is done."""
+class LedgerResult(msgspec.Struct, array_like=True, frozen=True):
+    """The result of a command, with the stored response where the request is done; `kind` is its content type."""
 
-    state: Said
+    state: ResultState
     status: int = 0
     kind: str = ""
     body: bytes | None = None
 
 
 class Ledger:
-    """All keys, the oldest claim first; `kept` gives the bytes of each answer that is held, the oldest first."""
+    """The claims by key, oldest first; `body_sizes` has the bytes of each stored response body, oldest first."""
 
-    __slots__ = ("rows", "kept", "_bytes")
+    __slots__ = ("rows", "body_sizes", "_stored_bytes")
 
     def __init__(self) -> None:
-        """No key at first."""
-        self.rows: dict[str, Row] = {}
-        self.kept: dict[str, int] = {}
-        self._bytes = 0
-
-    def apply(self, command: Command, at: int, revision: int = 0) -> Verdict:
-        """Take in a command of the entry `revision`, at that entry's time."""
-        self._forget(at)
+        """Creates an empty ledger."""
+        self.rows: dict[str, ClaimRecord] = {}
+        self.body_sizes: dict[str, int] = {}
+        self._stored_bytes = 0
+
+    def apply(self, command: Command, now_ms: int, revision: int = 0) -> LedgerResult:
+        """Applies the command of the log entry with this revision and time."""
+        self._expire(now_ms)
         match command:
             case Claim():
-                return self._claim(command, at)
+                return self._claim(command, now_ms)
             case Done():
                 return self._close(command.key, command.nonce, DONE, command)
             case Release():
-                return self._release(command, at, revision)
+                return self._release(command, now_ms, revision)
             case Forfeit():
                 return self._close(command.key, command.nonce, LOST)
             case Lose():
                 return self._lose(command)
 
-    def look(self, key: str, digest: str) -> Verdict | None:
-        """What is known of a key, None if nothing; it changes nothing."""
+    def find(self, key: str, digest: str) -> LedgerResult | None:
+        """Returns the state of a key, None if it has no claim; changes nothing."""
         row = self.rows.get(key)
         if row is None:
             return None
-        return Verdict("conflict") if row.digest not in ("", digest) else _known(row)
+        return LedgerResult("conflict") if row.digest not in ("", digest) else _result_of(row)
 
-    def keep_again(self, keys: list[str]) -> bool:
-        """Answers kept by a snapshot, in its order; false where a row lacks its answer."""
+    def restore_body_sizes(self, keys: list[str]) -> bool:
+        """Restores the order of stored bodies from a snapshot; returns False if a key has no stored body."""
         for key in keys:
             row = self.rows.get(key)
             if row is None or not row.body:
                 return False
-            self.kept[key] = len(row.body)
-            self._bytes += len(row.body)
+            self.body_sizes[key] = len(row.body)
+            self._stored_bytes += len(row.body)
         return True
 
-    def _claim(self, claim: Claim, at: int) -> Verdict:
+    def _claim(self, claim: Claim, now_ms: int) -> LedgerResult:
         row = self.rows.get(claim.key)
         if row is not None and row.digest not in ("", claim.digest):
-            return Verdict("conflict")
-        if row is None or row.state == RELEASED and row.nonce != claim.nonce and claim.seen >= row.freed:
+            return LedgerResult("conflict")
+        if row is None or row.state == RELEASED and row.nonce != claim.nonce and claim.seen >= row.released_revision:
             self.rows.pop(claim.key, None)
-            self.rows[claim.key] = Row(claim.digest, OPEN, claim.holder, claim.nonce, at)
-            return Verdict("granted")
+            self.rows[claim.key] = ClaimRecord(claim.digest, OPEN, claim.holder, claim.nonce, now_ms)
+            return LedgerResult("granted")
         if row.state == OPEN and row.nonce == claim.nonce:
-            return Verdict("granted")
-        return _known(row)
+            return LedgerResult("granted")
+        return _result_of(row)
 
-    def _release(self, release: Release, at: int, revision: int) -> Verdict:
-        """A release that overtook its claim stays, so that the claim is refused when it comes."""
+    def _release(self, release: Release, now_ms: int, revision: int) -> LedgerResult:
+        """Records also a release that arrives before its claim, so that the claim is refused when it arrives."""
         if release.key not in self.rows:
-            self.rows[release.key] = Row("", RELEASED, "", release.nonce, at)
-        verdict = self._close(release.key, release.nonce, RELEASED)
+            self.rows[release.key] = ClaimRecord("", RELEASED, "", release.nonce, now_ms)
+        result = self._close(release.key, release.nonce, RELEASED)
         row = self.rows[release.key]
-        if verdict.state == RELEASED and not row.freed:
-            self.rows[release.key] = replace(row, freed=revision)
-        return verdict
+        if result.state == RELEASED and not row.released_revision:
+            self.rows[release.key] = replace(row, released_revision=revision)
+        return result
 
-    def _lose(self, lose: Lose) -> Verdict:
+    def _lose(self, lose: Lose) -> LedgerResult:
         for key, row in self.rows.items():
             if row.state == OPEN and row.holder == lose.holder:
                 self.rows[key] = replace(row, state=LOST)
-        return Verdict("ok")
+        return LedgerResult("ok")
 
-    def _close(self, key: str, nonce: str, state: State, done: Done | None = None) -> Verdict:
-        """A claim ends in `state` if it has not ended otherwise; the verdict says how it stands."""
+    def _close(self, key: str, nonce: str, state: ClaimState, done: Done | None = None) -> LedgerResult:
+        """Closes a claim in `state` unless it was closed otherwise; the result has its state afterwards."""
         row = self.rows.get(key)
         if row is None or row.nonce != nonce:
-            return Verdict("gone")
+            return LedgerResult("gone")
         if row.state == DONE or state == RELEASED and row.state == LOST:
-            return Verdict(row.state)
+            return LedgerResult(row.state)
         if row.state == RELEASED and state != RELEASED:
-            return Verdict(RELEASED)
+            return LedgerResult(RELEASED)
         if done is None:
             self.rows[key] = replace(row, state=state)
-            return Verdict(state)
+            return LedgerResult(state)
         self.rows[key] = replace(row, state=state, status=done.status, kind=done.kind, body=done.body)
         if done.body:
-            self._keep(key, done.body)
-        return Verdict(state)
-
-    def _keep(self, key: str, body: bytes) -> None:
-        self.kept[key] = len(body)
-        self._bytes += len(body)
-        while self._bytes > KEEP_BYTES:
-            oldest = next(iter(self.kept))
-            self._drop(oldest)
+            self._store_body(key, done.body)
+        return LedgerResult(state)
+
+    def _store_body(self, key: str, body: bytes) -> None:
+        self.body_sizes[key] = len(body)
+        self._stored_bytes += len(body)
+        while self._stored_bytes > MAX_STORED_BODY_BYTES:
+            oldest = next(iter(self.body_sizes))
+            self._drop_body(oldest)
             self.rows[oldest] = replace(self.rows[oldest], body=None)
 
-    def _drop(self, key: str) -> None:
-        self._bytes -= self.kept.pop(key, 0)
+    def _drop_body(self, key: str) -> None:
+        self._stored_bytes -= self.body_sizes.pop(key, 0)
 
-    def _forget(self, at: int) -> None:
+    def _expire(self, now_ms: int) -> None:
         while self.rows:
             key, row = next(iter(self.rows.items()))
-            if row.at + KEEP_MS > at:
+            if row.claimed_at_ms + KEY_RETENTION_MS > now_ms:
                 return
             del self.rows[key]
-            self._drop(key)
+            self._drop_body(key)
 
 
-def _known(row: Row) -> Verdict:
-    return Verdict(row.state, row.status, row.kind, row.body)
+def _result_of(row: ClaimRecord) -> LedgerResult:
+    return LedgerResult(row.state, row.status, row.kind, row.body)
--- a/mallowvalve/routing/maker.py
+++ b/mallowvalve/routing/maker.py
@@ -1,4 +1,4 @@
-"""The grammars of the route language and what their words mean."""
+"""Parses the route language and compiles its syntax trees."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from lark.exceptions import VisitError
 from result import Err, Ok, Result
 
-from mallowvalve.routing.model import BOUNDS, METHODS, Match, Policy
+from mallowvalve.routing.model import METHODS, POLICY_BOUNDS, Match, Policy
 
-ANY_PART = "*"
-ANY_REST = "**"
+ANY_SEGMENT = "*"
+ANY_SUFFIX = "**"
 MS_PER_SECOND = 1000
 BYTES_PER_KB = 1024
-WORDS = {"limit_ms": "limit", "ramp_ms": "ramp", "chooser": "draw"}
-"""The language's words for those fields of `Policy` that are named otherwise."""
+KEYWORDS = {"limit_ms": "limit", "ramp_ms": "ramp", "chooser": "draw"}
+"""The keywords of the language for those fields of `Policy` whose names differ."""
 
 Setting = tuple[str, int | str]
 """A field of `Policy` and its value."""
 
 
 def match(text: str) -> Result[Match, tuple[str, str]]:
-    """The test that `text` describes, or where in it ("@LINE:COLUMN", or nothing) something is wrong and what."""
-    return _run("match.lark", _MatchMaker(), text)
+    """Returns the predicate that `text` describes, or an error: its position ("@LINE:COLUMN", or empty) and message."""
+    return _parse("match.lark", _MatchTransformer(), text)
 
 
 def policy(text: str) -> Result[Policy, tuple[str, str]]:
-    """The policy that `text` describes, or what is wrong as for `match`."""
-    return _run("policy.lark", _PolicyMaker(), text)
+    """Returns the policy that `text` describes, or an error as `match` does."""
+    return _parse("policy.lark", _PolicyTransformer(), text)
 
 
 @cache
@@ -39,44 +39,46 @@
     return Lark((Path(__file__).parent / name).read_text(), parser="lalr", maybe_placeholders=False)
 
 
-def _run(grammar: str, maker: Transformer, text: str) -> Result[Any, tuple[str, str]]:
+def _parse(grammar: str, transformer: Transformer, text: str) -> Result[Any, tuple[str, str]]:
     try:
-        return Ok(maker.transform(_grammar(grammar).parse(text)))
-    except UnexpectedInput as e:
-        line = getattr(e, "line", 1)
-        column = getattr(e, "column", 1)
+        return Ok(transformer.transform(_grammar(grammar).parse(text)))
+    except UnexpectedInput as error:
+        line = getattr(error, "line", 1)
+        column = getattr(error, "column", 1)
         return Err((f"@{line}:{column}", "not understood here"))
-    except VisitError as e:
-        return Err(("", str(e.orig_exc)))
+    except VisitError as error:
+        return Err(("", str(error.orig_exc)))
 
 
-def path_test(pattern: str) -> Callable[[str], bool]:
-    """A test of whole paths: `*` stands for one part, a last `**` for any rest."""
-    wanted = pattern.strip("/").split("/")
-    open_ended = wanted[-1] == ANY_REST
+def path_matcher(pattern: str) -> Callable[[str], bool]:
+    """Returns a predicate on whole paths: `*` matches one segment, a final `**` any further segments."""
+    pattern_segments = pattern.strip("/").split("/")
+    open_ended = pattern_segments[-1] == ANY_SUFFIX
     if open_ended:
-        wanted = wanted[:-1]
+        pattern_segments = pattern_segments[:-1]
 
-    def test(path: str) -> bool:
-        parts = path.strip("/").split("/")
-        if len(parts) < len(wanted) or not open_ended and len(parts) != len(wanted):
+    def matches(path: str) -> bool:
+        segments = path.strip("/").split("/")
+        if len(segments) < len(pattern_segments) or not open_ended and len(segments) != len(pattern_segments):
             return False
-        return all(want in (ANY_PART, part) for want, part in zip(wanted, parts, strict=False))
+        return all(
+            expected in (ANY_SEGMENT, segment) for expected, segment in zip(pattern_segments, segments, strict=False)
+        )
 
-    return test
+    return matches
 
 
-class _MatchMaker(Transformer):
-    """Methods are named after the rules of match.lark."""
+class _MatchTransformer(Transformer):
+    """Compiles a match expression to a predicate; methods are named after the rules of match.lark."""
 
-    def any_of(self, tests: list[Match]) -> Match:
-        return lambda request: any(test(request) for test in tests)
+    def any_of(self, matches: list[Match]) -> Match:
+        return lambda request: any(match(request) for match in matches)
 
-    def all_of(self, tests: list[Match]) -> Match:
-        return lambda request: all(test(request) for test in tests)
+    def all_of(self, matches: list[Match]) -> Match:
+        return lambda request: all(match(request) for match in matches)
 
-    def negate(self, tests: list[Match]) -> Match:
-        return lambda request: not tests[0](request)
+    def negate(self, matches: list[Match]) -> Match:
+        return lambda request: not matches[0](request)
 
     def method(self, tokens: list[Token]) -> Match:
         names = frozenset(str(token) for token in tokens)
@@ -88,10 +90,10 @@
         pattern = _unquoted(tokens[0])
         if not pattern.startswith("/"):
             raise ValueError(f"path {pattern!r} must begin with /")
-        if ANY_REST in pattern and not pattern.endswith("/" + ANY_REST):
+        if ANY_SUFFIX in pattern and not pattern.endswith("/" + ANY_SUFFIX):
             raise ValueError(f"path {pattern!r} may hold ** only as its last part")
-        test = path_test(pattern)
-        return lambda request: test(request.path)
+        matches = path_matcher(pattern)
+        return lambda request: matches(request.path)
 
     def header(self, tokens: list[Token]) -> Match:
         name = _unquoted(tokens[0]).lower()
@@ -103,8 +105,8 @@
     return str(token)[1:-1]
 
 
-class _PolicyMaker(Transformer):
-    """Methods are named after the rules of policy.lark."""
+class _PolicyTransformer(Transformer):
+    """Compiles policy statements to a `Policy`; methods are named after the rules of policy.lark."""
 
     def span(self, tokens: list[Token]) -> int:
         return int(tokens[0]) * (MS_PER_SECOND if tokens[1] == "s" else 1)
@@ -136,12 +138,12 @@
     def start(self, settings: list[Setting]) -> Policy:
         values: dict[str, Any] = {}
         for field, value in settings:
-            word = WORDS.get(field, field)
+            keyword = KEYWORDS.get(field, field)
             if field in values:
-                raise ValueError(f"{word} is set twice")
+                raise ValueError(f"{keyword} is set twice")
             if isinstance(value, int):
-                lowest, highest = BOUNDS[field]
+                lowest, highest = POLICY_BOUNDS[field]
                 if not lowest <= value <= highest:
-                    raise ValueError(f"{word} must be {lowest} to {highest}, got {value}")
+                    raise ValueError(f"{keyword} must be {lowest} to {highest}, got {value}")
             values[field] = value
         return Policy(**values)
