--- a/mallowvalve/proxy/admission.py
+++ b/mallowvalve/proxy/admission.py
@@ -9,8 +9,8 @@
 
 from mallowvalve.configuration.items import HostRoute
 from mallowvalve.control.replica import Replica
-from mallowvalve.proxy.steps import NOT_RUN, Ask, Reply, Room, Step
-from mallowvalve.proxy.trip import Trip, bare, own
+from mallowvalve.proxy.steps import NOT_RUN, ClientRequest, ProxyResponse, Step, WaitForCapacity
+from mallowvalve.proxy.trip import HostRouteRequest, bare, own
 from mallowvalve.settings import Settings, Terms
 
 LIMIT_DIGITS = 12
@@ -36,7 +36,7 @@
         terms: Terms = settings.terms
         self._id_header, self._limit_header = terms.ask.lower(), terms.limit.lower()
 
-    def admit(self, a: Ask, now: float) -> Result[Trip, Reply]:
+    def admit(self, a: ClientRequest, now: float) -> Result[HostRouteRequest, ProxyResponse]:
         """The request with its route and its end, or the refusal that is its final answer."""
         state = self.replica.state
         if state is None or not state.items.revision or not (self.settings.serve_on or self.replica.admits(now)):
@@ -57,21 +57,21 @@
         if not outlasts(self.serves_until(), end):
             return Err(own(503, NOT_RUN, "proxy", "it is about to stop", STOP_RETRY_S, close=True))
         request_id = a.headers.get(self._id_header, "") if self._id_header else ""
-        return Ok(Trip(a, host, path, route, self.service_of(route), now, end, request_id))
+        return Ok(HostRouteRequest(a, host, path, route, self.service_of(route), now, end, request_id))
 
-    def wait_for_settings(self, a: Ask, at: float) -> Generator[Step, object, None]:
+    def wait_for_settings(self, a: ClientRequest, at: float) -> Generator[Step, object, None]:
         """A proxy that has just started has its settings in a moment; who came too early waits for a part of it."""
         text = a.headers.get(self._limit_header, "")
         left = int(text) / 1000 if _is_limit(text) else EARLY_S
         end = at + PATIENT_SHARE * min(left, EARLY_S)
         while not self.has_settings() and (now := self.now()) < end:
-            yield Room("", min(end, now + LOOK_S))
+            yield WaitForCapacity("", min(end, now + LOOK_S))
 
     def has_settings(self) -> bool:
         """Whether this process holds any settings."""
         return self.replica.state is not None and self.replica.state.items.revision > 0
 
-    def no_route(self, now: float) -> Reply:
+    def no_route(self, now: float) -> ProxyResponse:
         """The answer to a request that no route takes, as far as this process can know."""
         if not self.replica.fresh(now):
             return self._refusal("path", "no route known here takes this, but newer settings may")
@@ -87,7 +87,7 @@
         """A random part of a time to come back after (s)."""
         return JITTER_S * self.rng.random()
 
-    def _refusal(self, place: str, text: str) -> Reply:
+    def _refusal(self, place: str, text: str) -> ProxyResponse:
         return own(503, NOT_RUN, place, text, SETTINGS_RETRY_S + self.jitter())
 
 
--- a/mallowvalve/proxy/budget.py
+++ b/mallowvalve/proxy/budget.py
@@ -9,7 +9,7 @@
 SAVED = 0.005
 
 
-class Budget:
+class RetryBudget:
     """Each first try earns a share of a repeat.
 
     Little can be saved up, so that a fall of traffic leaves no hoard to spend.
@@ -34,7 +34,7 @@
         return True
 
 
-class Sliding:
+class SlidingRetryBudget:
     """Repeats within any span: a share of the first sends of that span, and a floor of their own. Times in seconds."""
 
     __slots__ = ("ratio", "span", "floor", "_first", "_again")
--- a/mallowvalve/proxy/call.py
+++ b/mallowvalve/proxy/call.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve.configuration.model import Plan, Tree
-from mallowvalve.proxy.steps import Ask
+from mallowvalve.proxy.steps import ClientRequest
 from mallowvalve.routing.compiler import Request
 
 HOP = frozenset(
@@ -32,10 +32,10 @@
 Refused = tuple[int, str, str]
 
 
-class Call(msgspec.Struct):
+class TenantRequest(msgspec.Struct):
     """A request that was understood; its plan is chosen anew before anything is sent."""
 
-    ask: Ask
+    ask: ClientRequest
     request: Request
     tenant: str
     plan: Plan
@@ -52,7 +52,7 @@
     def fill(self, body: bytes) -> None:
         a, self.body = self.ask, body
         self.name = name_of(a.client, self.tenant, a.method, a.target, body)
-        self.digest = digest(a.method, a.target, body)
+        self.digest = request_digest(a.method, a.target, body)
 
     def wire(self, host: str) -> bytes:
         a = self.ask
@@ -64,7 +64,7 @@
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + self.body
 
 
-def understand(a: Ask, tree: Tree, seen: int, now: float) -> Result[Call, Refused]:
+def understand(a: ClientRequest, tree: Tree, seen: int, now: float) -> Result[TenantRequest, Refused]:
     """The request with the plan of its route; `now` and `end` on the proxy's own clock (s)."""
     path = unquote(a.target.partition("?")[0], errors="surrogateescape")
     if not clean(a.target, path):
@@ -86,10 +86,10 @@
         return Err((400, "Mallow-Limit", "want milliseconds"))
     end = now + min(int(limit[:12]), plan.policy.limit_ms) / 1000
     again = bool(a.headers.get("mallow-again"))
-    return Ok(Call(a, request, tenant, plan, f"{tenant}\0{key}" if key else "", end, seen, again))
+    return Ok(TenantRequest(a, request, tenant, plan, f"{tenant}\0{key}" if key else "", end, seen, again))
 
 
-def check_body(a: Ask, body: bytes) -> Refused | None:
+def check_body(a: ClientRequest, body: bytes) -> Refused | None:
     """Why a body is refused: shorter than said, or not the JSON that it says it is."""
     if a.length is not None and len(body) != a.length:
         return 400, "body", "shorter than its length"
@@ -111,7 +111,7 @@
     return not any(p in (".", "..") for p in parts) and not any(p == "" for p in parts[:-1])
 
 
-def digest(method: str, target: str, body: bytes) -> str:
+def request_digest(method: str, target: str, body: bytes) -> str:
     """What a key is bound to."""
     return hashlib.blake2b(b"\0".join((method.encode(), target.encode(), body)), digest_size=16).hexdigest()
 
--- a/mallowvalve/proxy/choose.py
+++ b/mallowvalve/proxy/choose.py
@@ -28,16 +28,16 @@
 class Chooser:
     """Draws two upstreams by how warm they are and takes the one with the lesser load; near ones first if asked to."""
 
-    __slots__ = ("near", "rng", "busy")
+    __slots__ = ("near", "rng", "in_flight")
 
     def __init__(self, near: Locality, rng: random.Random):
         self.near, self.rng = near, rng
-        self.busy: dict[Address, int] = {}
+        self.in_flight: dict[Address, int] = {}
 
     def pick(self, rows: list[Row], policy: Policy, proxies: int, tried: set[Address], now: float) -> Row | None:
         rows = [r for r in rows if r.heartbeat.address not in tried]
         rows = [r for r in rows if now - r.broken > BROKEN] or rows
-        rows = [r for r in rows if self.busy.get(r.heartbeat.address, 0) < cap(r, policy, proxies, now)]
+        rows = [r for r in rows if self.in_flight.get(r.heartbeat.address, 0) < cap(r, policy, proxies, now)]
         if not rows:
             return None
         rings = [rows] if policy.chooser != "near" else self._rings(rows)
@@ -57,14 +57,14 @@
         return [by[d] for d in sorted(by)]
 
     def enter(self, a: Address) -> None:
-        self.busy[a] = self.busy.get(a, 0) + 1
+        self.in_flight[a] = self.in_flight.get(a, 0) + 1
 
     def leave(self, a: Address) -> None:
-        n = self.busy.get(a, 0) - 1
+        n = self.in_flight.get(a, 0) - 1
         if n > 0:
-            self.busy[a] = n
+            self.in_flight[a] = n
         else:
-            self.busy.pop(a, None)
+            self.in_flight.pop(a, None)
 
     def _usage(self, r: Row) -> float:
-        return self.busy.get(r.heartbeat.address, 0) + r.heartbeat.usage
+        return self.in_flight.get(r.heartbeat.address, 0) + r.heartbeat.usage
--- a/mallowvalve/proxy/connection.py
+++ b/mallowvalve/proxy/connection.py
@@ -13,7 +13,7 @@
 
 from mallowvalve import clock
 from mallowvalve.client_watch import Client, ClientLeftError, WatchedSocket
-from mallowvalve.proxy.steps import CLIENT_LEFT, NO_STATUS, OK, Answer, ClientLeft
+from mallowvalve.proxy.steps import CLIENT_LEFT, NO_STATUS, OK, ClientLeft, UpstreamResponse
 from mallowvalve.upstreams.board import Heartbeat
 
 WHOLE = 256 << 10
@@ -80,7 +80,7 @@
 
     def exchange(
         self, method: str, request: bytes, end: float, client: Client | None = None
-    ) -> Result[Answer, str] | ClientLeft:
+    ) -> Result[UpstreamResponse, str] | ClientLeft:
         """With `client` it ends when that one leaves."""
         return self.receive(method, end, client) if self.send(request, end) else Err("broken: not sent whole")
 
@@ -92,7 +92,9 @@
             return False
         return True
 
-    def receive(self, method: str, end: float, client: Client | None = None) -> Result[Answer, str] | ClientLeft:
+    def receive(
+        self, method: str, end: float, client: Client | None = None
+    ) -> Result[UpstreamResponse, str] | ClientLeft:
         self.sock.settimeout(max(0.001, end - clock.now()))
         source = self.sock if client is None else WatchedSocket(self.sock, client, lambda: end - clock.now())
         try:
@@ -137,9 +139,9 @@
         b = self.heartbeat
         if (who.service, who.instance, who.incarnation) != (b.service, b.instance, b.incarnation):
             return "status: another upstream answers here"
-        return None if a.keep else "status: the connection does not stay open"
+        return None if a.reusable else "status: the connection does not stay open"
 
-    def _receive(self, method: str, source: socket.socket | WatchedSocket) -> Result[Answer, str]:
+    def _receive(self, method: str, source: socket.socket | WatchedSocket) -> Result[UpstreamResponse, str]:
         r = Strict(source, method=method)
         if not OK <= r.status_code < NO_STATUS:
             return Err(f"garbage: status {r.status_code}")
@@ -151,7 +153,7 @@
             return Err("garbage: ambiguous length")
         headers = [(k, v) for k, v in r.headers if k.lower() not in SKIP]
         if bodiless:
-            return Ok(Answer(r.status_code, headers, b"", r.content_length, None, not r.should_close()))
+            return Ok(UpstreamResponse(r.status_code, headers, b"", r.content_length, None, not r.should_close()))
         body = bytearray()
         while len(body) < WHOLE:
             part = r.read(65536)
@@ -159,11 +161,11 @@
                 break
             body += part
         if r.message_complete and len(body) < WHOLE:
-            return Ok(Answer(r.status_code, headers, bytes(body), len(body), None, not r.should_close()))
+            return Ok(UpstreamResponse(r.status_code, headers, bytes(body), len(body), None, not r.should_close()))
         if len(body) < WHOLE:
             return Err("broken: half an answer")
         n = int(length) if length is not None else None
-        return Ok(Answer(r.status_code, headers, None, n, self._rest(r, bytes(body))))
+        return Ok(UpstreamResponse(r.status_code, headers, None, n, self._rest(r, bytes(body))))
 
     def _rest(self, r: HTTPSocketResponse, first: bytes) -> Iterator[bytes]:
         yield first
--- a/mallowvalve/proxy/front.py
+++ b/mallowvalve/proxy/front.py
@@ -13,11 +13,22 @@
 from mallowvalve import clock, web
 from mallowvalve.proxy.link import Link
 from mallowvalve.proxy.serve import Stream
-from mallowvalve.proxy.steps import CLIENT_LEFT, Ask, Await, Body, ClientCheck, Exchange, Open, Reply, Room, Step
-from mallowvalve.proxy.tries import Tries
-from mallowvalve.proxy.trip import HOP
-
-SKIP = HOP
+from mallowvalve.proxy.steps import (
+    CLIENT_LEFT,
+    AwaitResponse,
+    ClientCheck,
+    ClientRequest,
+    Exchange,
+    OpenConnection,
+    ProxyResponse,
+    ReadBody,
+    Step,
+    WaitForCapacity,
+)
+from mallowvalve.proxy.tries import HostForwarder
+from mallowvalve.proxy.trip import HOP_BY_HOP_HEADERS
+
+SKIP = HOP_BY_HOP_HEADERS
 REASONS = {
     200: "200 OK",
     201: "201 Created",
@@ -68,7 +79,7 @@
 
     __slots__ = ("tries", "app", "rooms", "only", "mark")
 
-    def __init__(self, tries: Tries, app: Callable, only: bool):
+    def __init__(self, tries: HostForwarder, app: Callable, only: bool):
         self.tries, self.app, self.only = tries, app, only
         self.rooms = Rooms()
         self.mark = tries.settings.terms.ask.lower()
@@ -77,8 +88,8 @@
         h = env["mallow.head"]
         if not self._takes(h.said, h.target):
             return self.app(env["mallow.handler"].full_environ(), start)
-        a = Ask(h.method, h.target, h.said, env["REMOTE_ADDR"], h.length, h.pairs)
-        steps, got = self.tries.carry(a), None
+        a = ClientRequest(h.method, h.target, h.said, env["REMOTE_ADDR"], h.length, h.pairs)
+        steps, got = self.tries.handle(a), None
         try:
             while True:
                 got = self._do(steps.send(got), env)
@@ -90,7 +101,7 @@
     def _takes(self, headers: dict[str, str], target: str) -> bool:
         if not self.only and target.startswith("/-/"):
             return False
-        if self.tries.knows(headers.get("host", "")):
+        if self.tries.serves_host(headers.get("host", "")):
             return True
         if "mallow-tenant" in headers:
             return False
@@ -100,50 +111,54 @@
     def _do(self, s: Step, env: dict):
         match s:
             case Exchange():
-                client = env["mallow.handler"] if s.until_left else None
-                return s.connection.exchange(s.method, s.request, s.end, s.ask, client)
-            case Await():
-                return s.connection.receive(s.end, env["mallow.handler"] if s.until_left else None)
+                client = env["mallow.handler"] if s.stop_if_client_leaves else None
+                return s.connection.exchange(s.method, s.request, s.end, s.request_id, client)
+            case AwaitResponse():
+                return s.connection.receive(s.end, env["mallow.handler"] if s.stop_if_client_leaves else None)
             case ClientCheck():
                 return CLIENT_LEFT if env["mallow.handler"].client_left() else None
-            case Body():
+            case ReadBody():
                 return self._body(env, s)
-            case Open():
+            case OpenConnection():
                 r = Link.open(s.heartbeat, self.mark, s.end)
                 self.tries.counts.add("upstream_connections", r.is_ok())
                 return r
-            case Room():
+            case WaitForCapacity():
                 return self.rooms.wait(s.service, s.end - clock.now(), s.priority)
 
-    def _body(self, env: dict, s: Body) -> Result[bytes, tuple[int, str, str]]:
+    def _body(self, env: dict, s: ReadBody) -> Result[bytes, tuple[int, str, str]]:
         length = env["mallow.head"].length
-        if length is not None and length > s.most:
-            return Err((413, "body", f"larger than {s.most} bytes"))
+        if length is not None and length > s.max_bytes:
+            return Err((413, "body", f"larger than {s.max_bytes} bytes"))
         try:
             with gevent.Timeout(max(0.001, s.end - clock.now())):
-                data = env["wsgi.input"].read(s.most + 1)
+                data = env["wsgi.input"].read(s.max_bytes + 1)
                 env["mallow.read"] = True
         except gevent.Timeout:
             return Err((408, "body", "did not arrive within the limit"))
         except OSError:
             return Err((400, "body", "broken off or badly chunked"))
-        return Err((413, "body", f"larger than {s.most} bytes")) if len(data) > s.most else Ok(data)
+        return Err((413, "body", f"larger than {s.max_bytes} bytes")) if len(data) > s.max_bytes else Ok(data)
 
-    def _say(self, env: dict, start: Callable, r: Reply):
+    def _say(self, env: dict, start: Callable, r: ProxyResponse):
         a = r.answer
         if a is None:
             return self._own(env, start, r)
-        if a.rest is not None and a.length is None and env["SERVER_PROTOCOL"] != "HTTP/1.1":
-            r.lease.back(keep=False)
-            return self._own(env, start, Reply(502, "unknown", []))
-        drop = SKIP | {w.strip().lower() for w in a.said["connection"].split(",")} if "connection" in a.said else SKIP
+        if a.body_stream is not None and a.length is None and env["SERVER_PROTOCOL"] != "HTTP/1.1":
+            r.lease.release(keep=False)
+            return self._own(env, start, ProxyResponse(502, "unknown", []))
+        drop = (
+            SKIP | {w.strip().lower() for w in a.header_map["connection"].split(",")}
+            if "connection" in a.header_map
+            else SKIP
+        )
         headers = [h for h in a.headers if h[0].lower() not in drop]
         if a.length is not None and a.status not in (204, 304):
             headers.append(("Content-Length", str(a.length)))
         start(REASONS.get(a.status) or f"{a.status} Other", headers)
-        return [a.body] if a.rest is None else Stream(r)
+        return [a.body] if a.body_stream is None else Stream(r)
 
-    def _own(self, env: dict, start: Callable, r: Reply):
+    def _own(self, env: dict, start: Callable, r: ProxyResponse):
         h = env["mallow.head"]
         body = web.encode({"outcome": r.outcome, "findings": r.findings})
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body))), (web.OUTCOME, r.outcome)]
--- a/mallowvalve/proxy/idle.py
+++ b/mallowvalve/proxy/idle.py
@@ -29,7 +29,7 @@
         """Whether it ended, or holds bytes that nobody asked for."""
 
 
-class Links:
+class IdleConnections:
     """Idle connections, the last used first; none is used beyond the time that its upstream keeps it.
 
     Where one was forgotten sooner than said, all are trusted for half of that time for a while.
@@ -77,7 +77,7 @@
         else:
             insort(idle, connection, key=lambda c: c.since)
 
-    def tidy(self, ready: Container[str], now: float) -> None:
+    def prune(self, ready: Container[str], now: float) -> None:
         """Close those to upstreams not in `ready`, and those that rested for too long."""
         for instance, idle in list(self._idle.items()):
             kept = [c for c in idle if instance in ready and now - c.since <= c.life]
--- a/mallowvalve/proxy/link.py
+++ b/mallowvalve/proxy/link.py
@@ -11,7 +11,7 @@
 from mallowvalve.client_watch import Client, ClientLeftError, Happened, wait_for_bytes
 from mallowvalve.http_head import until_bytes
 from mallowvalve.proxy.reader import Reader
-from mallowvalve.proxy.steps import CLIENT_LEFT, Answer, ClientLeft
+from mallowvalve.proxy.steps import CLIENT_LEFT, ClientLeft, UpstreamResponse
 from mallowvalve.upstreams.registry import Upstream
 
 LIFE = 4.0
@@ -53,7 +53,7 @@
 
     def exchange(
         self, method: str, request: bytes, end: float, ask: str, client: Client | None = None
-    ) -> Result[Answer, str] | ClientLeft:
+    ) -> Result[UpstreamResponse, str] | ClientLeft:
         """Err begins with `unsent` only when no byte of the request has left; with `client`, ends when it leaves."""
         sock = self.sock
         sock.settimeout(max(0.001, end - clock.now()))
@@ -94,7 +94,7 @@
         self.cut_off = False
         return None
 
-    def receive(self, end: float, client: Client | None = None) -> Result[Answer, str] | ClientLeft:
+    def receive(self, end: float, client: Client | None = None) -> Result[UpstreamResponse, str] | ClientLeft:
         """The answer to what was sent; after Err `limit` one may go on waiting for it. `client` as for `exchange`."""
         sock, r = self.sock, self.reader
         try:
@@ -106,7 +106,11 @@
                 if r.why:
                     return Err(r.why)
                 if r.large():
-                    return Ok(Answer(r.status, r.headers, None, r.length(), self._rest(r, end, client), False, r.said))
+                    return Ok(
+                        UpstreamResponse(
+                            r.status, r.headers, None, r.length(), self._rest(r, end, client), False, r.said
+                        )
+                    )
         except ClientLeftError:
             return CLIENT_LEFT
         except TimeoutError:
@@ -117,7 +121,9 @@
         self._note_life(r.said.get("keep-alive", ""))
         keep = r.reusable and not self.cut_off
         return Ok(
-            Answer(r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.said)
+            UpstreamResponse(
+                r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.said
+            )
         )
 
     def close(self) -> None:
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -13,12 +13,12 @@
 from mallowvalve.metrics import vital
 from mallowvalve.node import Node
 from mallowvalve.proxy.front import Front
-from mallowvalve.proxy.host import Hosts
-from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.host import HostUpstreams
+from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.pool import Pool
-from mallowvalve.proxy.repeats import RepeatTask
+from mallowvalve.proxy.repeats import RetryDetectorTask
 from mallowvalve.proxy.serve import Rejections, Serve
-from mallowvalve.proxy.tries import Tries
+from mallowvalve.proxy.tries import HostForwarder
 from mallowvalve.settings import Settings
 from mallowvalve.types import emptied
 
@@ -52,7 +52,7 @@
 
     __slots__ = ("pool", "hosts", "_job")
 
-    def __init__(self, pool: Pool, hosts: Hosts):
+    def __init__(self, pool: Pool, hosts: HostUpstreams):
         self.pool, self.hosts = pool, hosts
 
     def __enter__(self) -> Tidy:
@@ -64,13 +64,13 @@
         """Close all."""
         self._job.kill()
         self.pool.connections.keep(set())
-        self.hosts.links.tidy(set(), self.hosts.now())
+        self.hosts.idle_connections.prune(set(), self.hosts.now())
 
     def _run(self) -> None:
         while True:
             gevent.sleep(1.0)
             self.pool.tidy()
-            self.hosts.tidy()
+            self.hosts.prune()
 
 
 def run(settings: Settings) -> None:
@@ -78,8 +78,8 @@
     node = Node(settings)
     replica = ReplicaTask(node)
     pool = Pool(node.heartbeats.board, replica.replica, settings.locality, random.Random(), clock.now)
-    repeats = RepeatTask(node.transport, replica.replica.roster)
-    path = Path(
+    repeats = RetryDetectorTask(node.transport, replica.replica.roster)
+    path = TenantForwarder(
         replica.replica,
         pool,
         repeats,
@@ -92,16 +92,18 @@
     serve = Serve(path, replica, settings.body_bytes)
     pool.on_free = serve.freed
     node.app.add_route("/-/rejections", Rejections(path))
-    hosts = Hosts(replica.replica, settings, random.Random(), clock.now)
-    tries = Tries(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
+    hosts = HostUpstreams(replica.replica, settings, random.Random(), clock.now)
+    tries = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
     _mount(node, serve, hosts, tries)
-    node.gauge("busy", lambda: sum(pool.chooser.busy.values()) + sum(s.busy for s in hosts.spots.values()))
+    node.gauge(
+        "busy", lambda: sum(pool.chooser.in_flight.values()) + sum(s.in_flight for s in hosts.upstreams.values())
+    )
     node.late = settings.serve_on and settings.pages is not None
     with node, replica, Tidy(pool, hosts), repeats, Doors(node, replica) if node.late else contextlib.nullcontext():
         node.run(lambda: _ready(settings, replica))
 
 
-def _mount(node: Node, serve: Serve, hosts: Hosts, tries: Tries) -> None:
+def _mount(node: Node, serve: Serve, hosts: HostUpstreams, tries: HostForwarder) -> None:
     """With pages of their own, the front serves requests only; else it passes what is no host's to the one app."""
     apart = node.settings.pages is not None
     app = web.Later() if apart else node.app
@@ -117,7 +119,7 @@
     node.server.limits = lambda: _limits(tries)
 
 
-def _limits(tries: Tries):
+def _limits(tries: HostForwarder):
     s = tries.replica.state
     return s.items.limits if s is not None and s.items.revision else None
 
--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/path.py
@@ -12,7 +12,7 @@
 from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Release, Verdict
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.admission import outlasts
-from mallowvalve.proxy.call import Call, check_body, understand
+from mallowvalve.proxy.call import TenantRequest, check_body, understand
 from mallowvalve.proxy.pool import Lease, Pool
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
@@ -20,20 +20,20 @@
     SERVER_ERROR,
     UNAVAILABLE,
     UNKNOWN,
-    Answer,
-    Ask,
-    Body,
     ClientCheck,
     ClientLeft,
+    ClientRequest,
     Exchange,
-    Insist,
-    Offer,
-    Open,
-    Pause,
-    Rejected,
-    Reply,
-    Room,
+    OpenConnection,
+    ProposeCommand,
+    ProposeInBackground,
+    ProxyResponse,
+    ReadBody,
+    RejectionRecord,
+    Sleep,
     Step,
+    UpstreamResponse,
+    WaitForCapacity,
 )
 from mallowvalve.types import Locality, emptied
 
@@ -49,10 +49,10 @@
     """A request that was sent: its place, and the answer if a whole one came."""
 
     lease: Lease
-    answer: Answer | None
+    answer: UpstreamResponse | None
 
 
-class Path:
+class TenantForwarder:
     """The way of a request, without sockets: what a step needs from outside is yielded, its result comes back."""
 
     __slots__ = (
@@ -82,11 +82,11 @@
     ):
         self.replica, self.pool, self.repeats, self.counts, self.now = replica, pool, repeats, counts, now
         self.locality, self.holder, self.nonce = locality, holder, nonce
-        self.rejections: deque[Rejected] = deque(maxlen=200)
+        self.rejections: deque[RejectionRecord] = deque(maxlen=200)
         self.serves_until: Callable[[], float | None] = lambda: None
         self._emptied: float | None = None
 
-    def carry(self, a: Ask) -> Generator[Step, object, Reply]:
+    def handle(self, a: ClientRequest) -> Generator[Step, object, ProxyResponse]:
         self.counts.add("requests")
         no = self._admits()
         if no is not None:
@@ -94,10 +94,10 @@
         r = understand(a, self.replica.tree, self.replica.state.revision, self.now())
         if r.is_err():
             return self._turn_away(a, *r.err_value)
-        c: Call = r.ok_value
+        c: TenantRequest = r.ok_value
         if not outlasts(self.serves_until(), c.end):
             return self._turn_away(a, UNAVAILABLE, "stop", "this proxy is about to stop")
-        body = yield Body(c.end)
+        body = yield ReadBody(c.end)
         bad = body.err_value if body.is_err() else check_body(a, body.ok_value)
         if bad is not None:
             return self._turn_away(a, *bad)
@@ -108,11 +108,11 @@
             return (yield from self._once(c))
         return (yield from self._read(c))
 
-    def _read(self, c: Call) -> Generator[Step, object, Reply]:
+    def _read(self, c: TenantRequest) -> Generator[Step, object, ProxyResponse]:
         tried: set = set()
         while True:
             got = yield from self._send(c, tried)
-            if isinstance(got, Reply):
+            if isinstance(got, ProxyResponse):
                 return got
             with got.lease as lease:
                 if got.answer is not None:
@@ -123,27 +123,27 @@
             if not self.pool.budget(c.plan.service).again(self.now()):
                 return self._reject(c, 502, "the upstream failed and the retry budget is spent", 1)
 
-    def _once(self, c: Call) -> Generator[Step, object, Reply]:
+    def _once(self, c: TenantRequest) -> Generator[Step, object, ProxyResponse]:
         nonce = self.nonce()
         claim = Claim(c.key, c.digest, self.holder, nonce, c.seen)
-        v = yield Offer(claim, min(c.end - self.now(), CLAIM_LIMIT))
+        v = yield ProposeCommand(claim, min(c.end - self.now(), CLAIM_LIMIT))
         if v.state == "undecided":
-            yield Insist(Release(c.key, nonce), ("released", "gone", "lost"))
+            yield ProposeInBackground(Release(c.key, nonce), ("released", "gone", "lost"))
         if v.state == "open":
             v = yield from self._wait(c)
         if v.state != "granted":
             return self._known(c, v)
         got = yield from self._send(c, set())
-        if isinstance(got, Reply):
+        if isinstance(got, ProxyResponse):
             return (yield from self._release(c, nonce, got))
         with got.lease as lease:
             if got.answer is None:
-                yield Insist(Forfeit(c.key, nonce), ("lost", "done", "gone"))
+                yield ProposeInBackground(Forfeit(c.key, nonce), ("lost", "done", "gone"))
                 return self._reject(c, 502, "sent, but no whole answer came back", None)
             yield from self._done(c, nonce, got.answer)
             return self._answer(c, lease, got.answer)
 
-    def _send(self, c: Call, tried: set) -> Generator[Step, object, Sent | Reply]:
+    def _send(self, c: TenantRequest, tried: set) -> Generator[Step, object, Sent | ProxyResponse]:
         queue_end = min(c.end, self.now() + QUEUE_MOST)
         while True:
             no = self._judge(c)
@@ -161,40 +161,40 @@
             try:
                 sent = yield from self._try(c, lease)
             except BaseException:
-                lease.back(keep=False)
+                lease.release(keep=False)
                 raise
             if sent is not None:
                 return sent
             tried.add(row.heartbeat.address)
 
-    def _try(self, c: Call, lease: Lease) -> Generator[Step, object, Sent | Reply | None]:
+    def _try(self, c: TenantRequest, lease: Lease) -> Generator[Step, object, Sent | ProxyResponse | None]:
         """Opens a connection, judges everything once more, and sends in the same breath; None: try another upstream."""
         row = lease.row
         lease.connection = self.pool.connections.take(row.heartbeat, self.now())
         if lease.connection is None:
-            r = yield Open(row.heartbeat, self.replica.tree.doc.services[c.plan.service].status, c.end)
+            r = yield OpenConnection(row.heartbeat, self.replica.tree.doc.services[c.plan.service].status, c.end)
             if r.is_err():
                 self.counts.add("upstream_open_failed")
                 row.broken = self.now()
-                lease.back(keep=False)
+                lease.release(keep=False)
                 return None
             lease.connection = r.ok_value
         no = self._judge(c)
         if no is not None or not self.pool.fits(row, c.plan, c.tenant):
-            lease.back(keep=no is not None)
+            lease.release(keep=no is not None)
             return no
         may_repeat = c.plan.kind != "once"
         if may_repeat and (yield ClientCheck()) is CLIENT_LEFT:
-            lease.back(keep=True)
+            lease.release(keep=True)
             return self._client_left(c)
         if not c.again:
             self.pool.budget(c.plan.service).first(self.now())
         c.again, c.sent = True, c.sent + 1
         r = yield Exchange(
-            lease.connection, c.ask.method, c.wire(str(row.heartbeat.address)), c.end, until_left=may_repeat
+            lease.connection, c.ask.method, c.wire(str(row.heartbeat.address)), c.end, stop_if_client_leaves=may_repeat
         )
         if isinstance(r, ClientLeft):
-            lease.back(keep=False)
+            lease.release(keep=False)
             return self._client_left(c)
         if r.is_ok():
             return Sent(lease, r.ok_value)
@@ -203,14 +203,14 @@
             row.broken = self.now()
         return Sent(lease, None)
 
-    def _client_left(self, c: Call) -> Reply:
+    def _client_left(self, c: TenantRequest) -> ProxyResponse:
         """Nothing more is sent for a client that left; what it would be told, should it still read."""
         self.counts.add("client_left")
         status, outcome = (502, UNKNOWN) if c.sent else (503, NOT_RUN)
         findings = [Finding(f"routes.{c.plan.route}", "its client has closed the connection")]
-        return Reply(status, outcome, findings, close=True)
+        return ProxyResponse(status, outcome, findings, close=True)
 
-    def _judge(self, c: Call) -> Reply | None:
+    def _judge(self, c: TenantRequest) -> ProxyResponse | None:
         """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
         no = self._admits()
         if no is not None:
@@ -226,41 +226,41 @@
         c.plan = plan
         return None
 
-    def _queue(self, c: Call, end: float) -> Generator[Step, object, bool]:
+    def _queue(self, c: TenantRequest, end: float) -> Generator[Step, object, bool]:
         s, w = c.plan.service, self.pool.waiting
         if self.now() >= end or w.get(s, 0) >= c.plan.policy.queue:
             return False
         w[s] = w.get(s, 0) + 1
         try:
-            return (yield Room(s, end))
+            return (yield WaitForCapacity(s, end))
         finally:
             w[s] -= 1
             if not w[s]:
                 del w[s]
 
-    def _wait(self, c: Call) -> Generator[Step, object, Verdict]:
+    def _wait(self, c: TenantRequest) -> Generator[Step, object, Verdict]:
         while self.now() < c.end:
             v = self.replica.state.ledger.look(c.key, c.digest)
             if v is not None and v.state != "open":
                 return v
-            yield Pause(LOOK)
+            yield Sleep(LOOK)
         return Verdict("open")
 
-    def _release(self, c: Call, nonce: str, r: Reply) -> Generator[Step, object, Reply]:
-        v = yield Offer(Release(c.key, nonce), max(0.2, min(CLOSE_LIMIT, c.end - self.now())))
+    def _release(self, c: TenantRequest, nonce: str, r: ProxyResponse) -> Generator[Step, object, ProxyResponse]:
+        v = yield ProposeCommand(Release(c.key, nonce), max(0.2, min(CLOSE_LIMIT, c.end - self.now())))
         if v.state == "released":
             r.outcome = r.note.outcome = NOT_RUN
             return r
-        yield Insist(Release(c.key, nonce), ("released", "gone", "lost"))
+        yield ProposeInBackground(Release(c.key, nonce), ("released", "gone", "lost"))
         return r
 
-    def _done(self, c: Call, nonce: str, a: Answer) -> Generator[Step, object, None]:
+    def _done(self, c: TenantRequest, nonce: str, a: UpstreamResponse) -> Generator[Step, object, None]:
         kind = next((v for k, v in a.headers if k.lower() == "content-type"), "")
         kept = a.body if a.body is not None and len(a.body) <= c.plan.policy.keep else None
         d = Done(c.key, nonce, a.status, kind, kept)
-        v = yield Offer(d, CLOSE_LIMIT)
+        v = yield ProposeCommand(d, CLOSE_LIMIT)
         if v.state != "done":
-            yield Insist(d, ("done", "gone"))
+            yield ProposeInBackground(d, ("done", "gone"))
 
     def _admits(self) -> tuple[int, str, str] | None:
         if not self.replica.admits(self.now()):
@@ -273,7 +273,7 @@
             return None
         return 503, "proxy", "its zone is evacuated: ask a directory again"
 
-    def _in_budget(self, c: Call) -> bool:
+    def _in_budget(self, c: TenantRequest) -> bool:
         if c.key and c.plan.kind == "once":
             r = self.replica.state.ledger.rows.get(c.key)
             if r is not None and r.state != "released":
@@ -282,23 +282,27 @@
         c.again = c.again or c.owed
         return self.pool.budget(c.plan.service).again(self.now()) if c.again else True
 
-    def _answer(self, c: Call, lease: Lease, a: Answer) -> Reply:
+    def _answer(self, c: TenantRequest, lease: Lease, a: UpstreamResponse) -> ProxyResponse:
         self.counts.add("answers")
         if a.status >= SERVER_ERROR:
-            self.repeats.failed(c.name, self.now())
-        if a.rest is None:
-            lease.back(keep=a.keep)
+            self.repeats.record_failure(c.name, self.now())
+        if a.body_stream is None:
+            lease.release(keep=a.reusable)
         else:
             lease.streams = True
         once = c.plan.kind == "once"
-        return Reply(a.status, answer=a, lease=lease, close=self._emptied is not None, runs_on=once)
+        return ProxyResponse(
+            a.status, answer=a, lease=lease, close=self._emptied is not None, drain_if_client_leaves=once
+        )
 
-    def _known(self, c: Call, v: Verdict) -> Reply:
+    def _known(self, c: TenantRequest, v: Verdict) -> ProxyResponse:
         self.counts.add(f"repeat_{v.state}")
         match v.state:
             case "done" if v.body is not None:
                 kind = [("content-type", v.kind or "application/octet-stream")]
-                return Reply(v.status, answer=Answer(v.status, kind, v.body, len(v.body), None), again=True)
+                return ProxyResponse(
+                    v.status, answer=UpstreamResponse(v.status, kind, v.body, len(v.body), None), replayed=True
+                )
             case "conflict":
                 return self._reject(c, 409, "this key was used for another request", None)
             case "undecided":
@@ -311,30 +315,32 @@
                 return self._reject(c, 502, "ran; its answer was too large to keep", None, UNKNOWN)
         return self._reject(c, 502, "an earlier try may have run", None, UNKNOWN)
 
-    def _outcome(self, c: Call) -> str:
+    def _outcome(self, c: TenantRequest) -> str:
         """The one place that may say not-run: nothing was sent, and no key could have been claimed before."""
         if c.sent:
             return UNKNOWN
         return UNDECIDED if c.key else NOT_RUN
 
-    def _reject(self, c: Call, status: int, why: str, after: float | None, outcome: str | None = None) -> Reply:
+    def _reject(
+        self, c: TenantRequest, status: int, why: str, after: float | None, outcome: str | None = None
+    ) -> ProxyResponse:
         outcome = outcome or self._outcome(c)
         if outcome == UNKNOWN or c.owed:
-            self.repeats.failed(c.name, self.now())
+            self.repeats.record_failure(c.name, self.now())
         note = self._note(c.plan.route, c.tenant, c.ask.target, status, outcome, why)
         self.counts.add(f"rejected_{outcome}")
         self.counts.add(f"rejected_service_{c.plan.service}")
-        return Reply(
+        return ProxyResponse(
             status, outcome, [Finding(f"routes.{c.plan.route}", why)], after, self._emptied is not None, note=note
         )
 
-    def _turn_away(self, a: Ask, status: int, place: str, text: str) -> Reply:
+    def _turn_away(self, a: ClientRequest, status: int, place: str, text: str) -> ProxyResponse:
         outcome = UNDECIDED if a.headers.get("mallow-key") else NOT_RUN
         self.counts.add(f"rejected_{status}_{place.lower()}")
         self._note("", a.headers.get("mallow-tenant", "")[:64], a.target, status, outcome, f"{place}: {text}")
         close = self._emptied is not None or place in ("body", "stop")
-        return Reply(status, outcome, [Finding(place, text)], 1 if status == UNAVAILABLE else None, close)
+        return ProxyResponse(status, outcome, [Finding(place, text)], 1 if status == UNAVAILABLE else None, close)
 
-    def _note(self, route: str, tenant: str, target: str, status: int, outcome: str, why: str) -> Rejected:
-        self.rejections.append(Rejected(self.now(), route, tenant, target[:200], status, outcome, why))
+    def _note(self, route: str, tenant: str, target: str, status: int, outcome: str, why: str) -> RejectionRecord:
+        self.rejections.append(RejectionRecord(self.now(), route, tenant, target[:200], status, outcome, why))
         return self.rejections[-1]
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/pool.py
@@ -7,7 +7,7 @@
 
 from mallowvalve.configuration.model import Plan
 from mallowvalve.control.replica import Replica
-from mallowvalve.proxy.budget import Budget
+from mallowvalve.proxy.budget import RetryBudget
 from mallowvalve.proxy.choose import Chooser
 from mallowvalve.proxy.connections import Connections
 from mallowvalve.types import Address, Locality, reachable
@@ -31,9 +31,9 @@
     def __exit__(self, kind, *_) -> None:
         """Give the place back, unless an answer still streams over it."""
         if kind is not None or not self.streams:
-            self.back(keep=False)
+            self.release(keep=False)
 
-    def back(self, keep: bool) -> None:
+    def release(self, keep: bool) -> None:
         if self._left:
             return
         self._left = True
@@ -62,10 +62,10 @@
         self.chooser = Chooser(near, rng)
         self.connections = Connections()
         self.waiting: dict[str, int] = {}
-        self._budgets: dict[str, Budget] = {}
+        self._budgets: dict[str, RetryBudget] = {}
 
-    def budget(self, service: str) -> Budget:
-        return self._budgets.setdefault(service, Budget())
+    def budget(self, service: str) -> RetryBudget:
+        return self._budgets.setdefault(service, RetryBudget())
 
     def usable(self, plan: Plan, tenant: str, tried: set[Address]) -> list[Row]:
         homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
--- a/mallowvalve/proxy/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -22,7 +22,7 @@
 _names = msgspec.msgpack.Decoder(list[bytes]).decode
 
 
-class Repeats:
+class RetryDetector:
     """Knows a repeat that its client did not mark: each failure answered here makes one like request a repeat."""
 
     __slots__ = ("_failed",)
@@ -30,7 +30,7 @@
     def __init__(self):
         self._failed: OrderedDict[bytes, list[float]] = OrderedDict()
 
-    def failed(self, name: bytes, now: float) -> None:
+    def record_failure(self, name: bytes, now: float) -> None:
         self._failed[name] = [*self._failed.get(name, [])[-EACH:], now]
         self._failed.move_to_end(name)
         while len(self._failed) > MOST:
@@ -46,18 +46,18 @@
         return True
 
 
-class RepeatTask:
+class RetryDetectorTask:
     """Tells the other proxies of failures at once: a hasty client comes back through another one."""
 
     __slots__ = ("repeats", "transport", "peers", "_news", "_wake", "_job")
 
     def __init__(self, transport: Transport, peers: Callable[[], list[Address]]):
-        self.repeats, self.transport, self.peers = Repeats(), transport, peers
+        self.repeats, self.transport, self.peers = RetryDetector(), transport, peers
         self._news: list[bytes] = []
         self._wake = Event()
         transport.on("failed", self._heard, quick=True)
 
-    def __enter__(self) -> RepeatTask:
+    def __enter__(self) -> RetryDetectorTask:
         """Begin to tell the other proxies."""
         self._job = vital(gevent.spawn(self._run))
         return self
@@ -66,8 +66,8 @@
         """Tell no more."""
         self._job.kill()
 
-    def failed(self, name: bytes, now: float) -> None:
-        self.repeats.failed(name, now)
+    def record_failure(self, name: bytes, now: float) -> None:
+        self.repeats.record_failure(name, now)
         self._news.append(name)
         self._wake.set()
 
@@ -77,7 +77,7 @@
     def _heard(self, _sender: Address, body: bytes) -> None:
         now = clock.now()
         for name in _names(body):
-            self.repeats.failed(name, now)
+            self.repeats.record_failure(name, now)
 
     def _run(self) -> None:
         while True:
--- a/mallowvalve/proxy/request_writer.py
+++ b/mallowvalve/proxy/request_writer.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from mallowvalve.proxy.steps import Ask
-from mallowvalve.proxy.trip import HOP, Trip
+from mallowvalve.proxy.steps import ClientRequest
+from mallowvalve.proxy.trip import HOP_BY_HOP_HEADERS, HostRouteRequest
 from mallowvalve.settings import Terms
 
 
@@ -16,23 +16,23 @@
         """`terms` name the headers of a request's id, its limit and the upstream it is for."""
         self._terms = terms
         self._id_header = terms.ask.lower()
-        self._dropped = HOP | {terms.limit.lower(), terms.expect.lower()}
+        self._dropped = HOP_BY_HOP_HEADERS | {terms.limit.lower(), terms.expect.lower()}
 
-    def lines(self, a: Ask, body: bytes) -> str:
+    def lines(self, a: ClientRequest, body: bytes) -> str:
         """The request line and the headers that are the same for each upstream."""
         dropped = self._dropped
         if "connection" in a.headers:
             named = {h.strip().lower() for h in a.headers["connection"].split(",")}
             dropped = dropped | named - {"host", self._id_header}
         lines = [f"{a.method} {a.target} HTTP/1.1\r\n"]
-        lines += [f"{k}: {v}\r\n" for k, v in a.pairs or a.headers.items() if k.lower() not in dropped]
+        lines += [f"{k}: {v}\r\n" for k, v in a.header_pairs or a.headers.items() if k.lower() not in dropped]
         if body or a.length is not None or "transfer-encoding" in a.headers:
             lines.append(f"Content-Length: {len(body)}\r\n")
         return "".join(lines)
 
-    def whole(self, t: Trip, instance: str, now: float) -> bytes:
+    def whole(self, t: HostRouteRequest, instance: str, now: float) -> bytes:
         """The request for one upstream, with the time that is left."""
-        head = t.lines
+        head = t.head
         if self._terms.limit:
             head += f"{self._terms.limit}: {max(1, int((t.end - now) * 1000))}\r\n"
         if self._terms.expect:
--- a/mallowvalve/proxy/serve.py
+++ b/mallowvalve/proxy/serve.py
@@ -16,20 +16,20 @@
 from mallowvalve.control.state import encode
 from mallowvalve.ledger.ledger import Verdict
 from mallowvalve.proxy.connection import Connection
-from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
-    Ask,
-    Body,
     ClientCheck,
+    ClientRequest,
     Exchange,
-    Insist,
-    Offer,
-    Open,
-    Pause,
-    Reply,
-    Room,
+    OpenConnection,
+    ProposeCommand,
+    ProposeInBackground,
+    ProxyResponse,
+    ReadBody,
+    Sleep,
     Step,
+    WaitForCapacity,
 )
 
 if TYPE_CHECKING:
@@ -42,7 +42,7 @@
 class Rejections:
     """The page of the last rejections."""
 
-    def __init__(self, path: Path):
+    def __init__(self, path: TenantForwarder):
         self.path = path
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
@@ -70,15 +70,15 @@
 class Serve:
     """Does for a request's path what needs sockets and the loop."""
 
-    def __init__(self, path: Path, replica: ReplicaTask, body_bytes: int):
+    def __init__(self, path: TenantForwarder, replica: ReplicaTask, body_bytes: int):
         self.path, self.replica, self.body_bytes = path, replica, body_bytes
         self.counts = path.counts
         self._freed: dict[str, Event] = {}
 
     def __call__(self, req: falcon.Request, resp: falcon.Response, **_) -> None:
         headers = {k.lower(): v for k, v in req.headers.items()}
-        a = Ask(req.method, req.env["mallow.target"], headers, req.remote_addr, req.content_length)
-        steps, got = self.path.carry(a), None
+        a = ClientRequest(req.method, req.env["mallow.target"], headers, req.remote_addr, req.content_length)
+        steps, got = self.path.handle(a), None
         try:
             while True:
                 got = self._do(steps.send(got), req)
@@ -95,24 +95,24 @@
     def _do(self, s: Step, req: falcon.Request):
         match s:
             case Exchange():
-                client = req.env.get("mallow.handler") if s.until_left else None
+                client = req.env.get("mallow.handler") if s.stop_if_client_leaves else None
                 return s.connection.exchange(s.method, s.request, s.end, client)
             case ClientCheck():
                 return CLIENT_LEFT if web.client_left(req) else None
-            case Offer():
-                return self._offer(s.command, s.limit)
-            case Body():
+            case ProposeCommand():
+                return self._offer(s.command, s.timeout_s)
+            case ReadBody():
                 return self._body(req, s.end)
-            case Open():
-                r = Connection.open(s.heartbeat, s.status, s.end)
+            case OpenConnection():
+                r = Connection.open(s.heartbeat, s.status_path, s.end)
                 self.counts.add("upstream_connections", r.is_ok())
                 return r
-            case Room():
+            case WaitForCapacity():
                 left = s.end - clock.now()
                 return left > 0 and self._freed.setdefault(s.service, Event()).wait(timeout=left)
-            case Pause():
-                return gevent.sleep(s.wait)
-            case Insist():
+            case Sleep():
+                return gevent.sleep(s.delay_s)
+            case ProposeInBackground():
                 return gevent.spawn(self._insist, s)
 
     def _body(self, req: falcon.Request, end: float) -> Result[bytes, tuple[int, str, str]]:
@@ -129,18 +129,18 @@
         t = self.replica.offer(encode(command), limit)
         return _verdict(t.body) if t.body else Verdict("undecided")
 
-    def _insist(self, s: Insist) -> None:
+    def _insist(self, s: ProposeInBackground) -> None:
         end = clock.now() + INSIST
         while clock.now() < end:
-            if self._offer(s.command, 2.0).state in s.good:
+            if self._offer(s.command, 2.0).state in s.accepted_states:
                 return
             gevent.sleep(0.5)
         self.counts.add("claim_left_open")
 
-    def _say(self, resp: falcon.Response, method: str, r: Reply) -> None:
+    def _say(self, resp: falcon.Response, method: str, r: ProxyResponse) -> None:
         if r.close:
             resp.set_header("Connection", "close")
-        if r.again:
+        if r.replayed:
             resp.set_header("Mallow-Repeat", "1")
         a = r.answer
         if a is None:
@@ -152,22 +152,26 @@
                 resp.content_type = v
             else:
                 resp.append_header(k, v)
-        if a.rest is None:
+        if a.body_stream is None:
             resp.data = a.body
         else:
             resp.stream = Stream(r)
-        if a.length is not None and (a.rest is not None or method == "HEAD"):
+        if a.length is not None and (a.body_stream is not None or method == "HEAD"):
             resp.content_length = a.length
 
 
 class Stream:
     """The rest of an answer; its place is given back when it ends, or is left."""
 
-    __slots__ = ("lease", "rest", "runs_on")
+    __slots__ = ("lease", "rest", "drain_if_client_leaves")
 
-    def __init__(self, reply: Reply):
-        """With `runs_on` the rest is read to its end also when nobody takes it any more."""
-        self.lease, self.rest, self.runs_on = reply.lease, reply.answer.rest, reply.runs_on
+    def __init__(self, reply: ProxyResponse):
+        """With `drain_if_client_leaves` the rest is read to its end also when nobody takes it any more."""
+        self.lease, self.rest, self.drain_if_client_leaves = (
+            reply.lease,
+            reply.answer.body_stream,
+            reply.drain_if_client_leaves,
+        )
 
     def __iter__(self):
         """The parts as they come."""
@@ -179,14 +183,14 @@
 
     def close(self) -> None:
         """Nobody takes more of it."""
-        if self.runs_on:
-            self.runs_on = False
+        if self.drain_if_client_leaves:
+            self.drain_if_client_leaves = False
             gevent.spawn(self._read_on)
             return
-        self.lease.back(keep=False)
+        self.lease.release(keep=False)
 
     def _read_on(self) -> None:
         with suppress(OSError, HTTPParseError):
             for _ in self.rest:
                 pass
-        self.lease.back(keep=False)
+        self.lease.release(keep=False)
--- a/mallowvalve/proxy/spot.py
+++ b/mallowvalve/proxy/spot.py
@@ -37,13 +37,13 @@
         return self.sent >= DARK_SENT and max(DARK, DARK_OWES * self.latency) < now - self.first <= DARK_MOST
 
 
-class Spot:
+class UpstreamState:
     """One upstream as this proxy sees it. Times on the proxy's own clock (s); `load` counts requests of all proxies."""
 
     __slots__ = (
         "up",
         "zone",
-        "busy",
+        "in_flight",
         "base",
         "base_at",
         "since",
@@ -64,7 +64,7 @@
     )
 
     def __init__(self, up: Upstream, zone: Zone | None = None):
-        self.up, self.zone, self.busy = up, zone or Zone(), 0
+        self.up, self.zone, self.in_flight = up, zone or Zone(), 0
         self.base, self.base_at, self.since = 0.0, NEVER, 0
         self.full_until = self.broken_until = self.wrong_until = NEVER
         self.pause = BREAK
@@ -90,20 +90,20 @@
 
     def load(self, now: float, share: int) -> float:
         if self.base_at <= NEVER:
-            return float(self.busy * share)
-        return max(float(self.busy), self.base * 0.5 ** ((now - self.base_at) / HALF) + self.since)
+            return float(self.in_flight * share)
+        return max(float(self.in_flight), self.base * 0.5 ** ((now - self.base_at) / HALF) + self.since)
 
     def fill(self, now: float, share: int) -> float:
         return (self.load(now, share) + 1) / max(1, self.up.slots)
 
     def full(self, now: float, share: int, most: int) -> bool:
-        if now < self.full_until or self.busy >= most:
+        if now < self.full_until or self.in_flight >= most:
             return True
         return self.load(now, share) >= 2 * self.up.slots if now - self.base_at < FRESH else False
 
     def sound(self, now: float) -> bool:
         """One that failed is tried by one request at a time, and one that is slow to connect is left to those at it."""
-        if now < self.broken_until or self.doubted and self.busy or self.zone.dark(now):
+        if now < self.broken_until or self.doubted and self.in_flight or self.zone.dark(now):
             return False
         if self.opening and now - self.opening[0] > OPENING:
             return False
--- a/mallowvalve/proxy/steps.py
+++ b/mallowvalve/proxy/steps.py
@@ -19,7 +19,7 @@
 """What begins here is no status of HTTP."""
 
 
-class Ask(msgspec.Struct):
+class ClientRequest(msgspec.Struct):
     """A request as it came from a client; header names in lower case, and as they came in `pairs`."""
 
     method: str
@@ -27,37 +27,37 @@
     headers: dict[str, str]
     client: str
     length: int | None = None
-    pairs: list[tuple[str, str]] = []
+    header_pairs: list[tuple[str, str]] = []
 
 
-class Body(msgspec.Struct, frozen=True):
+class ReadBody(msgspec.Struct, frozen=True):
     """Reads the body of a request until `end`, of at most `most` bytes."""
 
     end: float
-    most: int | None = None
+    max_bytes: int | None = None
 
 
-class Offer(msgspec.Struct, frozen=True):
+class ProposeCommand(msgspec.Struct, frozen=True):
     """Offers a command to the ledger, and waits `limit` seconds for its word."""
 
     command: Claim | Done | Release
-    limit: float
+    timeout_s: float
 
 
-class Insist(msgspec.Struct, frozen=True):
+class ProposeInBackground(msgspec.Struct, frozen=True):
     """Goes on in the background until the ledger's word is one of the good ones."""
 
     command: Done | Release | Forfeit
-    good: tuple[str, ...]
+    accepted_states: tuple[str, ...]
 
 
-class Pause(msgspec.Struct, frozen=True):
+class Sleep(msgspec.Struct, frozen=True):
     """Goes on after `wait` seconds."""
 
-    wait: float
+    delay_s: float
 
 
-class Room(msgspec.Struct, frozen=True):
+class WaitForCapacity(msgspec.Struct, frozen=True):
     """Waits until a place at a service may be free; of those who wait, the most urgent (0) is told first."""
 
     service: str
@@ -65,11 +65,11 @@
     priority: int = 0
 
 
-class Open(msgspec.Struct, frozen=True):
+class OpenConnection(msgspec.Struct, frozen=True):
     """`status` is asked first of a new connection; with none the connection opens at once, for a host route."""
 
     heartbeat: Heartbeat | Upstream
-    status: str
+    status_path: str
     end: float
 
 
@@ -83,23 +83,33 @@
     method: str
     request: bytes
     end: float
-    ask: str = ""
-    until_left: bool = False
+    request_id: str = ""
+    stop_if_client_leaves: bool = False
 
 
-class Await(msgspec.Struct, frozen=True):
+class AwaitResponse(msgspec.Struct, frozen=True):
     """Goes on waiting for the answer of an exchange whose time was over; `until_left` as for `Exchange`."""
 
     connection: object
     end: float
-    until_left: bool = False
+    stop_if_client_leaves: bool = False
 
 
 class ClientCheck(msgspec.Struct, frozen=True):
     """Asks whether the request's client has left: CLIENT_LEFT, or None while it waits. Nothing else runs meanwhile."""
 
 
-Step = Body | Offer | Insist | Pause | Room | Open | Exchange | Await | ClientCheck
+Step = (
+    ReadBody
+    | ProposeCommand
+    | ProposeInBackground
+    | Sleep
+    | WaitForCapacity
+    | OpenConnection
+    | Exchange
+    | AwaitResponse
+    | ClientCheck
+)
 
 
 class ClientLeft(msgspec.Struct, frozen=True):
@@ -109,19 +119,19 @@
 CLIENT_LEFT = ClientLeft()
 
 
-class Answer(msgspec.Struct):
+class UpstreamResponse(msgspec.Struct):
     """An upstream's answer, its body whole or as `rest` to be streamed. `keep`: its connection may be used again."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes | None
     length: int | None
-    rest: Iterator[bytes] | None
-    keep: bool = False
-    said: dict[str, str] = {}
+    body_stream: Iterator[bytes] | None
+    reusable: bool = False
+    header_map: dict[str, str] = {}
 
 
-class Rejected(msgspec.Struct):
+class RejectionRecord(msgspec.Struct):
     """What was answered here instead of an upstream's answer, for the page of rejections."""
 
     at: float
@@ -133,7 +143,7 @@
     why: str
 
 
-class Reply(msgspec.Struct):
+class ProxyResponse(msgspec.Struct):
     """A final answer: the upstream's own (and the lease it still streams over), a kept one, or a rejection.
 
     `runs_on`: the upstream's answer is read to its end also when the client has left.
@@ -144,8 +154,8 @@
     findings: list[Finding] = []
     retry_after: float | None = None
     close: bool = False
-    answer: Answer | None = None
+    answer: UpstreamResponse | None = None
     lease: object = None
-    again: bool = False
-    runs_on: bool = False
-    note: Rejected | None = None
+    replayed: bool = False
+    drain_if_client_leaves: bool = False
+    note: RejectionRecord | None = None
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -10,7 +10,7 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.admission import Admission
-from mallowvalve.proxy.host import Hosts, Place
+from mallowvalve.proxy.host import HostUpstreams, UpstreamLease
 from mallowvalve.proxy.request_writer import RequestWriter
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
@@ -21,19 +21,19 @@
     SERVER_ERROR,
     TOO_SLOW,
     UNKNOWN,
-    Answer,
-    Ask,
-    Await,
-    Body,
+    AwaitResponse,
     ClientCheck,
     ClientLeft,
+    ClientRequest,
     Exchange,
-    Open,
-    Reply,
-    Room,
+    OpenConnection,
+    ProxyResponse,
+    ReadBody,
     Step,
+    UpstreamResponse,
+    WaitForCapacity,
 )
-from mallowvalve.proxy.trip import Trip, bare, own
+from mallowvalve.proxy.trip import HostRouteRequest, bare, own
 from mallowvalve.settings import Settings, Terms
 
 PROMISE = frozenset((408, 421, 429, 503))
@@ -47,7 +47,7 @@
 IDLE, AT_ONCE = 0.2, 0.2
 
 
-class Tries:
+class HostForwarder:
     """The way of a request on a host route, without sockets: what a step needs from outside is yielded.
 
     A `read` may run again on another upstream; a `try` is sent again only on proof that it did not run. Once it may
@@ -69,7 +69,7 @@
     def __init__(
         self,
         replica: Replica,
-        hosts: Hosts,
+        hosts: HostUpstreams,
         settings: Settings,
         counts: Counts,
         now: Callable[[], float],
@@ -86,10 +86,10 @@
         self._seal = terms.seal.lower()
         self.writer = RequestWriter(terms)
 
-    def knows(self, host: str) -> bool:
+    def serves_host(self, host: str) -> bool:
         return self.replica.state is not None and bool(self.replica.state.items.hosts.get(bare(host)))
 
-    def carry(self, a: Ask) -> Generator[Step, object, Reply]:
+    def handle(self, a: ClientRequest) -> Generator[Step, object, ProxyResponse]:
         self.counts.add("requests")
         at = self.now()
         r = self.admission.admit(a, at)
@@ -98,19 +98,19 @@
             r = self.admission.admit(a, at)
         if r.is_err():
             return r.err_value
-        t: Trip = r.ok_value
+        t: HostRouteRequest = r.ok_value
         if a.length or "transfer-encoding" in a.headers:
-            got = yield Body(t.end, self.replica.state.items.limits.body_bytes)
+            got = yield ReadBody(t.end, self.replica.state.items.limits.body_bytes)
             if got.is_err():
                 status, place, text = got.err_value
                 return own(status, NOT_RUN, place, text, 1.0 if status == TOO_SLOW else None, close=True)
             if a.length is not None and len(got.ok_value) != a.length:
                 return own(400, NOT_RUN, "body", "shorter than its length", close=True)
             t.body = got.ok_value
-        t.lines = self.writer.lines(a, t.body)
+        t.head = self.writer.lines(a, t.body)
         return (yield from self._answered(t))
 
-    def _answered(self, t: Trip) -> Generator[Step, object, Reply]:
+    def _answered(self, t: HostRouteRequest) -> Generator[Step, object, ProxyResponse]:
         """Sends until there is a final answer; upstreams that were silent are left only when there is one."""
         try:
             while True:
@@ -122,35 +122,37 @@
                 return got
         finally:
             for place in t.unanswered:
-                place.back(keep=False)
+                place.release(keep=False)
 
-    def _wait_for_unanswered(self, t: Trip, refusal: Reply) -> Generator[Step, object, Reply]:
+    def _wait_for_unanswered(
+        self, t: HostRouteRequest, refusal: ProxyResponse
+    ) -> Generator[Step, object, ProxyResponse]:
         """The answer of an upstream that was silent when the request went to another one, which gave none."""
         while t.unanswered:
             place = t.unanswered.pop()
             try:
-                r = yield Await(place.connection, t.end, t.may_repeat)
+                r = yield AwaitResponse(place.connection, t.end, t.idempotent)
                 got = self._took(t, place, r)
             except BaseException:
-                place.back(keep=False)
+                place.release(keep=False)
                 raise
             if got is not None and (got.answer is not None or t.left):
                 return got
         return refusal
 
-    def _send(self, t: Trip) -> Generator[Step, object, Reply | None]:
+    def _send(self, t: HostRouteRequest) -> Generator[Step, object, ProxyResponse | None]:
         """Finds a place, judges everything once more, and sends in the same breath; None: to be sent again."""
         place = yield from self._place(t)
-        if isinstance(place, Reply):
+        if isinstance(place, ProxyResponse):
             return place
         try:
             if (yield ClientCheck()) is CLIENT_LEFT:
-                place.back(keep=True)
+                place.release(keep=True)
                 return self._client_left(t)
             now = self.now()
             if t.sent:
                 if not self._takes_repeat(t, now):
-                    place.back(keep=True)
+                    place.release(keep=True)
                     self.counts.add("budget_spent")
                     return self._end(t, "the budget of repeats is spent")
             else:
@@ -160,24 +162,24 @@
             place.sending(now)
             part = self._part(t, place, now)
             request = self.writer.whole(t, place.spot.up.instance, now)
-            r = yield Exchange(place.connection, t.ask.method, request, part, t.mark, t.may_repeat)
+            r = yield Exchange(place.connection, t.ask.method, request, part, t.mark, t.idempotent)
             if part < t.end and _is_late(r):
                 if self._gives_up(t, place):
-                    return self._tries_another(t, place)
-                r = yield Await(place.connection, t.end, t.may_repeat)
+                    return self._start_hedge(t, place)
+                r = yield AwaitResponse(place.connection, t.end, t.idempotent)
             return self._took(t, place, r)
         except BaseException:
-            place.back(keep=False)
+            place.release(keep=False)
             raise
 
-    def _tries_another(self, t: Trip, place: Place) -> None:
+    def _start_hedge(self, t: HostRouteRequest, place: UpstreamLease) -> None:
         """The upstream is silent to all: the request goes to another one too, and its answer still counts."""
-        t.ran = True
+        t.may_have_run = True
         t.unanswered.append(place)
         self.hosts.late(place.spot, place.sent_at, self.now())
         self.counts.add("upstream_limit")
 
-    def _client_left(self, t: Trip) -> Reply:
+    def _client_left(self, t: HostRouteRequest) -> ProxyResponse:
         """Nothing more is sent for a client that left; what it would be told, should it still read."""
         t.left = True
         self.counts.add("client_left")
@@ -185,7 +187,7 @@
         refusal.close = True
         return refusal
 
-    def _place(self, t: Trip) -> Generator[Step, object, Place | Reply]:
+    def _place(self, t: HostRouteRequest) -> Generator[Step, object, UpstreamLease | ProxyResponse]:
         """A place at an upstream with a connection that may be sent on at once, or why there is none."""
         held = t.at + HELD * min(t.route.aim_ms or t.route.limit_ms, t.route.limit_ms) / 1000
         held = max(held, self.now() + LOOK)
@@ -201,7 +203,7 @@
                 if (yield ClientCheck()) is CLIENT_LEFT:
                     return self._client_left(t)
                 continue
-            place = Place(self.hosts, spot)
+            place = UpstreamLease(self.hosts, spot)
             if place.reuse(t.route.kind != "read", now):
                 return place
             if not (yield from self._open(t, place)):
@@ -215,18 +217,18 @@
             no = self._judge(t, now)
             if no is None and self.hosts.fits(spot, t.service, t.route.homes, now):
                 return place
-            place.back(keep=True)
+            place.release(keep=True)
             if no is not None:
                 return no
 
-    def _open(self, t: Trip, place: Place) -> Generator[Step, object, bool]:
+    def _open(self, t: HostRouteRequest, place: UpstreamLease) -> Generator[Step, object, bool]:
         """Whether a new connection could be made; if not, the place is given back."""
         began, spot = self.now(), place.spot
         spot.opening.append(began)
         try:
-            r = yield Open(spot.up, "", min(t.end, began + (TRIAL if spot.doubted else OPEN)))
+            r = yield OpenConnection(spot.up, "", min(t.end, began + (TRIAL if spot.doubted else OPEN)))
         except BaseException:
-            place.back(keep=False)
+            place.release(keep=False)
             raise
         finally:
             spot.opening.remove(began)
@@ -234,11 +236,11 @@
             place.connection = r.ok_value
             return True
         self.counts.add("upstream_open_failed")
-        place.back(keep=False)
+        place.release(keep=False)
         self.hosts.failed(spot, self.now())
         return False
 
-    def _judge(self, t: Trip, now: float) -> Reply | None:
+    def _judge(self, t: HostRouteRequest, now: float) -> ProxyResponse | None:
         """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
         state = self.replica.state
         if not self.settings.serve_on and not self.replica.admits(now):
@@ -250,7 +252,7 @@
             return self._end(t, "its route was dropped meanwhile") if t.sent else self.admission.no_route(now)
         if route is t.route:
             return None
-        if t.ran and route.kind != t.route.kind:
+        if t.may_have_run and route.kind != t.route.kind:
             return self._end(t, "its route changed its kind meanwhile")
         t.route = route
         t.end = min(t.end, t.at + route.limit_ms / 1000)
@@ -260,7 +262,7 @@
             t.service = self.admission.service_of(route)
         return None
 
-    def _pick(self, t: Trip, now: float):
+    def _pick(self, t: HostRouteRequest, now: float):
         got = self.hosts.pick(t.service, t.route.homes, t.tried, now)
         if got[1] or t.sent or not t.route.split:
             return got
@@ -272,91 +274,93 @@
                     return other
         return got
 
-    def _queue(self, t: Trip, end: float) -> Generator[Step, object, bool]:
+    def _queue(self, t: HostRouteRequest, end: float) -> Generator[Step, object, bool]:
         s, w = t.service, self.hosts.waiting
         if w.get(s, 0) >= WAITING:
             return False
         w[s] = w.get(s, 0) + 1
         try:
-            yield Room(s, end, t.route.priority)
+            yield WaitForCapacity(s, end, t.route.priority)
         finally:
             w[s] -= 1
             if not w[s]:
                 del w[s]
         return True
 
-    def _took(self, t: Trip, place: Place, r: Result[Answer, str] | ClientLeft) -> Reply | None:
+    def _took(
+        self, t: HostRouteRequest, place: UpstreamLease, r: Result[UpstreamResponse, str] | ClientLeft
+    ) -> ProxyResponse | None:
         now, spot, sent_at = self.now(), place.spot, place.sent_at
         if isinstance(r, ClientLeft):
-            t.ran = True
+            t.may_have_run = True
             place.abandon()
             return self._client_left(t)
         if r.is_err():
-            place.back(keep=False)
+            place.release(keep=False)
             if r.err_value.startswith("unsent"):
                 self._broke(place, sent_at, now)
                 return self._again(t, "the connection broke before anything was sent")
-            t.ran = True
+            t.may_have_run = True
             if r.err_value == "limit":
                 self.hosts.late(spot, sent_at, now)
             else:
                 self._broke(place, sent_at, now)
             self.counts.add(f"upstream_{r.err_value.partition(':')[0]}")
             return self._again(t, r.err_value)
-        a: Answer = r.ok_value
+        a: UpstreamResponse = r.ok_value
         self.hosts.heard(spot, a, now - sent_at, now)
-        if a.status == MISDIRECTED or self._not_run and self._not_run in a.said:
+        if a.status == MISDIRECTED or self._not_run and self._not_run in a.header_map:
             self.counts.add("upstream_turned_away")
             self.hosts.turned_away(spot, a.status, now)
-            place.back(keep=a.keep and a.status != MISDIRECTED)
+            place.release(keep=a.reusable and a.status != MISDIRECTED)
             return self._again(t, "the upstream turned it away")
-        t.ran = True
-        if OK <= a.status < REDIRECT and self._seal and self._seal not in a.said:
-            place.back(keep=False)
+        t.may_have_run = True
+        if OK <= a.status < REDIRECT and self._seal and self._seal not in a.header_map:
+            place.release(keep=False)
             self.hosts.failed(spot, now)
             return self._again(t, "garbage: a success without a seal")
         if a.status >= SERVER_ERROR and t.route.kind == "read" and t.sent < t.route.tries and t.end - now > LEAST:
-            place.back(keep=a.keep)
+            place.release(keep=a.reusable)
             return None
         if a.status in PROMISE:
-            place.back(keep=a.keep)
+            place.release(keep=a.reusable)
             return self._end(t, f"the upstream answered {a.status}, and it may have run")
         self.counts.add("answers")
-        if a.rest is None:
-            place.back(keep=a.keep)
+        if a.body_stream is None:
+            place.release(keep=a.reusable)
         else:
             place.streams = True
-        return Reply(a.status, answer=a, lease=place, runs_on=not t.may_repeat)
+        return ProxyResponse(a.status, answer=a, lease=place, drain_if_client_leaves=not t.idempotent)
 
-    def _broke(self, place: Place, sent_at: float, now: float) -> None:
+    def _broke(self, place: UpstreamLease, sent_at: float, now: float) -> None:
         """A connection long idle that breaks at once was forgotten; that says nothing of its upstream."""
         if place.idle is None or place.idle < IDLE or now - sent_at > AT_ONCE:
             self.hosts.failed(place.spot, now)
             return
         self.counts.add("upstream_forgot_connection")
-        self.hosts.links.forgotten(place.idle, now)
+        self.hosts.idle_connections.forgotten(place.idle, now)
 
-    def _again(self, t: Trip, why: str) -> Reply | None:
-        if t.sent >= t.route.tries or t.ran and not t.may_repeat:
+    def _again(self, t: HostRouteRequest, why: str) -> ProxyResponse | None:
+        if t.sent >= t.route.tries or t.may_have_run and not t.idempotent:
             return self._end(t, why)
         return None
 
-    def _end(self, t: Trip, why: str) -> Reply:
+    def _end(self, t: HostRouteRequest, why: str) -> ProxyResponse:
         """The one place that may promise that nothing ran."""
-        if not t.ran:
+        if not t.may_have_run:
             self.counts.add("rejected_not-run")
             return own(503, NOT_RUN, f"routes.{t.route.name}", why, 0.1 + self.admission.jitter())
         self.counts.add("rejected_unknown")
         return own(504 if self.now() >= t.end - LEAST else 502, UNKNOWN, f"routes.{t.route.name}", why)
 
-    def _part(self, t: Trip, place: Place, now: float) -> float:
+    def _part(self, t: HostRouteRequest, place: UpstreamLease, now: float) -> float:
         """Until when a read waits for this upstream before it looks whether that is silent to all."""
-        if not t.may_repeat or t.sent >= t.route.tries:
+        if not t.idempotent or t.sent >= t.route.tries:
             return t.end
         left = t.end - now
         return now + min(PART * left, max(SOON * left, SLOW * place.spot.latency))
 
-    def _gives_up(self, t: Trip, place: Place) -> bool:
+    def _gives_up(self, t: HostRouteRequest, place: UpstreamLease) -> bool:
         """Whether to send to another upstream too: this one is silent to all, and the repeat can be sent at once.
 
         The budget's repeat is taken here, so that it is still there when it is sent.
@@ -369,7 +373,7 @@
         t.repeat_taken = self.hosts.budget(t.service).again(now)
         return t.repeat_taken
 
-    def _takes_repeat(self, t: Trip, now: float) -> bool:
+    def _takes_repeat(self, t: HostRouteRequest, now: float) -> bool:
         """Whether the budget gives a repeat, or has given this one."""
         if t.repeat_taken:
             t.repeat_taken = False
@@ -377,5 +381,5 @@
         return self.hosts.budget(t.service).again(now)
 
 
-def _is_late(r: Result[Answer, str] | ClientLeft) -> bool:
+def _is_late(r: Result[UpstreamResponse, str] | ClientLeft) -> bool:
     return isinstance(r, Err) and r.err_value == "limit"
--- a/mallowvalve/proxy/trip.py
+++ b/mallowvalve/proxy/trip.py
@@ -6,10 +6,10 @@
 
 from mallowvalve.configuration.items import HostRoute
 from mallowvalve.finding import Finding
-from mallowvalve.proxy.host import Place
-from mallowvalve.proxy.steps import Ask, Reply
+from mallowvalve.proxy.host import UpstreamLease
+from mallowvalve.proxy.steps import ClientRequest, ProxyResponse
 
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -26,14 +26,14 @@
 )
 
 
-class Trip(msgspec.Struct):
+class HostRouteRequest(msgspec.Struct):
     """A request on a host route; what was decided for it is decided again before anything is sent.
 
     `repeat_taken`: the budget has given its next repeat already. `left`: its client has closed its connection.
     `unanswered`: places at upstreams that were silent so far and may still answer, while it is sent to another one.
     """
 
-    ask: Ask
+    ask: ClientRequest
     host: str
     path: str
     route: HostRoute
@@ -42,24 +42,26 @@
     end: float
     mark: str = ""
     body: bytes = b""
-    lines: str = ""
+    head: str = ""
     tried: set = msgspec.field(default_factory=set)
     sent: int = 0
     opens: int = 0
-    ran: bool = False
+    may_have_run: bool = False
     repeat_taken: bool = False
     left: bool = False
-    unanswered: list[Place] = msgspec.field(default_factory=list)
+    unanswered: list[UpstreamLease] = msgspec.field(default_factory=list)
 
     @property
-    def may_repeat(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether the request may run more than once."""
         return self.route.kind == "read"
 
 
-def own(status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False) -> Reply:
+def own(
+    status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False
+) -> ProxyResponse:
     """An answer of the proxy's own; `after`: when to come back (s)."""
-    return Reply(status, outcome, [Finding(place, text)], after, close)
+    return ProxyResponse(status, outcome, [Finding(place, text)], after, close)
 
 
 def bare(host: str) -> str:
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -31,8 +31,8 @@
 from mallowvalve.membership.wire import decode as membership_decode
 from mallowvalve.membership.wire import encode as membership_encode
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.host import Hosts, Spot
-from mallowvalve.proxy.tries import Tries
+from mallowvalve.proxy.host import HostUpstreams, UpstreamState
+from mallowvalve.proxy.tries import HostForwarder
 from mallowvalve.raft.messages import COMMAND, Entry
 from mallowvalve.settings import check
 from mallowvalve.upstreams.liveness import Heard, Liveness
@@ -73,7 +73,7 @@
         ("registry rows", registry, UPSTREAMS),
         ("membership", membership, NODES),
         ("board rows", board, UPSTREAMS),
-        ("spots", lambda m: [Spot(u) for u in ups[:m]], UPSTREAMS),
+        ("spots", lambda m: [UpstreamState(u) for u in ups[:m]], UPSTREAMS),
         ("seats", seats, NODES),
     ):
         for m in (int(n * part / 10), int(n * part)):
@@ -312,7 +312,7 @@
         e.state.settings.revision, e.state.clock = 1, 90_000_000
         item = e.state.items.services["service-0001"]
         settings = {"name": "x", "locality": str(at(9)), "transport": "10.0.0.9:1", "web": "10.0.0.9:2"}
-        h = Hosts(e, check("proxy", settings).unwrap(), random.Random(1), lambda: 1.0)
+        h = HostUpstreams(e, check("proxy", settings).unwrap(), random.Random(1), lambda: 1.0)
         spot = h.pick("service-0001", [], set(), 1.0)[0]
         one = spent(lambda: h.pick("service-0001", [], set(), 1.0), 0.1)
         old = spent(lambda: b.usable("service-0001", 1.0), 0.1)
@@ -339,11 +339,11 @@
             "serve_on": True,
         }
         settings = check("proxy", settings).unwrap()
-        h = Hosts(e, settings, random.Random(1), lambda: 1.0)
-        tries = Tries(e, h, settings, Counts(), lambda: 1.0, random.Random(1))
+        h = HostUpstreams(e, settings, random.Random(1), lambda: 1.0)
+        tries = HostForwarder(e, h, settings, Counts(), lambda: 1.0, random.Random(1))
         one = spent(lambda: carry_one(tries, head), 0.5)
         click.echo(
-            f"work    {len(e.state.items.routes)} routes, {len(h.spots)} upstreams: {one * 1e6:.0f} us a request between the sockets"
+            f"work    {len(e.state.items.routes)} routes, {len(h.upstreams)} upstreams: {one * 1e6:.0f} us a request between the sockets"
         )
 
 
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -13,19 +13,19 @@
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
 from mallowvalve.node import STOP_SHARES
-from mallowvalve.proxy.host import Hosts
+from mallowvalve.proxy.host import HostUpstreams
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
-    Answer,
-    Ask,
-    Await,
+    AwaitResponse,
     ClientCheck,
+    ClientRequest,
     Exchange,
-    Open,
-    Reply,
-    Room,
+    OpenConnection,
+    ProxyResponse,
+    UpstreamResponse,
+    WaitForCapacity,
 )
-from mallowvalve.proxy.tries import Tries
+from mallowvalve.proxy.tries import HostForwarder
 from mallowvalve.raft.messages import Group
 from mallowvalve.settings import check
 from mallowvalve.types import Address, Locality
@@ -62,7 +62,7 @@
     left: float | None = None
     left_seen: bool = False
     on_left: Callable[[], None] | None = None
-    reply: Reply | None = None
+    reply: ProxyResponse | None = None
     answered: float | None = None
     closed: str = ""
     runs: list[Run] = msgspec.field(default_factory=list)
@@ -189,8 +189,8 @@
         settings = check("proxy", raw).ok_value
         rng = random.Random(self.world.rng.random())
         replica = Replica(self.addr, self.life, "proxy", self.locality, lambda r: None)
-        self.hosts = Hosts(replica, settings, rng, lambda: self.now)
-        self.tries = Tries(replica, self.hosts, settings, Counts(), lambda: self.now, rng)
+        self.hosts = HostUpstreams(replica, settings, rng, lambda: self.now)
+        self.tries = HostForwarder(replica, self.hosts, settings, Counts(), lambda: self.now, rng)
         self.tries.admission.serves_until = self.serves_until
         self.world.after(SETTINGS_AFTER, lambda: self._settle(replica))
 
@@ -234,7 +234,7 @@
             steps.close()
             call.closed, call.answered, call.told_at = "cut by the stop", self.now, self.signalled_at
         self.open.clear()
-        self.busy_at_end += [s.up.instance for s in self.hosts.spots.values() if s.busy]
+        self.busy_at_end += [s.up.instance for s in self.hosts.upstreams.values() if s.in_flight]
         self.life += 1
         self.world.after(RESTART, self.start)
 
@@ -244,7 +244,7 @@
         method = "GET" if call.kind == "read" else "POST"
         headers = {"host": HOST, "mallow-ask": call.id, "mallow-limit": str(int(call.limit * 1000))}
         length = 0 if call.kind == "try" else None
-        steps = self.tries.carry(Ask(method, f"/{call.kind}/1", headers, "c", length, list(headers.items())))
+        steps = self.tries.handle(ClientRequest(method, f"/{call.kind}/1", headers, "c", length, list(headers.items())))
         self.open[call.id] = call, steps
         self._drive(call, steps, None, answer, self.life)
 
@@ -275,8 +275,8 @@
         match s:
             case ClientCheck():
                 go(CLIENT_LEFT if self.sees_left(call) else None)
-            case Exchange() | Await():
-                if s.until_left:
+            case Exchange() | AwaitResponse():
+                if s.stop_if_client_leaves:
                     call.on_left = lambda: go(CLIENT_LEFT)
                     if self.sees_left(call):
                         self.world.after(0.0, call.on_left)
@@ -284,20 +284,20 @@
                     s.connection.exchange(call, s.end, go)
                 else:
                     s.connection.receive(s.end, go)
-            case Open():
+            case OpenConnection():
                 up = self.upstreams[s.heartbeat.instance]
                 wait = max(0.0, s.end - self.now) if up.dark else LAG
                 opened = Err("unreachable") if up.dark else Ok(SimLink(self, up))
                 self.world.after(wait, lambda: go(opened))
-            case Room():
+            case WaitForCapacity():
                 self.world.after(max(0.0, s.end - self.now), lambda: go(False))
 
     def sees_left(self, call: Call) -> bool:
         return call.left_seen
 
 
-def _answer(status: int, body: bytes, **said: str) -> Answer:
-    return Answer(status, list(said.items()), body, len(body), None, True, dict(said))
+def _answer(status: int, body: bytes, **said: str) -> UpstreamResponse:
+    return UpstreamResponse(status, list(said.items()), body, len(body), None, True, dict(said))
 
 
 def items(kinds: dict[str, float], tries: int) -> Items:
--- a/sim/large.py
+++ b/sim/large.py
@@ -19,7 +19,7 @@
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import Fleet, Proc, until
 from mallowvalve.localfleet.main import load_shape
-from mallowvalve.proxy.call import digest
+from mallowvalve.proxy.call import request_digest
 from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
 from mallowvalve.storage.disk import Folder
 from mallowvalve.storage.log import DiskLog
@@ -32,7 +32,7 @@
     s = State(7)
     s.index = 10
     s.settings.doc, s.settings.doc_revision, s.settings.revision = msgspec.json.encode(config), s.revision, s.revision
-    dig = digest("POST", "/runs", b"{}")
+    dig = request_digest("POST", "/runs", b"{}")
     for i in range(rows):
         k = f"runner\0{i:032x}"
         s.ledger.rows[k] = Row(
--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -6,22 +6,22 @@
 from mallowvalve.control.state import encode
 from mallowvalve.ledger.ledger import Verdict
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.pool import Pool
-from mallowvalve.proxy.repeats import Repeats
+from mallowvalve.proxy.repeats import RetryDetector
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
-    Answer,
-    Ask,
-    Body,
     ClientCheck,
+    ClientRequest,
     Exchange,
-    Insist,
-    Offer,
-    Open,
-    Pause,
-    Reply,
-    Room,
+    OpenConnection,
+    ProposeCommand,
+    ProposeInBackground,
+    ProxyResponse,
+    ReadBody,
+    Sleep,
+    UpstreamResponse,
+    WaitForCapacity,
 )
 from mallowvalve.upstreams.board import Aged, Board, Heartbeat
 from sim.history import History
@@ -61,7 +61,7 @@
         then, self._then = self._then, None
         if data in (b"reset", b"garbage", b"half"):
             return then(Err(f"{'garbage' if data == b'garbage' else 'broken'}: {data.decode()}"))
-        then(Ok(Answer(200, [], data, len(data), None, True)))
+        then(Ok(UpstreamResponse(200, [], data, len(data), None, True)))
 
     def _ended(self, then) -> None:
         if self._then is then:
@@ -69,11 +69,11 @@
             then(Err("limit"))
 
 
-class Telling(Repeats):
+class Telling(RetryDetector):
     __slots__ = ("tell",)
 
-    def failed(self, name: bytes, now: float) -> None:
-        super().failed(name, now)
+    def record_failure(self, name: bytes, now: float) -> None:
+        super().record_failure(name, now)
         self.tell(name)
 
 
@@ -86,7 +86,7 @@
         self.board, self.repeats = Board(), Telling()
         self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
         self.pool = Pool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
-        self.path = Path(
+        self.path = TenantForwarder(
             self.replica,
             self.pool,
             self.repeats,
@@ -116,7 +116,7 @@
                 answer(encode(self.board.newer_than(_digest(body), self.now)))
             case "failed":
                 for name in _names(body):
-                    Repeats.failed(self.repeats, name, self.now)
+                    RetryDetector.record_failure(self.repeats, name, self.now)
             case _:
                 super().handle(kind, src, body, answer)
 
@@ -128,7 +128,7 @@
         if again:
             headers["mallow-again"] = "1"
         mark = [id, key, n, tenant, target]
-        self._drive(self.path.carry(Ask(method, target, headers, src.host)), None, mark, slow, answer)
+        self._drive(self.path.handle(ClientRequest(method, target, headers, src.host)), None, mark, slow, answer)
 
     def _drive(self, steps, got, mark: list, slow: float, answer) -> None:
         try:
@@ -140,7 +140,7 @@
             self._drive(steps, result, mark, slow, answer)
 
         match s:
-            case Body():
+            case ReadBody():
                 late = slow > s.end - self.now
                 body = (
                     Err((408, "body", "did not arrive"))
@@ -148,19 +148,19 @@
                     else Ok(mark[0].encode() if mark[1] == "" else mark[1].encode())
                 )
                 self.wake(min(slow, max(0.0, s.end - self.now)), lambda: go(body))
-            case Offer():
+            case ProposeCommand():
                 self.offer(
-                    encode(s.command), s.limit, lambda t: go(_verdict(t.body) if t.body else Verdict("undecided"))
+                    encode(s.command), s.timeout_s, lambda t: go(_verdict(t.body) if t.body else Verdict("undecided"))
                 )
-            case Insist():
+            case ProposeInBackground():
                 self._insist(s, self.now + 10.0)
                 go(None)
-            case Pause():
-                self.wake(s.wait, lambda: go(None))
-            case Room():
+            case Sleep():
+                self.wake(s.delay_s, lambda: go(None))
+            case WaitForCapacity():
                 self._rooms.setdefault(s.service, []).append(go)
                 self.wake(max(0.001, s.end - self.now), lambda: self._no_room(s.service, go))
-            case Open():
+            case OpenConnection():
                 left = max(0.001, min(1.0, s.end - self.now))
                 self.call(s.heartbeat.address, "status", b"", left, lambda d: go(self._identify(s.heartbeat, d)))
             case ClientCheck():
@@ -186,9 +186,9 @@
             waiting.remove(go)
             go(False)
 
-    def _insist(self, s: Insist, end: float) -> None:
+    def _insist(self, s: ProposeInBackground, end: float) -> None:
         def took(t) -> None:
-            if t.body and _verdict(t.body).state in s.good or self.now >= end:
+            if t.body and _verdict(t.body).state in s.accepted_states or self.now >= end:
                 return
             self.wake(0.5, lambda: self._insist(s, end))
 
@@ -224,5 +224,5 @@
                 self.cast(a, kind, body)
 
 
-def said(r: Reply) -> list:
+def said(r: ProxyResponse) -> list:
     return ["answer", r.answer.body] if r.answer is not None else [r.outcome, b""]
--- a/sim/request_cost.py
+++ b/sim/request_cost.py
@@ -6,8 +6,8 @@
 
 from mallowvalve.http_head import read_head
 from mallowvalve.proxy.reader import Reader
-from mallowvalve.proxy.steps import Answer, Ask, ClientCheck, Exchange, Open
-from mallowvalve.proxy.tries import Tries
+from mallowvalve.proxy.steps import ClientCheck, ClientRequest, Exchange, OpenConnection, UpstreamResponse
+from mallowvalve.proxy.tries import HostForwarder
 
 HEAD = (
     b"GET /p1001/ HTTP/1.1\r\nHost: h00001.example\r\nUser-Agent: client/1.0\r\nAccept: */*\r\nMallow-Ask: 0123456789abcdef\r\n"
@@ -29,20 +29,20 @@
         return False
 
 
-def carry_one(tries: Tries, head: bytes) -> None:
+def carry_one(tries: HostForwarder, head: bytes) -> None:
     h = read_head(head)
-    steps, got = tries.carry(Ask(h.method, h.target, h.said, "", h.length, h.pairs)), None
+    steps, got = tries.handle(ClientRequest(h.method, h.target, h.said, "", h.length, h.pairs)), None
     try:
         while True:
             match steps.send(got):
-                case Open() as s:
+                case OpenConnection() as s:
                     got = Ok(Kept(s.heartbeat))
                 case ClientCheck():
                     got = None
                 case Exchange() as s:
-                    r = Reader(s.method, "mallow-ask", s.ask)
+                    r = Reader(s.method, "mallow-ask", s.request_id)
                     r.take(ANSWER)
-                    got = Ok(Answer(r.status, r.headers, bytes(r.body), len(r.body), None, r.keep, r.said))
+                    got = Ok(UpstreamResponse(r.status, r.headers, bytes(r.body), len(r.body), None, r.keep, r.said))
     except StopIteration as e:
         if e.value.status != 200:
             raise SystemExit(f"a request ended in {e.value}") from None
--- a/tests/front_players.py
+++ b/tests/front_players.py
@@ -13,7 +13,7 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.front import Front
 from mallowvalve.types import Address
-from tests.tryout import Bench
+from tests.tryout import HostBench
 
 ANSWER = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nX-Own: a\r\nx-own: b\r\nConnection: keep-alive\r\n"
 
@@ -56,16 +56,16 @@
     """A proxy's front over one upstream: the server, the upstream and the proxy's parts."""
     up = Up()
     up.server.start()
-    b = Bench(clock.now)
+    b = HostBench(clock.now)
     b.route("r", "/r/", "read", service="s", tries=1, limit_ms=5000.0)
     b.route("o", "/o/", "try", service="s", tries=2, limit_ms=5000.0)
     b.upstream("u0", port=up.server.server_port)
     b.state.items.limits = Limits(version=1, header_bytes=2000, body_bytes=1000, header_ms=150.0, idle_ms=60000.0)
-    front = Front(b.tries, None, True)
+    front = Front(b.forwarder, None, True)
     b.hosts.on_free = front.rooms.freed
     with web.Server(Address("127.0.0.1", 0), front, Counts(), 16) as s:
         s.lean, s.limits = True, lambda: b.state.items.limits
-        b.tries.admission.serves_until = lambda: s.until
+        b.forwarder.admission.serves_until = lambda: s.until
         yield s, up, b
     up.server.stop()
 
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -7,9 +7,9 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.pool import Pool
-from mallowvalve.proxy.repeats import Repeats
+from mallowvalve.proxy.repeats import RetryDetector
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Board, Heartbeat
@@ -27,7 +27,7 @@
 }
 
 
-class Bench:
+class TenantBench:
     """One proxy's path over a seated replica, with a hand on its clock and its settings."""
 
     def __init__(self, now=lambda: 0.0, config=CONFIG):
@@ -37,7 +37,9 @@
         self.board, self.counts = Board(), Counts()
         self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
         self.now = now
-        self.path = Path(self.replica, self.pool, Repeats(), self.counts, now, HERE, "me#7", lambda: "n1")
+        self.forwarder = TenantForwarder(
+            self.replica, self.pool, RetryDetector(), self.counts, now, HERE, "me#7", lambda: "n1"
+        )
         self.apply(config)
         self.fresh()
 
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -51,7 +51,7 @@
     up.end.set()
     up.server.stop()
     assert (got, headers["mallow-outcome"]) == (status, outcome)
-    assert not b.hosts.links._idle.get("u0")
+    assert not b.hosts.idle_connections._idle.get("u0")
 
 
 CHUNKS = b"2\r\nab\r\n0\r\nX-One: 1\r\nX-Two: 2\r\n\r\n"
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -12,11 +12,11 @@
 
 from mallowvalve.client_watch import Happened, WatchedSocket, wait_for_bytes
 from mallowvalve.http_head import Incoming
-from mallowvalve.proxy.steps import CLIENT_LEFT, Await, ClientCheck, Exchange, Room
+from mallowvalve.proxy.steps import CLIENT_LEFT, AwaitResponse, ClientCheck, Exchange, WaitForCapacity
 from tests.front_players import ANSWER, Client, req, served
-from tests.tryout import NOT_RUN, Played, answer, ask
+from tests.tryout import NOT_RUN, HostScenario, make_request, make_response
 
-READ, ONCE = ask("/r/1"), ask("/o/1", "POST", length=0)
+READ, ONCE = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 POST = b"Content-Length: 0\r\n"
 LEAVERS = 10
 SOON_S = 2.0
@@ -68,7 +68,7 @@
 
 
 def quiet(b):
-    return all(spot.busy == 0 for spot in b.hosts.spots.values()) and not b.hosts.waiting
+    return all(spot.in_flight == 0 for spot in b.hosts.upstreams.values()) and not b.hosts.waiting
 
 
 def test_no_read_goes_on_for_clients_who_left(silent):
@@ -78,7 +78,7 @@
     for c in clients:
         c.sock.close()
     assert until(lambda: up.ended == LEAVERS), f"{up.begun - up.ended} of {LEAVERS} runs went on"
-    assert until(lambda: quiet(b)) and b.tries.counts.snapshot()["client_left"] == LEAVERS
+    assert until(lambda: quiet(b)) and b.forwarder.counts.snapshot()["client_left"] == LEAVERS
 
 
 def test_a_reset_counts_as_leaving(silent):
@@ -96,7 +96,7 @@
     assert until(lambda: up.begun == 1)
     c.sock.close()
     assert until(lambda: quiet(b))
-    spot = b.hosts.spots["u0"]
+    spot = b.hosts.upstreams["u0"]
     assert (spot.mute, spot.since, spot.doubted) == (None, 0, False) and spot.broken_until <= b.now()
 
 
@@ -107,10 +107,10 @@
     assert up.begun.wait(SOON_S)
     c.sock.close()
     Event().wait(timeout=0.1)
-    assert b.hosts.spots["u0"].busy == 1
+    assert b.hosts.upstreams["u0"].in_flight == 1
     up.go.set()
-    assert until(lambda: quiet(b)) and b.tries.counts.snapshot()["answers"] == 1
-    assert len(b.hosts.links._idle["u0"]) == 1
+    assert until(lambda: quiet(b)) and b.forwarder.counts.snapshot()["answers"] == 1
+    assert len(b.hosts.idle_connections._idle["u0"]) == 1
 
 
 @pytest.mark.parametrize("head", [b"Content-Length: 600000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n927c0\r\n"])
@@ -189,19 +189,21 @@
 
 @pytest.mark.parametrize("asked", [READ, ONCE], ids=["read", "once"])
 def test_nothing_is_sent_for_a_client_who_left_before(asked):
-    p = Played()
+    p = HostScenario()
     p.checks = [CLIENT_LEFT]
     r = p.run(asked)
     assert not p.sent() and (r.status, r.outcome, r.close) == (503, "not-run", True)
-    assert p.b.hosts.links.take(p.b.hosts.spots["u0"].up, p.t) or p.b.hosts.links.take(p.b.hosts.spots["u1"].up, p.t)
+    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].up, p.t) or p.b.hosts.idle_connections.take(
+        p.b.hosts.upstreams["u1"].up, p.t
+    )
 
 
 def test_a_client_who_leaves_while_it_waits_for_a_place_is_not_served():
-    p = Played(upstreams=1)
+    p = HostScenario(upstreams=1)
     p.b.hosts.sync(0.0)
-    p.b.hosts.spots["u0"].busy = 8
-    gen = p.b.tries.carry(READ)
-    assert isinstance(gen.send(None), Room)
+    p.b.hosts.upstreams["u0"].in_flight = 8
+    gen = p.b.forwarder.handle(READ)
+    assert isinstance(gen.send(None), WaitForCapacity)
     s = gen.send(False)
     assert isinstance(s, ClientCheck)
     with pytest.raises(StopIteration) as end:
@@ -209,9 +211,9 @@
     assert end.value.value.outcome == "not-run" and p.b.hosts.waiting == {}
 
 
-@pytest.mark.parametrize("first", [Err("broken: reset"), answer(500), answer(503, **NOT_RUN)])
+@pytest.mark.parametrize("first", [Err("broken: reset"), make_response(500), make_response(503, **NOT_RUN)])
 def test_a_repeat_is_not_sent_for_a_client_who_left(first):
-    p = Played([first])
+    p = HostScenario([first])
     p.checks = [None, CLIENT_LEFT]
     budget = p.b.hosts.budget("s")
     p.run(READ)
@@ -219,17 +221,17 @@
 
 
 def test_only_what_may_be_repeated_ends_when_the_client_leaves():
-    p = Played()
+    p = HostScenario()
     p.run(READ)
     p.run(ONCE)
-    assert [s.until_left for s in p.sent()] == [True, False]
+    assert [s.stop_if_client_leaves for s in p.sent()] == [True, False]
 
 
 def test_a_client_who_leaves_while_two_upstreams_are_at_work_stops_both():
-    p = Played([Err("limit"), CLIENT_LEFT])
+    p = HostScenario([Err("limit"), CLIENT_LEFT])
     p.acts["exchange"] = lambda p: setattr(p, "t", p.steps[-1].end)
     r = p.run(READ)
-    assert r.close and len(p.sent()) == 2 and not p.count(Await)
+    assert r.close and len(p.sent()) == 2 and not p.count(AwaitResponse)
     assert all(s.connection.closed for s in p.sent())
 
 
@@ -275,22 +277,22 @@
 
 def test_a_read_that_was_sent_to_two_gets_the_first_ones_late_answer_when_the_second_fails():
     """A silent upstream is kept until another one has answered: a second that breaks off costs nothing."""
-    for second in (Err("broken: reset"), answer(503, **NOT_RUN), Err("unsent: gone")):
-        p = Played([Err("limit"), second])
+    for second in (Err("broken: reset"), make_response(503, **NOT_RUN), Err("unsent: gone")):
+        p = HostScenario([Err("limit"), second])
         p.acts["exchange"] = lambda p: setattr(p, "t", p.steps[-1].end)
         assert p.run(READ).status == 200
-        assert len(p.sent()) == 2 and p.count(Await) == 1
+        assert len(p.sent()) == 2 and p.count(AwaitResponse) == 1
         assert p.steps[-1].connection is p.sent()[0].connection and not p.sent()[0].connection.closed
 
 
 def test_a_second_upstream_that_cannot_be_reached_does_not_cost_the_first_ones_answer():
-    p = Played([Err("limit")])
+    p = HostScenario([Err("limit")])
     p.acts["exchange"] = lambda p: (setattr(p, "t", p.steps[-1].end), setattr(p, "opens", [Err("unreachable")] * 9))
-    assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(Await) == 1
+    assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(AwaitResponse) == 1
 
 
 def test_the_first_upstream_is_let_go_once_another_has_answered():
-    p = Played([Err("limit"), answer()])
+    p = HostScenario([Err("limit"), make_response()])
     p.acts["exchange"] = lambda p: setattr(p, "t", p.steps[-1].end)
     assert p.run(READ).status == 200
     first, second = (s.connection for s in p.sent())
--- a/tests/test_client_leaves_tenant.py
+++ b/tests/test_client_leaves_tenant.py
@@ -10,9 +10,9 @@
 from mallowvalve import clock, web
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.serve import Serve, Stream
-from mallowvalve.proxy.steps import Answer, Reply
+from mallowvalve.proxy.steps import ProxyResponse, UpstreamResponse
 from mallowvalve.types import Address
-from tests.paths import Bench
+from tests.paths import TenantBench
 
 WHO = b'{"service":"s","instance":"u0","incarnation":1}'
 STATUS = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(WHO) + WHO
@@ -51,10 +51,10 @@
     """A tenant's read through a proxy to an upstream that says so much: the client's socket, upstream and proxy."""
     up = SilentUpstream(says)
     up.server.start()
-    b = Bench(clock.now)
+    b = TenantBench(clock.now)
     b.upstream(port=up.server.server_port)
     app = web.make_app()
-    app.add_sink(Serve(b.path, None, 1 << 20), "/")
+    app.add_sink(Serve(b.forwarder, None, 1 << 20), "/")
     with web.Server(Address("127.0.0.1", 0), app, Counts(), 4) as server:
         sock = socket.create_connection(("127.0.0.1", server.server_port), timeout=10)
         sock.sendall(b"GET /r/1 HTTP/1.1\r\nHost: x\r\nMallow-Tenant: t\r\n%s\r\n" % more)
@@ -76,19 +76,19 @@
             assert data
             got += len(data)
         sock.close()
-        assert until(lambda: up.ended == 1) and until(lambda: b.pool.chooser.busy == {})
+        assert until(lambda: up.ended == 1) and until(lambda: b.pool.chooser.in_flight == {})
 
 
 class Lease:
     def __init__(self):
         self.returned = 0
 
-    def back(self, keep):
+    def release(self, keep):
         self.returned += 1
 
 
-@pytest.mark.parametrize("runs_on", [True, False])
-def test_the_rest_of_what_may_not_be_repeated_is_read_to_its_end(runs_on):
+@pytest.mark.parametrize("drain_if_client_leaves", [True, False])
+def test_the_rest_of_what_may_not_be_repeated_is_read_to_its_end(drain_if_client_leaves):
     read, lease = [], Lease()
 
     def rest():
@@ -96,12 +96,19 @@
             read.append(part)
             yield part
 
-    stream = Stream(Reply(200, answer=Answer(200, [], None, 3, rest()), lease=lease, runs_on=runs_on))
+    stream = Stream(
+        ProxyResponse(
+            200,
+            answer=UpstreamResponse(200, [], None, 3, rest()),
+            lease=lease,
+            drain_if_client_leaves=drain_if_client_leaves,
+        )
+    )
     parts = iter(stream)
     assert next(parts) == b"a"
     parts.close()
     assert until(lambda: lease.returned == 1)
-    assert read == ([b"a", b"b", b"c"] if runs_on else [b"a"])
+    assert read == ([b"a", b"b", b"c"] if drain_if_client_leaves else [b"a"])
 
 
 def test_a_stream_whose_upstream_is_silent_ends_short_at_its_limit():
@@ -110,4 +117,4 @@
         got = 0
         while data := sock.recv(65536):
             got += len(data)
-        assert got < 900_000 and until(lambda: b.pool.chooser.busy == {})
+        assert got < 900_000 and until(lambda: b.pool.chooser.in_flight == {})
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.tryout import ask
+from tests.tryout import make_request
 from tests.upstream_wire import BEHAVIOURS, Wire
 
 GAPS = [0.0, 0.6, 2.5]
@@ -28,7 +28,7 @@
     else:
         assert len(sent) <= 2
     if reply.answer is not None:
-        assert reply.answer.body == name.encode() and reply.answer.said["mallow-ask"] == name
+        assert reply.answer.body == name.encode() and reply.answer.header_map["mallow-ask"] == name
     elif reply.outcome == "not-run":
         assert not maybe
     else:
@@ -43,9 +43,9 @@
         name = f"{chr(97 + i)}0"
         began = wire.now
         if kind == "read":
-            reply = wire.carry(ask(f"/r/{i}", mark=name))
+            reply = wire.carry(make_request(f"/r/{i}", mark=name))
         else:
-            reply = wire.carry(ask(f"/o/{i}", "POST", mark=name, length=20))
+            reply = wire.carry(make_request(f"/o/{i}", "POST", mark=name, length=20))
         assert wire.now - began <= LIMIT + SLACK
         check_exchange(wire, name, kind, reply)
     return wire
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -29,7 +29,7 @@
         )
         assert headers["date"] is None and headers["connection"] is None
     assert b"Mallow-Expect: u0" in up.got[0][0] and b"Mallow-Limit: 4" in up.got[0][0]
-    assert len(b.hosts.links._idle["u0"]) == 1
+    assert len(b.hosts.idle_connections._idle["u0"]) == 1
 
 
 @pytest.mark.parametrize(
@@ -105,7 +105,7 @@
     app = web.make_app()
     app.add_route("/-/own", Own())
     app.add_sink(lambda req, resp, **_: web.say(resp, {"tenant": req.get_header("Mallow-Tenant")}), "/")
-    s.application = Front(b.tries, app, False)
+    s.application = Front(b.forwarder, app, False)
     c = Client(s)
     status, body, _ = c.send(req(b"/-/own?about=a", more=b"X-One: 1\r\n")).answer()
     assert (status, body) == (200, b'{"about":"a","x":"1"}')
@@ -115,7 +115,7 @@
     assert c.send(other % b"").answer()[0] == 404
     b.state.items.revision = 0
     assert c.send(other % b"").answer()[1] == b'{"tenant":null}'
-    s.application = Front(b.tries, app, True)
+    s.application = Front(b.forwarder, app, True)
     assert c.send(other % b"").answer()[0] == 503
     assert c.send(req(b"/-/own")).answer()[0] == 503
 
@@ -183,7 +183,7 @@
     for mark in (b"a1", b"a2"):
         status, body, headers = c.send(req(mark=mark)).answer()
         assert (status, body, headers["mallow-ask"]) == (200, b"ok", mark.decode())
-    assert not b.hosts.links._idle.get("u0")
+    assert not b.hosts.idle_connections._idle.get("u0")
 
 
 def test_an_answer_that_ends_early_never_looks_whole(set_up):
@@ -209,7 +209,7 @@
     s, up, b = set_up
     up.how = lambda mark: ANSWER % mark + how % (b"x" * 600_000)
     status, body, _ = Client(s).send(req()).answer()
-    assert (status, len(body)) == (200, 600_000) and b.hosts.spots["u0"].busy == 0
+    assert (status, len(body)) == (200, 600_000) and b.hosts.upstreams["u0"].in_flight == 0
 
 
 def test_a_connection_that_broke_before_its_answer_is_no_proof(set_up):
--- a/tests/test_host_days.py
+++ b/tests/test_host_days.py
@@ -6,8 +6,8 @@
 import pytest
 
 from mallowvalve.proxy import admission
-from mallowvalve.proxy.tries import Tries
-from mallowvalve.proxy.trip import Trip
+from mallowvalve.proxy.tries import HostForwarder
+from mallowvalve.proxy.trip import HostRouteRequest
 from sim.host_days import HOST_DAYS, play_host_day
 from sim.host_fleet import HostProxy
 
@@ -37,10 +37,10 @@
     """A silent upstream's connection is closed before the request is sent to another one."""
 
     def tries_another(self, t, place):
-        t.ran = True
-        place.back(keep=False)
+        t.may_have_run = True
+        place.release(keep=False)
 
-    return patch.object(Tries, "_tries_another", tries_another)
+    return patch.object(HostForwarder, "_start_hedge", tries_another)
 
 
 @contextmanager
@@ -52,12 +52,12 @@
 
 def looks_only_before_it_sends():
     """A read's client is not watched while an upstream is at work."""
-    return patch.object(Trip, "may_repeat", property(lambda t: False))
+    return patch.object(HostRouteRequest, "idempotent", property(lambda t: False))
 
 
 def stops_whatever_a_client_left():
     """What may not be repeated is stopped as a read is."""
-    return patch.object(Trip, "may_repeat", property(lambda t: True))
+    return patch.object(HostRouteRequest, "idempotent", property(lambda t: True))
 
 
 PLANTED = (
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -11,15 +11,15 @@
 
 from mallowvalve import clock, web
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.steps import Ask, Await, Exchange, Offer
+from mallowvalve.proxy.steps import AwaitResponse, ClientRequest, Exchange, ProposeCommand
 from mallowvalve.types import Address
 from tests.front_players import Client, req, served
-from tests.test_path import Played as TenantPlayed
-from tests.tryout import Played, ask
+from tests.test_path import TenantScenario as TenantPlayed
+from tests.tryout import HostScenario, make_request
 
 GRACE_S, LINGER_S = 5.4, 3.0
-TENANT_READ = Ask("GET", "/r/1", {"mallow-tenant": "t"}, "c", None)
-TENANT_ONCE = Ask("POST", "/o", {"mallow-tenant": "t", "mallow-key": "k"}, "c", 0)
+TENANT_READ = ClientRequest("GET", "/r/1", {"mallow-tenant": "t"}, "c", None)
+TENANT_ONCE = ClientRequest("POST", "/o", {"mallow-tenant": "t", "mallow-key": "k"}, "c", 0)
 LIMITS_MS = (400, 1000, 1500, 2000, 3000, 4000, 6000)
 
 
@@ -29,16 +29,16 @@
         yield parts
 
 
-def played(limit_ms: float) -> Played:
-    p = Played(upstreams=1)
+def played(limit_ms: float) -> HostScenario:
+    p = HostScenario(upstreams=1)
     p.b.route("r", "/r/", "read", service="s", tries=1, limit_ms=limit_ms)
     p.b.route("o", "/o/", "try", service="s", tries=1, limit_ms=limit_ms)
-    p.b.tries.admission.serves_until = lambda: GRACE_S
+    p.b.forwarder.admission.serves_until = lambda: GRACE_S
     return p
 
 
 @pytest.mark.parametrize("limit_ms", LIMITS_MS)
-@pytest.mark.parametrize("asked", [ask("/r/1"), ask("/o/1", "POST", length=0)], ids=["read", "once"])
+@pytest.mark.parametrize("asked", [make_request("/r/1"), make_request("/o/1", "POST", length=0)], ids=["read", "once"])
 def test_whatever_a_stopping_proxy_sends_on_it_can_wait_for_until_its_whole_limit(limit_ms, asked):
     for at in range(0, 54):
         p = played(limit_ms)
@@ -46,7 +46,7 @@
         r = p.run(asked)
         if p.sent():
             assert p.t + limit_ms / 1000 <= GRACE_S
-            assert all(s.end <= GRACE_S for s in p.steps if isinstance(s, Exchange | Await))
+            assert all(s.end <= GRACE_S for s in p.steps if isinstance(s, Exchange | AwaitResponse))
         else:
             assert (r.status, r.outcome, r.close) == (503, "not-run", True) and r.retry_after
 
@@ -112,7 +112,7 @@
     p = played(1000)
     p.say = [Err("limit")]
     p.acts["exchange"] = lambda p: setattr(p, "t", p.steps[-1].end)
-    assert p.run(ask("/o/1", "POST", length=0)).status == 504
+    assert p.run(make_request("/o/1", "POST", length=0)).status == 504
 
 
 @pytest.mark.parametrize("asked", [TENANT_READ, TENANT_ONCE], ids=["read", "once"])
@@ -120,10 +120,10 @@
     asked.headers["mallow-limit"] = "2000"
     for left in range(0, 54):
         p = TenantPlayed()
-        p.b.path.serves_until = lambda left=left: left / 10
+        p.b.forwarder.serves_until = lambda left=left: left / 10
         r = p.run(asked)
         if p.count(Exchange):
             assert left / 10 > 2.0
         else:
             assert left / 10 < 2.2
-            assert (r.status, r.close) == (503, True) and r.retry_after and not p.count(Offer)
+            assert (r.status, r.close) == (503, True) and r.retry_after and not p.count(ProposeCommand)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,10 +8,10 @@
 
 from mallowvalve import clock, web
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.path import Path
+from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.serve import Serve
 from mallowvalve.types import Address
-from tests.paths import Bench
+from tests.paths import TenantBench
 
 BIG = b"x" * 600_000
 
@@ -34,9 +34,9 @@
 
     server = StreamServer(("127.0.0.1", 0), run)
     server.start()
-    b = Bench(clock.now)
+    b = TenantBench(clock.now)
     b.upstream(port=server.server_port)
-    s = Serve(b.path, None, 1 << 20)
+    s = Serve(b.forwarder, None, 1 << 20)
     yield s, answers, b.pool
     server.stop()
 
@@ -64,21 +64,21 @@
     )
     status, headers, body = ask(s)
     assert (status, body, headers["x-own"], headers["content-type"]) == (203, b"ok", "1", None)
-    assert headers.get_all("set-cookie") == ["a=1", "b=2"] and pool.chooser.busy == {}
+    assert headers.get_all("set-cookie") == ["a=1", "b=2"] and pool.chooser.in_flight == {}
 
 
 def test_a_head_answer_keeps_its_length(serve):
     s, answers, pool = serve
     answers.append(b"HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n")
     status, headers, body = ask(s, "HEAD")
-    assert (status, headers["content-length"], body) == (200, "77", b"") and pool.chooser.busy == {}
+    assert (status, headers["content-length"], body) == (200, "77", b"") and pool.chooser.in_flight == {}
 
 
 def test_a_large_answer_is_streamed_and_gives_its_place_back(serve):
     s, answers, pool = serve
     answers.append(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG) + BIG)
     _, headers, body = ask(s)
-    assert body == BIG and headers["content-length"] == str(len(BIG)) and pool.chooser.busy == {}
+    assert body == BIG and headers["content-length"] == str(len(BIG)) and pool.chooser.in_flight == {}
 
 
 def test_a_client_that_left_before_a_stream_began_leaves_no_place_taken(serve):
@@ -86,18 +86,18 @@
     answers.append(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BIG) + BIG)
     resp = falcon.Response()
     s(get(), resp)
-    assert len(pool.chooser.busy) == 1
+    assert len(pool.chooser.in_flight) == 1
     resp.stream.close()
-    assert pool.chooser.busy == {}
+    assert pool.chooser.in_flight == {}
 
 
 def test_an_unforeseen_error_gives_the_place_back(serve, monkeypatch):
     s, answers, pool = serve
     answers.append(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-    monkeypatch.setattr(Path, "_answer", lambda *a: 1 / 0)
+    monkeypatch.setattr(TenantForwarder, "_answer", lambda *a: 1 / 0)
     with pytest.raises(ZeroDivisionError):
         s(get(), falcon.Response())
-    assert pool.chooser.busy == {}
+    assert pool.chooser.in_flight == {}
 
 
 def test_an_upstream_that_breaks_a_stream_is_seen_by_the_client(serve):
@@ -105,4 +105,4 @@
     answers.append(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (len(BIG) + 1) + BIG)
     with pytest.raises(http.client.IncompleteRead):
         ask(s)
-    assert pool.chooser.busy == {}
+    assert pool.chooser.in_flight == {}
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -4,10 +4,10 @@
 from gevent.server import StreamServer
 
 from mallowvalve import clock
-from mallowvalve.proxy.budget import Budget
+from mallowvalve.proxy.budget import RetryBudget
 from mallowvalve.proxy.choose import Chooser, cap
 from mallowvalve.proxy.connection import Connection
-from mallowvalve.proxy.repeats import Repeats
+from mallowvalve.proxy.repeats import RetryDetector
 from mallowvalve.routing.compiler import DEFAULT
 from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
@@ -109,7 +109,7 @@
 
 def shares(firsts, seconds=60.0, seed=4):
     """Repeats are always wanted; firsts come at a rate that may change. The share in each span of ten seconds."""
-    b, rng, log, t = Budget(), random.Random(seed), [], 0.0
+    b, rng, log, t = RetryBudget(), random.Random(seed), [], 0.0
     while t < seconds:
         rate = firsts(t)
         t += rng.expovariate(rate + 50.0)
@@ -132,22 +132,22 @@
 
 
 def test_without_first_tries_there_are_no_repeats():
-    b = Budget()
+    b = RetryBudget()
     assert not any(b.again(t * 0.1) for t in range(300))
 
 
 def test_each_failure_makes_one_like_request_a_repeat():
-    r = Repeats()
+    r = RetryDetector()
     assert not r.is_one(b"a", 0.0)
-    r.failed(b"a", 1.0)
-    r.failed(b"a", 2.0)
+    r.record_failure(b"a", 1.0)
+    r.record_failure(b"a", 2.0)
     assert [r.is_one(b"b", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0)] == [
         False,
         True,
         True,
         False,
     ]
-    r.failed(b"a", 4.0)
+    r.record_failure(b"a", 4.0)
     assert not r.is_one(b"a", 14.0)
 
 
@@ -198,7 +198,7 @@
 
 def test_a_whole_answer_is_given_as_it_came():
     a = exchange(GOOD).unwrap()
-    assert (a.status, a.body, a.keep) == (200, b"ok", True)
+    assert (a.status, a.body, a.reusable) == (200, b"ok", True)
     chunked = HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     assert exchange(chunked).unwrap().body == b"ok"
 
--- a/tests/test_tries_dark.py
+++ b/tests/test_tries_dark.py
@@ -2,14 +2,14 @@
 
 from result import Err
 
-from mallowvalve.proxy.steps import Await, Exchange, Open, Room
-from tests.tryout import FAR, HERE, NEXT, Played, answer, ask
+from mallowvalve.proxy.steps import AwaitResponse, Exchange, OpenConnection, WaitForCapacity
+from tests.tryout import FAR, HERE, NEXT, HostScenario, make_request, make_response
 
-READ, TRY = ask("/r/1"), ask("/o/1", "POST", length=0)
+READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
 
 def start(p, a):
-    gen = p.b.tries.carry(a)
+    gen = p.b.forwarder.handle(a)
     return gen, gen.send(None)
 
 
@@ -31,9 +31,9 @@
 
 
 def test_a_connection_that_does_not_open_keeps_others_away():
-    p = Played()
+    p = HostScenario()
     gen, s = start(p, READ)
-    s = until(p, gen, s, Open)
+    s = until(p, gen, s, OpenConnection)
     slow = s.heartbeat.instance
     p.t += 0.2
     for _ in range(10):
@@ -46,7 +46,7 @@
 
 
 def test_one_request_at_a_time_asks_after_an_upstream_that_failed():
-    p = Played([Err("broken: reset")])
+    p = HostScenario([Err("broken: reset")])
     p.run(TRY)
     bad = p.to()[0]
     p.t += 1.0
@@ -60,23 +60,23 @@
     for gen, _ in gens:
         gen.close()
     p.t += 1.0
-    p.b.hosts.heard(p.b.hosts.spots[bad], answer(), 0.1, p.t)
-    assert not p.b.hosts.spots[bad].doubted
+    p.b.hosts.heard(p.b.hosts.upstreams[bad], make_response(), 0.1, p.t)
+    assert not p.b.hosts.upstreams[bad].doubted
 
 
 def test_after_a_silence_a_new_connection_must_open_first():
-    p = Played(upstreams=1)
+    p = HostScenario(upstreams=1)
     p.run(READ)
     p.say = [Err("limit")]
     p.acts["exchange"] = lambda p: setattr(p, "t", p.t + 1.0)
     p.run(TRY)
-    assert p.b.hosts.links.take(p.b.hosts.spots["u0"].up, p.t) is None
+    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].up, p.t) is None
     p.t, p.opens, n = p.t + 1.0, [Err("unreachable")] * 9, p.count(Exchange)
     assert p.run(TRY).status == 503 and p.count(Exchange) == n
 
 
 def test_a_silence_is_noticed_soon_where_answers_are_quick():
-    p = Played()
+    p = HostScenario()
     gen, s = start(p, TRY)
     dark = until(p, gen, s, Exchange).connection.heartbeat.instance
     p.t += 0.3
@@ -92,27 +92,27 @@
 
 
 def test_an_upstream_is_not_left_for_a_repeat_that_the_budget_refuses():
-    p = Played([Err("limit")])
+    p = HostScenario([Err("limit")])
     p.acts["exchange"] = silent
     budget = p.b.hosts.budget("s")
     while budget.again(p.t):
         pass
-    assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(Await) == 1
+    assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(AwaitResponse) == 1
 
 
 def test_an_upstream_that_is_left_costs_one_repeat():
-    p = Played([Err("limit")])
+    p = HostScenario([Err("limit")])
     p.acts["exchange"] = silent
     budget = p.b.hosts.budget("s")
-    assert p.run(READ).status == 200 and len(p.sent()) == 2 and p.count(Await) == 0
+    assert p.run(READ).status == 200 and len(p.sent()) == 2 and p.count(AwaitResponse) == 0
     assert len(budget._again) == 1
 
 
 def test_who_comes_before_the_settings_waits_for_them():
-    p = Played()
+    p = HostScenario()
     p.b.state.items.revision = 0
     gen, s = start(p, READ)
-    assert isinstance(s, Room)
+    assert isinstance(s, WaitForCapacity)
     p.t = s.end
     p.b.state.items.revision = 1
     assert isinstance(until(p, gen, gen.send(False), Exchange), Exchange)
@@ -120,25 +120,25 @@
 
 
 def test_it_waits_for_less_than_half_of_its_time():
-    p = Played()
+    p = HostScenario()
     p.b.replica.state = None
-    r = p.run(ask("/r/1", mallow_limit="1000"))
+    r = p.run(make_request("/r/1", mallow_limit="1000"))
     assert (r.status, r.outcome) == (503, "not-run") and 0.4 < p.t < 0.5
 
 
 def test_without_an_upstream_a_request_waits_a_little_for_one():
-    p = Played(upstreams=0)
+    p = HostScenario(upstreams=0)
     gen, s = start(p, READ)
-    assert isinstance(s, Room)
+    assert isinstance(s, WaitForCapacity)
     p.b.upstream("far", at=FAR)
     assert until(p, gen, gen.send(False), Exchange).connection.heartbeat.instance == "far"
     gen.close()
-    p = Played(upstreams=0)
+    p = HostScenario(upstreams=0)
     assert p.run(READ).status == 503 and p.t <= 0.1
 
 
 def test_a_zone_that_says_nothing_at_all_is_left_for_a_while():
-    p = Played(upstreams=6)
+    p = HostScenario(upstreams=6)
     for i in range(2):
         p.b.upstream(f"next{i}", at=NEXT, port=300 + i)
     gens = []
@@ -158,7 +158,7 @@
 
 
 def test_a_zone_that_answers_one_is_not_left():
-    p = Played(upstreams=6)
+    p = HostScenario(upstreams=6)
     p.b.upstream("next", at=NEXT, port=300)
     gens = []
     for _ in range(3):
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -9,10 +9,20 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.host import Hosts
+from mallowvalve.proxy.host import HostUpstreams
 from mallowvalve.proxy.reader import Reader
-from mallowvalve.proxy.steps import Answer, Ask, Await, Body, ClientCheck, ClientLeft, Exchange, Open, Room
-from mallowvalve.proxy.tries import Tries
+from mallowvalve.proxy.steps import (
+    AwaitResponse,
+    ClientCheck,
+    ClientLeft,
+    ClientRequest,
+    Exchange,
+    OpenConnection,
+    ReadBody,
+    UpstreamResponse,
+    WaitForCapacity,
+)
+from mallowvalve.proxy.tries import HostForwarder
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
@@ -45,7 +55,7 @@
         self.rows, self.revision = {}, 0
 
 
-class Bench:
+class HostBench:
     """One proxy's tries over fake items and registry, with a hand on its clock."""
 
     def __init__(self, now=lambda: 0.0, proxies: int = 1, **raw):
@@ -57,8 +67,8 @@
         s.items, s.registry = FakeItems(), FakeRegistry()
         s.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
         self.replica._sure = now()
-        self.hosts = Hosts(self.replica, p, random.Random(1), now)
-        self.tries = Tries(self.replica, self.hosts, p, Counts(), now, random.Random(2))
+        self.hosts = HostUpstreams(self.replica, p, random.Random(1), now)
+        self.forwarder = HostForwarder(self.replica, self.hosts, p, Counts(), now, random.Random(2))
         self.route("r", "/r/", "read", service="s", tries=2)
         self.route("o", "/o/", "try", service="s", tries=2)
         self.route("h", "/h/", "try", service="s", tries=2, homes=["us"])
@@ -104,7 +114,7 @@
         p.revision += 1
 
 
-class Kept:
+class FakeHostConnection:
     def __init__(self, up):
         self.heartbeat, self.since, self.life, self.closed = up, 0.0, 4.0, False
 
@@ -115,34 +125,36 @@
         return False
 
 
-def ask(target: str = "/r/1", method: str = "GET", mark: str = "a1", length: int | None = None, **more: str) -> Ask:
+def make_request(
+    target: str = "/r/1", method: str = "GET", mark: str = "a1", length: int | None = None, **more: str
+) -> ClientRequest:
     headers = {"host": "h.example:80", "mallow-ask": mark, **{k.replace("_", "-"): v for k, v in more.items()}}
-    return Ask(method, target, headers, "c", length, list(headers.items()))
+    return ClientRequest(method, target, headers, "c", length, list(headers.items()))
 
 
-def answer(status: int = 200, keep: bool = True, body: bytes = b"ok", **said: str) -> Answer:
+def make_response(status: int = 200, keep: bool = True, body: bytes = b"ok", **said: str) -> UpstreamResponse:
     said = {k.replace("_", "-"): v for k, v in said.items()}
     if status == 200:
         said.setdefault("x-seal", "1")
-    return Answer(status, list(said.items()), body, len(body), None, keep, said)
+    return UpstreamResponse(status, list(said.items()), body, len(body), None, keep, said)
 
 
 NOT_RUN = {"mallow_not_run": "1"}
 
 
-class Played:
+class HostScenario:
     """Plays a request's steps; `say` answers exchanges in turn, an act may happen at a step's end."""
 
     def __init__(self, say=(), upstreams=2, **raw):
         self.t = 0.0
-        self.b = Bench(lambda: self.t, **raw)
+        self.b = HostBench(lambda: self.t, **raw)
         for i in range(upstreams):
             self.b.upstream(f"u{i}", port=100 + i)
         self.say, self.acts, self.steps, self.opens = list(say), {}, [], []
         self.awaited, self.checks = [], []
 
     def run(self, a):
-        gen, got = self.b.tries.carry(a), None
+        gen, got = self.b.forwarder.handle(a), None
         try:
             while True:
                 s = gen.send(got)
@@ -152,24 +164,24 @@
                 if act is not None:
                     act(self)
         except StopIteration as e:
-            assert all(s.busy == 0 for s in self.b.hosts.spots.values()) and self.b.hosts.waiting == {}
+            assert all(s.in_flight == 0 for s in self.b.hosts.upstreams.values()) and self.b.hosts.waiting == {}
             return e.value
 
     def reply(self, s):
         match s:
-            case Body():
+            case ReadBody():
                 return Ok(b"")
-            case Open():
-                return self.opens.pop(0) if self.opens else Ok(Kept(s.heartbeat))
+            case OpenConnection():
+                return self.opens.pop(0) if self.opens else Ok(FakeHostConnection(s.heartbeat))
             case Exchange():
                 self.t += 0.001
-                got = self.say.pop(0) if self.say else answer()
+                got = self.say.pop(0) if self.say else make_response()
                 return got if isinstance(got, Err | ClientLeft) else Ok(got)
-            case Await():
-                return self.awaited.pop(0) if self.awaited else Ok(answer())
+            case AwaitResponse():
+                return self.awaited.pop(0) if self.awaited else Ok(make_response())
             case ClientCheck():
                 return self.checks.pop(0) if self.checks else None
-            case Room():
+            case WaitForCapacity():
                 self.t = s.end
                 return False
 
@@ -183,12 +195,12 @@
         return [s.connection.heartbeat.instance for s in self.sent()]
 
 
-def read(*parts: bytes, ask: str = "a1", method: str = "GET") -> Reader:
-    r = Reader(method, "mallow-ask", ask)
+def feed_reader(*parts: bytes, make_request: str = "a1", method: str = "GET") -> Reader:
+    r = Reader(method, "mallow-ask", make_request)
     for p in parts:
         r.take(p)
     return r
 
 
-def split(name: str, weight: float) -> Part:
+def split_part(name: str, weight: float) -> Part:
     return Part(name, weight)
--- a/tests/upstream_wire.py
+++ b/tests/upstream_wire.py
@@ -1,5 +1,5 @@
 """The bytes between a proxy and its upstreams, without sockets and with a hand on the clock: what the product's own
-`Link`, `Reader`, `Links` and `Tries` do is seen on the wire, whatever the upstreams do."""
+`Link`, `Reader`, `IdleConnections` and `HostForwarder` do is seen on the wire, whatever the upstreams do."""
 
 from __future__ import annotations
 
@@ -11,8 +11,17 @@
 
 from mallowvalve.proxy import link
 from mallowvalve.proxy.link import Link
-from mallowvalve.proxy.steps import Ask, Await, Body, ClientCheck, Exchange, Open, Reply, Room
-from tests.tryout import Bench
+from mallowvalve.proxy.steps import (
+    AwaitResponse,
+    ClientCheck,
+    ClientRequest,
+    Exchange,
+    OpenConnection,
+    ProxyResponse,
+    ReadBody,
+    WaitForCapacity,
+)
+from tests.tryout import HostBench
 
 KEPT = b"HTTP/1.1 %d X\r\nMallow-Ask: %s\r\nX-Seal: 1\r\n%sContent-Length: %d\r\n\r\n%s"
 HEAD, TAIL = b"HTTP/1.1 200 X\r\nMallow-Ask: ", b"\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\n"
@@ -151,7 +160,7 @@
 
     def __init__(self, monkeypatch, upstreams: int = 2):
         self.now, self.script, self.sent = 0.0, [], []
-        self.bench = Bench(lambda: self.now)
+        self.bench = HostBench(lambda: self.now)
         for i in range(upstreams):
             self.bench.upstream(f"u{i}", port=100 + i)
         monkeypatch.setattr(link, "clock", SimpleNamespace(now=lambda: self.now))
@@ -173,28 +182,28 @@
             raise ConnectionResetError(104, "reset")
         return left
 
-    def carry(self, ask: Ask) -> Reply:
-        steps, got = self.bench.tries.carry(ask), None
+    def carry(self, ask: ClientRequest) -> ProxyResponse:
+        steps, got = self.bench.forwarder.handle(ask), None
         try:
             while True:
                 got = self._do(steps.send(got))
         except StopIteration as end:
-            spots = self.bench.hosts.spots.values()
-            assert all(s.busy == 0 for s in spots) and self.bench.hosts.waiting == {}
+            spots = self.bench.hosts.upstreams.values()
+            assert all(s.in_flight == 0 for s in spots) and self.bench.hosts.waiting == {}
             return end.value
 
     def _do(self, step):
         match step:
             case Exchange():
-                return step.connection.exchange(step.method, step.request, step.end, step.ask)
-            case Await():
+                return step.connection.exchange(step.method, step.request, step.end, step.request_id)
+            case AwaitResponse():
                 return step.connection.receive(step.end)
             case ClientCheck():
                 return None
-            case Open():
+            case OpenConnection():
                 return Ok(Link(step.heartbeat, FakeSocket(self), "mallow-ask"))
-            case Body():
+            case ReadBody():
                 return Ok(b"x" * 20)
-            case Room():
+            case WaitForCapacity():
                 self.now = max(self.now, step.end)
                 return False
