--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -40,7 +40,7 @@
         spot.in_flight += 1
 
     def reuse(self, sure: bool, now: float) -> bool:
-        self.connection = self.hosts.idle_connections.take(self.spot.up, now, sure)
+        self.connection = self.hosts.idle_connections.take(self.spot.upstream, now, sure)
         if self.connection is not None:
             self.idle = now - self.connection.since
         return self.connection is not None
@@ -68,7 +68,7 @@
             self.hosts.idle_connections.give(self.connection, used_at)
         elif self.connection is not None:
             self.connection.close()
-        self.hosts.on_free(self.spot.up.service)
+        self.hosts.on_free(self.spot.upstream.service)
 
 
 class HostUpstreams:
@@ -120,7 +120,7 @@
         out, share, any_, free, rest = self.replica.state.settings.evacuated, self._share, False, [], []
         item = self.replica.state.items.services.get(service)
         for d, ring in self._rings.get(service, ()):
-            ok = [s for s in ring if s.up.instance not in tried and self._may(s, homes, out, now)]
+            ok = [s for s in ring if s.upstream.instance not in tried and self._may(s, homes, out, now)]
             any_ = any_ or bool(ok)
             ok = [s for s in ok if not s.full(now, share, self.most(s, item)) and self._warm(s, item, now)]
             good = [s for s in ok if s.sound(now)]
@@ -141,7 +141,7 @@
     def fits(self, s: UpstreamState, service: str, homes: list[str], now: float) -> bool:
         """Whether what was chosen a moment ago may still be sent to."""
         self.sync(now)
-        if self.upstreams.get(s.up.instance) is not s or s.up.service != service:
+        if self.upstreams.get(s.upstream.instance) is not s or s.upstream.service != service:
             return False
         item = self.replica.state.items.services.get(service)
         return self._may(s, homes, self.replica.state.settings.evacuated, now) and self._warm(s, item, now)
@@ -152,7 +152,7 @@
         s.zone.sending(now)
         if s.mute is None:
             s.mute = now
-        item = self.replica.state.items.services.get(s.up.service)
+        item = self.replica.state.items.services.get(s.upstream.service)
         if s.cold(now) and item is not None and item.cold_per_s > 0:
             s.cold_next = now + self._period(s, item)
 
@@ -180,7 +180,7 @@
         """
         if self.is_mute(s, sent_at):
             self.failed(s, now)
-            self.idle_connections.drop(s.up.instance)
+            self.idle_connections.drop(s.upstream.instance)
 
     def abandoned(self, s: UpstreamState) -> None:
         """One request less is at work there; what it would have answered, and when, is not known."""
@@ -204,11 +204,11 @@
         s.full_until = now + FULL
 
     def most(self, s: UpstreamState, item: ServiceItem | None) -> int:
-        own = s.up.slots + QUEUED
+        own = s.upstream.slots + QUEUED
         if item is not None and item.connections > 0:
             own = min(own, max(1, item.connections // self._proxies))
         if s.base_at <= NEVER:
-            own = min(own, max(1, -(-2 * s.up.slots // self._share)))
+            own = min(own, max(1, -(-2 * s.upstream.slots // self._share)))
         return own
 
     def budget(self, service: str) -> SlidingRetryBudget:
@@ -245,18 +245,20 @@
         self._registry, self._revision = registry, registry.revision
         upstreams: dict[str, UpstreamState] = {}
         rings: dict[str, dict[int, list[UpstreamState]]] = {}
-        for name, up in registry.rows.items():
-            if up.state != "ready":
+        for name, upstream in registry.rows.items():
+            if upstream.state != "ready":
                 continue
             s = self.upstreams.get(name)
-            if s is None or s.up.address != up.address or s.up.service != up.service:
-                s = UpstreamState(up, self.zones.setdefault(up.locality, Zone()))
-            s.up = up
-            if up.cold_until != s.cold_until:
-                s.cold_until = up.cold_until
-                self._chill(s, now + max(0, up.cold_until - clock) / 1000, now)
+            if s is None or s.upstream.address != upstream.address or s.upstream.service != upstream.service:
+                s = UpstreamState(upstream, self.zones.setdefault(upstream.locality, Zone()))
+            s.upstream = upstream
+            if upstream.cold_until != s.cold_until:
+                s.cold_until = upstream.cold_until
+                self._chill(s, now + max(0, upstream.cold_until - clock) / 1000, now)
             upstreams[name] = s
-            rings.setdefault(up.service, {}).setdefault(self.settings.locality.distance(up.locality), []).append(s)
+            rings.setdefault(upstream.service, {}).setdefault(
+                self.settings.locality.distance(upstream.locality), []
+            ).append(s)
         self.upstreams = upstreams
         self._rings = {k: sorted(by.items()) for k, by in rings.items()}
 
@@ -265,7 +267,7 @@
         before, self._out = self._out, out
         for zone in before.keys() - out.keys():
             for s in self.upstreams.values():
-                if emptied(s.up.locality, {zone: 0}):
+                if emptied(s.upstream.locality, {zone: 0}):
                     self._chill(s, now + 1.4 * self.settings.heartbeat_ms / 1000, now)
 
     def _chill(self, s: UpstreamState, end: float, now: float) -> None:
@@ -273,7 +275,7 @@
         s.cold_end = max(s.cold_end, end) if was else end
         if was or not s.cold(now):
             return
-        item = self.replica.state.items.services.get(s.up.service)
+        item = self.replica.state.items.services.get(s.upstream.service)
         if item is not None and item.cold_per_s > 0:
             s.cold_next = now + self.rng.random() * self._period(s, item)
 
@@ -297,12 +299,14 @@
         k = min(self._proxies, int(rate * c.over + c.slack - COLD_SHARE * rate + 1e-9))
         k = max(k, 1 if rate * c.over + c.slack >= 1 else 0)
         roster = self.replica.state.settings.roster
-        order = sorted(roster, key=lambda a: (roster[a].locality.distance(s.up.locality), _mix(a, s.up.instance)))
+        order = sorted(
+            roster, key=lambda a: (roster[a].locality.distance(s.upstream.locality), _mix(a, s.upstream.instance))
+        )
         s.cold_at, s.cold_k = (self._roster, item.version), k if not order or str(self.replica.addr) in order[:k] else 0
         return s.cold_k
 
     def _may(self, s: UpstreamState, homes: list[str], out: dict[str, int], now: float) -> bool:
-        at: Locality = s.up.locality
+        at: Locality = s.upstream.locality
         return now >= s.wrong_until and (not homes or at.region in homes) and not (out and emptied(at, out))
 
     def _two(self, good: list[UpstreamState], now: float, share: int) -> UpstreamState:
--- a/mallowvalve/proxy/idle.py
+++ b/mallowvalve/proxy/idle.py
@@ -43,16 +43,16 @@
         self._trust = _ALWAYS
         self._until = _NEVER
 
-    def take(self, up: Upstream, now: float, sure: bool = False) -> Idle | None:
+    def take(self, upstream: Upstream, now: float, sure: bool = False) -> Idle | None:
         """`sure`: one that was used just now, for what cannot be sent again."""
-        idle = self._idle.get(up.instance, [])
+        idle = self._idle.get(upstream.instance, [])
         trust = self._trust if now < self._until else _ALWAYS
         while idle:
             if sure and now - idle[-1].since > SURE:
                 return None
             connection = idle.pop()
             is_young = now - connection.since <= min(connection.life, trust)
-            if connection.heartbeat.address == up.address and is_young and not connection.stale():
+            if connection.heartbeat.address == upstream.address and is_young and not connection.stale():
                 return connection
             connection.close()
         return None
--- a/mallowvalve/proxy/spot.py
+++ b/mallowvalve/proxy/spot.py
@@ -41,7 +41,7 @@
     """One upstream as this proxy sees it. Times on the proxy's own clock (s); `load` counts requests of all proxies."""
 
     __slots__ = (
-        "up",
+        "upstream",
         "zone",
         "in_flight",
         "base",
@@ -63,8 +63,8 @@
         "_ill_at",
     )
 
-    def __init__(self, up: Upstream, zone: Zone | None = None):
-        self.up, self.zone, self.in_flight = up, zone or Zone(), 0
+    def __init__(self, upstream: Upstream, zone: Zone | None = None):
+        self.upstream, self.zone, self.in_flight = upstream, zone or Zone(), 0
         self.base, self.base_at, self.since = 0.0, NEVER, 0
         self.full_until = self.broken_until = self.wrong_until = NEVER
         self.pause = BREAK
@@ -94,12 +94,12 @@
         return max(float(self.in_flight), self.base * 0.5 ** ((now - self.base_at) / HALF) + self.since)
 
     def fill(self, now: float, share: int) -> float:
-        return (self.load(now, share) + 1) / max(1, self.up.slots)
+        return (self.load(now, share) + 1) / max(1, self.upstream.slots)
 
     def full(self, now: float, share: int, most: int) -> bool:
         if now < self.full_until or self.in_flight >= most:
             return True
-        return self.load(now, share) >= 2 * self.up.slots if now - self.base_at < FRESH else False
+        return self.load(now, share) >= 2 * self.upstream.slots if now - self.base_at < FRESH else False
 
     def sound(self, now: float) -> bool:
         """One that failed is tried by one request at a time, and one that is slow to connect is left to those at it."""
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -158,10 +158,10 @@
             else:
                 self.hosts.budget(t.service).first(now)
             t.sent += 1
-            t.tried.add(place.spot.up.instance)
+            t.tried.add(place.spot.upstream.instance)
             place.sending(now)
             part = self._part(t, place, now)
-            request = self.writer.whole(t, place.spot.up.instance, now)
+            request = self.writer.whole(t, place.spot.upstream.instance, now)
             r = yield Exchange(place.connection, t.ask.method, request, part, t.mark, t.idempotent)
             if part < t.end and _is_late(r):
                 if self._gives_up(t, place):
@@ -226,7 +226,7 @@
         began, spot = self.now(), place.spot
         spot.opening.append(began)
         try:
-            r = yield OpenConnection(spot.up, "", min(t.end, began + (TRIAL if spot.doubted else OPEN)))
+            r = yield OpenConnection(spot.upstream, "", min(t.end, began + (TRIAL if spot.doubted else OPEN)))
         except BaseException:
             place.release(keep=False)
             raise
--- a/sim/host_days.py
+++ b/sim/host_days.py
@@ -48,7 +48,7 @@
     def run(self) -> None:
         self.world.run(LENGTH)
         for p in self.proxies:
-            p.busy_at_end += [s.up.instance for s in p.hosts.upstreams.values() if s.in_flight and not p.open]
+            p.busy_at_end += [s.upstream.instance for s in p.hosts.upstreams.values() if s.in_flight and not p.open]
 
     def roll(self, at: float, together: int, gap: float) -> None:
         """All proxies in turn get SIGTERM, so many at a time."""
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -234,7 +234,7 @@
             steps.close()
             call.closed, call.answered, call.told_at = "cut by the stop", self.now, self.signalled_at
         self.open.clear()
-        self.busy_at_end += [s.up.instance for s in self.hosts.upstreams.values() if s.in_flight]
+        self.busy_at_end += [s.upstream.instance for s in self.hosts.upstreams.values() if s.in_flight]
         self.life += 1
         self.world.after(RESTART, self.start)
 
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -193,8 +193,8 @@
     p.checks = [CLIENT_LEFT]
     r = p.run(asked)
     assert not p.sent() and (r.status, r.outcome, r.close) == (503, "not-run", True)
-    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].up, p.t) or p.b.hosts.idle_connections.take(
-        p.b.hosts.upstreams["u1"].up, p.t
+    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].upstream, p.t) or p.b.hosts.idle_connections.take(
+        p.b.hosts.upstreams["u1"].upstream, p.t
     )
 
 
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -245,7 +245,7 @@
     p.b.hosts.upstreams["u0"].in_flight = 2
     assert isinstance(gen.send(True), ClientCheck)
     assert isinstance(gen.send(None), OpenConnection)
-    assert isinstance(gen.send(p.reply(OpenConnection(p.b.hosts.upstreams["u0"].up, "", 1.0))), ClientCheck)
+    assert isinstance(gen.send(p.reply(OpenConnection(p.b.hosts.upstreams["u0"].upstream, "", 1.0))), ClientCheck)
     assert isinstance(gen.send(None), Exchange)
     gen.close()
     assert p.b.hosts.upstreams["u0"].in_flight == 2
@@ -305,10 +305,10 @@
     assert set(p.to()) == {"u0"}
     p.b.hosts.upstreams["u0"].in_flight = 6
     got, _ = p.b.hosts.pick("s", [], set(), p.t)
-    assert got.up.instance == "next"
+    assert got.upstream.instance == "next"
     p.b.hosts.upstreams["next"].in_flight = 6
     got, _ = p.b.hosts.pick("s", [], set(), p.t)
-    assert got.up.instance == "far"
+    assert got.upstream.instance == "far"
 
 
 def test_a_silent_upstream_is_avoided_while_it_owes_an_answer():
@@ -317,7 +317,7 @@
     s = p.b.hosts.upstreams["u0"]
     s.in_flight, s.mute = 1, 0.0
     p.t = 2.0
-    assert {p.b.hosts.pick("s", [], set(), p.t)[0].up.instance for _ in range(20)} == {"u1"}
+    assert {p.b.hosts.pick("s", [], set(), p.t)[0].upstream.instance for _ in range(20)} == {"u1"}
 
 
 def test_split_weights():
@@ -343,7 +343,10 @@
     p.t += 4.5
     p.run(READ)
     assert sum(isinstance(s, OpenConnection) for s in p.steps) == 2
-    old, new = FakeHostConnection(p.b.hosts.upstreams["u0"].up), FakeHostConnection(p.b.hosts.upstreams["u0"].up)
+    old, new = (
+        FakeHostConnection(p.b.hosts.upstreams["u0"].upstream),
+        FakeHostConnection(p.b.hosts.upstreams["u0"].upstream),
+    )
     p.b.hosts.idle_connections.give(old, p.t)
     p.b.hosts.idle_connections.give(new, p.t)
     assert p.b.hosts.idle_connections.take(new.heartbeat, p.t) is new
--- a/tests/test_tries_dark.py
+++ b/tests/test_tries_dark.py
@@ -70,7 +70,7 @@
     p.say = [Err("limit")]
     p.acts["exchange"] = lambda p: setattr(p, "t", p.t + 1.0)
     p.run(TRY)
-    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].up, p.t) is None
+    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].upstream, p.t) is None
     p.t, p.opens, n = p.t + 1.0, [Err("unreachable")] * 9, p.count(Exchange)
     assert p.run(TRY).status == 503 and p.count(Exchange) == n
 
