--- a/mallowvalve/proxy/admission.py
+++ b/mallowvalve/proxy/admission.py
@@ -10,7 +10,7 @@
 from mallowvalve.configuration.items import HostRoute
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.steps import NOT_RUN, ClientRequest, ProxyResponse, Step, WaitForCapacity
-from mallowvalve.proxy.trip import HostRouteRequest, bare, own
+from mallowvalve.proxy.trip import HostRequest, bare, own
 from mallowvalve.settings import Settings, Terms
 
 LIMIT_DIGITS = 12
@@ -36,7 +36,7 @@
         terms: Terms = settings.terms
         self._id_header, self._limit_header = terms.ask.lower(), terms.limit.lower()
 
-    def admit(self, a: ClientRequest, now: float) -> Result[HostRouteRequest, ProxyResponse]:
+    def admit(self, a: ClientRequest, now: float) -> Result[HostRequest, ProxyResponse]:
         """The request with its route and its end, or the refusal that is its final answer."""
         state = self.replica.state
         if state is None or not state.items.revision or not (self.settings.serve_on or self.replica.admits(now)):
@@ -57,7 +57,7 @@
         if not outlasts(self.serves_until(), end):
             return Err(own(503, NOT_RUN, "proxy", "it is about to stop", STOP_RETRY_S, close=True))
         request_id = a.headers.get(self._id_header, "") if self._id_header else ""
-        return Ok(HostRouteRequest(a, host, path, route, self.service_of(route), now, end, request_id))
+        return Ok(HostRequest(a, host, path, route, self.service_of(route), now, end, request_id))
 
     def wait_for_settings(self, a: ClientRequest, at: float) -> Generator[Step, object, None]:
         """A proxy that has just started has its settings in a moment; who came too early waits for a part of it."""
--- a/mallowvalve/proxy/request_writer.py
+++ b/mallowvalve/proxy/request_writer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from mallowvalve.proxy.steps import ClientRequest
-from mallowvalve.proxy.trip import HOP_BY_HOP_HEADERS, HostRouteRequest
+from mallowvalve.proxy.trip import HOP_BY_HOP_HEADERS, HostRequest
 from mallowvalve.settings import Terms
 
 
@@ -30,7 +30,7 @@
             lines.append(f"Content-Length: {len(body)}\r\n")
         return "".join(lines)
 
-    def whole(self, t: HostRouteRequest, instance: str, now: float) -> bytes:
+    def whole(self, t: HostRequest, instance: str, now: float) -> bytes:
         """The request for one upstream, with the time that is left."""
         head = t.head
         if self._terms.limit:
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -33,7 +33,7 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.proxy.trip import HostRouteRequest, bare, own
+from mallowvalve.proxy.trip import HostRequest, bare, own
 from mallowvalve.settings import Settings, Terms
 
 PROMISE = frozenset((408, 421, 429, 503))
@@ -98,7 +98,7 @@
             r = self.admission.admit(a, at)
         if r.is_err():
             return r.err_value
-        t: HostRouteRequest = r.ok_value
+        t: HostRequest = r.ok_value
         if a.length or "transfer-encoding" in a.headers:
             got = yield ReadBody(t.end, self.replica.state.items.limits.body_bytes)
             if got.is_err():
@@ -110,7 +110,7 @@
         t.head = self.writer.lines(a, t.body)
         return (yield from self._answered(t))
 
-    def _answered(self, t: HostRouteRequest) -> Generator[Step, object, ProxyResponse]:
+    def _answered(self, t: HostRequest) -> Generator[Step, object, ProxyResponse]:
         """Sends until there is a final answer; upstreams that were silent are left only when there is one."""
         try:
             while True:
@@ -124,9 +124,7 @@
             for place in t.unanswered:
                 place.release(keep=False)
 
-    def _wait_for_unanswered(
-        self, t: HostRouteRequest, refusal: ProxyResponse
-    ) -> Generator[Step, object, ProxyResponse]:
+    def _wait_for_unanswered(self, t: HostRequest, refusal: ProxyResponse) -> Generator[Step, object, ProxyResponse]:
         """The answer of an upstream that was silent when the request went to another one, which gave none."""
         while t.unanswered:
             place = t.unanswered.pop()
@@ -140,7 +138,7 @@
                 return got
         return refusal
 
-    def _send(self, t: HostRouteRequest) -> Generator[Step, object, ProxyResponse | None]:
+    def _send(self, t: HostRequest) -> Generator[Step, object, ProxyResponse | None]:
         """Finds a place, judges everything once more, and sends in the same breath; None: to be sent again."""
         place = yield from self._place(t)
         if isinstance(place, ProxyResponse):
@@ -172,14 +170,14 @@
             place.release(keep=False)
             raise
 
-    def _start_hedge(self, t: HostRouteRequest, place: UpstreamLease) -> None:
+    def _start_hedge(self, t: HostRequest, place: UpstreamLease) -> None:
         """The upstream is silent to all: the request goes to another one too, and its answer still counts."""
         t.may_have_run = True
         t.unanswered.append(place)
         self.hosts.late(place.spot, place.sent_at, self.now())
         self.counts.add("upstream_limit")
 
-    def _client_left(self, t: HostRouteRequest) -> ProxyResponse:
+    def _client_left(self, t: HostRequest) -> ProxyResponse:
         """Nothing more is sent for a client that left; what it would be told, should it still read."""
         t.left = True
         self.counts.add("client_left")
@@ -187,7 +185,7 @@
         refusal.close = True
         return refusal
 
-    def _place(self, t: HostRouteRequest) -> Generator[Step, object, UpstreamLease | ProxyResponse]:
+    def _place(self, t: HostRequest) -> Generator[Step, object, UpstreamLease | ProxyResponse]:
         """A place at an upstream with a connection that may be sent on at once, or why there is none."""
         held = t.at + HELD * min(t.route.aim_ms or t.route.limit_ms, t.route.limit_ms) / 1000
         held = max(held, self.now() + LOOK)
@@ -221,7 +219,7 @@
             if no is not None:
                 return no
 
-    def _open(self, t: HostRouteRequest, place: UpstreamLease) -> Generator[Step, object, bool]:
+    def _open(self, t: HostRequest, place: UpstreamLease) -> Generator[Step, object, bool]:
         """Whether a new connection could be made; if not, the place is given back."""
         began, spot = self.now(), place.spot
         spot.opening.append(began)
@@ -240,7 +238,7 @@
         self.hosts.failed(spot, self.now())
         return False
 
-    def _judge(self, t: HostRouteRequest, now: float) -> ProxyResponse | None:
+    def _judge(self, t: HostRequest, now: float) -> ProxyResponse | None:
         """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
         state = self.replica.state
         if not self.settings.serve_on and not self.replica.admits(now):
@@ -262,7 +260,7 @@
             t.service = self.admission.service_of(route)
         return None
 
-    def _pick(self, t: HostRouteRequest, now: float):
+    def _pick(self, t: HostRequest, now: float):
         got = self.hosts.pick(t.service, t.route.homes, t.tried, now)
         if got[1] or t.sent or not t.route.split:
             return got
@@ -274,7 +272,7 @@
                     return other
         return got
 
-    def _queue(self, t: HostRouteRequest, end: float) -> Generator[Step, object, bool]:
+    def _queue(self, t: HostRequest, end: float) -> Generator[Step, object, bool]:
         s, w = t.service, self.hosts.waiting
         if w.get(s, 0) >= WAITING:
             return False
@@ -288,7 +286,7 @@
         return True
 
     def _took(
-        self, t: HostRouteRequest, place: UpstreamLease, r: Result[UpstreamResponse, str] | ClientLeft
+        self, t: HostRequest, place: UpstreamLease, r: Result[UpstreamResponse, str] | ClientLeft
     ) -> ProxyResponse | None:
         now, spot, sent_at = self.now(), place.spot, place.sent_at
         if isinstance(r, ClientLeft):
@@ -340,12 +338,12 @@
         self.counts.add("upstream_forgot_connection")
         self.hosts.idle_connections.forgotten(place.idle, now)
 
-    def _again(self, t: HostRouteRequest, why: str) -> ProxyResponse | None:
+    def _again(self, t: HostRequest, why: str) -> ProxyResponse | None:
         if t.sent >= t.route.tries or t.may_have_run and not t.idempotent:
             return self._end(t, why)
         return None
 
-    def _end(self, t: HostRouteRequest, why: str) -> ProxyResponse:
+    def _end(self, t: HostRequest, why: str) -> ProxyResponse:
         """The one place that may promise that nothing ran."""
         if not t.may_have_run:
             self.counts.add("rejected_not-run")
@@ -353,14 +351,14 @@
         self.counts.add("rejected_unknown")
         return own(504 if self.now() >= t.end - LEAST else 502, UNKNOWN, f"routes.{t.route.name}", why)
 
-    def _part(self, t: HostRouteRequest, place: UpstreamLease, now: float) -> float:
+    def _part(self, t: HostRequest, place: UpstreamLease, now: float) -> float:
         """Until when a read waits for this upstream before it looks whether that is silent to all."""
         if not t.idempotent or t.sent >= t.route.tries:
             return t.end
         left = t.end - now
         return now + min(PART * left, max(SOON * left, SLOW * place.spot.latency))
 
-    def _gives_up(self, t: HostRouteRequest, place: UpstreamLease) -> bool:
+    def _gives_up(self, t: HostRequest, place: UpstreamLease) -> bool:
         """Whether to send to another upstream too: this one is silent to all, and the repeat can be sent at once.
 
         The budget's repeat is taken here, so that it is still there when it is sent.
@@ -373,7 +371,7 @@
         t.repeat_taken = self.hosts.budget(t.service).again(now)
         return t.repeat_taken
 
-    def _takes_repeat(self, t: HostRouteRequest, now: float) -> bool:
+    def _takes_repeat(self, t: HostRequest, now: float) -> bool:
         """Whether the budget gives a repeat, or has given this one."""
         if t.repeat_taken:
             t.repeat_taken = False
--- a/mallowvalve/proxy/trip.py
+++ b/mallowvalve/proxy/trip.py
@@ -26,7 +26,7 @@
 )
 
 
-class HostRouteRequest(msgspec.Struct):
+class HostRequest(msgspec.Struct):
     """A request on a host route; what was decided for it is decided again before anything is sent.
 
     `repeat_taken`: the budget has given its next repeat already. `left`: its client has closed its connection.
--- a/tests/test_host_days.py
+++ b/tests/test_host_days.py
@@ -7,7 +7,7 @@
 
 from mallowvalve.proxy import admission
 from mallowvalve.proxy.tries import HostForwarder
-from mallowvalve.proxy.trip import HostRouteRequest
+from mallowvalve.proxy.trip import HostRequest
 from sim.host_days import HOST_DAYS, play_host_day
 from sim.host_fleet import HostProxy
 
@@ -52,12 +52,12 @@
 
 def looks_only_before_it_sends():
     """A read's client is not watched while an upstream is at work."""
-    return patch.object(HostRouteRequest, "idempotent", property(lambda t: False))
+    return patch.object(HostRequest, "idempotent", property(lambda t: False))
 
 
 def stops_whatever_a_client_left():
     """What may not be repeated is stopped as a read is."""
-    return patch.object(HostRouteRequest, "idempotent", property(lambda t: True))
+    return patch.object(HostRequest, "idempotent", property(lambda t: True))
 
 
 PLANTED = (
