--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/path.py
@@ -116,7 +116,7 @@
                 return got
             with got.lease as lease:
                 if got.answer is not None:
-                    return self._answer(c, lease, got.answer)
+                    return self._respond(c, lease, got.answer)
             tried.add(lease.row.heartbeat.address)
             if c.sent > c.plan.policy.retry:
                 return self._reject(c, 502, "the upstreams did not answer well", 1)
@@ -141,7 +141,7 @@
                 yield ProposeInBackground(Forfeit(c.key, nonce), ("lost", "done", "gone"))
                 return self._reject(c, 502, "sent, but no whole answer came back", None)
             yield from self._done(c, nonce, got.answer)
-            return self._answer(c, lease, got.answer)
+            return self._respond(c, lease, got.answer)
 
     def _send(self, c: TenantRequest, tried: set) -> Generator[Step, object, Sent | ProxyResponse]:
         queue_end = min(c.end, self.now() + QUEUE_MOST)
@@ -282,7 +282,7 @@
         c.again = c.again or c.owed
         return self.pool.budget(c.plan.service).again(self.now()) if c.again else True
 
-    def _answer(self, c: TenantRequest, lease: Lease, a: UpstreamResponse) -> ProxyResponse:
+    def _respond(self, c: TenantRequest, lease: Lease, a: UpstreamResponse) -> ProxyResponse:
         self.counts.add("answers")
         if a.status >= SERVER_ERROR:
             self.repeats.record_failure(c.name, self.now())
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -94,7 +94,7 @@
 def test_an_unforeseen_error_gives_the_place_back(serve, monkeypatch):
     s, answers, pool = serve
     answers.append(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-    monkeypatch.setattr(TenantForwarder, "_answer", lambda *a: 1 / 0)
+    monkeypatch.setattr(TenantForwarder, "_respond", lambda *a: 1 / 0)
     with pytest.raises(ZeroDivisionError):
         s(get(), falcon.Response())
     assert pool.chooser.in_flight == {}
