--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -282,18 +282,18 @@
     def _warm(self, s: UpstreamState, item: ServiceItem | None, now: float) -> bool:
         if not s.cold(now) or item is None or item.cold_per_s <= 0:
             return True
-        return self._turns(s, item) > 0 and now >= s.cold_next
+        return self._cold_senders(s, item) > 0 and now >= s.cold_next
 
     def _period(self, s: UpstreamState, item: ServiceItem) -> float:
-        return max(1, self._turns(s, item)) / (COLD_SHARE * item.cold_per_s)
+        return max(1, self._cold_senders(s, item)) / (COLD_SHARE * item.cold_per_s)
 
-    def _turns(self, s: UpstreamState, item: ServiceItem) -> int:
+    def _cold_senders(self, s: UpstreamState, item: ServiceItem) -> int:
         """How many proxies share a cold upstream's rate, 0 when this one is not among them.
 
         Each sends once a period, so in any one second at most once more than its share: they are as many as leaves the
         sum below the bound, the nearest ones, ordered alike by all.
         """
-        if s.cold_at == (self._roster, item.version):
+        if s.cold_senders_version == (self._roster, item.version):
             return s.cold_k
         c, rate = self.settings.cold, item.cold_per_s
         k = min(self._proxies, int(rate * c.over + c.slack - COLD_SHARE * rate + 1e-9))
@@ -302,7 +302,10 @@
         order = sorted(
             roster, key=lambda a: (roster[a].locality.distance(s.upstream.locality), _mix(a, s.upstream.instance))
         )
-        s.cold_at, s.cold_k = (self._roster, item.version), k if not order or str(self.replica.addr) in order[:k] else 0
+        s.cold_senders_version, s.cold_k = (
+            (self._roster, item.version),
+            k if not order or str(self.replica.addr) in order[:k] else 0,
+        )
         return s.cold_k
 
     def _may(self, s: UpstreamState, homes: list[str], out: dict[str, int], now: float) -> bool:
--- a/mallowvalve/proxy/spot.py
+++ b/mallowvalve/proxy/spot.py
@@ -58,7 +58,7 @@
         "cold_end",
         "cold_next",
         "cold_k",
-        "cold_at",
+        "cold_senders_version",
         "_ill",
         "_ill_at",
     )
@@ -72,7 +72,7 @@
         self.latency = 0.1
         self.opening: list[float] = []
         self.cold_until, self.cold_end, self.cold_next = 0, NEVER, NEVER
-        self.cold_k, self.cold_at = 0, (-1, -1)
+        self.cold_k, self.cold_senders_version = 0, (-1, -1)
         self._ill = self._ill_at = 0.0
 
     def ill(self, now: float) -> float:
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -317,7 +317,7 @@
         one = spent(lambda: h.pick("service-0001", [], set(), 1.0), 0.1)
         old = spent(lambda: b.usable("service-0001", 1.0), 0.1)
         anew = spent(lambda: h._rebuild(e.state.registry, 0, 1.0), 0.1)
-        turns = spent(lambda: (setattr(spot, "cold_at", (-1, -1)), h._turns(spot, item)), 0.1)
+        turns = spent(lambda: (setattr(spot, "cold_senders_version", (-1, -1)), h._cold_senders(spot, item)), 0.1)
         click.echo(
             f"pick    {n:6} upstreams, {k} proxies: {one * 1e6:.0f} us a choice ({old * 1e6:.0f} from the board); "
             f"a registry change {anew * 1e3:.2f} ms; a roster change {turns * 1e3:.2f} ms for each cold upstream"
