--- a/mallowvalve/proxy/budget.py
+++ b/mallowvalve/proxy/budget.py
@@ -1,61 +1,64 @@
-"""How many repeats a proxy may send to a service, so that failures do not multiply the load."""
+"""Retry budgets: they limit the retries to a service, so that failures do not multiply its load."""
 
 from __future__ import annotations
 
 from collections import deque
 
-SPAN = 10.0
-SHARE = 0.12
-SAVED = 0.005
+WINDOW_S = 10.0
+RETRIES_PER_FIRST_ATTEMPT = 0.12
+MAX_SAVED_RETRIES_PER_FIRST_ATTEMPT = 0.005
 
 
 class RetryBudget:
-    """Each first try earns a share of a repeat.
+    """Each first attempt adds a fraction of a retry.
 
-    Little can be saved up, so that a fall of traffic leaves no hoard to spend.
+    Few retries can be saved, so that after a drop of traffic no large budget remains.
     """
 
-    __slots__ = ("_first", "_earned")
+    __slots__ = ("_first_attempts", "_available")
 
     def __init__(self):
-        self._first: deque[float] = deque()
-        self._earned = 0.0
-
-    def first(self, now: float) -> None:
-        self._first.append(now)
-        while self._first[0] <= now - SPAN:
-            self._first.popleft()
-        self._earned = min(self._earned + SHARE, max(1.0, SAVED * len(self._first)))
-
-    def again(self, now: float) -> bool:
-        if self._earned < 1.0 - 1e-9:
+        self._first_attempts: deque[float] = deque()
+        self._available = 0.0
+
+    def record_first(self, now: float) -> None:
+        self._first_attempts.append(now)
+        while self._first_attempts[0] <= now - WINDOW_S:
+            self._first_attempts.popleft()
+        self._available = min(
+            self._available + RETRIES_PER_FIRST_ATTEMPT,
+            max(1.0, MAX_SAVED_RETRIES_PER_FIRST_ATTEMPT * len(self._first_attempts)),
+        )
+
+    def take_retry(self, now: float) -> bool:
+        if self._available < 1.0 - 1e-9:
             return False
-        self._earned -= 1.0
+        self._available -= 1.0
         return True
 
 
 class SlidingRetryBudget:
-    """Repeats within any span: a share of the first sends of that span, and a floor of their own. Times in seconds."""
+    """Limits the retries in any window to a ratio of the first attempts in that window, plus a floor. Times in s."""
 
-    __slots__ = ("ratio", "span", "floor", "_first", "_again")
+    __slots__ = ("ratio", "window_s", "floor", "_first_attempts", "_retries")
 
-    def __init__(self, ratio: float, span: float, floor: float):
-        self.ratio, self.span, self.floor = ratio, span, floor
-        self._first: deque[float] = deque()
-        self._again: deque[float] = deque()
+    def __init__(self, ratio: float, window_s: float, floor: float):
+        self.ratio, self.window_s, self.floor = ratio, window_s, floor
+        self._first_attempts: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
-    def first(self, now: float) -> None:
-        self._first.append(now)
-        self._forget(self._first, now)
+    def record_first(self, now: float) -> None:
+        self._first_attempts.append(now)
+        self._expire(self._first_attempts, now)
 
-    def again(self, now: float) -> bool:
-        self._forget(self._first, now)
-        self._forget(self._again, now)
-        if len(self._again) + 1 > self.ratio * len(self._first) + self.floor:
+    def take_retry(self, now: float) -> bool:
+        self._expire(self._first_attempts, now)
+        self._expire(self._retries, now)
+        if len(self._retries) + 1 > self.ratio * len(self._first_attempts) + self.floor:
             return False
-        self._again.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, q: deque[float], now: float) -> None:
-        while q and q[0] <= now - self.span:
-            q.popleft()
+    def _expire(self, times: deque[float], now: float) -> None:
+        while times and times[0] <= now - self.window_s:
+            times.popleft()
--- a/mallowvalve/proxy/call.py
+++ b/mallowvalve/proxy/call.py
@@ -1,4 +1,4 @@
-"""A request of a tenant, read and checked before anything is sent."""
+"""Parses and checks a tenant's request before anything is sent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from mallowvalve.proxy.steps import ClientRequest
 from mallowvalve.routing.compiler import Request
 
-HOP = frozenset(
+DROPPED_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -28,83 +28,88 @@
         "mallow-again",
     )
 )
-KEY_BYTES = 200
-Refused = tuple[int, str, str]
+MAX_KEY_CHARS = 200
+ParseError = tuple[int, str, str]
+"""The status, place and text of a rejection."""
 
 
 class TenantRequest(msgspec.Struct):
-    """A request that was understood; its plan is chosen anew before anything is sent."""
+    """A parsed request of a tenant; its plan is chosen again before each send."""
 
-    ask: ClientRequest
+    client_request: ClientRequest
     request: Request
     tenant: str
     plan: Plan
     key: str
     end: float
-    seen: int
-    again: bool
+    revision: int
+    is_retry: bool
     body: bytes = b""
-    name: bytes = b""
+    fingerprint: bytes = b""
     digest: str = ""
-    owed: bool = False
-    sent: int = 0
-
-    def fill(self, body: bytes) -> None:
-        a, self.body = self.ask, body
-        self.name = name_of(a.client, self.tenant, a.method, a.target, body)
-        self.digest = request_digest(a.method, a.target, body)
-
-    def wire(self, host: str) -> bytes:
-        a = self.ask
-        dropped = {h.strip().lower() for h in a.headers.get("connection", "").split(",")} | HOP
-        lines = [f"{a.method} {a.target} HTTP/1.1", f"Host: {host}"]
-        lines += [f"{k}: {v}" for k, v in a.headers.items() if k not in dropped]
-        if self.body or a.method in ("POST", "PUT", "PATCH"):
+    follows_failure: bool = False
+    sends: int = 0
+
+    def set_body(self, body: bytes) -> None:
+        request, self.body = self.client_request, body
+        self.fingerprint = request_fingerprint(request.client, self.tenant, request.method, request.target, body)
+        self.digest = request_digest(request.method, request.target, body)
+
+    def serialize(self, host: str) -> bytes:
+        request = self.client_request
+        dropped = {h.strip().lower() for h in request.headers.get("connection", "").split(",")} | DROPPED_HEADERS
+        lines = [f"{request.method} {request.target} HTTP/1.1", f"Host: {host}"]
+        lines += [f"{k}: {v}" for k, v in request.headers.items() if k not in dropped]
+        if self.body or request.method in ("POST", "PUT", "PATCH"):
             lines.append(f"Content-Length: {len(self.body)}")
         return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + self.body
 
 
-def understand(a: ClientRequest, tree: Tree, seen: int, now: float) -> Result[TenantRequest, Refused]:
-    """The request with the plan of its route; `now` and `end` on the proxy's own clock (s)."""
-    path = unquote(a.target.partition("?")[0], errors="surrogateescape")
-    if not clean(a.target, path):
+def parse_request(
+    client_request: ClientRequest, tree: Tree, revision: int, now: float
+) -> Result[TenantRequest, ParseError]:
+    """Returns the request with the plan of its route; `now` and `end` are on the proxy's clock (s)."""
+    path = unquote(client_request.target.partition("?")[0], errors="surrogateescape")
+    if not is_unambiguous(client_request.target, path):
         return Err((400, "path", "must be absolute, without . or .. parts, empty parts or encoded slashes"))
-    tenant = a.headers.get("mallow-tenant", "")
+    tenant = client_request.headers.get("mallow-tenant", "")
     if not tenant:
         return Err((400, "Mallow-Tenant", "missing"))
     if tenant not in tree.cell_of:
         return Err((404, "Mallow-Tenant", f"no tenant {tenant[:64]!r}"))
-    request = Request(a.method, path, a.headers)
+    request = Request(client_request.method, path, client_request.headers)
     plan = tree.choose(tenant, request)
     if plan is None:
         return Err((404, "path", "no route takes this request"))
-    key = a.headers.get("mallow-key", "")
-    if plan.kind == "once" and not key or len(key) > KEY_BYTES:
-        return Err((400, "Mallow-Key", f"this route runs once: a key of 1 to {KEY_BYTES} characters is needed"))
-    limit = a.headers.get("mallow-limit", str(plan.policy.limit_ms))
+    key = client_request.headers.get("mallow-key", "")
+    if plan.kind == "once" and not key or len(key) > MAX_KEY_CHARS:
+        return Err((400, "Mallow-Key", f"this route runs once: a key of 1 to {MAX_KEY_CHARS} characters is needed"))
+    limit = client_request.headers.get("mallow-limit", str(plan.policy.limit_ms))
     if not limit.isascii() or not limit.isdigit() or not 0 < int(limit[:12]) < 1 << 31:
         return Err((400, "Mallow-Limit", "want milliseconds"))
     end = now + min(int(limit[:12]), plan.policy.limit_ms) / 1000
-    again = bool(a.headers.get("mallow-again"))
-    return Ok(TenantRequest(a, request, tenant, plan, f"{tenant}\0{key}" if key else "", end, seen, again))
+    is_retry = bool(client_request.headers.get("mallow-again"))
+    return Ok(
+        TenantRequest(client_request, request, tenant, plan, f"{tenant}\0{key}" if key else "", end, revision, is_retry)
+    )
 
 
-def check_body(a: ClientRequest, body: bytes) -> Refused | None:
-    """Why a body is refused: shorter than said, or not the JSON that it says it is."""
-    if a.length is not None and len(body) != a.length:
+def check_body(client_request: ClientRequest, body: bytes) -> ParseError | None:
+    """Returns why a body is rejected, or None: it is shorter than its length, or not valid JSON as declared."""
+    if client_request.length is not None and len(body) != client_request.length:
         return 400, "body", "shorter than its length"
-    kind = a.headers.get("content-type", "").partition(";")[0].strip().lower()
-    if not body or kind != "application/json":
+    content_type = client_request.headers.get("content-type", "").partition(";")[0].strip().lower()
+    if not body or content_type != "application/json":
         return None
     try:
         msgspec.json.decode(body)
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as e:
-        return 400, "body", f"not JSON: {e}"
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        return 400, "body", f"not JSON: {error}"
     return None
 
 
-def clean(target: str, path: str) -> bool:
-    """Whether a path means the same to all who read it: absolute, no dots, no empty parts, no encoded slashes."""
+def is_unambiguous(target: str, path: str) -> bool:
+    """Returns whether all parsers read a path alike: absolute, without dot parts, empty parts or encoded slashes."""
     if not target.startswith("/") or "#" in target or "\\" in path or "%2f" in target.lower():
         return False
     parts = path.split("/")[1:]
@@ -112,11 +117,11 @@
 
 
 def request_digest(method: str, target: str, body: bytes) -> str:
-    """What a key is bound to."""
+    """Returns the digest of the request that an idempotency key is bound to."""
     return hashlib.blake2b(b"\0".join((method.encode(), target.encode(), body)), digest_size=16).hexdigest()
 
 
-def name_of(client: str, tenant: str, method: str, target: str, body: bytes) -> bytes:
-    """By which a repeat of a request that failed is known."""
+def request_fingerprint(client: str, tenant: str, method: str, target: str, body: bytes) -> bytes:
+    """Returns the hash by which a retry of a failed request is detected."""
     parts = (client.encode(), tenant.encode(), method.encode(), target.encode(), body)
     return hashlib.blake2b(b"\0".join(parts), digest_size=16).digest()
--- a/mallowvalve/proxy/choose.py
+++ b/mallowvalve/proxy/choose.py
@@ -1,4 +1,4 @@
-"""Which upstream of a service takes the next request of a tenant."""
+"""Selects the upstream of a service for a tenant's next request."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Row
 
-BROKEN = 2.0
-COLD = 0.05
+FAILURE_AVOIDANCE_S = 2.0
+MIN_SLOW_START_FACTOR = 0.05
 
 
-def warmth(r: Row, ramp_ms: int, now: float) -> float:
-    """The share of its full load that an upstream bears so soon after its start, at least `COLD`."""
+def slow_start_factor(row: Row, ramp_ms: int, now: float) -> float:
+    """Returns the share of its full load that a recently started upstream gets, at least `MIN_SLOW_START_FACTOR`."""
     if ramp_ms <= 0:
         return 1.0
-    return max(COLD, min(1.0, (now - r.since) * 1000 / ramp_ms))
+    return max(MIN_SLOW_START_FACTOR, min(1.0, (now - row.since) * 1000 / ramp_ms))
 
 
-def cap(r: Row, policy: Policy, proxies: int, now: float) -> int:
-    """How many requests one of so many proxies may have at an upstream at once."""
-    return max(1, math.ceil(policy.width * warmth(r, policy.ramp_ms, now) / max(1, proxies)))
+def max_in_flight(row: Row, policy: Policy, proxies: int, now: float) -> int:
+    """Returns how many requests each of `proxies` proxies may have in flight at an upstream."""
+    return max(1, math.ceil(policy.width * slow_start_factor(row, policy.ramp_ms, now) / max(1, proxies)))
 
 
 class Chooser:
-    """Draws two upstreams by how warm they are and takes the one with the lesser load; near ones first if asked to."""
+    """Draws two upstreams weighted by slow start and takes the less loaded one; near ones first if so configured."""
 
     __slots__ = ("near", "rng", "in_flight")
 
@@ -36,35 +36,35 @@
 
     def pick(self, rows: list[Row], policy: Policy, proxies: int, tried: set[Address], now: float) -> Row | None:
         rows = [r for r in rows if r.heartbeat.address not in tried]
-        rows = [r for r in rows if now - r.broken > BROKEN] or rows
-        rows = [r for r in rows if self.in_flight.get(r.heartbeat.address, 0) < cap(r, policy, proxies, now)]
+        rows = [r for r in rows if now - r.broken > FAILURE_AVOIDANCE_S] or rows
+        rows = [r for r in rows if self.in_flight.get(r.heartbeat.address, 0) < max_in_flight(r, policy, proxies, now)]
         if not rows:
             return None
-        rings = [rows] if policy.chooser != "near" else self._rings(rows)
-        warmest = max(warmth(r, policy.ramp_ms, now) for r in rows)
+        rings = [rows] if policy.chooser != "near" else self._by_distance(rows)
+        max_factor = max(slow_start_factor(r, policy.ramp_ms, now) for r in rows)
         for ring in rings:
-            w = [warmth(r, policy.ramp_ms, now) for r in ring]
-            if ring is rings[-1] or self.rng.random() * warmest <= max(w):
+            factors = [slow_start_factor(r, policy.ramp_ms, now) for r in ring]
+            if ring is rings[-1] or self.rng.random() * max_factor <= max(factors):
                 break
-        a, b = self.rng.choices(ring, w, k=2)
-        return min((a, b), key=self._usage)
-
-    def _rings(self, rows: list[Row]) -> list[list[Row]]:
-        """By distance; where only cold ones are near, the warmer farther ones bear their share."""
-        by: dict[int, list[Row]] = {}
-        for r in rows:
-            by.setdefault(self.near.distance(r.heartbeat.locality), []).append(r)
-        return [by[d] for d in sorted(by)]
-
-    def enter(self, a: Address) -> None:
-        self.in_flight[a] = self.in_flight.get(a, 0) + 1
-
-    def leave(self, a: Address) -> None:
-        n = self.in_flight.get(a, 0) - 1
-        if n > 0:
-            self.in_flight[a] = n
+        first, second = self.rng.choices(ring, factors, k=2)
+        return min((first, second), key=self._load)
+
+    def _by_distance(self, rows: list[Row]) -> list[list[Row]]:
+        """Groups upstreams by distance; if all near ones are in slow start, farther ones take a share of the load."""
+        by_distance: dict[int, list[Row]] = {}
+        for row in rows:
+            by_distance.setdefault(self.near.distance(row.heartbeat.locality), []).append(row)
+        return [by_distance[d] for d in sorted(by_distance)]
+
+    def enter(self, address: Address) -> None:
+        self.in_flight[address] = self.in_flight.get(address, 0) + 1
+
+    def leave(self, address: Address) -> None:
+        remaining = self.in_flight.get(address, 0) - 1
+        if remaining > 0:
+            self.in_flight[address] = remaining
         else:
-            self.in_flight.pop(a, None)
+            self.in_flight.pop(address, None)
 
-    def _usage(self, r: Row) -> float:
-        return self.in_flight.get(r.heartbeat.address, 0) + r.heartbeat.usage
+    def _load(self, row: Row) -> float:
+        return self.in_flight.get(row.heartbeat.address, 0) + row.heartbeat.usage
--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -1,4 +1,4 @@
-"""What a proxy knows of the upstreams of host routes: the registry's rows, and what it saw of each itself."""
+"""The upstreams of host routes as a proxy knows them: the registry's rows and the proxy's own observations."""
 
 from __future__ import annotations
 
@@ -10,69 +10,75 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.budget import SlidingRetryBudget
 from mallowvalve.proxy.idle import IdleConnections
-from mallowvalve.proxy.spot import BREAK, BREAK_MOST, NEVER, UpstreamState, Zone
+from mallowvalve.proxy.spot import BREAKER_OPEN_S, MAX_BREAKER_OPEN_S, NEVER, UpstreamState, ZoneHealth
 from mallowvalve.proxy.steps import GATEWAY_TIMEOUT, MISDIRECTED, SERVER_ERROR, UpstreamResponse
 from mallowvalve.settings import Settings
 from mallowvalve.types import Locality, emptied
 
-FILL, FAR = 0.85, (0.0, 0.1, 0.5)
-FULL = 0.2
-DRAWN = 2
-QUEUED = 2
-COLD_SHARE = 0.9
-WRONG = 5.0
-BUDGET_SHARE, FLOOR_SHARE = 0.7, 0.5
+PREFERRED_UTILIZATION = 0.85
+"""Up to this utilization an upstream is preferred to all that are farther away."""
+DISTANCE_PENALTIES = (0.0, 0.1, 0.5)
+"""Utilization added for each distance: same zone, same region, other region."""
+CAPACITY_REJECTION_S = 0.2
+SAMPLED_UPSTREAMS = 2
+QUEUED_PER_UPSTREAM = 2
+COLD_RATE_SHARE = 0.9
+MISDIRECTED_S = 5.0
+COLD_AFTER_EVACUATION_HEARTBEATS = 1.4
+RETRY_RATIO_SHARE = 0.7
+RETRY_SLACK_SHARE = 0.5
 
 
 class UpstreamLease:
-    """A place at an upstream and the connection opened for it, given back exactly once."""
+    """One request's slot at an upstream and its connection, released exactly once."""
 
-    __slots__ = ("connection", "hosts", "spot", "streams", "idle", "sent_at", "_left")
+    __slots__ = ("connection", "hosts", "state", "streams", "idle_s", "sent_at", "_released")
 
-    def __init__(self, hosts: HostUpstreams, spot: UpstreamState):
-        """Take a place. `idle`: for how long its connection was not used (s), None for one just opened.
+    def __init__(self, hosts: HostUpstreams, state: UpstreamState):
+        """Takes a slot. `idle_s` is how long a reused connection was idle, None for a new one.
 
-        `sent_at`: when the request was sent on it, on the proxy's own clock (s).
+        `sent_at` is when the request was sent, on the proxy's clock (s).
         """
-        self.connection, self.hosts, self.spot, self.idle = None, hosts, spot, None
+        self.connection, self.hosts, self.state, self.idle_s = None, hosts, state, None
         self.sent_at: float | None = None
-        self.streams = self._left = False
-        spot.in_flight += 1
+        self.streams = self._released = False
+        state.in_flight += 1
 
-    def reuse(self, sure: bool, now: float) -> bool:
-        self.connection = self.hosts.idle_connections.take(self.spot.upstream, now, sure)
+    def reuse(self, recent_only: bool, now: float) -> bool:
+        """Takes an idle connection and returns whether there was one."""
+        self.connection = self.hosts.idle_connections.take(self.state.upstream, now, recent_only)
         if self.connection is not None:
-            self.idle = now - self.connection.since
+            self.idle_s = now - self.connection.since
         return self.connection is not None
 
-    def sending(self, now: float) -> None:
-        """Told right before the first byte."""
+    def on_send(self, now: float) -> None:
+        """Records the send; call it directly before the first byte."""
         self.sent_at = now
-        self.hosts.sending(self.spot, now)
+        self.hosts.on_send(self.state, now)
 
     def abandon(self) -> None:
-        """Its client has left: the connection is closed at once, and the upstream is not judged by it."""
-        if self._left:
+        """Closes the connection at once because the client left; this does not count against the upstream."""
+        if self._released:
             return
         self.release(keep=False)
-        self.hosts.abandoned(self.spot)
+        self.hosts.on_abandon(self.state)
 
     def release(self, keep: bool) -> None:
-        """The place is free. A connection that is kept has rested since it was last sent on, not since it was taken."""
-        if self._left:
+        """Frees the slot. The idle time of a kept connection counts from its last send, not from when it was taken."""
+        if self._released:
             return
-        self._left = True
-        self.spot.in_flight -= 1
+        self._released = True
+        self.state.in_flight -= 1
         if self.connection is not None and keep:
             used_at = self.hosts.now() if self.sent_at is not None else self.connection.since
             self.hosts.idle_connections.give(self.connection, used_at)
         elif self.connection is not None:
             self.connection.close()
-        self.hosts.on_free(self.spot.upstream.service)
+        self.hosts.on_free(self.state.upstream.service)
 
 
 class HostUpstreams:
-    """The upstreams of host routes as this proxy knows them, its places at them, their budgets and connections."""
+    """The upstreams of host routes, with their load, health, retry budgets and idle connections."""
 
     __slots__ = (
         "replica",
@@ -84,14 +90,14 @@
         "waiting",
         "upstreams",
         "zones",
-        "_rings",
+        "_by_distance",
         "_registry",
-        "_revision",
+        "_registry_revision",
         "_budgets",
-        "_share",
-        "_proxies",
-        "_roster",
-        "_out",
+        "_local_proxies",
+        "_proxy_count",
+        "_settings_revision",
+        "_evacuated",
     )
 
     def __init__(
@@ -106,225 +112,264 @@
         self.idle_connections = IdleConnections()
         self.waiting: dict[str, int] = {}
         self.upstreams: dict[str, UpstreamState] = {}
-        self.zones: dict[Locality, Zone] = {}
-        self._rings: dict[str, list[tuple[int, list[UpstreamState]]]] = {}
-        self._registry, self._revision = None, -1
+        self.zones: dict[Locality, ZoneHealth] = {}
+        self._by_distance: dict[str, list[tuple[int, list[UpstreamState]]]] = {}
+        self._registry, self._registry_revision = None, -1
         self._budgets: dict[str, SlidingRetryBudget] = {}
-        self._share = self._proxies = 1
-        self._roster = -1
-        self._out: dict[str, int] = {}
+        self._local_proxies = self._proxy_count = 1
+        self._settings_revision = -1
+        self._evacuated: dict[str, int] = {}
 
     def pick(self, service: str, homes: list[str], tried: set[str], now: float) -> tuple[UpstreamState | None, bool]:
-        """The upstream for the next request, and whether there is any that may take it at all."""
-        self.sync(now)
-        out, share, any_, free, rest = self.replica.state.settings.evacuated, self._share, False, [], []
+        """Returns the upstream for the next request, and whether any upstream is eligible at all."""
+        self.refresh(now)
+        evacuated, proxies = self.replica.state.settings.evacuated, self._local_proxies
+        any_eligible, with_capacity, fallbacks = False, [], []
         item = self.replica.state.items.services.get(service)
-        for d, ring in self._rings.get(service, ()):
-            ok = [s for s in ring if s.upstream.instance not in tried and self._may(s, homes, out, now)]
-            any_ = any_ or bool(ok)
-            ok = [s for s in ok if not s.full(now, share, self.most(s, item)) and self._warm(s, item, now)]
-            good = [s for s in ok if s.sound(now)]
-            free += ok
-            if not good:
+        for distance, ring in self._by_distance.get(service, ()):
+            usable = [s for s in ring if s.upstream.instance not in tried and self._eligible(s, homes, evacuated, now)]
+            any_eligible = any_eligible or bool(usable)
+            usable = [
+                s
+                for s in usable
+                if not s.at_capacity(now, proxies, self.max_in_flight(s, item)) and self._may_send_cold(s, item, now)
+            ]
+            healthy = [s for s in usable if s.is_healthy(now)]
+            with_capacity += usable
+            if not healthy:
                 continue
-            s = self._two(good, now, share)
-            f = s.fill(now, share) + s.ill(now)
-            if f > FILL and len(good) > DRAWN:
-                f, s = min(((x.fill(now, share) + x.ill(now), x) for x in good), key=lambda g: g[0])
-            if f <= FILL:
-                return s, True
-            rest.append((f + FAR[d], s))
-        if rest:
-            return min(rest, key=lambda r: r[0])[1], True
-        return (min(free, key=lambda s: s.broken_until) if free else None), any_
-
-    def fits(self, s: UpstreamState, service: str, homes: list[str], now: float) -> bool:
-        """Whether what was chosen a moment ago may still be sent to."""
-        self.sync(now)
-        if self.upstreams.get(s.upstream.instance) is not s or s.upstream.service != service:
+            chosen = self._less_loaded_of_two(healthy, now, proxies)
+            cost = chosen.utilization(now, proxies) + chosen.failure_score(now)
+            if cost > PREFERRED_UTILIZATION and len(healthy) > SAMPLED_UPSTREAMS:
+                cost, chosen = min(
+                    ((s.utilization(now, proxies) + s.failure_score(now), s) for s in healthy),
+                    key=lambda candidate: candidate[0],
+                )
+            if cost <= PREFERRED_UTILIZATION:
+                return chosen, True
+            fallbacks.append((cost + DISTANCE_PENALTIES[distance], chosen))
+        if fallbacks:
+            return min(fallbacks, key=lambda candidate: candidate[0])[1], True
+        return (min(with_capacity, key=lambda s: s.breaker_open_until) if with_capacity else None), any_eligible
+
+    def still_eligible(self, state: UpstreamState, service: str, homes: list[str], now: float) -> bool:
+        """Returns whether a request may still be sent to an upstream that was picked earlier."""
+        self.refresh(now)
+        if self.upstreams.get(state.upstream.instance) is not state or state.upstream.service != service:
             return False
         item = self.replica.state.items.services.get(service)
-        return self._may(s, homes, self.replica.state.settings.evacuated, now) and self._warm(s, item, now)
-
-    def sending(self, s: UpstreamState, now: float) -> None:
-        """Told right before the first byte: a cold upstream's turn is used up."""
-        s.since += 1
-        s.zone.sending(now)
-        if s.mute is None:
-            s.mute = now
-        item = self.replica.state.items.services.get(s.upstream.service)
-        if s.cold(now) and item is not None and item.cold_per_s > 0:
-            s.cold_next = now + self._period(s, item)
-
-    def heard(self, s: UpstreamState, a: UpstreamResponse, took: float, now: float) -> None:
-        s.pause, s.broken_until = BREAK, NEVER
-        s.zone.heard(took)
-        s.mute = now if s.in_flight > 1 else None
-        s.latency += 0.2 * (took - s.latency)
-        t = self.settings.terms
-        if not (a.status == MISDIRECTED or t.not_run and t.not_run.lower() in a.header_map):
-            s.judged(a.status < SERVER_ERROR or a.status == GATEWAY_TIMEOUT, now)
-        usage = a.header_map.get(t.usage.lower()) if t.usage else None
+        evacuated = self.replica.state.settings.evacuated
+        return self._eligible(state, homes, evacuated, now) and self._may_send_cold(state, item, now)
+
+    def on_send(self, state: UpstreamState, now: float) -> None:
+        """Records a send, directly before its first byte, and schedules the next one to a cold upstream."""
+        state.sent_since_report += 1
+        state.zone.on_send(now)
+        if state.silent_since is None:
+            state.silent_since = now
+        item = self.replica.state.items.services.get(state.upstream.service)
+        if state.is_cold(now) and item is not None and item.cold_per_s > 0:
+            state.next_cold_send = now + self._cold_period_s(state, item)
+
+    def on_response(self, state: UpstreamState, response: UpstreamResponse, latency: float, now: float) -> None:
+        state.breaker_open_s, state.breaker_open_until = BREAKER_OPEN_S, NEVER
+        state.zone.on_response(latency)
+        state.silent_since = now if state.in_flight > 1 else None
+        state.latency += 0.2 * (latency - state.latency)
+        terms = self.settings.terms
+        headers = response.header_map
+        if not (response.status == MISDIRECTED or terms.not_run and terms.not_run.lower() in headers):
+            state.record_outcome(response.status < SERVER_ERROR or response.status == GATEWAY_TIMEOUT, now)
+        usage = headers.get(terms.usage.lower()) if terms.usage else None
         if usage is not None:
-            self._usage(s, usage, now)
+            self._record_usage(state, usage, now)
         else:
-            s.since = max(0, s.since - 1)
-        cold = a.header_map.get(t.cold.lower(), "") if t.cold else ""
-        if cold.isdigit() and int(cold) > 0:
-            self._chill(s, now + int(cold[:6]) / 1000, now)
+            state.sent_since_report = max(0, state.sent_since_report - 1)
+        cold_ms = headers.get(terms.cold.lower(), "") if terms.cold else ""
+        if cold_ms.isdigit() and int(cold_ms) > 0:
+            self._mark_cold(state, now + int(cold_ms[:6]) / 1000, now)
 
-    def late(self, s: UpstreamState, sent_at: float, now: float) -> None:
-        """No answer within the limit: its fault when it has answered nothing at all since.
+    def on_timeout(self, state: UpstreamState, sent_at: float, now: float) -> None:
+        """Handles a missing response: a failure if the upstream has answered nothing at all since the send.
 
-        Whether it is there at all shows when a connection is opened, at no risk to a request.
+        The idle connections are closed then: opening a new one shows whether the upstream is reachable, without risk
+        to a request.
         """
-        if self.is_mute(s, sent_at):
-            self.failed(s, now)
-            self.idle_connections.drop(s.upstream.instance)
-
-    def abandoned(self, s: UpstreamState) -> None:
-        """One request less is at work there; what it would have answered, and when, is not known."""
-        s.since = max(0, s.since - 1)
-        if not s.in_flight:
-            s.mute = None
-
-    def is_mute(self, s: UpstreamState, since: float) -> bool:
-        return s.mute is not None and s.mute <= since
-
-    def failed(self, s: UpstreamState, now: float) -> None:
-        s.mute = now if s.in_flight else None
-        if now >= s.broken_until:
-            s.broken_until, s.pause = now + s.pause, min(BREAK_MOST, s.pause * 2)
-        s.since = max(0, s.since - 1)
-
-    def turned_away(self, s: UpstreamState, status: int, now: float) -> None:
+        if self.is_silent(state, sent_at):
+            self.on_failure(state, now)
+            self.idle_connections.drop(state.upstream.instance)
+
+    def on_abandon(self, state: UpstreamState) -> None:
+        """Removes an abandoned request from the load estimate; its outcome and latency are unknown."""
+        state.sent_since_report = max(0, state.sent_since_report - 1)
+        if not state.in_flight:
+            state.silent_since = None
+
+    def is_silent(self, state: UpstreamState, since: float) -> bool:
+        return state.silent_since is not None and state.silent_since <= since
+
+    def on_failure(self, state: UpstreamState, now: float) -> None:
+        """Opens the circuit breaker, for twice as long after each further failure."""
+        state.silent_since = now if state.in_flight else None
+        if now >= state.breaker_open_until:
+            state.breaker_open_until, state.breaker_open_s = (
+                now + state.breaker_open_s,
+                min(MAX_BREAKER_OPEN_S, state.breaker_open_s * 2),
+            )
+        state.sent_since_report = max(0, state.sent_since_report - 1)
+
+    def on_rejection(self, state: UpstreamState, status: int, now: float) -> None:
+        """Avoids an upstream for a while that rejected a request without running it."""
         if status == MISDIRECTED:
-            s.wrong_until = now + WRONG
+            state.misdirected_until = now + MISDIRECTED_S
             return
-        s.full_until = now + FULL
+        state.at_capacity_until = now + CAPACITY_REJECTION_S
 
-    def most(self, s: UpstreamState, item: ServiceItem | None) -> int:
-        own = s.upstream.slots + QUEUED
+    def max_in_flight(self, state: UpstreamState, item: ServiceItem | None) -> int:
+        limit = state.upstream.slots + QUEUED_PER_UPSTREAM
         if item is not None and item.connections > 0:
-            own = min(own, max(1, item.connections // self._proxies))
-        if s.base_at <= NEVER:
-            own = min(own, max(1, -(-2 * s.upstream.slots // self._share)))
-        return own
+            limit = min(limit, max(1, item.connections // self._proxy_count))
+        if state.reported_at <= NEVER:
+            limit = min(limit, max(1, -(-2 * state.upstream.slots // self._local_proxies)))
+        return limit
 
     def budget(self, service: str) -> SlidingRetryBudget:
-        b = self._budgets.get(service)
-        p = self.settings.budget
-        if b is None:
-            b = self._budgets[service] = SlidingRetryBudget(BUDGET_SHARE * p.ratio, p.span, 0.0)
-        b.floor = FLOOR_SHARE * p.slack / self._proxies
-        return b
-
-    def sync(self, now: float) -> None:
+        budget = self._budgets.get(service)
+        bounds = self.settings.budget
+        if budget is None:
+            budget = self._budgets[service] = SlidingRetryBudget(RETRY_RATIO_SHARE * bounds.ratio, bounds.span, 0.0)
+        budget.floor = RETRY_SLACK_SHARE * bounds.slack / self._proxy_count
+        return budget
+
+    def refresh(self, now: float) -> None:
+        """Takes over changes of the settings and of the registry."""
         state = self.replica.state
-        registry, p = state.registry, state.settings
-        if p.revision != self._roster:
-            self._roster = p.revision
-            self._proxies = max(1, len(p.roster))
+        registry, settings = state.registry, state.settings
+        if settings.revision != self._settings_revision:
+            self._settings_revision = settings.revision
+            self._proxy_count = max(1, len(settings.roster))
             here = self.settings.locality
-            self._share = max(1, sum(seat.locality == here for seat in p.roster.values()))
-            self._lifted(dict(p.evacuated), now)
-        if registry is not self._registry or registry.revision != self._revision:
+            self._local_proxies = max(1, sum(seat.locality == here for seat in settings.roster.values()))
+            self._update_evacuated(dict(settings.evacuated), now)
+        if registry is not self._registry or registry.revision != self._registry_revision:
             self._rebuild(registry, state.clock, now)
 
     def prune(self) -> None:
+        """Closes connections that are unusable and drops the budgets of removed services."""
         if self.replica.state is None:
             return
         now = self.now()
-        self.sync(now)
+        self.refresh(now)
         self.idle_connections.prune(set(self.upstreams), now)
         known = self.replica.state.items.services
-        for s in [s for s in self._budgets if s not in known]:
-            del self._budgets[s]
+        for service in [s for s in self._budgets if s not in known]:
+            del self._budgets[service]
 
     def _rebuild(self, registry, clock: int, now: float) -> None:
-        self._registry, self._revision = registry, registry.revision
-        upstreams: dict[str, UpstreamState] = {}
+        self._registry, self._registry_revision = registry, registry.revision
+        states: dict[str, UpstreamState] = {}
         rings: dict[str, dict[int, list[UpstreamState]]] = {}
         for name, upstream in registry.rows.items():
             if upstream.state != "ready":
                 continue
-            s = self.upstreams.get(name)
-            if s is None or s.upstream.address != upstream.address or s.upstream.service != upstream.service:
-                s = UpstreamState(upstream, self.zones.setdefault(upstream.locality, Zone()))
-            s.upstream = upstream
-            if upstream.cold_until != s.cold_until:
-                s.cold_until = upstream.cold_until
-                self._chill(s, now + max(0, upstream.cold_until - clock) / 1000, now)
-            upstreams[name] = s
+            state = self.upstreams.get(name)
+            if (
+                state is None
+                or state.upstream.address != upstream.address
+                or state.upstream.service != upstream.service
+            ):
+                state = UpstreamState(upstream, self.zones.setdefault(upstream.locality, ZoneHealth()))
+            state.upstream = upstream
+            if upstream.cold_until != state.registry_cold_until:
+                state.registry_cold_until = upstream.cold_until
+                self._mark_cold(state, now + max(0, upstream.cold_until - clock) / 1000, now)
+            states[name] = state
             rings.setdefault(upstream.service, {}).setdefault(
                 self.settings.locality.distance(upstream.locality), []
-            ).append(s)
-        self.upstreams = upstreams
-        self._rings = {k: sorted(by.items()) for k, by in rings.items()}
-
-    def _lifted(self, out: dict[str, int], now: float) -> None:
-        """Upstreams of a zone given back may have become cold, and the heartbeat that says so may be on its way."""
-        before, self._out = self._out, out
-        for zone in before.keys() - out.keys():
-            for s in self.upstreams.values():
-                if emptied(s.upstream.locality, {zone: 0}):
-                    self._chill(s, now + 1.4 * self.settings.heartbeat_ms / 1000, now)
-
-    def _chill(self, s: UpstreamState, end: float, now: float) -> None:
-        was = s.cold(now)
-        s.cold_end = max(s.cold_end, end) if was else end
-        if was or not s.cold(now):
+            ).append(state)
+        self.upstreams = states
+        self._by_distance = {service: sorted(ring.items()) for service, ring in rings.items()}
+
+    def _update_evacuated(self, evacuated: dict[str, int], now: float) -> None:
+        """Marks the upstreams of a zone cold whose evacuation has ended.
+
+        They may be cold, and the heartbeat that reports it may not have arrived yet.
+        """
+        before, self._evacuated = self._evacuated, evacuated
+        for zone in before.keys() - evacuated.keys():
+            for state in self.upstreams.values():
+                if emptied(state.upstream.locality, {zone: 0}):
+                    self._mark_cold(
+                        state, now + COLD_AFTER_EVACUATION_HEARTBEATS * self.settings.heartbeat_ms / 1000, now
+                    )
+
+    def _mark_cold(self, state: UpstreamState, end: float, now: float) -> None:
+        was_cold = state.is_cold(now)
+        state.cold_end = max(state.cold_end, end) if was_cold else end
+        if was_cold or not state.is_cold(now):
             return
-        item = self.replica.state.items.services.get(s.upstream.service)
+        item = self.replica.state.items.services.get(state.upstream.service)
         if item is not None and item.cold_per_s > 0:
-            s.cold_next = now + self.rng.random() * self._period(s, item)
+            state.next_cold_send = now + self.rng.random() * self._cold_period_s(state, item)
 
-    def _warm(self, s: UpstreamState, item: ServiceItem | None, now: float) -> bool:
-        if not s.cold(now) or item is None or item.cold_per_s <= 0:
+    def _may_send_cold(self, state: UpstreamState, item: ServiceItem | None, now: float) -> bool:
+        if not state.is_cold(now) or item is None or item.cold_per_s <= 0:
             return True
-        return self._cold_senders(s, item) > 0 and now >= s.cold_next
+        return self._cold_senders(state, item) > 0 and now >= state.next_cold_send
 
-    def _period(self, s: UpstreamState, item: ServiceItem) -> float:
-        return max(1, self._cold_senders(s, item)) / (COLD_SHARE * item.cold_per_s)
+    def _cold_period_s(self, state: UpstreamState, item: ServiceItem) -> float:
+        return max(1, self._cold_senders(state, item)) / (COLD_RATE_SHARE * item.cold_per_s)
 
-    def _cold_senders(self, s: UpstreamState, item: ServiceItem) -> int:
-        """How many proxies share a cold upstream's rate, 0 when this one is not among them.
+    def _cold_senders(self, state: UpstreamState, item: ServiceItem) -> int:
+        """Returns how many proxies share a cold upstream's request rate, 0 if this proxy is not among them.
 
-        Each sends once a period, so in any one second at most once more than its share: they are as many as leaves the
-        sum below the bound, the nearest ones, ordered alike by all.
+        Each sends once a period, so in any second it exceeds its share by one request at most. As many proxies send
+        as keep the sum below the limit: the nearest ones, in an order that all proxies compute alike.
         """
-        if s.cold_senders_version == (self._roster, item.version):
-            return s.cold_k
-        c, rate = self.settings.cold, item.cold_per_s
-        k = min(self._proxies, int(rate * c.over + c.slack - COLD_SHARE * rate + 1e-9))
-        k = max(k, 1 if rate * c.over + c.slack >= 1 else 0)
+        if state.cold_senders_version == (self._settings_revision, item.version):
+            return state.cold_senders
+        bounds, rate = self.settings.cold, item.cold_per_s
+        count = min(self._proxy_count, int(rate * bounds.over + bounds.slack - COLD_RATE_SHARE * rate + 1e-9))
+        count = max(count, 1 if rate * bounds.over + bounds.slack >= 1 else 0)
         roster = self.replica.state.settings.roster
+        upstream = state.upstream
         order = sorted(
-            roster, key=lambda a: (roster[a].locality.distance(s.upstream.locality), _mix(a, s.upstream.instance))
+            roster,
+            key=lambda proxy: (roster[proxy].locality.distance(upstream.locality), _hash(proxy, upstream.instance)),
         )
-        s.cold_senders_version, s.cold_k = (
-            (self._roster, item.version),
-            k if not order or str(self.replica.addr) in order[:k] else 0,
+        state.cold_senders_version, state.cold_senders = (
+            (self._settings_revision, item.version),
+            count if not order or str(self.replica.addr) in order[:count] else 0,
+        )
+        return state.cold_senders
+
+    def _eligible(self, state: UpstreamState, homes: list[str], evacuated: dict[str, int], now: float) -> bool:
+        locality: Locality = state.upstream.locality
+        return (
+            now >= state.misdirected_until
+            and (not homes or locality.region in homes)
+            and not (evacuated and emptied(locality, evacuated))
         )
-        return s.cold_k
-
-    def _may(self, s: UpstreamState, homes: list[str], out: dict[str, int], now: float) -> bool:
-        at: Locality = s.upstream.locality
-        return now >= s.wrong_until and (not homes or at.region in homes) and not (out and emptied(at, out))
 
-    def _two(self, good: list[UpstreamState], now: float, share: int) -> UpstreamState:
-        if len(good) == 1:
-            return good[0]
-        a, b = self.rng.sample(good, 2)
-        return a if a.fill(now, share) + a.ill(now) <= b.fill(now, share) + b.ill(now) else b
+    def _less_loaded_of_two(self, healthy: list[UpstreamState], now: float, proxies: int) -> UpstreamState:
+        """Returns the less loaded of two random upstreams (power of two choices)."""
+        if len(healthy) == 1:
+            return healthy[0]
+        first, second = self.rng.sample(healthy, 2)
+        return (
+            first
+            if first.utilization(now, proxies) + first.failure_score(now)
+            <= second.utilization(now, proxies) + second.failure_score(now)
+            else second
+        )
 
-    def _usage(self, s: UpstreamState, text: str, now: float) -> None:
+    def _record_usage(self, state: UpstreamState, text: str, now: float) -> None:
         try:
-            running, waiting = (int(x) for x in text.split(",")[:2])
+            running, waiting = (int(number) for number in text.split(",")[:2])
         except ValueError:
             return
-        s.base, s.base_at, s.since = float(max(0, running + waiting)), now, 0
+        state.reported_load, state.reported_at, state.sent_since_report = float(max(0, running + waiting)), now, 0
 
 
-def _mix(a: str, b: str) -> bytes:
-    return hashlib.blake2b(f"{a}\0{b}".encode(), digest_size=8).digest()
+def _hash(proxy: str, instance: str) -> bytes:
+    return hashlib.blake2b(f"{proxy}\0{instance}".encode(), digest_size=8).digest()
--- a/mallowvalve/proxy/idle.py
+++ b/mallowvalve/proxy/idle.py
@@ -1,4 +1,4 @@
-"""The idle connections to the upstreams of host routes, without sockets: which one may carry the next request."""
+"""The pool of idle connections to the upstreams of host routes, without sockets."""
 
 from __future__ import annotations
 
@@ -8,77 +8,82 @@
 
 from mallowvalve.upstreams.registry import Upstream
 
-SURE = 1.0
-"""What cannot be sent again goes only on a connection that was used so recently (s)."""
-CAUTION, CAUTION_SHARE, CAUTION_LEAST = 30.0, 0.5, 0.2
-"""After one was forgotten at rest: how long (s) all are trusted less, to which share of its rest, and at least (s)."""
-_ALWAYS, _NEVER = 1e9, -1e9
+RECENT_USE_S = 1.0
+"""A request that cannot be sent again only goes on a connection that was used within this time."""
+CAUTION_S = 30.0
+"""How long the idle times of all connections are limited after an upstream dropped an idle connection."""
+CAUTION_IDLE_SHARE = 0.5
+"""The limit, as a share of the idle time of the dropped connection."""
+MIN_CAUTION_IDLE_S = 0.2
+_UNLIMITED_S = 1e9
+_NEVER = -1e9
 
 
-class Idle(Protocol):
-    """A connection: `since` when it was last used or opened, `life` for how long its upstream keeps it (s)."""
+class IdleConnection(Protocol):
+    """A connection; `since` is its last use or its opening, `life` how long its upstream keeps it idle (s)."""
 
     heartbeat: Upstream
     since: float
     life: float
 
     def close(self) -> None:
-        """Drop it."""
+        """Closes the connection."""
 
     def stale(self) -> bool:
-        """Whether it ended, or holds bytes that nobody asked for."""
+        """Returns whether the connection has ended, or has received unexpected bytes."""
 
 
 class IdleConnections:
-    """Idle connections, the last used first; none is used beyond the time that its upstream keeps it.
+    """Idle connections, last used first; none is reused after the time that its upstream keeps it.
 
-    Where one was forgotten sooner than said, all are trusted for half of that time for a while.
+    After an upstream dropped an idle connection earlier than announced, the idle time of all connections is limited
+    to half of that time for a while.
     """
 
-    __slots__ = ("_idle", "_trust", "_until")
+    __slots__ = ("_idle", "_max_idle_s", "_caution_until")
 
     def __init__(self) -> None:
-        """None is idle yet, and all are trusted."""
-        self._idle: dict[str, list[Idle]] = {}
-        self._trust = _ALWAYS
-        self._until = _NEVER
+        """Starts without connections and without a limit."""
+        self._idle: dict[str, list[IdleConnection]] = {}
+        self._max_idle_s = _UNLIMITED_S
+        self._caution_until = _NEVER
 
-    def take(self, upstream: Upstream, now: float, sure: bool = False) -> Idle | None:
-        """`sure`: one that was used just now, for what cannot be sent again."""
+    def take(self, upstream: Upstream, now: float, recent_only: bool = False) -> IdleConnection | None:
+        """Returns a usable connection or None; `recent_only` requires use within `RECENT_USE_S`."""
         idle = self._idle.get(upstream.instance, [])
-        trust = self._trust if now < self._until else _ALWAYS
+        max_idle_s = self._max_idle_s if now < self._caution_until else _UNLIMITED_S
         while idle:
-            if sure and now - idle[-1].since > SURE:
+            if recent_only and now - idle[-1].since > RECENT_USE_S:
                 return None
             connection = idle.pop()
-            is_young = now - connection.since <= min(connection.life, trust)
+            is_young = now - connection.since <= min(connection.life, max_idle_s)
             if connection.heartbeat.address == upstream.address and is_young and not connection.stale():
                 return connection
             connection.close()
         return None
 
-    def forgotten(self, idle: float, now: float) -> None:
-        """A connection not used for `idle` seconds broke at once when it was sent on."""
-        trust = max(CAUTION_LEAST, CAUTION_SHARE * idle)
-        self._trust = min(trust, self._trust) if now < self._until else trust
-        self._until = now + CAUTION
+    def record_forgotten(self, idle_s: float, now: float) -> None:
+        """Records that a connection broke directly after a send, after `idle_s` seconds without use."""
+        max_idle_s = max(MIN_CAUTION_IDLE_S, CAUTION_IDLE_SHARE * idle_s)
+        self._max_idle_s = min(max_idle_s, self._max_idle_s) if now < self._caution_until else max_idle_s
+        self._caution_until = now + CAUTION_S
 
     def drop(self, instance: str) -> None:
-        """Close all to this upstream."""
+        """Closes all connections to this upstream."""
         for connection in self._idle.pop(instance, ()):
             connection.close()
 
-    def give(self, connection: Idle, used_at: float) -> None:
-        """Idle from now on; it was last used at `used_at`, which may be a while ago for one taken and not sent on."""
+    def give(self, connection: IdleConnection, used_at: float) -> None:
+        """Adds an idle connection; `used_at` may lie well in the past if it was taken but not sent on."""
         connection.since = used_at
         idle = self._idle.setdefault(connection.heartbeat.instance, [])
         if not idle or idle[-1].since <= used_at:
             idle.append(connection)
         else:
-            insort(idle, connection, key=lambda c: c.since)
+            insort(idle, connection, key=lambda other: other.since)
 
     def prune(self, ready: Container[str], now: float) -> None:
-        """Close those to upstreams not in `ready`, and those that rested for too long."""
+        """Closes the connections to upstreams not in `ready`, and those that were idle for too long."""
         for instance, idle in list(self._idle.items()):
             kept = [c for c in idle if instance in ready and now - c.since <= c.life]
             for connection in idle:
--- a/mallowvalve/proxy/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -1,4 +1,4 @@
-"""Repeats of requests that failed here or at another proxy, and were not marked by their clients."""
+"""Detects retries that clients did not mark, of requests that failed at this or at another proxy."""
 
 from __future__ import annotations
 
@@ -14,78 +14,79 @@
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
-SPAN = 10.0
-MOST = 20000
-EACH = 63
-FLUSH = 0.005
+RETRY_WINDOW_S = 10.0
+MAX_REQUESTS = 20000
+MAX_EARLIER_FAILURES = 63
+FLUSH_INTERVAL_S = 0.005
 _encode = msgspec.msgpack.Encoder().encode
-_names = msgspec.msgpack.Decoder(list[bytes]).decode
+_decode_fingerprints = msgspec.msgpack.Decoder(list[bytes]).decode
 
 
 class RetryDetector:
-    """Knows a repeat that its client did not mark: each failure answered here makes one like request a repeat."""
+    """Detects unmarked retries: for each failed response, the next identical request counts as a retry."""
 
-    __slots__ = ("_failed",)
+    __slots__ = ("_failures",)
 
     def __init__(self):
-        self._failed: OrderedDict[bytes, list[float]] = OrderedDict()
-
-    def record_failure(self, name: bytes, now: float) -> None:
-        self._failed[name] = [*self._failed.get(name, [])[-EACH:], now]
-        self._failed.move_to_end(name)
-        while len(self._failed) > MOST:
-            self._failed.popitem(last=False)
-
-    def is_one(self, name: bytes, now: float) -> bool:
-        times = self._failed.pop(name, [])
-        times = [t for t in times if now - t < SPAN]
+        self._failures: OrderedDict[bytes, list[float]] = OrderedDict()
+
+    def record_failure(self, fingerprint: bytes, now: float) -> None:
+        self._failures[fingerprint] = [*self._failures.get(fingerprint, [])[-MAX_EARLIER_FAILURES:], now]
+        self._failures.move_to_end(fingerprint)
+        while len(self._failures) > MAX_REQUESTS:
+            self._failures.popitem(last=False)
+
+    def take_failure(self, fingerprint: bytes, now: float) -> bool:
+        """Returns whether a request follows a recorded failure, and removes that failure."""
+        times = self._failures.pop(fingerprint, [])
+        times = [t for t in times if now - t < RETRY_WINDOW_S]
         if not times:
             return False
         if times[1:]:
-            self._failed[name] = times[1:]
+            self._failures[fingerprint] = times[1:]
         return True
 
 
 class RetryDetectorTask:
-    """Tells the other proxies of failures at once: a hasty client comes back through another one."""
+    """Broadcasts failures to the other proxies at once, because a client may retry through any of them."""
 
-    __slots__ = ("repeats", "transport", "peers", "_news", "_wake", "_job")
+    __slots__ = ("detector", "transport", "peers", "_unsent", "_wake", "_job")
 
     def __init__(self, transport: Transport, peers: Callable[[], list[Address]]):
-        self.repeats, self.transport, self.peers = RetryDetector(), transport, peers
-        self._news: list[bytes] = []
+        self.detector, self.transport, self.peers = RetryDetector(), transport, peers
+        self._unsent: list[bytes] = []
         self._wake = Event()
-        transport.on("failed", self._heard, quick=True)
+        transport.on("failed", self._receive, quick=True)
 
     def __enter__(self) -> RetryDetectorTask:
-        """Begin to tell the other proxies."""
+        """Starts the broadcasts."""
         self._job = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
-        """Tell no more."""
+        """Stops the broadcasts."""
         self._job.kill()
 
-    def record_failure(self, name: bytes, now: float) -> None:
-        self.repeats.record_failure(name, now)
-        self._news.append(name)
+    def record_failure(self, fingerprint: bytes, now: float) -> None:
+        self.detector.record_failure(fingerprint, now)
+        self._unsent.append(fingerprint)
         self._wake.set()
 
-    def is_one(self, name: bytes, now: float) -> bool:
-        return self.repeats.is_one(name, now)
+    def take_failure(self, fingerprint: bytes, now: float) -> bool:
+        return self.detector.take_failure(fingerprint, now)
 
-    def _heard(self, _sender: Address, body: bytes) -> None:
+    def _receive(self, _sender: Address, body: bytes) -> None:
         now = clock.now()
-        for name in _names(body):
-            self.repeats.record_failure(name, now)
+        for fingerprint in _decode_fingerprints(body):
+            self.detector.record_failure(fingerprint, now)
 
     def _run(self) -> None:
         while True:
             self._wake.wait()
             self._wake.clear()
-            news, self._news = self._news, []
-            body = _encode(news)
-            for a in self.peers():
-                if a != self.transport.me:
-                    self.transport.cast(a, "failed", body)
-            gevent.sleep(FLUSH)
+            unsent, self._unsent = self._unsent, []
+            body = _encode(unsent)
+            for peer in self.peers():
+                if peer != self.transport.me:
+                    self.transport.cast(peer, "failed", body)
+            gevent.sleep(FLUSH_INTERVAL_S)
--- a/mallowvalve/proxy/spot.py
+++ b/mallowvalve/proxy/spot.py
@@ -1,117 +1,149 @@
-"""One upstream, and one zone of them, as a proxy sees them."""
+"""The health and load of one upstream, and of one zone of upstreams, as a proxy observes them."""
 
 from __future__ import annotations
 
 from mallowvalve.upstreams.registry import Upstream
 
 NEVER = -1e9
-"""A time before all others."""
-HALF = 0.4
-FRESH = 0.3
-BREAK, BREAK_MOST = 0.5, 4.0
-MUTE, OWES = 0.25, 2.5
-OPENING = 0.15
-DARK, DARK_OWES, DARK_SENT, DARK_MOST = 0.15, 1.5, 3, 2.0
-ILL, WELL, HEALED, HALE = 0.5, 0.7, 4.0, 0.1
-
-
-class Zone:
-    """Whether a zone answers at all: dark once it has said nothing since several requests were sent there (s)."""
-
-    __slots__ = ("first", "sent", "latency")
+"""A time before all others (s)."""
+USAGE_HALF_LIFE_S = 0.4
+USAGE_VALID_S = 0.3
+BREAKER_OPEN_S = 0.5
+MAX_BREAKER_OPEN_S = 4.0
+MIN_SILENCE_S = 0.25
+SILENCE_PER_LATENCY = 2.5
+SLOW_CONNECT_S = 0.15
+MIN_ZONE_SILENCE_S = 0.15
+ZONE_SILENCE_PER_LATENCY = 1.5
+ZONE_SILENT_REQUESTS = 3
+MAX_ZONE_SILENCE_S = 2.0
+FAILURE_SCORE_STEP = 0.5
+SUCCESS_SCORE_FACTOR = 0.7
+FAILURE_SCORE_HALF_LIFE_S = 4.0
+MIN_FAILURE_SCORE = 0.1
+
+
+class ZoneHealth:
+    """Detects a zone that has not responded since several requests were sent to it. Times in seconds."""
+
+    __slots__ = ("silent_since", "sent", "latency")
 
     def __init__(self):
-        self.first, self.sent, self.latency = NEVER, 0, 0.1
+        self.silent_since, self.sent, self.latency = NEVER, 0, 0.1
 
-    def sending(self, now: float) -> None:
-        if now - self.first > DARK_MOST:
-            self.first, self.sent = now, 0
+    def on_send(self, now: float) -> None:
+        if now - self.silent_since > MAX_ZONE_SILENCE_S:
+            self.silent_since, self.sent = now, 0
         self.sent += 1
 
-    def heard(self, took: float) -> None:
-        self.first, self.sent = NEVER, 0
-        self.latency += 0.1 * (took - self.latency)
+    def on_response(self, latency: float) -> None:
+        self.silent_since, self.sent = NEVER, 0
+        self.latency += 0.1 * (latency - self.latency)
 
-    def dark(self, now: float) -> bool:
-        """Not for long, so that one that is back is found."""
-        return self.sent >= DARK_SENT and max(DARK, DARK_OWES * self.latency) < now - self.first <= DARK_MOST
+    def is_silent(self, now: float) -> bool:
+        """Whether the zone is silent; false again after `MAX_ZONE_SILENCE_S`, so that a recovered zone is found."""
+        return (
+            self.sent >= ZONE_SILENT_REQUESTS
+            and max(MIN_ZONE_SILENCE_S, ZONE_SILENCE_PER_LATENCY * self.latency)
+            < now - self.silent_since
+            <= MAX_ZONE_SILENCE_S
+        )
 
 
 class UpstreamState:
-    """One upstream as this proxy sees it. Times on the proxy's own clock (s); `load` counts requests of all proxies."""
+    """One upstream as this proxy observes it. Times on the proxy's clock (s); `load` counts all proxies' requests."""
 
     __slots__ = (
         "upstream",
         "zone",
         "in_flight",
-        "base",
-        "base_at",
-        "since",
-        "full_until",
-        "broken_until",
-        "pause",
-        "wrong_until",
-        "mute",
+        "reported_load",
+        "reported_at",
+        "sent_since_report",
+        "at_capacity_until",
+        "breaker_open_until",
+        "breaker_open_s",
+        "misdirected_until",
+        "silent_since",
         "latency",
-        "opening",
-        "cold_until",
+        "connecting_since",
+        "registry_cold_until",
         "cold_end",
-        "cold_next",
-        "cold_k",
+        "next_cold_send",
+        "cold_senders",
         "cold_senders_version",
-        "_ill",
-        "_ill_at",
+        "_failure_score",
+        "_scored_at",
     )
 
-    def __init__(self, upstream: Upstream, zone: Zone | None = None):
-        self.upstream, self.zone, self.in_flight = upstream, zone or Zone(), 0
-        self.base, self.base_at, self.since = 0.0, NEVER, 0
-        self.full_until = self.broken_until = self.wrong_until = NEVER
-        self.pause = BREAK
-        self.mute: float | None = None
+    def __init__(self, upstream: Upstream, zone: ZoneHealth | None = None):
+        self.upstream, self.zone, self.in_flight = upstream, zone or ZoneHealth(), 0
+        self.reported_load, self.reported_at, self.sent_since_report = 0.0, NEVER, 0
+        self.at_capacity_until = self.breaker_open_until = self.misdirected_until = NEVER
+        self.breaker_open_s = BREAKER_OPEN_S
+        self.silent_since: float | None = None
         self.latency = 0.1
-        self.opening: list[float] = []
-        self.cold_until, self.cold_end, self.cold_next = 0, NEVER, NEVER
-        self.cold_k, self.cold_senders_version = 0, (-1, -1)
-        self._ill = self._ill_at = 0.0
-
-    def ill(self, now: float) -> float:
-        """How much it failed of late what it was sent, 0 to 1, whatever it says of itself; it counts as fill does."""
-        if not self._ill:
-            return 0.0
-        ill = self._ill * 0.5 ** ((now - self._ill_at) / HEALED)
-        return ill if ill >= HALE else 0.0
+        self.connecting_since: list[float] = []
+        self.registry_cold_until, self.cold_end, self.next_cold_send = 0, NEVER, NEVER
+        self.cold_senders, self.cold_senders_version = 0, (-1, -1)
+        self._failure_score = self._scored_at = 0.0
 
-    def judged(self, well: bool, now: float) -> None:
-        if well and not self._ill:
-            return
-        ill = self.ill(now)
-        self._ill, self._ill_at = WELL * ill if well else min(1.0, ill + ILL), now
+    def failure_score(self, now: float) -> float:
+        """Returns the decayed share of recent failures, 0 to 1, whatever the upstream reports about itself.
 
-    def load(self, now: float, share: int) -> float:
-        if self.base_at <= NEVER:
-            return float(self.in_flight * share)
-        return max(float(self.in_flight), self.base * 0.5 ** ((now - self.base_at) / HALF) + self.since)
-
-    def fill(self, now: float, share: int) -> float:
-        return (self.load(now, share) + 1) / max(1, self.upstream.slots)
+        It is added to the utilization when upstreams are compared.
+        """
+        if not self._failure_score:
+            return 0.0
+        score = self._failure_score * 0.5 ** ((now - self._scored_at) / FAILURE_SCORE_HALF_LIFE_S)
+        return score if score >= MIN_FAILURE_SCORE else 0.0
 
-    def full(self, now: float, share: int, most: int) -> bool:
-        if now < self.full_until or self.in_flight >= most:
+    def record_outcome(self, success: bool, now: float) -> None:
+        if success and not self._failure_score:
+            return
+        score = self.failure_score(now)
+        self._failure_score, self._scored_at = (
+            SUCCESS_SCORE_FACTOR * score if success else min(1.0, score + FAILURE_SCORE_STEP),
+            now,
+        )
+
+    def load(self, now: float, local_proxies: int) -> float:
+        if self.reported_at <= NEVER:
+            return float(self.in_flight * local_proxies)
+        return max(
+            float(self.in_flight),
+            self.reported_load * 0.5 ** ((now - self.reported_at) / USAGE_HALF_LIFE_S) + self.sent_since_report,
+        )
+
+    def utilization(self, now: float, local_proxies: int) -> float:
+        return (self.load(now, local_proxies) + 1) / max(1, self.upstream.slots)
+
+    def at_capacity(self, now: float, local_proxies: int, max_in_flight: int) -> bool:
+        if now < self.at_capacity_until or self.in_flight >= max_in_flight:
             return True
-        return self.load(now, share) >= 2 * self.upstream.slots if now - self.base_at < FRESH else False
-
-    def sound(self, now: float) -> bool:
-        """One that failed is tried by one request at a time, and one that is slow to connect is left to those at it."""
-        if now < self.broken_until or self.doubted and self.in_flight or self.zone.dark(now):
+        return (
+            self.load(now, local_proxies) >= 2 * self.upstream.slots
+            if now - self.reported_at < USAGE_VALID_S
+            else False
+        )
+
+    def is_healthy(self, now: float) -> bool:
+        """Whether the upstream may take another request.
+
+        After a failure the breaker is half open and admits one request at a time. While a connection opens slowly,
+        only the requests that already wait for it use the upstream.
+        """
+        if now < self.breaker_open_until or self.half_open and self.in_flight or self.zone.is_silent(now):
             return False
-        if self.opening and now - self.opening[0] > OPENING:
+        if self.connecting_since and now - self.connecting_since[0] > SLOW_CONNECT_S:
             return False
-        return self.mute is None or now - self.mute <= max(MUTE, OWES * self.latency)
+        return self.silent_since is None or now - self.silent_since <= max(
+            MIN_SILENCE_S, SILENCE_PER_LATENCY * self.latency
+        )
 
     @property
-    def doubted(self) -> bool:
-        return self.pause > BREAK
+    def half_open(self) -> bool:
+        return self.breaker_open_s > BREAKER_OPEN_S
 
-    def cold(self, now: float) -> bool:
+    def is_cold(self, now: float) -> bool:
         return now < self.cold_end
--- a/mallowvalve/proxy/steps.py
+++ b/mallowvalve/proxy/steps.py
@@ -1,4 +1,4 @@
-"""What a request's path asks of the outside, and what it is told; the daemon and the simulator each do these."""
+"""The I/O steps that a request state machine yields, and their results; the daemon and the simulator perform them."""
 
 from __future__ import annotations
 
@@ -11,16 +11,23 @@
 from mallowvalve.upstreams.board import Heartbeat
 from mallowvalve.upstreams.registry import Upstream
 
-OK, REDIRECT, TOO_SLOW, MISDIRECTED = 200, 300, 408, 421
-SERVER_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 500, 503, 504
-NOT_RUN, UNKNOWN = "not-run", "unknown"
-"""What is promised of a request that an upstream did not answer: that it did not run, or nothing."""
+OK = 200
+REDIRECT = 300
+TOO_SLOW = 408
+MISDIRECTED = 421
+SERVER_ERROR = 500
+UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+NOT_RUN = "not-run"
+"""Outcome of a request that an upstream did not answer and that certainly did not run."""
+UNKNOWN = "unknown"
+"""Outcome of a request that an upstream did not answer and that may have run."""
 NO_STATUS = 600
-"""What begins here is no status of HTTP."""
+"""Lowest number above the HTTP status codes."""
 
 
 class ClientRequest(msgspec.Struct):
-    """A request as it came from a client; header names in lower case, and as they came in `pairs`."""
+    """A request from a client. `headers` has lower-case names, `header_pairs` the headers as received."""
 
     method: str
     target: str
@@ -31,34 +38,34 @@
 
 
 class ReadBody(msgspec.Struct, frozen=True):
-    """Reads the body of a request until `end`, of at most `most` bytes."""
+    """Reads the request body, at most `max_bytes`, until the deadline `end`."""
 
     end: float
     max_bytes: int | None = None
 
 
 class ProposeCommand(msgspec.Struct, frozen=True):
-    """Offers a command to the ledger, and waits `limit` seconds for its word."""
+    """Proposes a command to the ledger and waits up to `timeout_s` seconds for its verdict."""
 
     command: Claim | Done | Release
     timeout_s: float
 
 
 class ProposeInBackground(msgspec.Struct, frozen=True):
-    """Goes on in the background until the ledger's word is one of the good ones."""
+    """Proposes a command in the background until the ledger's verdict is one of `accepted_states`."""
 
     command: Done | Release | Forfeit
     accepted_states: tuple[str, ...]
 
 
 class Sleep(msgspec.Struct, frozen=True):
-    """Goes on after `wait` seconds."""
+    """Waits for `delay_s` seconds."""
 
     delay_s: float
 
 
 class WaitForCapacity(msgspec.Struct, frozen=True):
-    """Waits until a place at a service may be free; of those who wait, the most urgent (0) is told first."""
+    """Waits until a service may have a free slot; waiters with the lowest `priority` number are woken first."""
 
     service: str
     end: float
@@ -66,7 +73,7 @@
 
 
 class OpenConnection(msgspec.Struct, frozen=True):
-    """`status` is asked first of a new connection; with none the connection opens at once, for a host route."""
+    """Opens a connection and checks the upstream's identity at `status_path`; host routes pass an empty path."""
 
     heartbeat: Heartbeat | Upstream
     status_path: str
@@ -74,9 +81,9 @@
 
 
 class Exchange(msgspec.Struct, frozen=True):
-    """The first byte leaves before anything else of this process runs.
+    """Sends a request and waits for its response; the first byte leaves before other code of this process runs.
 
-    With `until_left` it ends as `CLIENT_LEFT` once the client has closed its connection.
+    With `stop_if_client_leaves` the result is `CLIENT_LEFT` once the client has closed its connection.
     """
 
     connection: object
@@ -88,7 +95,7 @@
 
 
 class AwaitResponse(msgspec.Struct, frozen=True):
-    """Goes on waiting for the answer of an exchange whose time was over; `until_left` as for `Exchange`."""
+    """Continues to wait for the response of an exchange that timed out."""
 
     connection: object
     end: float
@@ -96,7 +103,7 @@
 
 
 class ClientCheck(msgspec.Struct, frozen=True):
-    """Asks whether the request's client has left: CLIENT_LEFT, or None while it waits. Nothing else runs meanwhile."""
+    """Returns CLIENT_LEFT if the client has closed its connection, else None; other code does not run meanwhile."""
 
 
 Step = (
@@ -113,14 +120,17 @@
 
 
 class ClientLeft(msgspec.Struct, frozen=True):
-    """The outcome of a step: the request's client has closed its connection, so that nobody waits for an answer."""
+    """The result of a step during which the client closed its connection."""
 
 
 CLIENT_LEFT = ClientLeft()
 
 
 class UpstreamResponse(msgspec.Struct):
-    """An upstream's answer, its body whole or as `rest` to be streamed. `keep`: its connection may be used again."""
+    """An upstream's response, its body in `body` or streamed from `body_stream`.
+
+    `reusable`: whether the connection can carry another request. `header_map` has lower-case names.
+    """
 
     status: int
     headers: list[tuple[str, str]]
@@ -132,7 +142,7 @@
 
 
 class RejectionRecord(msgspec.Struct):
-    """What was answered here instead of an upstream's answer, for the page of rejections."""
+    """A request that the proxy itself answered with an error, as listed on the page of rejections."""
 
     at: float
     route: str
@@ -144,9 +154,9 @@
 
 
 class ProxyResponse(msgspec.Struct):
-    """A final answer: the upstream's own (and the lease it still streams over), a kept one, or a rejection.
+    """The final response: an upstream's (with the lease that it streams over), a replayed one, or a rejection.
 
-    `runs_on`: the upstream's answer is read to its end also when the client has left.
+    `drain_if_client_leaves`: the upstream's response is read to its end even after the client has left.
     """
 
     status: int
@@ -158,4 +168,4 @@
     lease: object = None
     replayed: bool = False
     drain_if_client_leaves: bool = False
-    note: RejectionRecord | None = None
+    rejection: RejectionRecord | None = None
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -1,4 +1,4 @@
-"""The way of a request on a host route, step by step, without sockets."""
+"""Forwards requests on host routes, as a state machine without sockets."""
 
 from __future__ import annotations
 
@@ -33,38 +33,35 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.proxy.trip import HostRequest, bare, own
+from mallowvalve.proxy.trip import HostRequest, host_without_port, local_response
 from mallowvalve.settings import Settings, Terms
 
-PROMISE = frozenset((408, 421, 429, 503))
-OPEN, TRIAL = 0.4, 0.2
-HELD = 0.2
-LOOK = 0.03
-WAITING = 32
-OPENS = 3
-PART, SOON, SLOW = 0.6, 0.3, 3.5
-LEAST = 0.02
-IDLE, AT_ONCE = 0.2, 0.2
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+"""Statuses by which clients conclude that a request did not run."""
+CONNECT_TIMEOUT_S = 0.4
+PROBE_TIMEOUT_S = 0.2
+QUEUE_SHARE = 0.2
+"""Share of a route's aim that a request may wait for capacity."""
+QUEUE_POLL_S = 0.03
+MAX_QUEUED_PER_SERVICE = 32
+MAX_FAILED_OPENS = 3
+MAX_HEDGE_DELAY_SHARE = 0.6
+MIN_HEDGE_DELAY_SHARE = 0.3
+HEDGE_LATENCY_FACTOR = 3.5
+MIN_TIME_LEFT_S = 0.02
+FORGOTTEN_MIN_IDLE_S = 0.2
+FORGOTTEN_MAX_DELAY_S = 0.2
+BACKOFF_S = 0.1
 
 
 class HostForwarder:
-    """The way of a request on a host route, without sockets: what a step needs from outside is yielded.
+    """Forwards requests on host routes as a state machine without I/O: it yields steps and receives their results.
 
-    A `read` may run again on another upstream; a `try` is sent again only on proof that it did not run. Once it may
-    have run, it never ends in a status that promises the opposite.
+    A `read` may run again on another upstream. A `try` is sent again only on proof that it did not run. Once a request
+    may have run, its final status never promises that it did not.
     """
 
-    __slots__ = (
-        "replica",
-        "hosts",
-        "counts",
-        "now",
-        "settings",
-        "admission",
-        "writer",
-        "_not_run",
-        "_seal",
-    )
+    __slots__ = ("replica", "hosts", "counts", "now", "settings", "admission", "writer", "_not_run", "_seal")
 
     def __init__(
         self,
@@ -87,297 +84,316 @@
         self.writer = RequestWriter(terms)
 
     def serves_host(self, host: str) -> bool:
-        return self.replica.state is not None and bool(self.replica.state.items.hosts.get(bare(host)))
+        return self.replica.state is not None and bool(self.replica.state.items.hosts.get(host_without_port(host)))
 
-    def handle(self, a: ClientRequest) -> Generator[Step, object, ProxyResponse]:
+    def handle(self, client_request: ClientRequest) -> Generator[Step, object, ProxyResponse]:
         self.counts.add("requests")
-        at = self.now()
-        r = self.admission.admit(a, at)
-        if r.is_err() and not self.admission.has_settings():
-            yield from self.admission.wait_for_settings(a, at)
-            r = self.admission.admit(a, at)
-        if r.is_err():
-            return r.err_value
-        t: HostRequest = r.ok_value
-        if a.length or "transfer-encoding" in a.headers:
-            got = yield ReadBody(t.end, self.replica.state.items.limits.body_bytes)
-            if got.is_err():
-                status, place, text = got.err_value
-                return own(status, NOT_RUN, place, text, 1.0 if status == TOO_SLOW else None, close=True)
-            if a.length is not None and len(got.ok_value) != a.length:
-                return own(400, NOT_RUN, "body", "shorter than its length", close=True)
-            t.body = got.ok_value
-        t.head = self.writer.lines(a, t.body)
-        return (yield from self._answered(t))
-
-    def _answered(self, t: HostRequest) -> Generator[Step, object, ProxyResponse]:
-        """Sends until there is a final answer; upstreams that were silent are left only when there is one."""
+        arrived_at = self.now()
+        admitted = self.admission.admit(client_request, arrived_at)
+        if admitted.is_err() and not self.admission.has_settings():
+            yield from self.admission.wait_for_settings(client_request, arrived_at)
+            admitted = self.admission.admit(client_request, arrived_at)
+        if admitted.is_err():
+            return admitted.err_value
+        call: HostRequest = admitted.ok_value
+        if client_request.length or "transfer-encoding" in client_request.headers:
+            body = yield ReadBody(call.end, self.replica.state.items.limits.body_bytes)
+            if body.is_err():
+                status, place, text = body.err_value
+                return local_response(status, NOT_RUN, place, text, 1.0 if status == TOO_SLOW else None, close=True)
+            if client_request.length is not None and len(body.ok_value) != client_request.length:
+                return local_response(400, NOT_RUN, "body", "shorter than its length", close=True)
+            call.body = body.ok_value
+        call.head = self.writer.lines(client_request, call.body)
+        return (yield from self._send_until_final(call))
+
+    def _send_until_final(self, call: HostRequest) -> Generator[Step, object, ProxyResponse]:
+        """Sends until there is a final response; leases of silent upstreams are kept until then."""
         try:
             while True:
-                got = yield from self._send(t)
-                if got is None:
+                response = yield from self._send(call)
+                if response is None:
                     continue
-                if got.answer is None and not t.left:
-                    got = yield from self._wait_for_unanswered(t, got)
-                return got
+                if response.answer is None and not call.client_left:
+                    response = yield from self._await_silent(call, response)
+                return response
         finally:
-            for place in t.unanswered:
-                place.release(keep=False)
+            for lease in call.silent_leases:
+                lease.release(keep=False)
 
-    def _wait_for_unanswered(self, t: HostRequest, refusal: ProxyResponse) -> Generator[Step, object, ProxyResponse]:
-        """The answer of an upstream that was silent when the request went to another one, which gave none."""
-        while t.unanswered:
-            place = t.unanswered.pop()
+    def _await_silent(self, call: HostRequest, rejection: ProxyResponse) -> Generator[Step, object, ProxyResponse]:
+        """Returns a late response of the upstreams that were silent, or `rejection` if none responds either."""
+        while call.silent_leases:
+            lease = call.silent_leases.pop()
             try:
-                r = yield AwaitResponse(place.connection, t.end, t.idempotent)
-                got = self._took(t, place, r)
+                result = yield AwaitResponse(lease.connection, call.end, call.idempotent)
+                response = self._handle_result(call, lease, result)
             except BaseException:
-                place.release(keep=False)
+                lease.release(keep=False)
                 raise
-            if got is not None and (got.answer is not None or t.left):
-                return got
-        return refusal
-
-    def _send(self, t: HostRequest) -> Generator[Step, object, ProxyResponse | None]:
-        """Finds a place, judges everything once more, and sends in the same breath; None: to be sent again."""
-        place = yield from self._place(t)
-        if isinstance(place, ProxyResponse):
-            return place
+            if response is not None and (response.answer is not None or call.client_left):
+                return response
+        return rejection
+
+    def _send(self, call: HostRequest) -> Generator[Step, object, ProxyResponse | None]:
+        """Acquires a lease and sends, without another step between the last checks and the send; None: send again."""
+        lease = yield from self._acquire_lease(call)
+        if isinstance(lease, ProxyResponse):
+            return lease
         try:
             if (yield ClientCheck()) is CLIENT_LEFT:
-                place.release(keep=True)
-                return self._client_left(t)
+                lease.release(keep=True)
+                return self._client_left(call)
             now = self.now()
-            if t.sent:
-                if not self._takes_repeat(t, now):
-                    place.release(keep=True)
+            if call.sends:
+                if not self._take_retry(call, now):
+                    lease.release(keep=True)
                     self.counts.add("budget_spent")
-                    return self._end(t, "the budget of repeats is spent")
+                    return self._reject(call, "the budget of repeats is spent")
             else:
-                self.hosts.budget(t.service).first(now)
-            t.sent += 1
-            t.tried.add(place.spot.upstream.instance)
-            place.sending(now)
-            part = self._part(t, place, now)
-            request = self.writer.whole(t, place.spot.upstream.instance, now)
-            r = yield Exchange(place.connection, t.ask.method, request, part, t.mark, t.idempotent)
-            if part < t.end and _is_late(r):
-                if self._gives_up(t, place):
-                    return self._start_hedge(t, place)
-                r = yield AwaitResponse(place.connection, t.end, t.idempotent)
-            return self._took(t, place, r)
+                self.hosts.budget(call.service).record_first(now)
+            call.sends += 1
+            call.tried.add(lease.state.upstream.instance)
+            lease.on_send(now)
+            hedge_at = self._hedge_at(call, lease, now)
+            payload = self.writer.whole(call, lease.state.upstream.instance, now)
+            result = yield Exchange(
+                lease.connection, call.client_request.method, payload, hedge_at, call.request_id, call.idempotent
+            )
+            if hedge_at < call.end and _is_timeout(result):
+                if self._should_hedge(call, lease):
+                    return self._start_hedge(call, lease)
+                result = yield AwaitResponse(lease.connection, call.end, call.idempotent)
+            return self._handle_result(call, lease, result)
         except BaseException:
-            place.release(keep=False)
+            lease.release(keep=False)
             raise
 
-    def _start_hedge(self, t: HostRequest, place: UpstreamLease) -> None:
-        """The upstream is silent to all: the request goes to another one too, and its answer still counts."""
-        t.may_have_run = True
-        t.unanswered.append(place)
-        self.hosts.late(place.spot, place.sent_at, self.now())
+    def _start_hedge(self, call: HostRequest, lease: UpstreamLease) -> None:
+        """Hedges the request: it goes to another upstream too, and a late response of the silent one still counts."""
+        call.may_have_run = True
+        call.silent_leases.append(lease)
+        self.hosts.on_timeout(lease.state, lease.sent_at, self.now())
         self.counts.add("upstream_limit")
 
-    def _client_left(self, t: HostRequest) -> ProxyResponse:
-        """Nothing more is sent for a client that left; what it would be told, should it still read."""
-        t.left = True
+    def _client_left(self, call: HostRequest) -> ProxyResponse:
+        """Returns the response for a client that closed its connection, in case it still reads."""
+        call.client_left = True
         self.counts.add("client_left")
-        refusal = self._end(t, "its client has closed the connection")
-        refusal.close = True
-        return refusal
-
-    def _place(self, t: HostRequest) -> Generator[Step, object, UpstreamLease | ProxyResponse]:
-        """A place at an upstream with a connection that may be sent on at once, or why there is none."""
-        held = t.at + HELD * min(t.route.aim_ms or t.route.limit_ms, t.route.limit_ms) / 1000
-        held = max(held, self.now() + LOOK)
+        rejection = self._reject(call, "its client has closed the connection")
+        rejection.close = True
+        return rejection
+
+    def _acquire_lease(self, call: HostRequest) -> Generator[Step, object, UpstreamLease | ProxyResponse]:
+        """Returns a lease with a connection that is ready to send on, or the rejection."""
+        end = call.arrived_at + QUEUE_SHARE * min(call.route.aim_ms or call.route.limit_ms, call.route.limit_ms) / 1000
+        end = max(end, self.now() + QUEUE_POLL_S)
         while True:
             now = self.now()
-            no = self._judge(t, now)
-            if no is not None:
-                return no
-            spot, any_ = self._pick(t, now)
-            if spot is None:
-                if t.sent or now >= held or not (yield from self._queue(t, min(held, now + LOOK))):
-                    return self._end(t, "the upstreams are busy" if any_ else "no upstream may take it just now")
+            rejection = self._revalidate(call, now)
+            if rejection is not None:
+                return rejection
+            state, any_eligible = self._pick(call, now)
+            if state is None:
+                if call.sends or now >= end or not (yield from self._queue(call, min(end, now + QUEUE_POLL_S))):
+                    return self._reject(
+                        call, "the upstreams are busy" if any_eligible else "no upstream may take it just now"
+                    )
                 if (yield ClientCheck()) is CLIENT_LEFT:
-                    return self._client_left(t)
+                    return self._client_left(call)
                 continue
-            place = UpstreamLease(self.hosts, spot)
-            if place.reuse(t.route.kind != "read", now):
-                return place
-            if not (yield from self._open(t, place)):
-                t.opens += 1
-                if t.opens >= OPENS:
-                    return self._end(t, "no connection to the upstreams tried")
+            lease = UpstreamLease(self.hosts, state)
+            if lease.reuse(call.route.kind != "read", now):
+                return lease
+            if not (yield from self._open(call, lease)):
+                call.failed_opens += 1
+                if call.failed_opens >= MAX_FAILED_OPENS:
+                    return self._reject(call, "no connection to the upstreams tried")
                 if (yield ClientCheck()) is CLIENT_LEFT:
-                    return self._client_left(t)
+                    return self._client_left(call)
                 continue
             now = self.now()
-            no = self._judge(t, now)
-            if no is None and self.hosts.fits(spot, t.service, t.route.homes, now):
-                return place
-            place.release(keep=True)
-            if no is not None:
-                return no
-
-    def _open(self, t: HostRequest, place: UpstreamLease) -> Generator[Step, object, bool]:
-        """Whether a new connection could be made; if not, the place is given back."""
-        began, spot = self.now(), place.spot
-        spot.opening.append(began)
+            rejection = self._revalidate(call, now)
+            if rejection is None and self.hosts.still_eligible(state, call.service, call.route.homes, now):
+                return lease
+            lease.release(keep=True)
+            if rejection is not None:
+                return rejection
+
+    def _open(self, call: HostRequest, lease: UpstreamLease) -> Generator[Step, object, bool]:
+        """Opens a connection and returns whether that succeeded; the lease is released if not."""
+        began, state = self.now(), lease.state
+        state.connecting_since.append(began)
         try:
-            r = yield OpenConnection(spot.upstream, "", min(t.end, began + (TRIAL if spot.doubted else OPEN)))
+            opened = yield OpenConnection(
+                state.upstream, "", min(call.end, began + (PROBE_TIMEOUT_S if state.half_open else CONNECT_TIMEOUT_S))
+            )
         except BaseException:
-            place.release(keep=False)
+            lease.release(keep=False)
             raise
         finally:
-            spot.opening.remove(began)
-        if r.is_ok():
-            place.connection = r.ok_value
+            state.connecting_since.remove(began)
+        if opened.is_ok():
+            lease.connection = opened.ok_value
             return True
         self.counts.add("upstream_open_failed")
-        place.release(keep=False)
-        self.hosts.failed(spot, self.now())
+        lease.release(keep=False)
+        self.hosts.on_failure(state, self.now())
         return False
 
-    def _judge(self, t: HostRequest, now: float) -> ProxyResponse | None:
-        """All that was decided from an older snapshot is decided again: it may have changed since the request came."""
+    def _revalidate(self, call: HostRequest, now: float) -> ProxyResponse | None:
+        """Checks the request against the current snapshot, which may have changed since it was admitted."""
         state = self.replica.state
         if not self.settings.serve_on and not self.replica.admits(now):
-            return self._end(t, "its settings may be out of date")
-        if now >= t.end or t.sent and t.end - now < LEAST:
-            return self._end(t, "the limit is over")
-        route = state.items.find(t.host, t.path)
+            return self._reject(call, "its settings may be out of date")
+        if now >= call.end or call.sends and call.end - now < MIN_TIME_LEFT_S:
+            return self._reject(call, "the limit is over")
+        route = state.items.find(call.host, call.path)
         if route is None:
-            return self._end(t, "its route was dropped meanwhile") if t.sent else self.admission.no_route(now)
-        if route is t.route:
+            return self._reject(call, "its route was dropped meanwhile") if call.sends else self.admission.no_route(now)
+        if route is call.route:
             return None
-        if t.may_have_run and route.kind != t.route.kind:
-            return self._end(t, "its route changed its kind meanwhile")
-        t.route = route
-        t.end = min(t.end, t.at + route.limit_ms / 1000)
-        if now >= t.end:
-            return self._end(t, "the limit is over")
-        if t.service != route.service and not any(p.service == t.service and p.weight > 0 for p in route.split):
-            t.service = self.admission.service_of(route)
+        if call.may_have_run and route.kind != call.route.kind:
+            return self._reject(call, "its route changed its kind meanwhile")
+        call.route = route
+        call.end = min(call.end, call.arrived_at + route.limit_ms / 1000)
+        if now >= call.end:
+            return self._reject(call, "the limit is over")
+        if call.service != route.service and not any(p.service == call.service and p.weight > 0 for p in route.split):
+            call.service = self.admission.service_of(route)
         return None
 
-    def _pick(self, t: HostRequest, now: float):
-        got = self.hosts.pick(t.service, t.route.homes, t.tried, now)
-        if got[1] or t.sent or not t.route.split:
-            return got
-        for p in t.route.split:
-            if p.weight > 0 and p.service != t.service:
-                other = self.hosts.pick(p.service, t.route.homes, t.tried, now)
+    def _pick(self, call: HostRequest, now: float):
+        picked = self.hosts.pick(call.service, call.route.homes, call.tried, now)
+        if picked[1] or call.sends or not call.route.split:
+            return picked
+        for part in call.route.split:
+            if part.weight > 0 and part.service != call.service:
+                other = self.hosts.pick(part.service, call.route.homes, call.tried, now)
                 if other[1]:
-                    t.service = p.service
+                    call.service = part.service
                     return other
-        return got
+        return picked
 
-    def _queue(self, t: HostRequest, end: float) -> Generator[Step, object, bool]:
-        s, w = t.service, self.hosts.waiting
-        if w.get(s, 0) >= WAITING:
+    def _queue(self, call: HostRequest, end: float) -> Generator[Step, object, bool]:
+        service, waiting = call.service, self.hosts.waiting
+        if waiting.get(service, 0) >= MAX_QUEUED_PER_SERVICE:
             return False
-        w[s] = w.get(s, 0) + 1
+        waiting[service] = waiting.get(service, 0) + 1
         try:
-            yield WaitForCapacity(s, end, t.route.priority)
+            yield WaitForCapacity(service, end, call.route.priority)
         finally:
-            w[s] -= 1
-            if not w[s]:
-                del w[s]
+            waiting[service] -= 1
+            if not waiting[service]:
+                del waiting[service]
         return True
 
-    def _took(
-        self, t: HostRequest, place: UpstreamLease, r: Result[UpstreamResponse, str] | ClientLeft
+    def _handle_result(
+        self, call: HostRequest, lease: UpstreamLease, result: Result[UpstreamResponse, str] | ClientLeft
     ) -> ProxyResponse | None:
-        now, spot, sent_at = self.now(), place.spot, place.sent_at
-        if isinstance(r, ClientLeft):
-            t.may_have_run = True
-            place.abandon()
-            return self._client_left(t)
-        if r.is_err():
-            place.release(keep=False)
-            if r.err_value.startswith("unsent"):
-                self._broke(place, sent_at, now)
-                return self._again(t, "the connection broke before anything was sent")
-            t.may_have_run = True
-            if r.err_value == "limit":
-                self.hosts.late(spot, sent_at, now)
+        """Returns the final response, or None if the request is to be sent again."""
+        now, state, sent_at = self.now(), lease.state, lease.sent_at
+        if isinstance(result, ClientLeft):
+            call.may_have_run = True
+            lease.abandon()
+            return self._client_left(call)
+        if result.is_err():
+            lease.release(keep=False)
+            if result.err_value.startswith("unsent"):
+                self._on_broken_connection(lease, sent_at, now)
+                return self._reject_unless_retryable(call, "the connection broke before anything was sent")
+            call.may_have_run = True
+            if result.err_value == "limit":
+                self.hosts.on_timeout(state, sent_at, now)
             else:
-                self._broke(place, sent_at, now)
-            self.counts.add(f"upstream_{r.err_value.partition(':')[0]}")
-            return self._again(t, r.err_value)
-        a: UpstreamResponse = r.ok_value
-        self.hosts.heard(spot, a, now - sent_at, now)
-        if a.status == MISDIRECTED or self._not_run and self._not_run in a.header_map:
+                self._on_broken_connection(lease, sent_at, now)
+            self.counts.add(f"upstream_{result.err_value.partition(':')[0]}")
+            return self._reject_unless_retryable(call, result.err_value)
+        response: UpstreamResponse = result.ok_value
+        self.hosts.on_response(state, response, now - sent_at, now)
+        if response.status == MISDIRECTED or self._not_run and self._not_run in response.header_map:
             self.counts.add("upstream_turned_away")
-            self.hosts.turned_away(spot, a.status, now)
-            place.release(keep=a.reusable and a.status != MISDIRECTED)
-            return self._again(t, "the upstream turned it away")
-        t.may_have_run = True
-        if OK <= a.status < REDIRECT and self._seal and self._seal not in a.header_map:
-            place.release(keep=False)
-            self.hosts.failed(spot, now)
-            return self._again(t, "garbage: a success without a seal")
-        if a.status >= SERVER_ERROR and t.route.kind == "read" and t.sent < t.route.tries and t.end - now > LEAST:
-            place.release(keep=a.reusable)
+            self.hosts.on_rejection(state, response.status, now)
+            lease.release(keep=response.reusable and response.status != MISDIRECTED)
+            return self._reject_unless_retryable(call, "the upstream turned it away")
+        call.may_have_run = True
+        if OK <= response.status < REDIRECT and self._seal and self._seal not in response.header_map:
+            lease.release(keep=False)
+            self.hosts.on_failure(state, now)
+            return self._reject_unless_retryable(call, "garbage: a success without a seal")
+        if (
+            response.status >= SERVER_ERROR
+            and call.route.kind == "read"
+            and call.sends < call.route.tries
+            and call.end - now > MIN_TIME_LEFT_S
+        ):
+            lease.release(keep=response.reusable)
             return None
-        if a.status in PROMISE:
-            place.release(keep=a.reusable)
-            return self._end(t, f"the upstream answered {a.status}, and it may have run")
+        if response.status in NOT_RUN_STATUSES:
+            lease.release(keep=response.reusable)
+            return self._reject(call, f"the upstream answered {response.status}, and it may have run")
         self.counts.add("answers")
-        if a.body_stream is None:
-            place.release(keep=a.reusable)
+        if response.body_stream is None:
+            lease.release(keep=response.reusable)
         else:
-            place.streams = True
-        return ProxyResponse(a.status, answer=a, lease=place, drain_if_client_leaves=not t.idempotent)
+            lease.streams = True
+        return ProxyResponse(response.status, answer=response, lease=lease, drain_if_client_leaves=not call.idempotent)
 
-    def _broke(self, place: UpstreamLease, sent_at: float, now: float) -> None:
-        """A connection long idle that breaks at once was forgotten; that says nothing of its upstream."""
-        if place.idle is None or place.idle < IDLE or now - sent_at > AT_ONCE:
-            self.hosts.failed(place.spot, now)
+    def _on_broken_connection(self, lease: UpstreamLease, sent_at: float, now: float) -> None:
+        """Records a failure, unless a long idle connection broke at once: the upstream had dropped that already."""
+        if lease.idle_s is None or lease.idle_s < FORGOTTEN_MIN_IDLE_S or now - sent_at > FORGOTTEN_MAX_DELAY_S:
+            self.hosts.on_failure(lease.state, now)
             return
         self.counts.add("upstream_forgot_connection")
-        self.hosts.idle_connections.forgotten(place.idle, now)
+        self.hosts.idle_connections.record_forgotten(lease.idle_s, now)
 
-    def _again(self, t: HostRequest, why: str) -> ProxyResponse | None:
-        if t.sent >= t.route.tries or t.may_have_run and not t.idempotent:
-            return self._end(t, why)
+    def _reject_unless_retryable(self, call: HostRequest, why: str) -> ProxyResponse | None:
+        if call.sends >= call.route.tries or call.may_have_run and not call.idempotent:
+            return self._reject(call, why)
         return None
 
-    def _end(self, t: HostRequest, why: str) -> ProxyResponse:
-        """The one place that may promise that nothing ran."""
-        if not t.may_have_run:
+    def _reject(self, call: HostRequest, why: str) -> ProxyResponse:
+        """Returns the rejection; no other place promises that a request did not run."""
+        if not call.may_have_run:
             self.counts.add("rejected_not-run")
-            return own(503, NOT_RUN, f"routes.{t.route.name}", why, 0.1 + self.admission.jitter())
+            return local_response(503, NOT_RUN, f"routes.{call.route.name}", why, BACKOFF_S + self.admission.jitter())
         self.counts.add("rejected_unknown")
-        return own(504 if self.now() >= t.end - LEAST else 502, UNKNOWN, f"routes.{t.route.name}", why)
-
-    def _part(self, t: HostRequest, place: UpstreamLease, now: float) -> float:
-        """Until when a read waits for this upstream before it looks whether that is silent to all."""
-        if not t.idempotent or t.sent >= t.route.tries:
-            return t.end
-        left = t.end - now
-        return now + min(PART * left, max(SOON * left, SLOW * place.spot.latency))
-
-    def _gives_up(self, t: HostRequest, place: UpstreamLease) -> bool:
-        """Whether to send to another upstream too: this one is silent to all, and the repeat can be sent at once.
-
-        The budget's repeat is taken here, so that it is still there when it is sent.
+        return local_response(
+            504 if self.now() >= call.end - MIN_TIME_LEFT_S else 502, UNKNOWN, f"routes.{call.route.name}", why
+        )
+
+    def _hedge_at(self, call: HostRequest, lease: UpstreamLease, now: float) -> float:
+        """Returns when to consider a hedge for a read (s); the request's deadline if it cannot be sent again."""
+        if not call.idempotent or call.sends >= call.route.tries:
+            return call.end
+        left = call.end - now
+        return now + min(
+            MAX_HEDGE_DELAY_SHARE * left, max(MIN_HEDGE_DELAY_SHARE * left, HEDGE_LATENCY_FACTOR * lease.state.latency)
+        )
+
+    def _should_hedge(self, call: HostRequest, lease: UpstreamLease) -> bool:
+        """Returns whether to hedge: the upstream is silent to all requests, and another one can take it at once.
+
+        The retry is taken from the budget here, so that it is still available when the hedge is sent.
         """
         now = self.now()
-        if not self.hosts.is_mute(place.spot, place.sent_at) or t.end - now < LEAST:
+        if not self.hosts.is_silent(lease.state, lease.sent_at) or call.end - now < MIN_TIME_LEFT_S:
             return False
-        if self._judge(t, now) is not None or self.hosts.pick(t.service, t.route.homes, t.tried, now)[0] is None:
+        if (
+            self._revalidate(call, now) is not None
+            or self.hosts.pick(call.service, call.route.homes, call.tried, now)[0] is None
+        ):
             return False
-        t.repeat_taken = self.hosts.budget(t.service).again(now)
-        return t.repeat_taken
+        call.retry_reserved = self.hosts.budget(call.service).take_retry(now)
+        return call.retry_reserved
 
-    def _takes_repeat(self, t: HostRequest, now: float) -> bool:
-        """Whether the budget gives a repeat, or has given this one."""
-        if t.repeat_taken:
-            t.repeat_taken = False
+    def _take_retry(self, call: HostRequest, now: float) -> bool:
+        """Returns whether the budget grants a retry, or has reserved this one already."""
+        if call.retry_reserved:
+            call.retry_reserved = False
             return True
-        return self.hosts.budget(t.service).again(now)
+        return self.hosts.budget(call.service).take_retry(now)
 
 
-def _is_late(r: Result[UpstreamResponse, str] | ClientLeft) -> bool:
-    return isinstance(r, Err) and r.err_value == "limit"
+def _is_timeout(result: Result[UpstreamResponse, str] | ClientLeft) -> bool:
+    return isinstance(result, Err) and result.err_value == "limit"
--- a/mallowvalve/proxy/trip.py
+++ b/mallowvalve/proxy/trip.py
@@ -1,4 +1,4 @@
-"""A request on a host route, and the answers that a proxy gives of its own."""
+"""A request on a host route, and the responses that the proxy creates itself."""
 
 from __future__ import annotations
 
@@ -27,29 +27,30 @@
 
 
 class HostRequest(msgspec.Struct):
-    """A request on a host route; what was decided for it is decided again before anything is sent.
+    """The state of a request on a host route; its route, service and deadline are checked again before each send.
 
-    `repeat_taken`: the budget has given its next repeat already. `left`: its client has closed its connection.
-    `unanswered`: places at upstreams that were silent so far and may still answer, while it is sent to another one.
+    `retry_reserved`: the retry budget has already granted the next retry. `client_left`: the client has closed its
+    connection. `silent_leases`: leases of upstreams that have not responded yet and still may, while the request is
+    hedged to another upstream.
     """
 
-    ask: ClientRequest
+    client_request: ClientRequest
     host: str
     path: str
     route: HostRoute
     service: str
-    at: float
+    arrived_at: float
     end: float
-    mark: str = ""
+    request_id: str = ""
     body: bytes = b""
     head: str = ""
     tried: set = msgspec.field(default_factory=set)
-    sent: int = 0
-    opens: int = 0
+    sends: int = 0
+    failed_opens: int = 0
     may_have_run: bool = False
-    repeat_taken: bool = False
-    left: bool = False
-    unanswered: list[UpstreamLease] = msgspec.field(default_factory=list)
+    retry_reserved: bool = False
+    client_left: bool = False
+    silent_leases: list[UpstreamLease] = msgspec.field(default_factory=list)
 
     @property
     def idempotent(self) -> bool:
@@ -57,13 +58,13 @@
         return self.route.kind == "read"
 
 
-def own(
+def local_response(
     status: int, outcome: str, place: str, text: str, after: float | None = None, close: bool = False
 ) -> ProxyResponse:
-    """An answer of the proxy's own; `after`: when to come back (s)."""
+    """Returns a response of the proxy itself; `after` is the Retry-After delay (s)."""
     return ProxyResponse(status, outcome, [Finding(place, text)], after, close)
 
 
-def bare(host: str) -> str:
-    """A host without its port, in lower case."""
+def host_without_port(host: str) -> str:
+    """Returns the host without its port, in lower case."""
     return host.rpartition(":")[0].lower() if ":" in host else host.lower()
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -97,7 +97,7 @@
     c.sock.close()
     assert until(lambda: quiet(b))
     spot = b.hosts.upstreams["u0"]
-    assert (spot.mute, spot.since, spot.doubted) == (None, 0, False) and spot.broken_until <= b.now()
+    assert (spot.silent_since, spot.sent_since_report, spot.half_open) == (None, 0, False) and spot.breaker_open_until <= b.now()
 
 
 def test_what_may_not_be_repeated_runs_to_its_end(set_up):
@@ -200,7 +200,7 @@
 
 def test_a_client_who_leaves_while_it_waits_for_a_place_is_not_served():
     p = HostScenario(upstreams=1)
-    p.b.hosts.sync(0.0)
+    p.b.hosts.refresh(0.0)
     p.b.hosts.upstreams["u0"].in_flight = 8
     gen = p.b.forwarder.handle(READ)
     assert isinstance(gen.send(None), WaitForCapacity)
@@ -217,7 +217,7 @@
     p.checks = [None, CLIENT_LEFT]
     budget = p.b.hosts.budget("s")
     p.run(READ)
-    assert len(p.sent()) == 1 and not budget._again
+    assert len(p.sent()) == 1 and not budget._retries
 
 
 def test_only_what_may_be_repeated_ends_when_the_client_leaves():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -151,13 +151,13 @@
 def test_a_read_goes_to_another_upstream_and_is_judged_before_that_too():
     p = TenantScenario()
     p.b.upstream(1, port=101)
-    p.b.pool.budget("s")._earned = 1.0
+    p.b.pool.budget("s")._available = 1.0
     p.say["exchange"] = Err("garbage: x")
     r = p.run(READ)
     assert (p.count(Exchange), r.status, r.outcome) == (2, 502, "unknown")
     p = TenantScenario(exchange=evacuate)
     p.b.upstream(1, port=101)
-    p.b.pool.budget("s")._earned = 1.0
+    p.b.pool.budget("s")._available = 1.0
     p.say["exchange"] = Err("garbage: x")
     r = p.run(READ)
     assert (p.count(Exchange), r.status, r.outcome) == (1, 503, "unknown")
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -5,7 +5,7 @@
 
 from mallowvalve import clock
 from mallowvalve.proxy.budget import RetryBudget
-from mallowvalve.proxy.choose import Chooser, cap
+from mallowvalve.proxy.choose import Chooser, max_in_flight
 from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.repeats import RetryDetector
 from mallowvalve.routing.compiler import DEFAULT
@@ -82,7 +82,7 @@
     d = Chooser(EU, random.Random(2))
     got = [d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
     assert got.count("i0") < 40
-    assert cap(rs[0], DEFAULT, 1, 0.5) == 1 and cap(rs[0], DEFAULT, 1, 100.0) == DEFAULT.width
+    assert max_in_flight(rs[0], DEFAULT, 1, 0.5) == 1 and max_in_flight(rs[0], DEFAULT, 1, 100.0) == DEFAULT.width
 
 
 def test_a_cold_upstream_alone_in_its_zone_does_not_get_the_zones_whole_work():
@@ -114,9 +114,9 @@
         rate = firsts(t)
         t += rng.expovariate(rate + 50.0)
         if rng.random() < rate / (rate + 50.0):
-            b.first(t)
+            b.record_first(t)
             log.append((t, 0))
-        elif b.again(t):
+        elif b.take_retry(t):
             log.append((t, 1))
     for end in range(10, int(seconds)):
         span = [k for x, k in log if end - 10 < x <= end]
@@ -133,22 +133,22 @@
 
 def test_without_first_tries_there_are_no_repeats():
     b = RetryBudget()
-    assert not any(b.again(t * 0.1) for t in range(300))
+    assert not any(b.take_retry(t * 0.1) for t in range(300))
 
 
 def test_each_failure_makes_one_like_request_a_repeat():
     r = RetryDetector()
-    assert not r.is_one(b"a", 0.0)
+    assert not r.take_failure(b"a", 0.0)
     r.record_failure(b"a", 1.0)
     r.record_failure(b"a", 2.0)
-    assert [r.is_one(b"b", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0), r.is_one(b"a", 3.0)] == [
+    assert [r.take_failure(b"b", 3.0), r.take_failure(b"a", 3.0), r.take_failure(b"a", 3.0), r.take_failure(b"a", 3.0)] == [
         False,
         True,
         True,
         False,
     ]
     r.record_failure(b"a", 4.0)
-    assert not r.is_one(b"a", 14.0)
+    assert not r.take_failure(b"a", 14.0)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n"
--- a/tests/test_rates.py
+++ b/tests/test_rates.py
@@ -15,8 +15,8 @@
     for _ in range(20000):
         t += rng.expovariate(3.0 if 200 < t < 400 or t > 900 else 60.0)
         firsts.append(t)
-        b.first(t)
-        if b.again(t):
+        b.record_first(t)
+        if b.take_retry(t):
             again.append(t)
     for i in range(0, len(again), 7):
         a = again[i]
@@ -48,7 +48,7 @@
         b = rng.choice(benches)
         spot, _ = b.hosts.pick("s", [], set(), t)
         if spot is not None:
-            b.hosts.sending(spot, t)
+            b.hosts.on_send(spot, t)
             sent.append(t)
     sent = [x for x in sent if x < 6.0]
     worst = max(sum(a <= x < a + 1.0 for x in sent) for a in sent)
@@ -72,8 +72,8 @@
 def test_a_zone_that_is_taken_back_is_held_to_be_cold_until_heartbeats_tell():
     p = HostScenario(upstreams=1)
     p.b.service("s", cold_s=3.0, cold_per_s=1.0)
-    p.b.hosts.sync(0.0)
+    p.b.hosts.refresh(0.0)
     p.b.evacuate("eu-a")
-    p.b.hosts.sync(0.0)
+    p.b.hosts.refresh(0.0)
     p.b.evacuate()
     assert [p.run(READ).status for _ in range(10)].count(200) <= 1
--- a/tests/test_shaky.py
+++ b/tests/test_shaky.py
@@ -67,7 +67,7 @@
     p.say = [Err("broken: reset")]
     assert p.run(READ).status == 200
     upstreams = p.b.hosts.upstreams.values()
-    assert all(s.sound(p.t) and not s.ill(p.t) for s in upstreams)
+    assert all(s.is_healthy(p.t) and not s.failure_score(p.t) for s in upstreams)
     p.t += 1.2
     before = p.count(OpenConnection)
     p.run(READ)
@@ -84,4 +84,4 @@
     p = HostScenario([make_response(), Err("broken: reset")], upstreams=1)
     p.run(READ)
     p.run(READ)
-    assert not next(iter(p.b.hosts.upstreams.values())).sound(p.t)
+    assert not next(iter(p.b.hosts.upstreams.values())).is_healthy(p.t)
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -219,7 +219,7 @@
 
 def test_a_full_service_rejections_within_a_quarter_of_the_aim():
     p = HostScenario(upstreams=1)
-    p.b.hosts.sync(0.0)
+    p.b.hosts.refresh(0.0)
     spot = p.b.hosts.upstreams["u0"]
     spot.in_flight = 8
     gen, got = p.b.forwarder.handle(READ), None
@@ -238,7 +238,7 @@
 
 def test_a_place_that_becomes_free_is_taken():
     p = HostScenario(upstreams=1)
-    p.b.hosts.sync(0.0)
+    p.b.hosts.refresh(0.0)
     p.b.hosts.upstreams["u0"].in_flight = 8
     gen = p.b.forwarder.handle(READ)
     assert isinstance(gen.send(None), WaitForCapacity)
@@ -284,7 +284,7 @@
     def act(p):
         late(p)
         s = p.b.hosts.upstreams[p.to()[0]]
-        s.mute = p.t
+        s.silent_since = p.t
 
     p.acts["exchange"] = act
     assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(AwaitResponse) == 1
@@ -313,9 +313,9 @@
 
 def test_a_silent_upstream_is_avoided_while_it_owes_an_answer():
     p = HostScenario()
-    p.b.hosts.sync(0.0)
+    p.b.hosts.refresh(0.0)
     s = p.b.hosts.upstreams["u0"]
-    s.in_flight, s.mute = 1, 0.0
+    s.in_flight, s.silent_since = 1, 0.0
     p.t = 2.0
     assert {p.b.hosts.pick("s", [], set(), p.t)[0].upstream.instance for _ in range(20)} == {"u1"}
 
--- a/tests/test_tries_dark.py
+++ b/tests/test_tries_dark.py
@@ -50,7 +50,7 @@
     p.run(TRY)
     bad = p.to()[0]
     p.t += 1.0
-    p.b.hosts.sync(p.t)
+    p.b.hosts.refresh(p.t)
     gens = []
     for _ in range(8):
         gen, s = start(p, READ)
@@ -60,8 +60,8 @@
     for gen, _ in gens:
         gen.close()
     p.t += 1.0
-    p.b.hosts.heard(p.b.hosts.upstreams[bad], make_response(), 0.1, p.t)
-    assert not p.b.hosts.upstreams[bad].doubted
+    p.b.hosts.on_response(p.b.hosts.upstreams[bad], make_response(), 0.1, p.t)
+    assert not p.b.hosts.upstreams[bad].half_open
 
 
 def test_after_a_silence_a_new_connection_must_open_first():
@@ -95,7 +95,7 @@
     p = HostScenario([Err("limit")])
     p.acts["exchange"] = silent
     budget = p.b.hosts.budget("s")
-    while budget.again(p.t):
+    while budget.take_retry(p.t):
         pass
     assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(AwaitResponse) == 1
 
@@ -105,7 +105,7 @@
     p.acts["exchange"] = silent
     budget = p.b.hosts.budget("s")
     assert p.run(READ).status == 200 and len(p.sent()) == 2 and p.count(AwaitResponse) == 0
-    assert len(budget._again) == 1
+    assert len(budget._retries) == 1
 
 
 def test_who_comes_before_the_settings_waits_for_them():
