--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -97,7 +97,11 @@
     c.sock.close()
     assert until(lambda: quiet(b))
     spot = b.hosts.upstreams["u0"]
-    assert (spot.silent_since, spot.sent_since_report, spot.half_open) == (None, 0, False) and spot.breaker_open_until <= b.now()
+    assert (spot.silent_since, spot.sent_since_report, spot.half_open) == (
+        None,
+        0,
+        False,
+    ) and spot.breaker_open_until <= b.now()
 
 
 def test_what_may_not_be_repeated_runs_to_its_end(set_up):
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -43,9 +43,9 @@
         name = f"{chr(97 + i)}0"
         began = wire.now
         if kind == "read":
-            reply = wire.carry(make_request(f"/r/{i}", mark=name))
+            reply = wire.carry(make_request(f"/r/{i}", request_id=name))
         else:
-            reply = wire.carry(make_request(f"/o/{i}", "POST", mark=name, length=20))
+            reply = wire.carry(make_request(f"/o/{i}", "POST", request_id=name, length=20))
         assert wire.now - began <= LIMIT + SLACK
         check_exchange(wire, name, kind, reply)
     return wire
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -141,7 +141,12 @@
     assert not r.take_failure(b"a", 0.0)
     r.record_failure(b"a", 1.0)
     r.record_failure(b"a", 2.0)
-    assert [r.take_failure(b"b", 3.0), r.take_failure(b"a", 3.0), r.take_failure(b"a", 3.0), r.take_failure(b"a", 3.0)] == [
+    assert [
+        r.take_failure(b"b", 3.0),
+        r.take_failure(b"a", 3.0),
+        r.take_failure(b"a", 3.0),
+        r.take_failure(b"a", 3.0),
+    ] == [
         False,
         True,
         True,
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -126,9 +126,9 @@
 
 
 def make_request(
-    target: str = "/r/1", method: str = "GET", mark: str = "a1", length: int | None = None, **more: str
+    target: str = "/r/1", method: str = "GET", request_id: str = "a1", length: int | None = None, **more: str
 ) -> ClientRequest:
-    headers = {"host": "h.example:80", "mallow-ask": mark, **{k.replace("_", "-"): v for k, v in more.items()}}
+    headers = {"host": "h.example:80", "mallow-ask": request_id, **{k.replace("_", "-"): v for k, v in more.items()}}
     return ClientRequest(method, target, headers, "c", length, list(headers.items()))
 
 
@@ -195,8 +195,8 @@
         return [s.connection.heartbeat.instance for s in self.sent()]
 
 
-def feed_reader(*parts: bytes, make_request: str = "a1", method: str = "GET") -> Reader:
-    r = Reader(method, "mallow-ask", make_request)
+def feed_reader(*parts: bytes, request_id: str = "a1", method: str = "GET") -> Reader:
+    r = Reader(method, "mallow-ask", request_id)
     for p in parts:
         r.take(p)
     return r
