--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -123,8 +123,13 @@
     def pick(self, service: str, homes: list[str], tried: set[str], now: float) -> tuple[UpstreamState | None, bool]:
         """Returns the upstream for the next request, and whether any upstream is eligible at all."""
         self.refresh(now)
-        evacuated, proxies = self.replica.state.settings.evacuated, self._local_proxies
-        any_eligible, with_capacity, fallbacks = False, [], []
+        evacuated, proxies, any_eligible, with_capacity, fallbacks = (
+            self.replica.state.settings.evacuated,
+            self._local_proxies,
+            False,
+            [],
+            [],
+        )
         item = self.replica.state.items.services.get(service)
         for distance, ring in self._by_distance.get(service, ()):
             usable = [s for s in ring if s.upstream.instance not in tried and self._eligible(s, homes, evacuated, now)]
@@ -158,8 +163,9 @@
         if self.upstreams.get(state.upstream.instance) is not state or state.upstream.service != service:
             return False
         item = self.replica.state.items.services.get(service)
-        evacuated = self.replica.state.settings.evacuated
-        return self._eligible(state, homes, evacuated, now) and self._may_send_cold(state, item, now)
+        return self._eligible(state, homes, self.replica.state.settings.evacuated, now) and self._may_send_cold(
+            state, item, now
+        )
 
     def on_send(self, state: UpstreamState, now: float) -> None:
         """Records a send, directly before its first byte, and schedules the next one to a cold upstream."""
@@ -177,15 +183,14 @@
         state.silent_since = now if state.in_flight > 1 else None
         state.latency += 0.2 * (latency - state.latency)
         terms = self.settings.terms
-        headers = response.header_map
-        if not (response.status == MISDIRECTED or terms.not_run and terms.not_run.lower() in headers):
+        if not (response.status == MISDIRECTED or terms.not_run and terms.not_run.lower() in response.header_map):
             state.record_outcome(response.status < SERVER_ERROR or response.status == GATEWAY_TIMEOUT, now)
-        usage = headers.get(terms.usage.lower()) if terms.usage else None
+        usage = response.header_map.get(terms.usage.lower()) if terms.usage else None
         if usage is not None:
             self._record_usage(state, usage, now)
         else:
             state.sent_since_report = max(0, state.sent_since_report - 1)
-        cold_ms = headers.get(terms.cold.lower(), "") if terms.cold else ""
+        cold_ms = response.header_map.get(terms.cold.lower(), "") if terms.cold else ""
         if cold_ms.isdigit() and int(cold_ms) > 0:
             self._mark_cold(state, now + int(cold_ms[:6]) / 1000, now)
 
@@ -332,10 +337,12 @@
         count = min(self._proxy_count, int(rate * bounds.over + bounds.slack - COLD_RATE_SHARE * rate + 1e-9))
         count = max(count, 1 if rate * bounds.over + bounds.slack >= 1 else 0)
         roster = self.replica.state.settings.roster
-        upstream = state.upstream
         order = sorted(
             roster,
-            key=lambda proxy: (roster[proxy].locality.distance(upstream.locality), _hash(proxy, upstream.instance)),
+            key=lambda proxy: (
+                roster[proxy].locality.distance(state.upstream.locality),
+                _hash(proxy, state.upstream.instance),
+            ),
         )
         state.cold_senders_version, state.cold_senders = (
             (self._settings_revision, item.version),
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -1,3 +1,5 @@
+"""A TenantForwarder over a replica with settings, for the tests of tenants' requests."""
+
 from __future__ import annotations
 
 import random
@@ -28,7 +30,7 @@
 
 
 class TenantBench:
-    """One proxy's path over a seated replica, with a hand on its clock and its settings."""
+    """A TenantForwarder over a replica in the roster, with a clock and settings that the test sets."""
 
     def __init__(self, now=lambda: 0.0, config=CONFIG):
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
@@ -41,17 +43,17 @@
             self.replica, self.pool, RetryDetector(), self.counts, now, HERE, "me#7", lambda: "n1"
         )
         self.apply(config)
-        self.fresh()
+        self.confirm_settings()
 
     def apply(self, config: dict) -> None:
-        p = self.replica.state.settings
-        p.doc, p.revision = msgspec.json.encode(config), p.revision + 1
+        current = self.replica.state.settings
+        current.doc, current.revision = msgspec.json.encode(config), current.revision + 1
         self.replica._renew()
 
-    def fresh(self, at: float | None = None) -> None:
+    def confirm_settings(self, at: float | None = None) -> None:
         self.replica._sure = self.now() if at is None else at
 
     def upstream(self, n=0, service="s", at=HERE, port=100, incarnation=1, state="ready", sequence=1) -> Heartbeat:
-        b = Heartbeat(service, f"u{n}", incarnation, sequence, 0.0, state, at, Address("127.0.0.1", port))
-        self.board.hear(b, self.now())
-        return b
+        heartbeat = Heartbeat(service, f"u{n}", incarnation, sequence, 0.0, state, at, Address("127.0.0.1", port))
+        self.board.hear(heartbeat, self.now())
+        return heartbeat
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,3 +1,5 @@
+"""Tenants' requests: revalidation, the ledger, retries, and clients that leave."""
+
 import copy
 
 import pytest
@@ -38,153 +40,173 @@
 
 
 class TenantScenario:
-    """Plays a request's steps; an act may happen at a step, as it would while the outside took its time."""
+    """Performs the steps of a request; `results` has fixed results by the lower-case class name of a step.
+
+    `actions` has functions by that name; each runs once, before the result of such a step, to change the state while
+    the step is in progress.
+    """
 
-    def __init__(self, **acts):
-        self.t = 0.0
-        self.b = TenantBench(lambda: self.t)
-        self.b.upstream(0)
-        self.acts, self.steps, self.say = acts, [], {}
+    def __init__(self, **actions):
+        self.now = 0.0
+        self.bench = TenantBench(lambda: self.now)
+        self.bench.upstream(0)
+        self.actions, self.steps, self.results = actions, [], {}
 
-    def run(self, ask):
-        gen, got = self.b.forwarder.handle(ask), None
+    def run(self, request):
+        steps, result = self.bench.forwarder.handle(request), None
         try:
             while True:
-                s = gen.send(got)
-                self.steps.append(s)
-                name = type(s).__name__.lower()
-                act = self.acts.pop(name, None)
-                if act is not None:
-                    act(self)
-                got = self.reply(s, name)
-        except StopIteration as e:
-            assert self.b.pool.chooser.in_flight == {} and self.b.pool.waiting == {}
-            return e.value
-
-    def reply(self, s, name):
-        if name in self.say:
-            return self.say[name]
-        match s:
+                step = steps.send(result)
+                self.steps.append(step)
+                name = type(step).__name__.lower()
+                action = self.actions.pop(name, None)
+                if action is not None:
+                    action(self)
+                result = self.perform(step, name)
+        except StopIteration as end:
+            assert self.bench.pool.chooser.in_flight == {} and self.bench.pool.waiting == {}
+            return end.value
+
+    def perform(self, step, name):
+        if name in self.results:
+            return self.results[name]
+        match step:
             case ReadBody():
                 return Ok(b"")
             case ProposeCommand():
-                return Verdict({"Claim": "granted", "Release": "released", "Done": "done"}[type(s.command).__name__])
+                return Verdict({"Claim": "granted", "Release": "released", "Done": "done"}[type(step.command).__name__])
             case OpenConnection():
-                return Ok(FakeTenantConnection(s.heartbeat))
+                return Ok(FakeTenantConnection(step.heartbeat))
             case Exchange():
                 return Ok(OK)
             case WaitForCapacity():
                 return True
 
     def count(self, kind):
-        return sum(isinstance(s, kind) for s in self.steps)
+        return sum(isinstance(step, kind) for step in self.steps)
 
 
 def edit(change):
-    def act(p):
-        d = copy.deepcopy(CONFIG)
-        change(d)
-        p.b.apply(d)
+    """Returns an action that applies a changed configuration."""
 
-    return act
+    def action(case):
+        config = copy.deepcopy(CONFIG)
+        change(config)
+        case.bench.apply(config)
+
+    return action
 
 
 def pass_time(seconds):
-    def act(p):
-        p.t += seconds
+    def action(case):
+        case.now += seconds
 
-    return act
+    return action
 
 
-def evacuate(p):
-    p.b.replica.state.settings.evacuated = {"eu-a": 1}
+def evacuate(case):
+    case.bench.replica.state.settings.evacuated = {"eu-a": 1}
 
 
 CHANGES = {
     "settings out of date": pass_time(2.1),
-    "a former life of the proxy": lambda p: p.b.replica.state.settings.roster.clear(),
-    "tenant removed": edit(lambda d: d["cells"]["c"].update(tenants={"x": {}})),
-    "route removed": edit(lambda d: d["routes"].clear()),
-    "route to another service": edit(lambda d: [r.update(service="other") for r in d["routes"].values()]),
+    "proxy restarted": lambda case: case.bench.replica.state.settings.roster.clear(),
+    "tenant removed": edit(lambda config: config["cells"]["c"].update(tenants={"x": {}})),
+    "route removed": edit(lambda config: config["routes"].clear()),
+    "route to another service": edit(
+        lambda config: [route.update(service="other") for route in config["routes"].values()]
+    ),
     "another kind": edit(
-        lambda d: [r.update(kind={"read": "once", "once": "read"}[r["kind"]]) for r in d["routes"].values()]
+        lambda config: [
+            route.update(kind={"read": "once", "once": "read"}[route["kind"]]) for route in config["routes"].values()
+        ]
     ),
     "homes elsewhere": edit(
-        lambda d: d["cells"]["c"].update(tenants={"t": {"homes": ["us"]}, "home": {"homes": ["us"]}})
+        lambda config: config["cells"]["c"].update(tenants={"t": {"homes": ["us"]}, "home": {"homes": ["us"]}})
     ),
     "zone evacuated": evacuate,
-    "upstream leaving": lambda p: p.b.upstream(0, state="leaving", sequence=2),
-    "another life of the upstream": lambda p: p.b.upstream(0, incarnation=2, port=101, state="leaving"),
-    "a tree that is not understood": edit(lambda d: d["routes"]["r"].update(match="??")),
+    "upstream leaving": lambda case: case.bench.upstream(0, state="leaving", sequence=2),
+    "upstream restarted": lambda case: case.bench.upstream(0, incarnation=2, port=101, state="leaving"),
+    "configuration that does not compile": edit(lambda config: config["routes"]["r"].update(match="??")),
     "limit over": pass_time(6.0),
 }
 
 
-@pytest.mark.parametrize("ask", [READ, ONCE, HOME], ids=["read", "once", "home"])
+@pytest.mark.parametrize("sent", [READ, ONCE, HOME], ids=["read", "once", "home"])
 @pytest.mark.parametrize("step", ["readbody", "openconnection", "proposecommand"])
 @pytest.mark.parametrize("change", CHANGES)
-def test_nothing_is_sent_by_what_was_decided_before_a_change(change, step, ask):
-    if step == "proposecommand" and ask is not ONCE:
+def test_a_request_is_revalidated_before_it_is_sent(change, step, sent):
+    if step == "proposecommand" and sent is not ONCE:
         step = "openconnection"
-    p = TenantScenario(**{step: CHANGES[change]})
-    r = p.run(ask)
-    assert p.count(Exchange) == 0 and r.status in (404, 503, 504)
-    assert r.outcome == "not-run" if ask is READ else r.outcome in ("not-run", "undecided")
+    case = TenantScenario(**{step: CHANGES[change]})
+    response = case.run(sent)
+    assert case.count(Exchange) == 0 and response.status in (404, 503, 504)
+    assert response.outcome == "not-run" if sent is READ else response.outcome in ("not-run", "undecided")
 
 
-def test_a_queued_request_is_judged_anew_when_there_is_room():
-    p = TenantScenario(waitforcapacity=CHANGES["zone evacuated"])
-    heartbeat = p.b.board.rows["s/u0"].heartbeat
+def test_a_queued_request_is_revalidated_when_capacity_is_free():
+    case = TenantScenario(waitforcapacity=CHANGES["zone evacuated"])
+    heartbeat = case.bench.board.rows["s/u0"].heartbeat
     for _ in range(16):
-        p.b.pool.chooser.enter(heartbeat.address)
-    gen = p.b.forwarder.handle(READ)
-    gen.send(None)
-    assert isinstance(gen.send(Ok(b"")), WaitForCapacity) and p.b.pool.waiting == {"s": 1}
+        case.bench.pool.chooser.enter(heartbeat.address)
+    steps = case.bench.forwarder.handle(READ)
+    steps.send(None)
+    assert isinstance(steps.send(Ok(b"")), WaitForCapacity) and case.bench.pool.waiting == {"s": 1}
     for _ in range(16):
-        p.b.pool.chooser.leave(heartbeat.address)
-    evacuate(p)
-    with pytest.raises(StopIteration) as e:
-        gen.send(True)
-    assert e.value.value.status == 503 and p.b.pool.waiting == {}
-
-
-def test_a_read_goes_to_another_upstream_and_is_judged_before_that_too():
-    p = TenantScenario()
-    p.b.upstream(1, port=101)
-    p.b.pool.budget("s")._available = 1.0
-    p.say["exchange"] = Err("garbage: x")
-    r = p.run(READ)
-    assert (p.count(Exchange), r.status, r.outcome) == (2, 502, "unknown")
-    p = TenantScenario(exchange=evacuate)
-    p.b.upstream(1, port=101)
-    p.b.pool.budget("s")._available = 1.0
-    p.say["exchange"] = Err("garbage: x")
-    r = p.run(READ)
-    assert (p.count(Exchange), r.status, r.outcome) == (1, 503, "unknown")
-
-
-def test_a_key_is_told_not_run_only_after_its_release_is_committed():
-    p = TenantScenario(openconnection=pass_time(6.0))
-    assert p.run(ONCE).outcome == "not-run" and p.count(ProposeInBackground) == 0
-    p = TenantScenario(openconnection=pass_time(6.0))
-    p.say["proposecommand"] = Verdict("granted")
-    r = p.run(ONCE)
-    assert r.outcome == "undecided" and p.count(ProposeInBackground) == 1
-    assert p.b.forwarder.rejections[-1].outcome == "undecided"
-
-
-def test_a_claim_that_was_not_confirmed_sends_nothing_and_is_taken_back():
-    p = TenantScenario()
-    p.say["proposecommand"] = Verdict("undecided")
-    r = p.run(ONCE)
-    assert (r.outcome, r.status, p.count(Exchange), p.count(ProposeInBackground)) == ("undecided", 503, 0, 1)
-
-
-def test_a_lost_answer_is_unknown_and_the_key_is_forfeit():
-    p = TenantScenario()
-    p.say["exchange"] = Err("limit")
-    r = p.run(ONCE)
-    assert (r.outcome, r.retry_after, p.count(Exchange), p.count(ProposeInBackground)) == ("unknown", None, 1, 1)
+        case.bench.pool.chooser.leave(heartbeat.address)
+    evacuate(case)
+    with pytest.raises(StopIteration) as end:
+        steps.send(True)
+    assert end.value.value.status == 503 and case.bench.pool.waiting == {}
+
+
+def test_a_read_is_revalidated_before_its_retry_on_another_upstream():
+    case = TenantScenario()
+    case.bench.upstream(1, port=101)
+    case.bench.pool.budget("s")._available = 1.0
+    case.results["exchange"] = Err("garbage: x")
+    response = case.run(READ)
+    assert (case.count(Exchange), response.status, response.outcome) == (2, 502, "unknown")
+    case = TenantScenario(exchange=evacuate)
+    case.bench.upstream(1, port=101)
+    case.bench.pool.budget("s")._available = 1.0
+    case.results["exchange"] = Err("garbage: x")
+    response = case.run(READ)
+    assert (case.count(Exchange), response.status, response.outcome) == (1, 503, "unknown")
+
+
+def test_a_keyed_request_gets_not_run_only_after_its_release_is_committed():
+    case = TenantScenario(openconnection=pass_time(6.0))
+    assert case.run(ONCE).outcome == "not-run" and case.count(ProposeInBackground) == 0
+    case = TenantScenario(openconnection=pass_time(6.0))
+    case.results["proposecommand"] = Verdict("granted")
+    response = case.run(ONCE)
+    assert response.outcome == "undecided" and case.count(ProposeInBackground) == 1
+    assert case.bench.forwarder.rejections[-1].outcome == "undecided"
+
+
+def test_an_unconfirmed_claim_sends_nothing_and_is_released():
+    case = TenantScenario()
+    case.results["proposecommand"] = Verdict("undecided")
+    response = case.run(ONCE)
+    assert (response.outcome, response.status, case.count(Exchange), case.count(ProposeInBackground)) == (
+        "undecided",
+        503,
+        0,
+        1,
+    )
+
+
+def test_a_lost_response_is_unknown_and_forfeits_the_key():
+    case = TenantScenario()
+    case.results["exchange"] = Err("limit")
+    response = case.run(ONCE)
+    assert (response.outcome, response.retry_after, case.count(Exchange), case.count(ProposeInBackground)) == (
+        "unknown",
+        None,
+        1,
+        1,
+    )
 
 
 @pytest.mark.parametrize(
@@ -199,46 +221,52 @@
         ({"mallow-tenant": "t", "mallow-key": "k", "content-type": "application/json"}, "/o", 1, Ok(b"{"), 400),
     ],
 )
-def test_a_rejection_before_the_ledger_never_says_not_run_of_a_key(headers, target, length, body, status):
-    p = TenantScenario()
-    p.say["readbody"] = body
-    r = p.run(ClientRequest("POST", target, headers, "c", length))
-    assert (r.status, r.outcome) == (status, "undecided") and p.count(ProposeCommand) == 0
+def test_a_keyed_request_rejected_before_its_claim_is_undecided(headers, target, length, body, status):
+    case = TenantScenario()
+    case.results["readbody"] = body
+    response = case.run(ClientRequest("POST", target, headers, "c", length))
+    assert (response.status, response.outcome) == (status, "undecided") and case.count(ProposeCommand) == 0
 
 
-def test_a_waiting_repeat_gets_the_first_tries_answer():
+def test_a_waiting_retry_gets_the_response_of_the_first_attempt():
     from mallowvalve.ledger.ledger import Claim, Done
     from mallowvalve.proxy.call import request_digest
 
-    p = TenantScenario()
-    led = p.b.replica.state.ledger
-    led.apply(Claim("t\0k", request_digest("POST", "/o", b""), "other#1", "n0"), 0)
-    p.say["proposecommand"] = Verdict("open")
-    p.acts["sleep"] = lambda p: led.apply(Done("t\0k", "n0", 201, "a/b", b"first"), 0)
-    r = p.run(ONCE)
-    assert (r.status, r.answer.body, r.replayed, p.count(Exchange), p.count(Sleep)) == (201, b"first", True, 0, 1)
-
-
-def test_homes_bound_the_choice_at_every_try():
-    p = TenantScenario()
-    p.b.board.rows.clear()
-    p.b.upstream(0, at=Locality("us", "us-a"))
-    assert p.run(HOME).status == 503 and p.count(OpenConnection) == 0
-    assert p.run(READ).status == 200
-
-
-def test_nothing_is_sent_for_a_client_who_left_before():
-    p = TenantScenario()
-    p.say = {"clientcheck": CLIENT_LEFT}
-    r = p.run(READ)
-    assert p.count(Exchange) == 0 and (r.status, r.outcome, r.close) == (503, "not-run", True)
-
-
-def test_a_read_whose_client_leaves_is_stopped_and_a_keyed_request_goes_on():
-    p = TenantScenario()
-    p.say = {"exchange": CLIENT_LEFT}
-    r = p.run(READ)
-    assert (r.status, r.outcome, r.close) == (502, "unknown", True) and p.count(Exchange) == 1
-    p = TenantScenario()
-    assert p.run(ONCE).status == 200 and p.count(ClientCheck) == 0
-    assert not any(s.stop_if_client_leaves for s in p.steps if isinstance(s, Exchange))
+    case = TenantScenario()
+    ledger = case.bench.replica.state.ledger
+    ledger.apply(Claim("t\0k", request_digest("POST", "/o", b""), "other#1", "n0"), 0)
+    case.results["proposecommand"] = Verdict("open")
+    case.actions["sleep"] = lambda case: ledger.apply(Done("t\0k", "n0", 201, "a/b", b"first"), 0)
+    response = case.run(ONCE)
+    assert (response.status, response.answer.body, response.replayed, case.count(Exchange), case.count(Sleep)) == (
+        201,
+        b"first",
+        True,
+        0,
+        1,
+    )
+
+
+def test_homes_limit_the_choice_of_upstreams():
+    case = TenantScenario()
+    case.bench.board.rows.clear()
+    case.bench.upstream(0, at=Locality("us", "us-a"))
+    assert case.run(HOME).status == 503 and case.count(OpenConnection) == 0
+    assert case.run(READ).status == 200
+
+
+def test_nothing_is_sent_for_a_client_that_left_before_the_send():
+    case = TenantScenario()
+    case.results = {"clientcheck": CLIENT_LEFT}
+    response = case.run(READ)
+    assert case.count(Exchange) == 0 and (response.status, response.outcome, response.close) == (503, "not-run", True)
+
+
+def test_a_read_stops_when_its_client_leaves_and_a_keyed_request_continues():
+    case = TenantScenario()
+    case.results = {"exchange": CLIENT_LEFT}
+    response = case.run(READ)
+    assert (response.status, response.outcome, response.close) == (502, "unknown", True) and case.count(Exchange) == 1
+    case = TenantScenario()
+    assert case.run(ONCE).status == 200 and case.count(ClientCheck) == 0
+    assert not any(step.stop_if_client_leaves for step in case.steps if isinstance(step, Exchange))
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -1,3 +1,5 @@
+"""The parts of the proxy for tenants: heartbeats, the choice of upstreams, retry budgets and upstream connections."""
+
 import random
 
 import pytest
@@ -15,145 +17,153 @@
 EU, EU2, US = Locality("eu", "a"), Locality("eu", "b"), Locality("us", "c")
 
 
-def heartbeat(n=0, inc=1, seq=1, state="ready", usage=0.0, at=EU, service="s", port=None):
-    return Heartbeat(service, f"i{n}", inc, seq, usage, state, at, Address("10.0.0.1", port or 100 + n))
+def heartbeat(n=0, incarnation=1, sequence=1, state="ready", usage=0.0, at=EU, service="s", port=None):
+    return Heartbeat(service, f"i{n}", incarnation, sequence, usage, state, at, Address("10.0.0.1", port or 100 + n))
 
 
 def test_heartbeats_are_ordered_by_incarnation_then_sequence():
-    b = Board()
-    assert b.hear(heartbeat(seq=5), 0.0) and not b.hear(heartbeat(seq=4), 1.0)
-    assert b.hear(heartbeat(inc=2, seq=1), 2.0) and not b.hear(heartbeat(inc=1, seq=9), 3.0)
-    assert b.rows["s/i0"].since == 2.0
+    board = Board()
+    assert board.hear(heartbeat(sequence=5), 0.0) and not board.hear(heartbeat(sequence=4), 1.0)
+    assert board.hear(heartbeat(incarnation=2, sequence=1), 2.0) and not board.hear(
+        heartbeat(incarnation=1, sequence=9), 3.0
+    )
+    assert board.rows["s/i0"].since == 2.0
 
 
-def test_leaving_is_final_for_that_incarnation():
-    b = Board()
-    b.hear(heartbeat(seq=1), 0.0)
-    b.hear(heartbeat(seq=2, state="leaving"), 1.0)
-    assert not b.hear(heartbeat(seq=3), 2.0) and b.usable("s", 2.0) == []
-    b.hear(heartbeat(seq=4, state="gone"), 3.0)
-    assert not b.hear(heartbeat(seq=5, state="leaving"), 4.0)
-    assert b.hear(heartbeat(inc=2, seq=1), 5.0) and len(b.usable("s", 5.0)) == 1
+def test_an_incarnation_that_leaves_does_not_become_ready_again():
+    board = Board()
+    board.hear(heartbeat(sequence=1), 0.0)
+    board.hear(heartbeat(sequence=2, state="leaving"), 1.0)
+    assert not board.hear(heartbeat(sequence=3), 2.0) and board.usable("s", 2.0) == []
+    board.hear(heartbeat(sequence=4, state="gone"), 3.0)
+    assert not board.hear(heartbeat(sequence=5, state="leaving"), 4.0)
+    assert board.hear(heartbeat(incarnation=2, sequence=1), 5.0) and len(board.usable("s", 5.0)) == 1
 
 
-def test_a_silent_upstream_is_out_and_cold_when_it_comes_back():
-    b = Board()
-    b.hear(heartbeat(seq=1), 0.0)
-    assert b.usable("s", SILENT - 0.1) and not b.usable("s", SILENT)
-    b.hear(heartbeat(seq=2), 20.0)
-    assert b.usable("s", 20.0)[0].since == 20.0
+def test_a_silent_upstream_is_unusable_and_restarts_its_slow_start():
+    board = Board()
+    board.hear(heartbeat(sequence=1), 0.0)
+    assert board.usable("s", SILENT - 0.1) and not board.usable("s", SILENT)
+    board.hear(heartbeat(sequence=2), 20.0)
+    assert board.usable("s", 20.0)[0].since == 20.0
 
 
-def test_old_news_handed_on_does_not_refresh():
-    b, late = Board(), Board()
-    b.hear(heartbeat(), 0.0)
-    for a in b.newer_than(late.digest(), 6.0):
-        late.hear(a.heartbeat, 106.0, a.age)
-    assert late.usable("s", 107.0) and not late.usable("s", 108.1)
+def test_a_relayed_heartbeat_keeps_its_age():
+    board, receiver = Board(), Board()
+    board.hear(heartbeat(), 0.0)
+    for aged in board.newer_than(receiver.digest(), 6.0):
+        receiver.hear(aged.heartbeat, 106.0, aged.age)
+    assert receiver.usable("s", 107.0) and not receiver.usable("s", 108.1)
 
 
 def rows(*heartbeats, since=-100.0):
-    b = Board()
-    for x in heartbeats:
-        b.hear(x, 0.0)
-    out = b.usable(heartbeats[0].service, 0.0)
-    for r in out:
-        r.since = since
-    return out
+    board = Board()
+    for sent in heartbeats:
+        board.hear(sent, 0.0)
+    usable = board.usable(heartbeats[0].service, 0.0)
+    for row in usable:
+        row.since = since
+    return usable
 
 
-def test_homes_and_evacuations_bound_the_choice():
+def test_homes_and_evacuations_limit_reachability():
     assert reachable(US, None, {}) and not reachable(US, frozenset({"eu"}), {})
-    for z in ("c", "us", "us/c"):
-        assert not reachable(US, None, {z: 1})
-
-
-def test_near_first_then_the_lesser_load_of_two():
-    rs = rows(heartbeat(0, at=US), heartbeat(1, at=EU, usage=9.0), heartbeat(2, at=EU, usage=1.0))
-    d = Chooser(EU, random.Random(1))
-    got = [d.pick(rs, DEFAULT, 1, set(), 0.0).heartbeat.instance for _ in range(200)]
-    assert "i0" not in got and got.count("i2") > got.count("i1")
-    assert Chooser(EU2, random.Random(1)).pick(rs, DEFAULT, 1, set(), 0.0).heartbeat.locality == EU
-
-
-def test_a_cold_upstream_is_chosen_little_and_capped():
-    rs = rows(heartbeat(0), heartbeat(1))
-    rs[0].since = 0.0
-    d = Chooser(EU, random.Random(2))
-    got = [d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
-    assert got.count("i0") < 40
-    assert max_in_flight(rs[0], DEFAULT, 1, 0.5) == 1 and max_in_flight(rs[0], DEFAULT, 1, 100.0) == DEFAULT.width
-
-
-def test_a_cold_upstream_alone_in_its_zone_does_not_get_the_zones_whole_work():
-    rs = rows(heartbeat(0), heartbeat(1, at=EU2), heartbeat(2, at=US))
-    rs[0].since = 0.0
-    d = Chooser(EU, random.Random(2))
-    got = [d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
-    assert got.count("i0") < 40 and got.count("i1") > 300 and got.count("i2") == 0
-    for r in rs:
-        r.since = 0.0
-    assert {d.pick(rs, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(40)} == {"i0"}
-    assert {d.pick(rs[:1], DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(20)} == {"i0"}
-
-
-def test_full_upstreams_are_not_chosen():
-    rs = rows(heartbeat(0))
-    d = Chooser(EU, random.Random(3))
+    for zone in ("c", "us", "us/c"):
+        assert not reachable(US, None, {zone: 1})
+
+
+def test_near_upstreams_first_then_the_less_loaded_of_two():
+    upstreams = rows(heartbeat(0, at=US), heartbeat(1, at=EU, usage=9.0), heartbeat(2, at=EU, usage=1.0))
+    chooser = Chooser(EU, random.Random(1))
+    picked = [chooser.pick(upstreams, DEFAULT, 1, set(), 0.0).heartbeat.instance for _ in range(200)]
+    assert "i0" not in picked and picked.count("i2") > picked.count("i1")
+    assert Chooser(EU2, random.Random(1)).pick(upstreams, DEFAULT, 1, set(), 0.0).heartbeat.locality == EU
+
+
+def test_slow_start_limits_how_often_an_upstream_is_chosen():
+    upstreams = rows(heartbeat(0), heartbeat(1))
+    upstreams[0].since = 0.0
+    chooser = Chooser(EU, random.Random(2))
+    picked = [chooser.pick(upstreams, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
+    assert picked.count("i0") < 40
+    assert (
+        max_in_flight(upstreams[0], DEFAULT, 1, 0.5) == 1
+        and max_in_flight(upstreams[0], DEFAULT, 1, 100.0) == DEFAULT.width
+    )
+
+
+def test_slow_start_diverts_load_from_a_zones_only_upstream():
+    upstreams = rows(heartbeat(0), heartbeat(1, at=EU2), heartbeat(2, at=US))
+    upstreams[0].since = 0.0
+    chooser = Chooser(EU, random.Random(2))
+    picked = [chooser.pick(upstreams, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(400)]
+    assert picked.count("i0") < 40 and picked.count("i1") > 300 and picked.count("i2") == 0
+    for row in upstreams:
+        row.since = 0.0
+    assert {chooser.pick(upstreams, DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(40)} == {"i0"}
+    assert {chooser.pick(upstreams[:1], DEFAULT, 1, set(), 0.5).heartbeat.instance for _ in range(20)} == {"i0"}
+
+
+def test_upstreams_at_capacity_are_not_chosen():
+    upstreams = rows(heartbeat(0))
+    chooser = Chooser(EU, random.Random(3))
     for _ in range(DEFAULT.width):
-        d.enter(rs[0].heartbeat.address)
-    assert d.pick(rs, DEFAULT, 1, set(), 0.0) is None
-    d.leave(rs[0].heartbeat.address)
-    assert d.pick(rs, DEFAULT, 1, set(), 0.0) is rs[0]
-
-
-def shares(firsts, seconds=60.0, seed=4):
-    """Repeats are always wanted; firsts come at a rate that may change. The share in each span of ten seconds."""
-    b, rng, log, t = RetryBudget(), random.Random(seed), [], 0.0
-    while t < seconds:
-        rate = firsts(t)
-        t += rng.expovariate(rate + 50.0)
+        chooser.enter(upstreams[0].heartbeat.address)
+    assert chooser.pick(upstreams, DEFAULT, 1, set(), 0.0) is None
+    chooser.leave(upstreams[0].heartbeat.address)
+    assert chooser.pick(upstreams, DEFAULT, 1, set(), 0.0) is upstreams[0]
+
+
+def retry_ratios(first_rate, seconds=60.0, seed=4):
+    """Yields the ratio of retries to first attempts in each window of ten seconds.
+
+    Retries are always wanted; first attempts come at the rate `first_rate(now)`.
+    """
+    budget, rng, log, now = RetryBudget(), random.Random(seed), [], 0.0
+    while now < seconds:
+        rate = first_rate(now)
+        now += rng.expovariate(rate + 50.0)
         if rng.random() < rate / (rate + 50.0):
-            b.record_first(t)
-            log.append((t, 0))
-        elif b.take_retry(t):
-            log.append((t, 1))
+            budget.record_first(now)
+            log.append((now, 0))
+        elif budget.take_retry(now):
+            log.append((now, 1))
     for end in range(10, int(seconds)):
-        span = [k for x, k in log if end - 10 < x <= end]
-        yield sum(span) / max(1, len(span) - sum(span))
+        window = [is_retry for at, is_retry in log if end - 10 < at <= end]
+        yield sum(window) / max(1, len(window) - sum(window))
 
 
 @pytest.mark.parametrize(
-    "firsts", [lambda t: 100.0, lambda t: 30.0 if t < 20 else 10.0, lambda t: 100.0 if int(t) % 20 < 10 else 40.0]
+    "first_rate", [lambda t: 100.0, lambda t: 30.0 if t < 20 else 10.0, lambda t: 100.0 if int(t) % 20 < 10 else 40.0]
 )
-def test_repeats_stay_under_a_fifth_over_any_ten_seconds_though_traffic_falls(firsts):
-    got = list(shares(firsts))
-    assert max(got) <= 0.2 and sum(got) / len(got) > 0.1
+def test_retries_stay_under_a_fifth_in_any_ten_seconds_when_traffic_drops(first_rate):
+    ratios = list(retry_ratios(first_rate))
+    assert max(ratios) <= 0.2 and sum(ratios) / len(ratios) > 0.1
 
 
-def test_without_first_tries_there_are_no_repeats():
-    b = RetryBudget()
-    assert not any(b.take_retry(t * 0.1) for t in range(300))
+def test_without_first_attempts_there_are_no_retries():
+    budget = RetryBudget()
+    assert not any(budget.take_retry(t * 0.1) for t in range(300))
 
 
-def test_each_failure_makes_one_like_request_a_repeat():
-    r = RetryDetector()
-    assert not r.take_failure(b"a", 0.0)
-    r.record_failure(b"a", 1.0)
-    r.record_failure(b"a", 2.0)
+def test_each_failure_makes_one_identical_request_a_retry():
+    detector = RetryDetector()
+    assert not detector.take_failure(b"a", 0.0)
+    detector.record_failure(b"a", 1.0)
+    detector.record_failure(b"a", 2.0)
     assert [
-        r.take_failure(b"b", 3.0),
-        r.take_failure(b"a", 3.0),
-        r.take_failure(b"a", 3.0),
-        r.take_failure(b"a", 3.0),
+        detector.take_failure(b"b", 3.0),
+        detector.take_failure(b"a", 3.0),
+        detector.take_failure(b"a", 3.0),
+        detector.take_failure(b"a", 3.0),
     ] == [
         False,
         True,
         True,
         False,
     ]
-    r.record_failure(b"a", 4.0)
-    assert not r.take_failure(b"a", 14.0)
+    detector.record_failure(b"a", 4.0)
+    assert not detector.take_failure(b"a", 14.0)
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n"
@@ -175,46 +185,46 @@
 
 
 def exchange(*answers: bytes, identity: bytes | None = None):
-    who = identity or b'{"service":"s","instance":"i0","incarnation":1}'
-    todo = [HEAD + b"Content-Length: %d\r\n\r\n" % len(who) + who, *answers]
+    body = identity or b'{"service":"s","instance":"i0","incarnation":1}'
+    responses = [HEAD + b"Content-Length: %d\r\n\r\n" % len(body) + body, *answers]
 
     def serve(sock, _):
         with sock:
-            for a in todo:
+            for response in responses:
                 if not sock.recv(65536):
                     return
-                sock.sendall(a)
+                sock.sendall(response)
 
     server = StreamServer(("127.0.0.1", 0), serve)
     server.start()
     try:
         end = clock.now() + 5
-        r = Connection.open(
+        opened = Connection.open(
             Heartbeat("s", "i0", 1, 1, 0.0, "ready", EU, Address("127.0.0.1", server.server_port)), "/health", end
         )
-        if r.is_err():
-            return r
-        s = r.ok_value
-        assert s.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", end)
-        return s.receive("GET", end)
+        if opened.is_err():
+            return opened
+        connection = opened.ok_value
+        assert connection.send(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", end)
+        return connection.receive("GET", end)
     finally:
         server.stop()
 
 
-def test_a_whole_answer_is_given_as_it_came():
-    a = exchange(GOOD).unwrap()
-    assert (a.status, a.body, a.reusable) == (200, b"ok", True)
+def test_a_complete_response_is_returned_unchanged():
+    response = exchange(GOOD).unwrap()
+    assert (response.status, response.body, response.reusable) == (200, b"ok", True)
     chunked = HEAD + b"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
     assert exchange(chunked).unwrap().body == b"ok"
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_garbage_never_becomes_an_answer(name):
+def test_an_invalid_response_is_an_error(name):
     assert exchange(CASES[name]).is_err()
 
 
 @pytest.mark.parametrize(
-    "who",
+    "identity",
     [
         b'{"service":"t","instance":"i0","incarnation":1}',
         b'{"service":"s","instance":"i1","incarnation":1}',
@@ -223,5 +233,5 @@
         b"not json",
     ],
 )
-def test_an_address_handed_to_another_service_gets_nothing(who):
-    assert "status" in exchange(GOOD, identity=who).err_value
+def test_nothing_is_sent_to_an_address_with_another_identity(identity):
+    assert "status" in exchange(GOOD, identity=identity).err_value
--- a/tests/test_shaky.py
+++ b/tests/test_shaky.py
@@ -1,4 +1,4 @@
-"""Upstreams whose word is not to be relied on: they fail in part, or forget connections."""
+"""Unreliable upstreams: partial failures, and idle connections that an upstream drops or that outlive their use."""
 
 from __future__ import annotations
 
@@ -6,82 +6,114 @@
 
 from result import Err
 
-from mallowvalve.proxy.steps import OpenConnection
-from tests.tryout import HostScenario, make_request, make_response
+from mallowvalve.proxy.steps import Exchange, OpenConnection
+from tests.tryout import FakeHostConnection, HostScenario, make_request, make_response
 
 READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
 
-def test_one_that_fails_in_part_gets_little_though_it_answers_well_between():
-    p = HostScenario(upstreams=6)
-    got = Counter()
-    for n in range(600):
-        p.t += 0.05
-        p.steps.clear()
-        p.say = [make_response(), make_response()]
-        gen, back = p.b.forwarder.handle(READ), None
+def test_an_upstream_that_fails_every_second_request_gets_little_load():
+    case = HostScenario(upstreams=6)
+    sent = Counter()
+    for _ in range(600):
+        case.now += 0.05
+        case.steps.clear()
+        case.results = [make_response(), make_response()]
+        steps, result = case.bench.forwarder.handle(READ), None
         try:
             while True:
-                s = gen.send(back)
-                p.steps.append(s)
-                back = p.reply(s)
-                if type(s).__name__ == "Exchange":
-                    who = s.connection.heartbeat.instance
-                    got[who] += 1
-                    if who == "u0" and got[who] % 2:
-                        back = type(back)(make_response(500))
+                step = steps.send(result)
+                case.steps.append(step)
+                result = case.perform(step)
+                if isinstance(step, Exchange):
+                    instance = step.connection.heartbeat.instance
+                    sent[instance] += 1
+                    if instance == "u0" and sent[instance] % 2:
+                        result = type(result)(make_response(500))
         except StopIteration:
             pass
-    assert got["u0"] < 0.4 * min(got[f"u{i}"] for i in range(1, 6))
-    assert got["u0"] > 3
-
-
-def test_where_all_fail_alike_all_go_on_being_used():
-    p = HostScenario(upstreams=3, budget={"ratio": 1.0, "span": 10.0, "slack": 1000.0})
-    for n in range(60):
-        p.t += 0.1
-        p.say = [make_response(500), make_response(500)]
-        assert p.run(READ).status == 500
-    assert min(Counter(p.to()).values()) > 10
-
-
-def test_what_cannot_be_sent_again_takes_only_a_connection_used_just_now():
-    p = HostScenario(upstreams=1)
-    p.run(TRY)
-    p.t += 0.5
-    p.run(TRY)
-    assert p.count(OpenConnection) == 1
-    p.t += 1.5
-    p.run(READ)
-    assert p.count(OpenConnection) == 1
-    p.t += 1.5
-    p.run(TRY)
-    assert p.count(OpenConnection) == 2
-
-
-def test_a_connection_that_was_forgotten_makes_all_be_trusted_for_less():
-    p = HostScenario(upstreams=3)
+    assert sent["u0"] < 0.4 * min(sent[f"u{i}"] for i in range(1, 6))
+    assert sent["u0"] > 3
+
+
+def test_upstreams_that_all_fail_alike_all_stay_in_use():
+    case = HostScenario(upstreams=3, budget={"ratio": 1.0, "span": 10.0, "slack": 1000.0})
+    for _ in range(60):
+        case.now += 0.1
+        case.results = [make_response(500), make_response(500)]
+        assert case.run(READ).status == 500
+    assert min(Counter(case.targets()).values()) > 10
+
+
+def test_a_request_that_cannot_be_sent_again_only_reuses_a_recently_used_connection():
+    case = HostScenario(upstreams=1)
+    case.run(TRY)
+    case.now += 0.5
+    case.run(TRY)
+    assert case.count(OpenConnection) == 1
+    case.now += 1.5
+    case.run(READ)
+    assert case.count(OpenConnection) == 1
+    case.now += 1.5
+    case.run(TRY)
+    assert case.count(OpenConnection) == 2
+
+
+def test_idle_connections_are_reused_last_first_and_not_after_their_lifetime():
+    case = HostScenario(upstreams=1)
+    case.run(READ)
+    case.run(READ)
+    assert case.count(OpenConnection) == 1
+    case.now += 4.5
+    case.run(READ)
+    assert case.count(OpenConnection) == 2
+    old, new = (
+        FakeHostConnection(case.bench.hosts.upstreams["u0"].upstream),
+        FakeHostConnection(case.bench.hosts.upstreams["u0"].upstream),
+    )
+    case.bench.hosts.idle_connections.give(old, case.now)
+    case.bench.hosts.idle_connections.give(new, case.now)
+    assert case.bench.hosts.idle_connections.take(new.heartbeat, case.now) is new
+    case.bench.hosts.idle_connections.prune(set(), case.now)
+    assert old.closed
+
+
+def test_a_connection_released_unused_keeps_its_last_use():
+    case = HostScenario([make_response(500)], budget={"ratio": 0.0, "span": 10.0, "slack": 0.0})
+    case.now = 3.0
+    idle = [FakeHostConnection(case.bench.state.registry.rows[f"u{i}"]) for i in range(2)]
+    for connection in idle:
+        case.bench.hosts.idle_connections.give(connection, 0.1)
+    assert case.run(READ).status == 502 and len(case.exchanges()) == 1
+    unused = next(c for c in idle if c is not case.exchanges()[0].connection)
+    assert unused.since == 0.1 and case.exchanges()[0].connection.since > 3.0
+    case.run(TRY)
+    assert case.exchanges()[1].connection is not unused
+
+
+def test_a_dropped_idle_connection_shortens_the_idle_time_of_all():
+    case = HostScenario(upstreams=3)
     for _ in range(30):
-        p.run(READ)
-    p.t += 2.0
-    p.say = [Err("broken: reset")]
-    assert p.run(READ).status == 200
-    upstreams = p.b.hosts.upstreams.values()
-    assert all(s.is_healthy(p.t) and not s.failure_score(p.t) for s in upstreams)
-    p.t += 1.2
-    before = p.count(OpenConnection)
-    p.run(READ)
-    assert p.count(OpenConnection) == before + 1
-    p.t += 40.0
-    p.run(READ), p.run(READ)
-    p.t += 1.2
-    before = p.count(OpenConnection)
-    p.run(READ)
-    assert p.count(OpenConnection) <= before + 1
-
-
-def test_a_break_of_a_connection_just_used_is_the_upstreams_fault():
-    p = HostScenario([make_response(), Err("broken: reset")], upstreams=1)
-    p.run(READ)
-    p.run(READ)
-    assert not next(iter(p.b.hosts.upstreams.values())).is_healthy(p.t)
+        case.run(READ)
+    case.now += 2.0
+    case.results = [Err("broken: reset")]
+    assert case.run(READ).status == 200
+    upstreams = case.bench.hosts.upstreams.values()
+    assert all(s.is_healthy(case.now) and not s.failure_score(case.now) for s in upstreams)
+    case.now += 1.2
+    before = case.count(OpenConnection)
+    case.run(READ)
+    assert case.count(OpenConnection) == before + 1
+    case.now += 40.0
+    case.run(READ), case.run(READ)
+    case.now += 1.2
+    before = case.count(OpenConnection)
+    case.run(READ)
+    assert case.count(OpenConnection) <= before + 1
+
+
+def test_a_break_of_a_recently_used_connection_is_a_failure_of_the_upstream():
+    case = HostScenario([make_response(), Err("broken: reset")], upstreams=1)
+    case.run(READ)
+    case.run(READ)
+    assert not next(iter(case.bench.hosts.upstreams.values())).is_healthy(case.now)
--- a/tests/test_tries_dark.py
+++ b/tests/test_tries_dark.py
@@ -1,4 +1,4 @@
-"""Upstreams and proxies that went dark, or have only just come back."""
+"""Upstreams, zones and connections that are silent, and proxies and upstreams that have just started."""
 
 from result import Err
 
@@ -8,167 +8,167 @@
 READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
 
-def start(p, a):
-    gen = p.b.forwarder.handle(a)
-    return gen, gen.send(None)
+def start(case, request):
+    steps = case.bench.forwarder.handle(request)
+    return steps, steps.send(None)
 
 
-def until(p, gen, s, kind):
-    while not isinstance(s, kind):
-        s = gen.send(p.reply(s))
-    p.steps.append(s)
-    return s
+def run_until(case, steps, step, kind):
+    while not isinstance(step, kind):
+        step = steps.send(case.perform(step))
+    case.steps.append(step)
+    return step
 
 
-def play(p, a):
-    gen, s = start(p, a)
-    s = until(p, gen, s, Exchange)
+def run_recording_exchange(case, request):
+    steps, step = start(case, request)
+    step = run_until(case, steps, step, Exchange)
     try:
         while True:
-            s = gen.send(p.reply(s))
+            step = steps.send(case.perform(step))
     except StopIteration:
         return
 
 
-def test_a_connection_that_does_not_open_keeps_others_away():
-    p = HostScenario()
-    gen, s = start(p, READ)
-    s = until(p, gen, s, OpenConnection)
-    slow = s.heartbeat.instance
-    p.t += 0.2
+def test_a_connection_that_opens_slowly_diverts_other_requests():
+    case = HostScenario()
+    steps, step = start(case, READ)
+    step = run_until(case, steps, step, OpenConnection)
+    slow_instance = step.heartbeat.instance
+    case.now += 0.2
     for _ in range(10):
-        play(p, READ)
-    assert len(p.to()) == 10 and slow not in p.to()
-    gen.close()
+        run_recording_exchange(case, READ)
+    assert len(case.targets()) == 10 and slow_instance not in case.targets()
+    steps.close()
     for _ in range(10):
-        p.run(READ)
-    assert slow in p.to()
+        case.run(READ)
+    assert slow_instance in case.targets()
 
 
-def test_one_request_at_a_time_asks_after_an_upstream_that_failed():
-    p = HostScenario([Err("broken: reset")])
-    p.run(TRY)
-    bad = p.to()[0]
-    p.t += 1.0
-    p.b.hosts.refresh(p.t)
-    gens = []
+def test_a_half_open_breaker_admits_one_request_at_a_time():
+    case = HostScenario([Err("broken: reset")])
+    case.run(TRY)
+    failed = case.targets()[0]
+    case.now += 1.0
+    case.bench.hosts.refresh(case.now)
+    running = []
     for _ in range(8):
-        gen, s = start(p, READ)
-        s = until(p, gen, s, Exchange)
-        gens.append((gen, s.connection.heartbeat.instance))
-    assert sum(name == bad for _, name in gens) <= 1
-    for gen, _ in gens:
-        gen.close()
-    p.t += 1.0
-    p.b.hosts.on_response(p.b.hosts.upstreams[bad], make_response(), 0.1, p.t)
-    assert not p.b.hosts.upstreams[bad].half_open
-
-
-def test_after_a_silence_a_new_connection_must_open_first():
-    p = HostScenario(upstreams=1)
-    p.run(READ)
-    p.say = [Err("limit")]
-    p.acts["exchange"] = lambda p: setattr(p, "t", p.t + 1.0)
-    p.run(TRY)
-    assert p.b.hosts.idle_connections.take(p.b.hosts.upstreams["u0"].upstream, p.t) is None
-    p.t, p.opens, n = p.t + 1.0, [Err("unreachable")] * 9, p.count(Exchange)
-    assert p.run(TRY).status == 503 and p.count(Exchange) == n
-
-
-def test_a_silence_is_noticed_soon_where_answers_are_quick():
-    p = HostScenario()
-    gen, s = start(p, TRY)
-    dark = until(p, gen, s, Exchange).connection.heartbeat.instance
-    p.t += 0.3
+        steps, step = start(case, READ)
+        step = run_until(case, steps, step, Exchange)
+        running.append((steps, step.connection.heartbeat.instance))
+    assert sum(name == failed for _, name in running) <= 1
+    for steps, _ in running:
+        steps.close()
+    case.now += 1.0
+    case.bench.hosts.on_response(case.bench.hosts.upstreams[failed], make_response(), 0.1, case.now)
+    assert not case.bench.hosts.upstreams[failed].half_open
+
+
+def test_after_a_timeout_a_new_connection_must_open_before_a_send():
+    case = HostScenario(upstreams=1)
+    case.run(READ)
+    case.results = [Err("limit")]
+    case.actions["exchange"] = lambda case: setattr(case, "now", case.now + 1.0)
+    case.run(TRY)
+    assert case.bench.hosts.idle_connections.take(case.bench.hosts.upstreams["u0"].upstream, case.now) is None
+    case.now, case.open_results, sent = case.now + 1.0, [Err("unreachable")] * 9, case.count(Exchange)
+    assert case.run(TRY).status == 503 and case.count(Exchange) == sent
+
+
+def test_silence_is_detected_early_at_low_latency():
+    case = HostScenario()
+    steps, step = start(case, TRY)
+    silent = run_until(case, steps, step, Exchange).connection.heartbeat.instance
+    case.now += 0.3
     for _ in range(10):
-        play(p, READ)
-    assert len(p.to()) == 11 and dark not in p.to()[1:]
-    gen.close()
+        run_recording_exchange(case, READ)
+    assert len(case.targets()) == 11 and silent not in case.targets()[1:]
+    steps.close()
 
 
-def silent(p):
-    """The upstream asked says nothing to anybody until its part of the time is over."""
-    p.t = p.steps[-1].end
+def time_out(case):
+    """Passes the time until the exchange's deadline, without a response to any request."""
+    case.now = case.steps[-1].end
 
 
-def test_an_upstream_is_not_left_for_a_repeat_that_the_budget_refuses():
-    p = HostScenario([Err("limit")])
-    p.acts["exchange"] = silent
-    budget = p.b.hosts.budget("s")
-    while budget.take_retry(p.t):
+def test_a_read_is_not_hedged_without_retry_budget():
+    case = HostScenario([Err("limit")])
+    case.actions["exchange"] = time_out
+    budget = case.bench.hosts.budget("s")
+    while budget.take_retry(case.now):
         pass
-    assert p.run(READ).status == 200 and len(p.sent()) == 1 and p.count(AwaitResponse) == 1
+    assert case.run(READ).status == 200 and len(case.exchanges()) == 1 and case.count(AwaitResponse) == 1
 
 
-def test_an_upstream_that_is_left_costs_one_repeat():
-    p = HostScenario([Err("limit")])
-    p.acts["exchange"] = silent
-    budget = p.b.hosts.budget("s")
-    assert p.run(READ).status == 200 and len(p.sent()) == 2 and p.count(AwaitResponse) == 0
+def test_a_hedge_takes_one_retry_from_the_budget():
+    case = HostScenario([Err("limit")])
+    case.actions["exchange"] = time_out
+    budget = case.bench.hosts.budget("s")
+    assert case.run(READ).status == 200 and len(case.exchanges()) == 2 and case.count(AwaitResponse) == 0
     assert len(budget._retries) == 1
 
 
-def test_who_comes_before_the_settings_waits_for_them():
-    p = HostScenario()
-    p.b.state.items.revision = 0
-    gen, s = start(p, READ)
-    assert isinstance(s, WaitForCapacity)
-    p.t = s.end
-    p.b.state.items.revision = 1
-    assert isinstance(until(p, gen, gen.send(False), Exchange), Exchange)
-    gen.close()
+def test_a_request_before_the_first_settings_waits_for_them():
+    case = HostScenario()
+    case.bench.state.items.revision = 0
+    steps, step = start(case, READ)
+    assert isinstance(step, WaitForCapacity)
+    case.now = step.end
+    case.bench.state.items.revision = 1
+    assert isinstance(run_until(case, steps, steps.send(False), Exchange), Exchange)
+    steps.close()
 
 
-def test_it_waits_for_less_than_half_of_its_time():
-    p = HostScenario()
-    p.b.replica.state = None
-    r = p.run(make_request("/r/1", mallow_limit="1000"))
-    assert (r.status, r.outcome) == (503, "not-run") and 0.4 < p.t < 0.5
+def test_the_wait_for_settings_takes_less_than_half_of_the_limit():
+    case = HostScenario()
+    case.bench.replica.state = None
+    response = case.run(make_request("/r/1", mallow_limit="1000"))
+    assert (response.status, response.outcome) == (503, "not-run") and 0.4 < case.now < 0.5
 
 
-def test_without_an_upstream_a_request_waits_a_little_for_one():
-    p = HostScenario(upstreams=0)
-    gen, s = start(p, READ)
-    assert isinstance(s, WaitForCapacity)
-    p.b.upstream("far", at=FAR)
-    assert until(p, gen, gen.send(False), Exchange).connection.heartbeat.instance == "far"
-    gen.close()
-    p = HostScenario(upstreams=0)
-    assert p.run(READ).status == 503 and p.t <= 0.1
+def test_a_request_waits_briefly_for_an_eligible_upstream():
+    case = HostScenario(upstreams=0)
+    steps, step = start(case, READ)
+    assert isinstance(step, WaitForCapacity)
+    case.bench.upstream("far", at=FAR)
+    assert run_until(case, steps, steps.send(False), Exchange).connection.heartbeat.instance == "far"
+    steps.close()
+    case = HostScenario(upstreams=0)
+    assert case.run(READ).status == 503 and case.now <= 0.1
 
 
-def test_a_zone_that_says_nothing_at_all_is_left_for_a_while():
-    p = HostScenario(upstreams=6)
+def test_a_silent_zone_is_avoided_for_a_while():
+    case = HostScenario(upstreams=6)
     for i in range(2):
-        p.b.upstream(f"next{i}", at=NEXT, port=300 + i)
-    gens = []
+        case.bench.upstream(f"next{i}", at=NEXT, port=300 + i)
+    running = []
     for _ in range(3):
-        gen, s = start(p, TRY)
-        assert until(p, gen, s, Exchange).connection.heartbeat.locality == HERE
-        gens.append(gen)
-    p.t += 0.2
+        steps, step = start(case, TRY)
+        assert run_until(case, steps, step, Exchange).connection.heartbeat.locality == HERE
+        running.append(steps)
+    case.now += 0.2
     for _ in range(4):
-        play(p, READ)
-    assert {s.connection.heartbeat.locality for s in p.sent()[-4:]} == {NEXT}
-    p.t += 2.0
-    play(p, READ)
-    assert p.sent()[-1].connection.heartbeat.locality == HERE
-    for gen in gens:
-        gen.close()
-
-
-def test_a_zone_that_answers_one_is_not_left():
-    p = HostScenario(upstreams=6)
-    p.b.upstream("next", at=NEXT, port=300)
-    gens = []
+        run_recording_exchange(case, READ)
+    assert {step.connection.heartbeat.locality for step in case.exchanges()[-4:]} == {NEXT}
+    case.now += 2.0
+    run_recording_exchange(case, READ)
+    assert case.exchanges()[-1].connection.heartbeat.locality == HERE
+    for steps in running:
+        steps.close()
+
+
+def test_a_zone_that_answers_a_request_is_not_avoided():
+    case = HostScenario(upstreams=6)
+    case.bench.upstream("next", at=NEXT, port=300)
+    running = []
     for _ in range(3):
-        gen, s = start(p, TRY)
-        until(p, gen, s, Exchange)
-        gens.append(gen)
-    p.t += 0.1
-    play(p, READ)
-    p.t += 0.1
-    play(p, READ)
-    assert {s.connection.heartbeat.locality for s in p.sent()} == {HERE}
-    for gen in gens:
-        gen.close()
+        steps, step = start(case, TRY)
+        run_until(case, steps, step, Exchange)
+        running.append(steps)
+    case.now += 0.1
+    run_recording_exchange(case, READ)
+    case.now += 0.1
+    run_recording_exchange(case, READ)
+    assert {step.connection.heartbeat.locality for step in case.exchanges()} == {HERE}
+    for steps in running:
+        steps.close()
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -1,3 +1,5 @@
+"""Runs the state machine of requests on host routes against scripted step results."""
+
 from __future__ import annotations
 
 import random
@@ -29,7 +31,7 @@
 
 HERE, NEXT, FAR = Locality("eu", "eu-a"), Locality("eu", "eu-b"), Locality("us", "us-a")
 ME = Address("10.0.0.1", 1)
-RAW = {
+SETTINGS = {
     "name": "f",
     "locality": "eu/eu-a",
     "transport": str(ME),
@@ -46,8 +48,8 @@
         self.revision, self.hosts, self.services, self.limits = 1, {}, {}, Limits(version=1)
 
     def find(self, host: str, path: str) -> HostRoute | None:
-        fit = [r for r in self.hosts.get(host, []) if path.startswith(r.prefix)]
-        return max(fit, key=lambda r: len(r.prefix), default=None)
+        matching = [r for r in self.hosts.get(host, []) if path.startswith(r.prefix)]
+        return max(matching, key=lambda r: len(r.prefix), default=None)
 
 
 class FakeRegistry:
@@ -56,42 +58,42 @@
 
 
 class HostBench:
-    """One proxy's tries over fake items and registry, with a hand on its clock."""
+    """A HostForwarder with fake items and a fake registry, and a clock that the test sets."""
 
-    def __init__(self, now=lambda: 0.0, proxies: int = 1, **raw):
-        p = settings.check("proxy", RAW | raw).ok_value
+    def __init__(self, now=lambda: 0.0, proxies: int = 1, **overrides):
+        checked = settings.check("proxy", SETTINGS | overrides).ok_value
         self.now = now
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
         self.replica.group, self.replica.state = Group(1, "g"), State(1)
-        s = self.state = self.replica.state
-        s.items, s.registry = FakeItems(), FakeRegistry()
-        s.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
+        state = self.state = self.replica.state
+        state.items, state.registry = FakeItems(), FakeRegistry()
+        state.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
         self.replica._sure = now()
-        self.hosts = HostUpstreams(self.replica, p, random.Random(1), now)
-        self.forwarder = HostForwarder(self.replica, self.hosts, p, Counts(), now, random.Random(2))
+        self.hosts = HostUpstreams(self.replica, checked, random.Random(1), now)
+        self.forwarder = HostForwarder(self.replica, self.hosts, checked, Counts(), now, random.Random(2))
         self.route("r", "/r/", "read", service="s", tries=2)
         self.route("o", "/o/", "try", service="s", tries=2)
         self.route("h", "/h/", "try", service="s", tries=2, homes=["us"])
         self.service("s")
 
-    def route(self, name: str, prefix: str, kind: str, **more) -> None:
+    def route(self, name: str, prefix: str, kind: str, **fields) -> None:
         hosts = self.state.items.hosts
-        r = HostRoute(
-            **{"limit_ms": 1000.0, "aim_ms": 400.0, **more},
+        added = HostRoute(
+            **{"limit_ms": 1000.0, "aim_ms": 400.0, **fields},
             name=name,
             version=1,
             host="h.example",
             prefix=prefix,
             kind=kind,
         )
-        hosts["h.example"] = [x for x in hosts.get("h.example", []) if x.name != name] + [r]
+        hosts["h.example"] = [route for route in hosts.get("h.example", []) if route.name != name] + [added]
 
     def drop(self, name: str) -> None:
         hosts = self.state.items.hosts
-        hosts["h.example"] = [x for x in hosts["h.example"] if x.name != name]
+        hosts["h.example"] = [route for route in hosts["h.example"] if route.name != name]
 
-    def service(self, name: str, **more) -> None:
-        self.state.items.services[name] = ServiceItem(name=name, version=1, **more)
+    def service(self, name: str, **fields) -> None:
+        self.state.items.services[name] = ServiceItem(name=name, version=1, **fields)
 
     def upstream(
         self,
@@ -103,20 +105,20 @@
         state: str = "ready",
         cold: int = 0,
     ):
-        u = Upstream(name, service, Address("127.0.0.1", port), at, slots, state, 0, 0, cold)
-        self.state.registry.rows[name] = u
+        upstream = Upstream(name, service, Address("127.0.0.1", port), at, slots, state, 0, 0, cold)
+        self.state.registry.rows[name] = upstream
         self.state.registry.revision += 1
-        return u
+        return upstream
 
     def evacuate(self, *zones: str) -> None:
-        p = self.state.settings
-        p.evacuated = dict.fromkeys(zones, 1)
-        p.revision += 1
+        current = self.state.settings
+        current.evacuated = dict.fromkeys(zones, 1)
+        current.revision += 1
 
 
 class FakeHostConnection:
-    def __init__(self, up):
-        self.heartbeat, self.since, self.life, self.closed = up, 0.0, 4.0, False
+    def __init__(self, upstream):
+        self.heartbeat, self.since, self.life, self.closed = upstream, 0.0, 4.0, False
 
     def close(self):
         self.closed = True
@@ -126,80 +128,85 @@
 
 
 def make_request(
-    target: str = "/r/1", method: str = "GET", request_id: str = "a1", length: int | None = None, **more: str
+    target: str = "/r/1", method: str = "GET", request_id: str = "a1", length: int | None = None, **extra: str
 ) -> ClientRequest:
-    headers = {"host": "h.example:80", "mallow-ask": request_id, **{k.replace("_", "-"): v for k, v in more.items()}}
+    headers = {"host": "h.example:80", "mallow-ask": request_id, **{k.replace("_", "-"): v for k, v in extra.items()}}
     return ClientRequest(method, target, headers, "c", length, list(headers.items()))
 
 
-def make_response(status: int = 200, keep: bool = True, body: bytes = b"ok", **said: str) -> UpstreamResponse:
-    said = {k.replace("_", "-"): v for k, v in said.items()}
+def make_response(status: int = 200, reusable: bool = True, body: bytes = b"ok", **headers: str) -> UpstreamResponse:
+    header_map = {k.replace("_", "-"): v for k, v in headers.items()}
     if status == 200:
-        said.setdefault("x-seal", "1")
-    return UpstreamResponse(status, list(said.items()), body, len(body), None, keep, said)
+        header_map.setdefault("x-seal", "1")
+    return UpstreamResponse(status, list(header_map.items()), body, len(body), None, reusable, header_map)
 
 
 NOT_RUN = {"mallow_not_run": "1"}
 
 
 class HostScenario:
-    """Plays a request's steps; `say` answers exchanges in turn, an act may happen at a step's end."""
+    """Performs the steps of requests: `results` are the results of successive exchanges.
+
+    `actions` has functions by the lower-case class name of a step; each runs once, after such a step.
+    """
 
-    def __init__(self, say=(), upstreams=2, **raw):
-        self.t = 0.0
-        self.b = HostBench(lambda: self.t, **raw)
+    def __init__(self, results=(), upstreams=2, **overrides):
+        self.now = 0.0
+        self.bench = HostBench(lambda: self.now, **overrides)
         for i in range(upstreams):
-            self.b.upstream(f"u{i}", port=100 + i)
-        self.say, self.acts, self.steps, self.opens = list(say), {}, [], []
-        self.awaited, self.checks = [], []
+            self.bench.upstream(f"u{i}", port=100 + i)
+        self.results, self.actions, self.steps, self.open_results = list(results), {}, [], []
+        self.late_results, self.client_checks = [], []
 
-    def run(self, a):
-        gen, got = self.b.forwarder.handle(a), None
+    def run(self, request):
+        steps, result = self.bench.forwarder.handle(request), None
         try:
             while True:
-                s = gen.send(got)
-                self.steps.append(s)
-                got = self.reply(s)
-                act = self.acts.pop(type(s).__name__.lower(), None)
-                if act is not None:
-                    act(self)
-        except StopIteration as e:
-            assert all(s.in_flight == 0 for s in self.b.hosts.upstreams.values()) and self.b.hosts.waiting == {}
-            return e.value
-
-    def reply(self, s):
-        match s:
+                step = steps.send(result)
+                self.steps.append(step)
+                result = self.perform(step)
+                action = self.actions.pop(type(step).__name__.lower(), None)
+                if action is not None:
+                    action(self)
+        except StopIteration as end:
+            states = self.bench.hosts.upstreams.values()
+            assert all(state.in_flight == 0 for state in states) and self.bench.hosts.waiting == {}
+            return end.value
+
+    def perform(self, step):
+        match step:
             case ReadBody():
                 return Ok(b"")
             case OpenConnection():
-                return self.opens.pop(0) if self.opens else Ok(FakeHostConnection(s.heartbeat))
+                return self.open_results.pop(0) if self.open_results else Ok(FakeHostConnection(step.heartbeat))
             case Exchange():
-                self.t += 0.001
-                got = self.say.pop(0) if self.say else make_response()
-                return got if isinstance(got, Err | ClientLeft) else Ok(got)
+                self.now += 0.001
+                result = self.results.pop(0) if self.results else make_response()
+                return result if isinstance(result, Err | ClientLeft) else Ok(result)
             case AwaitResponse():
-                return self.awaited.pop(0) if self.awaited else Ok(make_response())
+                return self.late_results.pop(0) if self.late_results else Ok(make_response())
             case ClientCheck():
-                return self.checks.pop(0) if self.checks else None
+                return self.client_checks.pop(0) if self.client_checks else None
             case WaitForCapacity():
-                self.t = s.end
+                self.now = step.end
                 return False
 
-    def sent(self) -> list[Exchange]:
-        return [s for s in self.steps if isinstance(s, Exchange)]
+    def exchanges(self) -> list[Exchange]:
+        return [step for step in self.steps if isinstance(step, Exchange)]
 
     def count(self, kind) -> int:
-        return sum(isinstance(s, kind) for s in self.steps)
+        return sum(isinstance(step, kind) for step in self.steps)
 
-    def to(self) -> list[str]:
-        return [s.connection.heartbeat.instance for s in self.sent()]
+    def targets(self) -> list[str]:
+        """Returns the instance that each exchange was sent to."""
+        return [exchange.connection.heartbeat.instance for exchange in self.exchanges()]
 
 
 def feed_reader(*parts: bytes, request_id: str = "a1", method: str = "GET") -> Reader:
-    r = Reader(method, "mallow-ask", request_id)
-    for p in parts:
-        r.take(p)
-    return r
+    reader = Reader(method, "mallow-ask", request_id)
+    for part in parts:
+        reader.take(part)
+    return reader
 
 
 def split_part(name: str, weight: float) -> Part:
