--- a/mallowvalve/proxy/admission.py
+++ b/mallowvalve/proxy/admission.py
@@ -9,8 +9,8 @@
 
 from mallowvalve.configuration.items import HostRoute
 from mallowvalve.control.replica import Replica
+from mallowvalve.proxy.host_request import HostRequest, host_without_port, local_response
 from mallowvalve.proxy.steps import NOT_RUN, ClientRequest, ProxyResponse, Step, WaitForCapacity
-from mallowvalve.proxy.trip import HostRequest, host_without_port, local_response
 from mallowvalve.settings import Settings, Terms
 
 MAX_LIMIT_DIGITS = 12
--- a/mallowvalve/proxy/front.py
+++ b/mallowvalve/proxy/front.py
@@ -11,6 +11,8 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
+from mallowvalve.proxy.host_forwarder import HostForwarder
+from mallowvalve.proxy.host_request import HOP_BY_HOP_HEADERS
 from mallowvalve.proxy.link import Link
 from mallowvalve.proxy.serve import Stream
 from mallowvalve.proxy.steps import (
@@ -25,8 +27,6 @@
     Step,
     WaitForCapacity,
 )
-from mallowvalve.proxy.tries import HostForwarder
-from mallowvalve.proxy.trip import HOP_BY_HOP_HEADERS
 
 SKIP = HOP_BY_HOP_HEADERS
 REASONS = {
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/host_forwarder.py
@@ -10,7 +10,8 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.admission import Admission
-from mallowvalve.proxy.host import HostUpstreams, UpstreamLease
+from mallowvalve.proxy.host_request import HostRequest, host_without_port, local_response
+from mallowvalve.proxy.host_upstreams import HostUpstreams, UpstreamLease
 from mallowvalve.proxy.request_writer import RequestWriter
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
@@ -33,7 +34,6 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.proxy.trip import HostRequest, host_without_port, local_response
 from mallowvalve.settings import Settings, Terms
 
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
--- a/mallowvalve/proxy/trip.py
+++ b/mallowvalve/proxy/host_request.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.configuration.items import HostRoute
 from mallowvalve.finding import Finding
-from mallowvalve.proxy.host import UpstreamLease
+from mallowvalve.proxy.host_upstreams import UpstreamLease
 from mallowvalve.proxy.steps import ClientRequest, ProxyResponse
 
 HOP_BY_HOP_HEADERS = frozenset(
--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host_upstreams.py
@@ -8,10 +8,10 @@
 
 from mallowvalve.configuration.items import ServiceItem
 from mallowvalve.control.replica import Replica
-from mallowvalve.proxy.budget import SlidingRetryBudget
-from mallowvalve.proxy.idle import IdleConnections
-from mallowvalve.proxy.spot import BREAKER_OPEN_S, MAX_BREAKER_OPEN_S, NEVER, UpstreamState, ZoneHealth
+from mallowvalve.proxy.idle_connections import IdleConnections
+from mallowvalve.proxy.retry_budget import SlidingRetryBudget
 from mallowvalve.proxy.steps import GATEWAY_TIMEOUT, MISDIRECTED, SERVER_ERROR, UpstreamResponse
+from mallowvalve.proxy.upstream_state import BREAKER_OPEN_S, MAX_BREAKER_OPEN_S, NEVER, UpstreamState, ZoneHealth
 from mallowvalve.settings import Settings
 from mallowvalve.types import Locality, emptied
 
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -13,12 +13,12 @@
 from mallowvalve.metrics import vital
 from mallowvalve.node import Node
 from mallowvalve.proxy.front import Front
-from mallowvalve.proxy.host import HostUpstreams
-from mallowvalve.proxy.path import TenantForwarder
+from mallowvalve.proxy.host_forwarder import HostForwarder
+from mallowvalve.proxy.host_upstreams import HostUpstreams
 from mallowvalve.proxy.pool import Pool
-from mallowvalve.proxy.repeats import RetryDetectorTask
+from mallowvalve.proxy.retry_detector import RetryDetectorTask
 from mallowvalve.proxy.serve import Rejections, Serve
-from mallowvalve.proxy.tries import HostForwarder
+from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 from mallowvalve.settings import Settings
 from mallowvalve.types import emptied
 
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/pool.py
@@ -7,9 +7,9 @@
 
 from mallowvalve.configuration.model import Plan
 from mallowvalve.control.replica import Replica
-from mallowvalve.proxy.budget import RetryBudget
-from mallowvalve.proxy.choose import Chooser
+from mallowvalve.proxy.chooser import Chooser
 from mallowvalve.proxy.connections import Connections
+from mallowvalve.proxy.retry_budget import RetryBudget
 from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import Board, Row
 
--- a/mallowvalve/proxy/request_writer.py
+++ b/mallowvalve/proxy/request_writer.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from mallowvalve.proxy.host_request import HOP_BY_HOP_HEADERS, HostRequest
 from mallowvalve.proxy.steps import ClientRequest
-from mallowvalve.proxy.trip import HOP_BY_HOP_HEADERS, HostRequest
 from mallowvalve.settings import Terms
 
 
--- a/mallowvalve/proxy/serve.py
+++ b/mallowvalve/proxy/serve.py
@@ -16,7 +16,6 @@
 from mallowvalve.control.state import encode
 from mallowvalve.ledger.ledger import Verdict
 from mallowvalve.proxy.connection import Connection
-from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     ClientCheck,
@@ -31,6 +30,7 @@
     Step,
     WaitForCapacity,
 )
+from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 
 if TYPE_CHECKING:
     import falcon
--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/tenant_forwarder.py
@@ -12,7 +12,6 @@
 from mallowvalve.ledger.ledger import Claim, Done, Forfeit, Release, Verdict
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.admission import outlasts
-from mallowvalve.proxy.call import TenantRequest, check_body, parse_request
 from mallowvalve.proxy.pool import Lease, Pool
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
@@ -35,6 +34,7 @@
     UpstreamResponse,
     WaitForCapacity,
 )
+from mallowvalve.proxy.tenant_request import TenantRequest, check_body, parse_request
 from mallowvalve.types import Locality, emptied
 
 UNDECIDED = "undecided"
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -31,8 +31,8 @@
 from mallowvalve.membership.wire import decode as membership_decode
 from mallowvalve.membership.wire import encode as membership_encode
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.host import HostUpstreams, UpstreamState
-from mallowvalve.proxy.tries import HostForwarder
+from mallowvalve.proxy.host_forwarder import HostForwarder
+from mallowvalve.proxy.host_upstreams import HostUpstreams, UpstreamState
 from mallowvalve.raft.messages import COMMAND, Entry
 from mallowvalve.settings import check
 from mallowvalve.upstreams.liveness import Heard, Liveness
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -13,7 +13,8 @@
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
 from mallowvalve.node import STOP_SHARES
-from mallowvalve.proxy.host import HostUpstreams
+from mallowvalve.proxy.host_forwarder import HostForwarder
+from mallowvalve.proxy.host_upstreams import HostUpstreams
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     AwaitResponse,
@@ -25,7 +26,6 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.proxy.tries import HostForwarder
 from mallowvalve.raft.messages import Group
 from mallowvalve.settings import check
 from mallowvalve.types import Address, Locality
--- a/sim/large.py
+++ b/sim/large.py
@@ -19,7 +19,7 @@
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import Fleet, Proc, until
 from mallowvalve.localfleet.main import load_shape
-from mallowvalve.proxy.call import request_digest
+from mallowvalve.proxy.tenant_request import request_digest
 from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
 from mallowvalve.storage.disk import Folder
 from mallowvalve.storage.log import DiskLog
--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -6,9 +6,8 @@
 from mallowvalve.control.state import encode
 from mallowvalve.ledger.ledger import Verdict
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.pool import Pool
-from mallowvalve.proxy.repeats import RetryDetector
+from mallowvalve.proxy.retry_detector import RetryDetector
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     ClientCheck,
@@ -23,6 +22,7 @@
     UpstreamResponse,
     WaitForCapacity,
 )
+from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 from mallowvalve.upstreams.board import Aged, Board, Heartbeat
 from sim.history import History
 from sim.replica import ReplicaNode
--- a/sim/request_cost.py
+++ b/sim/request_cost.py
@@ -5,9 +5,9 @@
 from result import Ok
 
 from mallowvalve.http_head import read_head
+from mallowvalve.proxy.host_forwarder import HostForwarder
 from mallowvalve.proxy.reader import Reader
 from mallowvalve.proxy.steps import ClientCheck, ClientRequest, Exchange, OpenConnection, UpstreamResponse
-from mallowvalve.proxy.tries import HostForwarder
 
 HEAD = (
     b"GET /p1001/ HTTP/1.1\r\nHost: h00001.example\r\nUser-Agent: client/1.0\r\nAccept: */*\r\nMallow-Ask: 0123456789abcdef\r\n"
--- a/tests/front_players.py
+++ b/tests/front_players.py
@@ -13,7 +13,7 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.front import Front
 from mallowvalve.types import Address
-from tests.tryout import HostBench
+from tests.host_bench import HostBench
 
 ANSWER = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nX-Own: a\r\nx-own: b\r\nConnection: keep-alive\r\n"
 
--- a/tests/tryout.py
+++ b/tests/host_bench.py
@@ -11,7 +11,8 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.host import HostUpstreams
+from mallowvalve.proxy.host_forwarder import HostForwarder
+from mallowvalve.proxy.host_upstreams import HostUpstreams
 from mallowvalve.proxy.reader import Reader
 from mallowvalve.proxy.steps import (
     AwaitResponse,
@@ -24,7 +25,6 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.proxy.tries import HostForwarder
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
--- a/tests/paths.py
+++ b/tests/tenant_bench.py
@@ -9,9 +9,9 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.pool import Pool
-from mallowvalve.proxy.repeats import RetryDetector
+from mallowvalve.proxy.retry_detector import RetryDetector
+from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Board, Heartbeat
--- a/tests/test_call_model.py
+++ b/tests/test_call_model.py
@@ -12,7 +12,13 @@
 from mallowvalve.transport.frame import Frame
 
 CAPACITY = 4
-MACHINES = ["transport/calls.py", "proxy/reader.py", "proxy/tries.py", "proxy/path.py", "proxy/idle.py"]
+MACHINES = [
+    "transport/calls.py",
+    "proxy/reader.py",
+    "proxy/host_forwarder.py",
+    "proxy/tenant_forwarder.py",
+    "proxy/idle_connections.py",
+]
 
 
 class CallMachine(RuleBasedStateMachine):
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -14,7 +14,7 @@
 from mallowvalve.http_head import Incoming
 from mallowvalve.proxy.steps import CLIENT_LEFT, AwaitResponse, ClientCheck, Exchange, WaitForCapacity
 from tests.front_players import ANSWER, Client, req, served
-from tests.tryout import NOT_RUN, HostScenario, make_request, make_response
+from tests.host_bench import NOT_RUN, HostScenario, make_request, make_response
 
 READ, ONCE = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 POST = b"Content-Length: 0\r\n"
--- a/tests/test_client_leaves_tenant.py
+++ b/tests/test_client_leaves_tenant.py
@@ -12,7 +12,7 @@
 from mallowvalve.proxy.serve import Serve, Stream
 from mallowvalve.proxy.steps import ProxyResponse, UpstreamResponse
 from mallowvalve.types import Address
-from tests.paths import TenantBench
+from tests.tenant_bench import TenantBench
 
 IDENTITY = b'{"service":"s","instance":"u0","incarnation":1}'
 STATUS_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(IDENTITY) + IDENTITY
--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.tryout import make_request
+from tests.host_bench import make_request
 from tests.upstream_wire import BEHAVIOURS, Wire
 
 GAPS = [0.0, 0.6, 2.5]
--- a/tests/test_host_days.py
+++ b/tests/test_host_days.py
@@ -6,8 +6,8 @@
 import pytest
 
 from mallowvalve.proxy import admission
-from mallowvalve.proxy.tries import HostForwarder
-from mallowvalve.proxy.trip import HostRequest
+from mallowvalve.proxy.host_forwarder import HostForwarder
+from mallowvalve.proxy.host_request import HostRequest
 from sim.host_days import HOST_DAYS, play_host_day
 from sim.host_fleet import HostProxy
 
--- a/tests/test_tries.py
+++ b/tests/test_host_forwarder.py
@@ -6,7 +6,7 @@
 from result import Err
 
 from mallowvalve.proxy.steps import AwaitResponse, ClientCheck, Exchange, OpenConnection, WaitForCapacity
-from tests.tryout import FAR, NEXT, NOT_RUN, HostScenario, make_request, make_response, split_part
+from tests.host_bench import FAR, NEXT, NOT_RUN, HostScenario, make_request, make_response, split_part
 
 READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -14,8 +14,8 @@
 from mallowvalve.proxy.steps import AwaitResponse, ClientRequest, Exchange, ProposeCommand
 from mallowvalve.types import Address
 from tests.front_players import Client, req, served
-from tests.test_path import TenantScenario
-from tests.tryout import HostScenario, make_request
+from tests.host_bench import HostScenario, make_request
+from tests.test_tenant_forwarder import TenantScenario
 
 GRACE_S = 5.4
 TENANT_READ = ClientRequest("GET", "/r/1", {"mallow-tenant": "t"}, "c", None)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,10 +8,10 @@
 
 from mallowvalve import clock, web
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.path import TenantForwarder
 from mallowvalve.proxy.serve import Serve
+from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 from mallowvalve.types import Address
-from tests.paths import TenantBench
+from tests.tenant_bench import TenantBench
 
 BIG = b"x" * 600_000
 
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -6,10 +6,10 @@
 from gevent.server import StreamServer
 
 from mallowvalve import clock
-from mallowvalve.proxy.budget import RetryBudget
-from mallowvalve.proxy.choose import Chooser, max_in_flight
+from mallowvalve.proxy.chooser import Chooser, max_in_flight
 from mallowvalve.proxy.connection import Connection
-from mallowvalve.proxy.repeats import RetryDetector
+from mallowvalve.proxy.retry_budget import RetryBudget
+from mallowvalve.proxy.retry_detector import RetryDetector
 from mallowvalve.routing.compiler import DEFAULT
 from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
--- a/tests/test_rates.py
+++ b/tests/test_rate_limits.py
@@ -5,8 +5,8 @@
 import pytest
 from result import Err
 
-from mallowvalve.proxy.budget import SlidingRetryBudget
-from tests.tryout import NOT_RUN, HostBench, HostScenario, make_request, make_response
+from mallowvalve.proxy.retry_budget import SlidingRetryBudget
+from tests.host_bench import NOT_RUN, HostBench, HostScenario, make_request, make_response
 
 READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -1,6 +1,6 @@
 import pytest
 
-from tests.tryout import feed_reader
+from tests.host_bench import feed_reader
 
 HEAD = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\n"
 
--- a/tests/test_tries_dark.py
+++ b/tests/test_silent_upstreams.py
@@ -3,7 +3,7 @@
 from result import Err
 
 from mallowvalve.proxy.steps import AwaitResponse, Exchange, OpenConnection, WaitForCapacity
-from tests.tryout import FAR, HERE, NEXT, HostScenario, make_request, make_response
+from tests.host_bench import FAR, HERE, NEXT, HostScenario, make_request, make_response
 
 READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
--- a/tests/test_path.py
+++ b/tests/test_tenant_forwarder.py
@@ -20,7 +20,7 @@
     WaitForCapacity,
 )
 from mallowvalve.types import Locality
-from tests.paths import CONFIG, TenantBench
+from tests.tenant_bench import CONFIG, TenantBench
 
 OK = UpstreamResponse(200, [("content-type", "a/b")], b"ok", 2, None, True)
 ONCE = ClientRequest("POST", "/o", {"mallow-tenant": "t", "mallow-key": "k"}, "c", 0)
@@ -230,7 +230,7 @@
 
 def test_a_waiting_retry_gets_the_response_of_the_first_attempt():
     from mallowvalve.ledger.ledger import Claim, Done
-    from mallowvalve.proxy.call import request_digest
+    from mallowvalve.proxy.tenant_request import request_digest
 
     case = TenantScenario()
     ledger = case.bench.replica.state.ledger
--- a/tests/test_shaky.py
+++ b/tests/test_unreliable_upstreams.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from mallowvalve.proxy.steps import Exchange, OpenConnection
-from tests.tryout import FakeHostConnection, HostScenario, make_request, make_response
+from tests.host_bench import FakeHostConnection, HostScenario, make_request, make_response
 
 READ, TRY = make_request("/r/1"), make_request("/o/1", "POST", length=0)
 
--- a/tests/upstream_wire.py
+++ b/tests/upstream_wire.py
@@ -21,7 +21,7 @@
     ReadBody,
     WaitForCapacity,
 )
-from tests.tryout import HostBench
+from tests.host_bench import HostBench
 
 KEPT = b"HTTP/1.1 %d X\r\nMallow-Ask: %s\r\nX-Seal: 1\r\n%sContent-Length: %d\r\n\r\n%s"
 HEAD, TAIL = b"HTTP/1.1 200 X\r\nMallow-Ask: ", b"\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\n"
