--- a/mallowvalve/proxy/chooser.py
+++ b/mallowvalve/proxy/chooser.py
@@ -35,6 +35,7 @@
         self.in_flight: dict[Address, int] = {}
 
     def pick(self, rows: list[Row], policy: Policy, proxies: int, tried: set[Address], now: float) -> Row | None:
+        """Returns the upstream for the next request, or None if all are tried or at capacity."""
         rows = [r for r in rows if r.heartbeat.address not in tried]
         rows = [r for r in rows if now - r.broken > FAILURE_AVOIDANCE_S] or rows
         rows = [r for r in rows if self.in_flight.get(r.heartbeat.address, 0) < max_in_flight(r, policy, proxies, now)]
@@ -57,9 +58,11 @@
         return [by_distance[d] for d in sorted(by_distance)]
 
     def enter(self, address: Address) -> None:
+        """Counts a request to the upstream as in flight."""
         self.in_flight[address] = self.in_flight.get(address, 0) + 1
 
     def leave(self, address: Address) -> None:
+        """Removes a request to the upstream from those in flight."""
         remaining = self.in_flight.get(address, 0) - 1
         if remaining > 0:
             self.in_flight[address] = remaining
--- a/mallowvalve/proxy/host_forwarder.py
+++ b/mallowvalve/proxy/host_forwarder.py
@@ -84,9 +84,11 @@
         self.writer = RequestWriter(terms)
 
     def serves_host(self, host: str) -> bool:
+        """Returns whether any route has this host."""
         return self.replica.state is not None and bool(self.replica.state.items.hosts.get(host_without_port(host)))
 
     def handle(self, client_request: ClientRequest) -> Generator[Step, object, ProxyResponse]:
+        """Handles a request: yields the steps to perform and returns the final response."""
         self.counts.add("requests")
         arrived_at = self.now()
         admitted = self.admission.admit(client_request, arrived_at)
@@ -372,10 +374,7 @@
         )
 
     def _should_hedge(self, call: HostRequest, lease: UpstreamLease) -> bool:
-        """Returns whether to hedge: the upstream is silent to all requests, and another one can take it at once.
-
-        The retry is taken from the budget here, so that it is still available when the hedge is sent.
-        """
+        """Returns whether to hedge: the upstream is silent to all requests, and another one can take it at once."""
         now = self.now()
         if not self.hosts.is_silent(lease.state, lease.sent_at) or call.end - now < MIN_TIME_LEFT_S:
             return False
@@ -384,6 +383,7 @@
             or self.hosts.pick(call.service, call.route.homes, call.tried, now)[0] is None
         ):
             return False
+        # Takes the retry now, so that it is still available when the hedge is sent.
         call.retry_reserved = self.hosts.budget(call.service).take_retry(now)
         return call.retry_reserved
 
--- a/mallowvalve/proxy/host_upstreams.py
+++ b/mallowvalve/proxy/host_upstreams.py
@@ -178,6 +178,7 @@
             state.next_cold_send = now + self._cold_period_s(state, item)
 
     def on_response(self, state: UpstreamState, response: UpstreamResponse, latency: float, now: float) -> None:
+        """Closes the circuit breaker, and takes over the usage and the cold time that the response reports."""
         state.breaker_open_s, state.breaker_open_until = BREAKER_OPEN_S, NEVER
         state.zone.on_response(latency)
         state.silent_since = now if state.in_flight > 1 else None
@@ -211,6 +212,7 @@
             state.silent_since = None
 
     def is_silent(self, state: UpstreamState, since: float) -> bool:
+        """Returns whether the upstream has answered no request at all since that time."""
         return state.silent_since is not None and state.silent_since <= since
 
     def on_failure(self, state: UpstreamState, now: float) -> None:
@@ -231,6 +233,7 @@
         state.at_capacity_until = now + CAPACITY_REJECTION_S
 
     def max_in_flight(self, state: UpstreamState, item: ServiceItem | None) -> int:
+        """Returns how many requests this proxy may have in flight at an upstream."""
         limit = state.upstream.slots + QUEUED_PER_UPSTREAM
         if item is not None and item.connections > 0:
             limit = min(limit, max(1, item.connections // self._proxy_count))
@@ -239,6 +242,7 @@
         return limit
 
     def budget(self, service: str) -> SlidingRetryBudget:
+        """Returns the service's retry budget, with the floor for the current number of proxies."""
         budget = self._budgets.get(service)
         bounds = self.settings.budget
         if budget is None:
--- a/mallowvalve/proxy/retry_budget.py
+++ b/mallowvalve/proxy/retry_budget.py
@@ -22,6 +22,7 @@
         self._available = 0.0
 
     def record_first(self, now: float) -> None:
+        """Records a first attempt."""
         self._first_attempts.append(now)
         while self._first_attempts[0] <= now - WINDOW_S:
             self._first_attempts.popleft()
@@ -31,6 +32,7 @@
         )
 
     def take_retry(self, now: float) -> bool:
+        """Takes a retry from the budget and returns whether there was one."""
         if self._available < 1.0 - 1e-9:
             return False
         self._available -= 1.0
@@ -48,10 +50,12 @@
         self._retries: deque[float] = deque()
 
     def record_first(self, now: float) -> None:
+        """Records a first attempt."""
         self._first_attempts.append(now)
         self._expire(self._first_attempts, now)
 
     def take_retry(self, now: float) -> bool:
+        """Takes a retry from the budget and returns whether there was one."""
         self._expire(self._first_attempts, now)
         self._expire(self._retries, now)
         if len(self._retries) + 1 > self.ratio * len(self._first_attempts) + self.floor:
--- a/mallowvalve/proxy/retry_detector.py
+++ b/mallowvalve/proxy/retry_detector.py
@@ -31,6 +31,7 @@
         self._failures: OrderedDict[bytes, list[float]] = OrderedDict()
 
     def record_failure(self, fingerprint: bytes, now: float) -> None:
+        """Records a failed response to a request."""
         self._failures[fingerprint] = [*self._failures.get(fingerprint, [])[-MAX_EARLIER_FAILURES:], now]
         self._failures.move_to_end(fingerprint)
         while len(self._failures) > MAX_REQUESTS:
@@ -68,11 +69,13 @@
         self._job.kill()
 
     def record_failure(self, fingerprint: bytes, now: float) -> None:
+        """Records a failed response and broadcasts it."""
         self.detector.record_failure(fingerprint, now)
         self._unsent.append(fingerprint)
         self._wake.set()
 
     def take_failure(self, fingerprint: bytes, now: float) -> bool:
+        """Returns whether a request follows a failure at any proxy, and removes that failure."""
         return self.detector.take_failure(fingerprint, now)
 
     def _receive(self, _sender: Address, body: bytes) -> None:
--- a/mallowvalve/proxy/tenant_forwarder.py
+++ b/mallowvalve/proxy/tenant_forwarder.py
@@ -90,6 +90,7 @@
         self._evacuated_since: float | None = None
 
     def handle(self, client_request: ClientRequest) -> Generator[Step, object, ProxyResponse]:
+        """Handles a request: yields the steps to perform and returns the final response."""
         self.counts.add("requests")
         rejection = self._not_admitting()
         if rejection is not None:
--- a/mallowvalve/proxy/tenant_request.py
+++ b/mallowvalve/proxy/tenant_request.py
@@ -51,11 +51,13 @@
     sends: int = 0
 
     def set_body(self, body: bytes) -> None:
+        """Sets the body, and the fingerprint and digest that depend on it."""
         request, self.body = self.client_request, body
         self.fingerprint = request_fingerprint(request.client, self.tenant, request.method, request.target, body)
         self.digest = request_digest(request.method, request.target, body)
 
     def serialize(self, host: str) -> bytes:
+        """Returns the HTTP/1.1 request for the upstream, without hop-by-hop headers."""
         request = self.client_request
         dropped = {h.strip().lower() for h in request.headers.get("connection", "").split(",")} | DROPPED_HEADERS
         lines = [f"{request.method} {request.target} HTTP/1.1", f"Host: {host}"]
--- a/mallowvalve/proxy/upstream_state.py
+++ b/mallowvalve/proxy/upstream_state.py
@@ -32,16 +32,18 @@
         self.silent_since, self.sent, self.latency = NEVER, 0, 0.1
 
     def on_send(self, now: float) -> None:
+        """Records a send; after `MAX_ZONE_SILENCE_S` the silence is measured anew."""
         if now - self.silent_since > MAX_ZONE_SILENCE_S:
             self.silent_since, self.sent = now, 0
         self.sent += 1
 
     def on_response(self, latency: float) -> None:
+        """Ends the silence and updates the mean latency."""
         self.silent_since, self.sent = NEVER, 0
         self.latency += 0.1 * (latency - self.latency)
 
     def is_silent(self, now: float) -> bool:
-        """Whether the zone is silent; false again after `MAX_ZONE_SILENCE_S`, so that a recovered zone is found."""
+        """Returns whether the zone is silent; false again after `MAX_ZONE_SILENCE_S`, so that a recovered zone is found."""
         return (
             self.sent >= ZONE_SILENT_REQUESTS
             and max(MIN_ZONE_SILENCE_S, ZONE_SILENCE_PER_LATENCY * self.latency)
@@ -99,6 +101,7 @@
         return score if score >= MIN_FAILURE_SCORE else 0.0
 
     def record_outcome(self, success: bool, now: float) -> None:
+        """Updates the failure score after a response."""
         if success and not self._failure_score:
             return
         score = self.failure_score(now)
@@ -108,6 +111,7 @@
         )
 
     def load(self, now: float, local_proxies: int) -> float:
+        """Returns the estimated requests of all proxies; reported usage decays and counts newer sends on top."""
         if self.reported_at <= NEVER:
             return float(self.in_flight * local_proxies)
         return max(
@@ -116,9 +120,11 @@
         )
 
     def utilization(self, now: float, local_proxies: int) -> float:
+        """Returns the load with one more request, as a share of the upstream's slots."""
         return (self.load(now, local_proxies) + 1) / max(1, self.upstream.slots)
 
     def at_capacity(self, now: float, local_proxies: int, max_in_flight: int) -> bool:
+        """Returns whether the upstream cannot take another request now."""
         if now < self.at_capacity_until or self.in_flight >= max_in_flight:
             return True
         return (
@@ -143,7 +149,9 @@
 
     @property
     def half_open(self) -> bool:
+        """Whether the upstream has failed and not responded since."""
         return self.breaker_open_s > BREAKER_OPEN_S
 
     def is_cold(self, now: float) -> bool:
+        """Returns whether the upstream is in slow start, with a limited request rate."""
         return now < self.cold_end
