--- a/mallowvalve/proxy/upstream_state.py
+++ b/mallowvalve/proxy/upstream_state.py
@@ -43,7 +43,7 @@
         self.latency += 0.1 * (latency - self.latency)
 
     def is_silent(self, now: float) -> bool:
-        """Returns whether the zone is silent; false again after `MAX_ZONE_SILENCE_S`, so that a recovered zone is found."""
+        """Returns whether the zone is silent; false after `MAX_ZONE_SILENCE_S`, so that a recovered zone is found."""
         return (
             self.sent >= ZONE_SILENT_REQUESTS
             and max(MIN_ZONE_SILENCE_S, ZONE_SILENCE_PER_LATENCY * self.latency)
