--- a/mallowvalve/proxy/steps.py
+++ b/mallowvalve/proxy/steps.py
@@ -1,4 +1,4 @@
-"""What a request's path asks of the outside, and what it is told; the daemon and the simulator each do these."""
+"""The I/O steps that a request state machine yields, and their results; the daemon and the simulator perform them."""
 
 from __future__ import annotations
 
@@ -11,118 +11,138 @@
 from mallowvalve.upstreams.board import Heartbeat
 from mallowvalve.upstreams.registry import Upstream
 
-OK, REDIRECT, TOO_SLOW, MISDIRECTED = 200, 300, 408, 421
-SERVER_ERROR, UNAVAILABLE, GATEWAY_TIMEOUT = 500, 503, 504
-NOT_RUN, UNKNOWN = "not-run", "unknown"
-"""What is promised of a request that an upstream did not answer: that it did not run, or nothing."""
+OK = 200
+REDIRECT = 300
+TOO_SLOW = 408
+MISDIRECTED = 421
+SERVER_ERROR = 500
+UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
+NOT_RUN = "not-run"
+"""Outcome of a request that an upstream did not answer and that certainly did not run."""
+UNKNOWN = "unknown"
+"""Outcome of a request that an upstream did not answer and that may have run."""
 NO_STATUS = 600
-"""What begins here is no status of HTTP."""
+"""Lowest number above the HTTP status codes."""
 
 
-class Ask(msgspec.Struct):
-    """A request as it came from a client; header names in lower case, and as they came in `pairs`."""
+class ClientRequest(msgspec.Struct):
+    """A request from a client. `headers` has lower-case names, `header_pairs` the headers as received."""
 
     method: str
     target: str
     headers: dict[str, str]
     client: str
     length: int | None = None
-    pairs: list[tuple[str, str]] = []
+    header_pairs: list[tuple[str, str]] = []
 
 
-class Body(msgspec.Struct, frozen=True):
-    """Reads the body of a request until `end`, of at most `most` bytes."""
+class ReadBody(msgspec.Struct, frozen=True):
+    """Reads the request body, at most `max_bytes`, until the deadline `end`."""
 
     end: float
-    most: int | None = None
+    max_bytes: int | None = None
 
 
-class Offer(msgspec.Struct, frozen=True):
-    """Offers a command to the ledger, and waits `limit` seconds for its word."""
+class ProposeCommand(msgspec.Struct, frozen=True):
+    """Proposes a command to the ledger and waits up to `timeout_s` seconds for its verdict."""
 
     command: Claim | Done | Release
-    limit: float
+    timeout_s: float
 
 
-class Insist(msgspec.Struct, frozen=True):
-    """Goes on in the background until the ledger's word is one of the good ones."""
+class ProposeInBackground(msgspec.Struct, frozen=True):
+    """Proposes a command in the background until the ledger's verdict is one of `accepted_states`."""
 
     command: Done | Release | Forfeit
-    good: tuple[str, ...]
+    accepted_states: tuple[str, ...]
 
 
-class Pause(msgspec.Struct, frozen=True):
-    """Goes on after `wait` seconds."""
+class Sleep(msgspec.Struct, frozen=True):
+    """Waits for `delay_s` seconds."""
 
-    wait: float
+    delay_s: float
 
 
-class Room(msgspec.Struct, frozen=True):
-    """Waits until a place at a service may be free; of those who wait, the most urgent (0) is told first."""
+class WaitForCapacity(msgspec.Struct, frozen=True):
+    """Waits until a service may have a free slot; waiters with the lowest `priority` number are woken first."""
 
     service: str
     end: float
     priority: int = 0
 
 
-class Open(msgspec.Struct, frozen=True):
-    """`status` is asked first of a new connection; with none the connection opens at once, for a host route."""
+class OpenConnection(msgspec.Struct, frozen=True):
+    """Opens a connection and checks the upstream's identity at `status_path`; host routes pass an empty path."""
 
     heartbeat: Heartbeat | Upstream
-    status: str
+    status_path: str
     end: float
 
 
 class Exchange(msgspec.Struct, frozen=True):
-    """The first byte leaves before anything else of this process runs.
+    """Sends a request and waits for its response; the first byte leaves before other code of this process runs.
 
-    With `until_left` it ends as `CLIENT_LEFT` once the client has closed its connection.
+    With `stop_if_client_leaves` the result is `CLIENT_LEFT` once the client has closed its connection.
     """
 
     connection: object
     method: str
     request: bytes
     end: float
-    ask: str = ""
-    until_left: bool = False
+    request_id: str = ""
+    stop_if_client_leaves: bool = False
 
 
-class Await(msgspec.Struct, frozen=True):
-    """Goes on waiting for the answer of an exchange whose time was over; `until_left` as for `Exchange`."""
+class AwaitResponse(msgspec.Struct, frozen=True):
+    """Continues to wait for the response of an exchange that timed out."""
 
     connection: object
     end: float
-    until_left: bool = False
+    stop_if_client_leaves: bool = False
 
 
 class ClientCheck(msgspec.Struct, frozen=True):
-    """Asks whether the request's client has left: CLIENT_LEFT, or None while it waits. Nothing else runs meanwhile."""
+    """Returns CLIENT_LEFT if the client has closed its connection, else None; other code does not run meanwhile."""
 
 
-Step = Body | Offer | Insist | Pause | Room | Open | Exchange | Await | ClientCheck
+Step = (
+    ReadBody
+    | ProposeCommand
+    | ProposeInBackground
+    | Sleep
+    | WaitForCapacity
+    | OpenConnection
+    | Exchange
+    | AwaitResponse
+    | ClientCheck
+)
 
 
 class ClientLeft(msgspec.Struct, frozen=True):
-    """The outcome of a step: the request's client has closed its connection, so that nobody waits for an answer."""
+    """The result of a step during which the client closed its connection."""
 
 
 CLIENT_LEFT = ClientLeft()
 
 
-class Answer(msgspec.Struct):
-    """An upstream's answer, its body whole or as `rest` to be streamed. `keep`: its connection may be used again."""
+class UpstreamResponse(msgspec.Struct):
+    """An upstream's response, its body in `body` or streamed from `body_stream`.
+
+    `reusable`: whether the connection can carry another request. `header_map` has lower-case names.
+    """
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes | None
     length: int | None
-    rest: Iterator[bytes] | None
-    keep: bool = False
-    said: dict[str, str] = {}
+    body_stream: Iterator[bytes] | None
+    reusable: bool = False
+    header_map: dict[str, str] = {}
 
 
-class Rejected(msgspec.Struct):
-    """What was answered here instead of an upstream's answer, for the page of rejections."""
+class RejectionRecord(msgspec.Struct):
+    """A request that the proxy itself answered with an error, as listed on the page of rejections."""
 
     at: float
     route: str
@@ -133,10 +153,10 @@
     why: str
 
 
-class Reply(msgspec.Struct):
-    """A final answer: the upstream's own (and the lease it still streams over), a kept one, or a rejection.
+class ProxyResponse(msgspec.Struct):
+    """The final response: an upstream's (with the lease that it streams over), a replayed one, or a rejection.
 
-    `runs_on`: the upstream's answer is read to its end also when the client has left.
+    `drain_if_client_leaves`: the upstream's response is read to its end even after the client has left.
     """
 
     status: int
@@ -144,8 +164,8 @@
     findings: list[Finding] = []
     retry_after: float | None = None
     close: bool = False
-    answer: Answer | None = None
+    answer: UpstreamResponse | None = None
     lease: object = None
-    again: bool = False
-    runs_on: bool = False
-    note: Rejected | None = None
+    replayed: bool = False
+    drain_if_client_leaves: bool = False
+    rejection: RejectionRecord | None = None
--- a/tests/test_call_model.py
+++ b/tests/test_call_model.py
@@ -12,7 +12,13 @@
 from mallowvalve.transport.frame import TransportFrame
 
 CAPACITY = 4
-STATE_MACHINES = ["transport/calls.py", "proxy/reader.py", "proxy/tries.py", "proxy/path.py", "proxy/idle.py"]
+STATE_MACHINES = [
+    "transport/calls.py",
+    "proxy/reader.py",
+    "proxy/host_forwarder.py",
+    "proxy/tenant_forwarder.py",
+    "proxy/idle_connections.py",
+]
 
 
 class CallMachine(RuleBasedStateMachine):
