--- a/mallowvalve/control/acknowledgement.py
+++ b/mallowvalve/control/acknowledgement.py
@@ -10,7 +10,7 @@
 from mallowvalve.control.replica import WINDOW
 from mallowvalve.control.state import Enrol, Seats, Settings, Strike
 from mallowvalve.control.wire import Want
-from mallowvalve.raft.messages import Group
+from mallowvalve.raft.messages import GroupId
 from mallowvalve.types import Address, Locality
 
 SLACK = 0.1
@@ -35,7 +35,7 @@
     fed_at: float | None = None
     told_at: float = -1e9
 
-    def holds(self, group: Group | None, index: int) -> bool:
+    def holds(self, group: GroupId | None, index: int) -> bool:
         """Whether it holds the state of this group up to the index."""
         return self.want.group == group and self.want.index >= index
 
@@ -61,7 +61,7 @@
         self._majority_at: dict[int, float] = {}
         self._calm = 0.0
         self._began = -1e9
-        self._group: Group | None = None
+        self._group: GroupId | None = None
         self._struck: dict[str, float] = {}
         self._pruned = -1e9
 
@@ -72,7 +72,7 @@
         self._calm = now + WINDOW + SLACK
         self._began = now
 
-    def heard(self, w: Want, group: Group, need: int, now: float) -> None:
+    def heard(self, w: Want, group: GroupId, need: int, now: float) -> None:
         """A replica asked; its stamp is confirmed by the round `need` or a later one."""
         self._group = group
         h = self.heard_of.get(w.addr)
--- a/mallowvalve/control/bootstrap.py
+++ b/mallowvalve/control/bootstrap.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.control.state import State
 from mallowvalve.control.wire import Who
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import ClusterConfiguration
 from mallowvalve.types import Address
 
 HOLD, HOLD_FOUND = 0.5, 2.0
@@ -16,7 +16,7 @@
     """`base` holds all if anybody does; `further` the settings part, where that went on beyond it."""
 
     generation: int
-    voters: Voters
+    voters: ClusterConfiguration
     base: Who | None
     further: Who | None = None
 
@@ -73,7 +73,7 @@
         strangers = [w for w in known if w.group.generation == me.group.generation and w.group != me.group]
         if strangers and unborn and any(w.role == "control" and w.leader for w in strangers):
             return Wipe()
-        return Wait("member") if me.id in best.voters.electors() else _renew(me, answers, known, best)
+        return Wait("member") if me.id in best.voters.all_voters() else _renew(me, answers, known, best)
     return _join(me, known, best) or (_renew(me, answers, known, best) if me.blank else Wait("behind"))
 
 
@@ -92,7 +92,7 @@
         return Wait("not a seed of the others")
     if core[0].addr != me.addr:
         return Wait(f"{core[0].addr} founds")
-    return Found(generation, Voters({w.id: w.addr for w in core}), None)
+    return Found(generation, ClusterConfiguration({w.id: w.addr for w in core}), None)
 
 
 def _circle(w: Who) -> list[Address]:
@@ -114,8 +114,8 @@
     control = [w for w in [*answers, me] if w.role == "control"]
     alive, at = {w.id for w in control}, {w.addr: w for w in control}
     last = best.voters.voters
-    lost = {i: at[a] for i, a in best.voters.electors().items() if i not in alive and a in at}
-    for part in (last, best.voters.old):
+    lost = {i: at[a] for i, a in best.voters.all_voters().items() if i not in alive and a in at}
+    for part in (last, best.voters.old_voters):
         gone = len(part.keys() & lost.keys())
         if part and 2 * gone <= len(part):
             return Wait(f"{gone} of {len(part)} voters came back empty")
@@ -123,7 +123,7 @@
     if founder != me.addr:
         return Wait(f"{founder} founds anew")
     voters = {(lost[i].id if i in lost else i): a for i, a in last.items()}
-    return Found(best.group.generation + 1, Voters(voters), *sources(known, best))
+    return Found(best.group.generation + 1, ClusterConfiguration(voters), *sources(known, best))
 
 
 def sources(known: list[Who], best: Who) -> tuple[Who, Who | None]:
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -21,7 +21,7 @@
 from mallowvalve.control.state import State
 from mallowvalve.membership.wire import ALIVE
 from mallowvalve.metrics import change
-from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, HardState, RaftSnapshot
 from mallowvalve.types import Address
 
 FOUND_EVERY, BLANK_EVERY = 0.5, 0.15
@@ -87,9 +87,9 @@
             others = set(random.sample(sorted(others), FEW))
         to = {r.addr for r in alive if r.role == "control"} | set(p.seeds) | others
         if self.control.core.raft is not None:
-            to |= set(self.control.core.raft.log.voters.electors().values())
+            to |= set(self.control.core.raft.log.configuration.all_voters().values())
         best = [w for w in self._ask(to - {p.transport})]
-        known = {a for w in best if w.voters for a in w.voters.electors().values()}
+        known = {a for w in best if w.voters for a in w.voters.all_voters().values()}
         return best + self._ask(known - to - {p.transport})
 
     def _ask(self, to: set[Address], limit: float = ASK) -> list[wire.Who]:
@@ -106,7 +106,7 @@
             base = self._fetch_state(v)
             if v.base is not None and (base is None or not heard_enough(base, answers)):
                 return
-            group = Group(v.generation, uuid.uuid4().hex[:ID])
+            group = GroupId(v.generation, uuid.uuid4().hex[:ID])
             change(
                 "founding",
                 generation=v.generation,
@@ -134,13 +134,13 @@
         best = max(known, key=lambda w: (w.group.generation, w.index))
         v = Found(
             best.group.generation + 1,
-            Voters({self.control.core.id: self.control.node.settings.transport}),
+            ClusterConfiguration({self.control.core.id: self.control.node.settings.transport}),
             *sources(known, best),
         )
         base = self._fetch_state(v)
         if base is None:
             return Err(f"{v.base.addr} did not hand over its state")
-        group = Group(v.generation, uuid.uuid4().hex[:ID])
+        group = GroupId(v.generation, uuid.uuid4().hex[:ID])
         change("founding_by_operator", generation=v.generation, base=str(v.base.addr), index=base.index)
         self._begin(founding(group, v.voters, base), None)
         return Ok(v)
@@ -159,7 +159,7 @@
         r = self.control.puller.pull(w.addr, what, lambda offered: (offered.group, offered.index) >= (w.group, w.index))
         return r.ok_value[1] if r.is_ok() else None
 
-    def _begin(self, p: Snapshot, s: State | None) -> None:
+    def _begin(self, p: RaftSnapshot, s: State | None) -> None:
         done = AsyncResult()
 
         def act(now: float) -> None:
@@ -167,7 +167,9 @@
             if mine is not None and mine.group.generation >= p.group.generation:
                 return done.set(False)
             with self.control.disk:
-                self.control.persist(lambda: store.turn(self.control.disk_log, p, store.head(Hard(p.group, 0, ""), [])))
+                self.control.persist(
+                    lambda: store.turn(self.control.disk_log, p, store.head(HardState(p.group, 0, ""), []))
+                )
             self.control.core.start(p, None, [], now, s)
             done.set(True)
 
--- a/mallowvalve/control/brought_state.py
+++ b/mallowvalve/control/brought_state.py
@@ -4,7 +4,7 @@
 
 from mallowvalve.control.snapshot import load
 from mallowvalve.control.state import State
-from mallowvalve.raft.messages import Group, Snapshot
+from mallowvalve.raft.messages import GroupId, RaftSnapshot
 
 
 class BroughtState:
@@ -14,13 +14,13 @@
 
     def __init__(self) -> None:
         """None is waiting."""
-        self._held: tuple[Group, int, State] | None = None
+        self._held: tuple[GroupId, int, State] | None = None
 
-    def put(self, snapshot: Snapshot, state: State) -> None:
+    def put(self, snapshot: RaftSnapshot, state: State) -> None:
         """Keeps the state that was loaded from the snapshot's pieces."""
         self._held = (snapshot.group, snapshot.index, state)
 
-    def take(self, snapshot: Snapshot) -> State:
+    def take(self, snapshot: RaftSnapshot) -> State:
         """The snapshot's state: the one kept for it, or one loaded now."""
         group, index, state = self._held or (None, 0, None)
         self._held = None
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -38,8 +38,8 @@
 from mallowvalve.control.wire import Fed, Took, Want, Who
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import COMMAND, Entry, Envelope, Hard, Snapshot
-from mallowvalve.raft.progress import Ready, Times
+from mallowvalve.raft.messages import COMMAND, Entry, Envelope, HardState, RaftSnapshot
+from mallowvalve.raft.progress import RaftTimings, Ready
 from mallowvalve.raft.raft import Raft
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address, Locality
@@ -89,7 +89,7 @@
         locality: Locality,
         rng: random.Random,
         acks: Acks = Acks(),
-        times: Times = Times(),
+        times: RaftTimings = RaftTimings(),
     ):
         """A blank process: `start` gives it a group."""
         self.id, self.addr, self.locality, self.rng = id, addr, locality, rng
@@ -111,17 +111,27 @@
         self._ticked = self._grown = -1e9
         self._seating = 0
         self._base_index = 0
-        self._acks, self._times = acks, msgspec.structs.replace(times, told=TOLD_PACES * times.pace)
+        self._acks, self._times = (
+            acks,
+            msgspec.structs.replace(times, commit_notice_delay=TOLD_PACES * times.min_broadcast_interval),
+        )
         self._news = News(0)
         self.clock = FleetClock()
         self._note = CommitNote()
 
     def start(
-        self, snapshot: Snapshot, hard: Hard | None, entries: list[Entry], now: float, ready: State | None = None
+        self,
+        snapshot: RaftSnapshot,
+        hard: HardState | None,
+        entries: list[Entry],
+        now: float,
+        ready: State | None = None,
     ) -> None:
         """Begins from what is stored; `ready` is the snapshot's state where it was loaded already."""
-        hard = hard if hard is not None and hard.group == snapshot.group else Hard(snapshot.group, 0, "")
-        self.raft = Raft(self.id, Log(snapshot, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit)
+        hard = hard if hard is not None and hard.group == snapshot.group else HardState(snapshot.group, 0, "")
+        self.raft = Raft(
+            self.id, Log(snapshot, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit_index
+        )
         self.state = ready or load(snapshot.state, snapshot.group.generation)
         self.state.index = snapshot.index
         self._base_index = snapshot.index
@@ -140,12 +150,12 @@
     @property
     def leads(self) -> bool:
         """Whether it may answer as the leader: all that former leaders acknowledged is applied here."""
-        return self.raft is not None and self.raft.settled and self.state.index >= self.raft.term_start
+        return self.raft is not None and self.raft.committed_in_term and self.state.index >= self.raft.term_start_index
 
     @property
     def unborn(self) -> bool:
         """Whether its group has committed nothing since its founding."""
-        return self.raft is not None and self.raft.commit <= self._base_index
+        return self.raft is not None and self.raft.commit_index <= self._base_index
 
     def leader(self) -> Address | None:
         """The leader's address; None where none is known."""
@@ -155,12 +165,12 @@
 
     def address_of(self, member: str) -> Address | None:
         """Where the member is reached; None if nothing tells where it is."""
-        return self._addresses.of(member, self.raft.log.voters)
+        return self._addresses.of(member, self.raft.log.configuration)
 
     def who(self, role: str, seeds: list[Address]) -> Who:
         """What this process says of itself to those who ask."""
         r, m, i = self.raft, self.members, self.state.index if self.state else 0
-        held = (False, r.group, i, r.log.voters_at(i), self.leader()) if r else (True, None, 0, None, None)
+        held = (False, r.group, i, r.log.configuration_at(i), self.leader()) if r else (True, None, 0, None, None)
         return Who(role, self.id, self.addr, self.locality, seeds, *held, boot=m.boot, leaving=m.leaving)
 
     def here_goes_to(self, control: list[Address]) -> list[Address]:
@@ -185,7 +195,9 @@
         if self.raft is None:
             return
         self.raft.tick(now)
-        self.raft.mark = self._note.due(self.state.turned, self.raft.marked, now) or self.raft.mark
+        self.raft.commit_save_due = (
+            self._note.due(self.state.turned, self.raft.saved_commit_index, now) or self.raft.commit_save_due
+        )
         self._settle(now)
 
     def receive(self, e: Envelope, now: float) -> None:
@@ -199,7 +211,7 @@
     def gone(self, a: Address, now: float) -> None:
         """A peer's last connection here ended."""
         if self.raft is not None and a == self.leader():
-            self.raft.doubt(now)
+            self.raft.suspect_leader(now)
 
     def propose(self, data: bytes, token: Any, limit: float, now: float) -> None:
         """Offers a command; what becomes of it is replied to the token, by `limit` (s) at the latest."""
@@ -220,16 +232,16 @@
         if not self.leads:
             self.replies.append((token, Took(Code.LEADER, leader=self.leader())))
             return
-        self._reads.add(Read(token, self.raft.ask_quorum(), self.raft.commit, limit))
+        self._reads.add(Read(token, self.raft.request_confirmation_round(), self.raft.commit_index, limit))
 
     def current(self, now: float) -> bool:
         """Whether the state here lags what was acknowledged by no more than moments."""
         r, i = self.raft, self.state.index if self.state is not None else 0
-        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + lease.LAG >= r.told
+        return self.holds(lease.Answer.WATCH, now) and r.log.term(i) == r.term and i + lease.LAG >= r.known_commit_index
 
     def contact(self) -> float:
         """When (s) this process asked what a majority has confirmed since."""
-        return self.raft.contact() if self.raft is not None else lease.NEVER
+        return self.raft.last_quorum_contact() if self.raft is not None else lease.NEVER
 
     def holds(self, kind: lease.Answer, now: float) -> bool:
         """Whether an answer of the kind may be given by what is known here."""
@@ -240,7 +252,7 @@
         if not self.leads:
             self.replies.append((token, Fed(self.leader())))
             return
-        self.replicas.heard(w, self.raft.group, self.raft.rounds.seq + 1, now)
+        self.replicas.heard(w, self.raft.group, self.raft.rounds.round_number + 1, now)
         self.replies += self.feeds.park(w, token, now)
 
     def ready(self, now: float) -> Ready | None:
@@ -249,48 +261,48 @@
 
     def saved(self, r: Ready, now: float) -> None:
         """What `ready` returned is on disk."""
-        if r.install is not None:
-            self.state = self._brought.take(r.install)
+        if r.snapshot is not None:
+            self.state = self._brought.take(r.snapshot)
             self._news = News(self.state.turned)
             self.clock.restart(self.state.clock, now)
         self.raft.saved(r)
         self._apply(now)
         self._settle(now)
 
-    def snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
+    def snapshot(self) -> tuple[RaftSnapshot, Iterator[bytes]] | None:
         """The state as it is now; its pieces are made as they are asked for."""
         if self.raft is None:
             return None
-        if self.state.index < self.raft.log.base:
+        if self.state.index < self.raft.log.snapshot_index:
             return self.raft.log.snapshot, iter(self.raft.log.snapshot.state)
         return self._head(), cut(self.state)
 
-    def settings(self) -> tuple[Snapshot, Iterator[bytes]] | None:
+    def settings(self) -> tuple[RaftSnapshot, Iterator[bytes]] | None:
         """The settings part of the state as it is now."""
-        if self.raft is None or self.state.index < self.raft.log.base:
+        if self.raft is None or self.state.index < self.raft.log.snapshot_index:
             return None
         return self._head(), cut_settings(self.state)
 
-    def _head(self) -> Snapshot:
+    def _head(self) -> RaftSnapshot:
         """A snapshot of the state as it is now, without its pieces."""
         i = self.state.index
-        return Snapshot(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), [])
+        return RaftSnapshot(self.raft.group, i, self.raft.log.term(i), self.raft.log.configuration_at(i), [])
 
-    def base(self) -> Snapshot | None:
+    def base(self) -> RaftSnapshot | None:
         """The snapshot at which the log begins."""
         return self.raft.log.snapshot if self.raft is not None else None
 
-    def bring(self, p: Snapshot, s: State) -> None:
+    def bring(self, p: RaftSnapshot, s: State) -> None:
         """A state built beside the machine from the pieces of a snapshot that is about to be installed."""
         self._brought.put(p, s)
 
-    def compact(self, p: Snapshot) -> None:
+    def compact(self, p: RaftSnapshot) -> None:
         """The log begins at this snapshot from now on."""
         self.raft.log.compact(p)
         self._news.compact(p.index)
 
     def _apply(self, now: float) -> None:
-        while self.state.index < self.raft.commit:
+        while self.state.index < self.raft.commit_index:
             e = self.raft.log.get(self.state.index + 1)
             self.clock.hear(e, now)
             out = self.state.apply(e.index, e.at, e.data if e.kind == COMMAND else b"")
@@ -356,9 +368,9 @@
             return
         self._grown = now
         v = self.members.next_voters(self.raft, now)
-        if v is not None and self.raft.change_voters(v, self.clock.read(now)) is not None:
+        if v is not None and self.raft.change_configuration(v, self.clock.read(now)) is not None:
             self.counts.add("raft_changes")
-        if self._seating > self.raft.commit:
+        if self._seating > self.raft.commit_index:
             return
         due = self.replicas.roster_step if self._acks.settings == "force" else self.replicas.roster_steps
         step = due(self.state.settings, now)
--- a/mallowvalve/control/feeding.py
+++ b/mallowvalve/control/feeding.py
@@ -10,7 +10,7 @@
 from mallowvalve.control.news import News
 from mallowvalve.control.state import State
 from mallowvalve.control.wire import Fed, Want
-from mallowvalve.raft.messages import Entry, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, Entry
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address
 
@@ -129,7 +129,7 @@
 
 def _lacks(source: Source, want: Want) -> bool:
     """Whether entries do not reach back to what the replica holds, so that it needs a snapshot."""
-    oldest = source.news.dropped if want.parts == "settings" else source.raft.log.base
+    oldest = source.news.dropped if want.parts == "settings" else source.raft.log.snapshot_index
     return want.group != source.raft.group or want.index < oldest
 
 
@@ -138,11 +138,11 @@
     index = source.state.index
     if want.parts == "settings":
         return source.news.since(want.index, index)
-    return [e for e in source.raft.log.since(want.index) if e.index <= index], index
+    return [e for e in source.raft.log.entries_after(want.index) if e.index <= index], index
 
 
-def _voters(source: Source, want: Want, lacking: bool) -> Voters | None:
+def _voters(source: Source, want: Want, lacking: bool) -> ClusterConfiguration | None:
     """The voters, where the replica may not know them yet."""
     log = source.raft.log
-    known = want.hold > 0 and not lacking and want.index >= log.voters_index
-    return None if known else log.voters_at(source.state.index)
+    known = want.hold > 0 and not lacking and want.index >= log.configuration_index
+    return None if known else log.configuration_at(source.state.index)
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -209,7 +209,7 @@
         r = c.raft
         if r is None:
             return web.say(resp, {"leader": None, "blank": True})
-        v = r.log.voters
+        v = r.log.configuration
         web.say(
             resp,
             {
--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -10,7 +10,7 @@
 import enum
 
 from mallowvalve.control.wire import Who
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import ClusterConfiguration
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address
 
@@ -41,26 +41,28 @@
     def _why(self, raft: Raft | None, answers: list[Who], control: list[Address]) -> Why:
         if raft is None:
             return Why.NO_SEAT
-        voters, committed = raft.log.voters, raft.log.voters_index <= raft.commit
-        if self.me not in voters.electors() and committed:
+        voters, committed = raft.log.configuration, raft.log.configuration_index <= raft.commit_index
+        if self.me not in voters.all_voters() and committed:
             return Why.REPLACED if self.me not in voters.learners else Why.NO_SEAT
         told = [w.voters for w in answers if _knows_as_much(w, raft) and w.voters is not None]
-        if any(self.me not in t.electors() for t in told):
+        if any(self.me not in t.all_voters() for t in told):
             return Why.REPLACED
         changing = not committed or any(_changes(v, control) for v in (voters, *told))
-        return Why.WAITS if changing or _could_sit(answers, voters.electors()) else Why.NOBODY
+        return Why.WAITS if changing or _could_sit(answers, voters.all_voters()) else Why.NOBODY
 
 
 def _knows_as_much(w: Who, raft: Raft) -> bool:
     """Whether one that answers has applied the newest configuration that is known here, or a later one."""
-    return w.group == raft.group and w.index >= raft.log.voters_index
+    return w.group == raft.group and w.index >= raft.log.configuration_index
 
 
-def _changes(voters: Voters, control: list[Address]) -> bool:
+def _changes(voters: ClusterConfiguration, control: list[Address]) -> bool:
     """Whether a change is under way, or somebody alive could take a seat: a learner, or one at no seat's address."""
-    seats = voters.electors().values()
+    seats = voters.all_voters().values()
     return (
-        bool(voters.old) or any(a not in seats for a in control) or any(a in control for a in voters.learners.values())
+        bool(voters.old_voters)
+        or any(a not in seats for a in control)
+        or any(a in control for a in voters.learners.values())
     )
 
 
--- a/mallowvalve/control/member_addresses.py
+++ b/mallowvalve/control/member_addresses.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import ClusterConfiguration
 from mallowvalve.types import Address
 
 REMEMBERED = 64
@@ -31,6 +31,6 @@
         if len(self._said) > REMEMBERED:
             del self._said[next(iter(self._said))]
 
-    def of(self, member: str, voters: Voters) -> Address | None:
+    def of(self, member: str, voters: ClusterConfiguration) -> Address | None:
         """Where the member is; None if neither it nor the configuration has told."""
         return self._said.get(member) or voters.address(member)
--- a/mallowvalve/control/news.py
+++ b/mallowvalve/control/news.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from mallowvalve.raft.log import CHUNK, CHUNK_BYTES
+from mallowvalve.raft.log import MAX_ENTRIES_PER_MESSAGE, MAX_MESSAGE_BYTES
 from mallowvalve.raft.messages import Entry
 
 
@@ -39,7 +39,7 @@
             if e.index <= index:
                 continue
             size += len(e.data)
-            if out and (size > CHUNK_BYTES or len(out) >= CHUNK):
+            if out and (size > MAX_MESSAGE_BYTES or len(out) >= MAX_ENTRIES_PER_MESSAGE):
                 return out, out[-1].index
             out.append(e)
         return out, applied
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -27,7 +27,7 @@
 import msgspec
 
 from mallowvalve.control.wire import Who
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import ClusterConfiguration
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 
@@ -86,21 +86,21 @@
         """Takes over what the failure detector says now."""
         self.departed, self.given_away = departed, given_away
 
-    def next_voters(self, raft: Raft, now: float) -> Voters | None:
+    def next_voters(self, raft: Raft, now: float) -> ClusterConfiguration | None:
         """The configuration to change to, if any; while one is under way only an address may change."""
-        voters, committed = raft.log.voters, self._committed(raft.commit, now)
+        voters, committed = raft.log.configuration, self._committed(raft.commit_index, now)
         taken = {s.addr: i for i, s in sorted(self.seen.items(), key=lambda x: x[1].at)}
         came = self._came(voters, taken, now)
-        if came is not None or voters.old:
+        if came is not None or voters.old_voters:
             return came
-        lost = {i: why for i in voters.everyone() if (why := self._loss(raft, i, taken, now)) is not None}
+        lost = {i: why for i in voters.members() if (why := self._loss(raft, i, taken, now)) is not None}
         ripe = [i for i in voters.learners if i not in lost and i in self.seen and _holds(raft, i, committed, now)]
         swap = self._swap(voters, lost, ripe)
         if swap is not None:
             return swap
         for i in sorted(lost.keys() & voters.learners.keys()):
             if lost[i] is Loss.REPLACED or _silent(raft, i, now, FORGOTTEN):
-                return Voters(voters.voters, _without(voters.learners, i))
+                return ClusterConfiguration(voters.voters, _without(voters.learners, i))
         return self._growth(voters, lost, ripe)
 
     def _committed(self, commit: int, now: float) -> int:
@@ -113,21 +113,21 @@
         at, index = self._commits[0]
         return index if at <= now - RIPE_AGE else commit
 
-    def _came(self, voters: Voters, taken: dict[Address, str], now: float) -> Voters | None:
+    def _came(self, voters: ClusterConfiguration, taken: dict[Address, str], now: float) -> ClusterConfiguration | None:
         """A member at another address, or one that is new."""
         for i, s in sorted(self.seen.items()):
             if voters.address(i) not in (None, s.addr) and now - s.at < HERE_LASTS:
-                parts = (voters.voters, voters.learners, voters.old)
-                return Voters(*({k: s.addr if k == i else a for k, a in part.items()} for part in parts))
+                parts = (voters.voters, voters.learners, voters.old_voters)
+                return ClusterConfiguration(*({k: s.addr if k == i else a for k, a in part.items()} for part in parts))
         for i, s in sorted(self.seen.items()):
             new = voters.address(i) is None and taken[s.addr] == i and now - s.at < HERE_LASTS and not s.leaving
             gone = s.addr in self.given_away or s.boot != 0 and self.departed.get(s.addr) == s.boot
-            if new and not gone and not voters.old:
-                return Voters(voters.voters, {**voters.learners, i: s.addr})
+            if new and not gone and not voters.old_voters:
+                return ClusterConfiguration(voters.voters, {**voters.learners, i: s.addr})
         return None
 
     def _loss(self, raft: Raft, i: str, taken: dict[Address, str], now: float) -> Loss | None:
-        address, seen = raft.log.voters.address(i), self.seen.get(i)
+        address, seen = raft.log.configuration.address(i), self.seen.get(i)
         if address is None:
             return None
         if taken.get(address, i) != i or address in self.given_away and _silent(raft, i, now, CONFIRM):
@@ -140,7 +140,9 @@
         leaving = self.leaving if i == raft.me else seen is not None and seen.leaving
         return Loss.LEAVING if leaving else None
 
-    def _swap(self, voters: Voters, lost: dict[str, Loss], ripe: list[str]) -> Voters | None:
+    def _swap(
+        self, voters: ClusterConfiguration, lost: dict[str, Loss], ripe: list[str]
+    ) -> ClusterConfiguration | None:
         """One lost voter for one learner, the dead before the leaving, if most of the voters then are alive."""
         out = min(lost.keys() & voters.voters.keys(), key=lambda i: (lost[i] is Loss.LEAVING, i), default=None)
         if out is None or not ripe:
@@ -150,9 +152,11 @@
         alive = 1 + sum(lost.get(k) in (None, Loss.LEAVING) for k in kept)
         if 2 * alive <= len(kept) + 1:
             return None
-        return Voters({**kept, i: voters.learners[i]}, _without(voters.learners, i))
+        return ClusterConfiguration({**kept, i: voters.learners[i]}, _without(voters.learners, i))
 
-    def _growth(self, voters: Voters, lost: dict[str, Loss], ripe: list[str]) -> Voters | None:
+    def _growth(
+        self, voters: ClusterConfiguration, lost: dict[str, Loss], ripe: list[str]
+    ) -> ClusterConfiguration | None:
         """More voters, an odd number of `MOST` at most, in one change."""
         if lost.keys() & voters.voters.keys():
             return None
@@ -165,7 +169,7 @@
             grown[i] = voters.learners[i]
         if len(grown) == len(voters.voters):
             return None
-        return Voters(grown, {k: a for k, a in voters.learners.items() if k not in grown})
+        return ClusterConfiguration(grown, {k: a for k, a in voters.learners.items() if k not in grown})
 
     def _crowd(self, ids: dict[str, Address], i: str) -> tuple[int, int]:
         """How many of these share the region, and the zone, of the member."""
@@ -176,13 +180,13 @@
 
 def _silent(raft: Raft, i: str, now: float, limit: float) -> bool:
     p = raft.progress().get(i)
-    return i != raft.me and p is not None and now - p.heard > limit
+    return i != raft.me and p is not None and now - p.heard_at > limit
 
 
 def _holds(raft: Raft, i: str, committed: int, now: float) -> bool:
     """Whether it answers, and has all up to the index; the change itself waits for the rest."""
     p = raft.progress().get(i)
-    return p is not None and 0 < p.match >= committed and now - p.heard < CONFIRM
+    return p is not None and 0 < p.match_index >= committed and now - p.heard_at < CONFIRM
 
 
 def _without(d: dict[str, Address], i: str) -> dict[str, Address]:
--- a/mallowvalve/control/replica.py
+++ b/mallowvalve/control/replica.py
@@ -14,7 +14,7 @@
 from mallowvalve.control.state import State
 from mallowvalve.control.wire import Fed, Round, Told, Want
 from mallowvalve.metrics import Counts
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.types import Address, Locality
 
 WINDOW = 2.0
@@ -62,8 +62,8 @@
         """`parts` is all or settings; `hold` is for how long the leader may keep a want (s)."""
         self.parts, self.hold = parts, hold
         self.addr, self.boot, self.role, self.locality = addr, boot, role, locality
-        self.group: Group | None = None
-        self.voters: Voters | None = None
+        self.group: GroupId | None = None
+        self.voters: ClusterConfiguration | None = None
         self.state: State | None = None
         self.leader: Address | None = None
         self.lost_leader = True
@@ -170,7 +170,7 @@
             self._count(t.stamp)
         return False
 
-    def outgrown(self, g: Group) -> bool:
+    def outgrown(self, g: GroupId) -> bool:
         """Whether a newer generation than this group's is held."""
         return self.group is not None and g.generation < self.group.generation
 
@@ -182,26 +182,26 @@
             return newer
         return offered.index > self.state.index or offered.group != self.group and offered.index == self.state.index
 
-    def adopt(self, p: Snapshot, s: State) -> None:
+    def adopt(self, p: RaftSnapshot, s: State) -> None:
         """Takes in a fetched state, unless the own one is as new by now."""
         if not self.lacks(label(p)):
             return
         before = self.revision if self.group == p.group else -1
-        self.group, self.voters, self.state = p.group, p.voters, s
+        self.group, self.voters, self.state = p.group, p.configuration, s
         if self.revision != before:
             self._renew()
 
-    def snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
+    def snapshot(self) -> tuple[RaftSnapshot, Iterator[bytes]] | None:
         """What is held; its pieces are made as they are asked for."""
         if self.state is None or self.parts != "all":
             return None
-        return Snapshot(self.group, self.state.index, 0, self.voters, []), cut(self.state)
+        return RaftSnapshot(self.group, self.state.index, 0, self.voters, []), cut(self.state)
 
-    def settings(self) -> tuple[Snapshot, Iterator[bytes]] | None:
+    def settings(self) -> tuple[RaftSnapshot, Iterator[bytes]] | None:
         """The settings part of what is held."""
         if self.state is None:
             return None
-        return Snapshot(self.group, self.state.index, 0, self.voters, []), cut_settings(self.state)
+        return RaftSnapshot(self.group, self.state.index, 0, self.voters, []), cut_settings(self.state)
 
     def _newer(self, t: Told) -> bool:
         if t.group != self.group:
--- a/mallowvalve/control/snapshot.py
+++ b/mallowvalve/control/snapshot.py
@@ -17,7 +17,7 @@
 from mallowvalve.coordination.state import Event, Held
 from mallowvalve.ledger.asks import Asked
 from mallowvalve.ledger.ledger import Row
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.upstreams.registry import Upstream
 
 PIECE = 1 << 20
@@ -113,11 +113,11 @@
     return list(cut(s))
 
 
-def founding(group: Group, voters: Voters, base: State | None) -> Snapshot:
+def founding(group: GroupId, voters: ClusterConfiguration, base: State | None) -> RaftSnapshot:
     """The snapshot that a new group begins from: a base's state, or an empty one."""
     state = State(group.generation) if base is None else base
     state.generation = group.generation
-    return Snapshot(group, state.index, 0, voters, dump(state))
+    return RaftSnapshot(group, state.index, 0, voters, dump(state))
 
 
 def load(pieces: list[bytes], generation: int | None = None) -> State:
--- a/mallowvalve/control/snapshot_fetch.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -13,7 +13,7 @@
 from mallowvalve import clock
 from mallowvalve.control.snapshot_transfer import Gather, Label, Piece, Shelf, label, read_label, read_piece, read_want
 from mallowvalve.control.state import State, encode
-from mallowvalve.raft.messages import Snapshot
+from mallowvalve.raft.messages import RaftSnapshot
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
@@ -22,10 +22,10 @@
 QUICK_LABEL, QUICK_PIECE, QUICK_TRIES = 2.0, 0.8, 2
 WHOLE = 512 << 10
 read_whole = msgspec.msgpack.Decoder(tuple[Label | None, list[bytes]]).decode
-Made = tuple[Snapshot, Iterator[bytes]]
+Made = tuple[RaftSnapshot, Iterator[bytes]]
 
 
-def fill(p: Snapshot, pieces: Iterator[bytes]) -> Snapshot:
+def fill(p: RaftSnapshot, pieces: Iterator[bytes]) -> RaftSnapshot:
     """Makes the pieces one after the other, letting others run between."""
     out = []
     for x in pieces:
@@ -43,7 +43,7 @@
         self,
         transport: Transport,
         now: Callable[[], Made | None],
-        base: Callable[[], Snapshot | None] = lambda: None,
+        base: Callable[[], RaftSnapshot | None] = lambda: None,
         settings: Callable[[], Made | None] = lambda: None,
     ):
         """`now`, `base` and `settings` make the snapshots that are handed out."""
@@ -58,7 +58,7 @@
         to: Address,
         what: bytes,
         wanted: Callable[[Label], bool] = lambda named: True,
-    ) -> Result[tuple[Snapshot, State], str]:
+    ) -> Result[tuple[RaftSnapshot, State], str]:
         """A settings part is small, and whoever wants it has others to ask: a silent one is soon given up."""
         quick = what == SETTINGS
         if quick:
@@ -108,7 +108,7 @@
             return None, []
         return label(p, what == SETTINGS), p.state if sum(map(len, p.state)) <= WHOLE else []
 
-    def _snapshot(self, what: bytes) -> Snapshot | None:
+    def _snapshot(self, what: bytes) -> RaftSnapshot | None:
         with self._lock:
             part = what == SETTINGS
             p = self._base() if what == BASE else self._made(part)
@@ -116,7 +116,7 @@
                 self._shelf.put(p, clock.now(), part)
             return p
 
-    def _made(self, part: bool) -> Snapshot | None:
+    def _made(self, part: bool) -> RaftSnapshot | None:
         made = self._settings() if part else self._now()
         if made is None:
             return None
--- a/mallowvalve/control/snapshot_transfer.py
+++ b/mallowvalve/control/snapshot_transfer.py
@@ -10,7 +10,7 @@
 
 from mallowvalve.control.snapshot import Loader
 from mallowvalve.control.state import State
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 
 KEPT = 2
 IDLE = 30.0
@@ -39,10 +39,10 @@
 class Label(msgspec.Struct, array_like=True, frozen=True):
     """Names a snapshot and says of how many pieces it is."""
 
-    group: Group
+    group: GroupId
     index: int
     term: int
-    voters: Voters
+    voters: ClusterConfiguration
     count: int
     settings: bool = False
 
@@ -50,7 +50,7 @@
 class Want(msgspec.Struct, array_like=True, frozen=True):
     """Asks for piece `n` of a snapshot."""
 
-    group: Group
+    group: GroupId
     index: int
     n: int
     settings: bool = False
@@ -59,7 +59,7 @@
 class Piece(msgspec.Struct, array_like=True, frozen=True):
     """A piece and its checksum."""
 
-    group: Group
+    group: GroupId
     index: int
     n: int
     crc: int
@@ -67,9 +67,9 @@
     settings: bool = False
 
 
-def label(p: Snapshot, settings: bool = False) -> Label:
+def label(p: RaftSnapshot, settings: bool = False) -> Label:
     """The label of a snapshot whose pieces are made."""
-    return Label(p.group, p.index, p.term, p.voters, len(p.state), settings)
+    return Label(p.group, p.index, p.term, p.configuration, len(p.state), settings)
 
 
 class Shelf:
@@ -84,10 +84,10 @@
 
     def __init__(self) -> None:
         """Nothing is handed out yet."""
-        self._kept: dict[tuple[Group, int, bool], tuple[Snapshot, float]] = {}
-        self._cut: dict[tuple[Group, int, bool], float] = {}
+        self._kept: dict[tuple[GroupId, int, bool], tuple[RaftSnapshot, float]] = {}
+        self._cut: dict[tuple[GroupId, int, bool], float] = {}
 
-    def put(self, p: Snapshot, now: float, settings: bool = False) -> Label:
+    def put(self, p: RaftSnapshot, now: float, settings: bool = False) -> Label:
         """Hands out this snapshot from now on (s); returns its label."""
         self.forget(now)
         self._kept.pop((p.group, p.index, settings), None)
@@ -97,7 +97,7 @@
         self._cut = {k: self._cut.get(k, now) for k in self._kept}
         return label(p, settings)
 
-    def newest(self, group: Group, index: int, now: float, settings: bool = False) -> Snapshot | None:
+    def newest(self, group: GroupId, index: int, now: float, settings: bool = False) -> RaftSnapshot | None:
         """One cut from this group no further back than the index; of settings, one cut moments ago will do too.
 
         Whoever joins follows the log from there on; a new snapshot for each would push out those on their way.
@@ -193,7 +193,7 @@
         self._failed = 0
         return Ok(None)
 
-    def done(self) -> Result[tuple[Snapshot, State], Refused]:
+    def done(self) -> Result[tuple[RaftSnapshot, State], Refused]:
         """The snapshot and its state, or what is wrong with them as a whole."""
         if self.want() is not None:
             return Err(Refused(Refusal.CUT_SHORT, f"{len(self.pieces)} of {self.label.count} pieces"))
@@ -202,7 +202,7 @@
             return Err(Refused(Refusal.CUT_SHORT, s.err_value))
         if s.ok_value.index != named.index:
             return Err(Refused(Refusal.FOREIGN, f"a state of index {s.ok_value.index}, labelled {named.index}"))
-        return Ok((Snapshot(named.group, named.index, named.term, named.voters, self.pieces), s.ok_value))
+        return Ok((RaftSnapshot(named.group, named.index, named.term, named.voters, self.pieces), s.ok_value))
 
 
 read_label, read_want, read_piece = (msgspec.msgpack.Decoder(k).decode for k in (Label | None, Want, Piece | None))
--- a/mallowvalve/control/store.py
+++ b/mallowvalve/control/store.py
@@ -7,11 +7,11 @@
 from result import Err, Ok, Result
 
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.raft.messages import Entry, Hard, Snapshot, encode, snapshot_of
+from mallowvalve.raft.messages import Entry, HardState, RaftSnapshot, decode_snapshot, encode
 from mallowvalve.raft.raft import Ready
 from mallowvalve.storage.log import DiskLog
 
-_hard = msgspec.msgpack.Decoder(Hard).decode
+_hard = msgspec.msgpack.Decoder(HardState).decode
 _entry = msgspec.msgpack.Decoder(Entry).decode
 HARD, ENTRY = b"h", b"e"
 
@@ -19,8 +19,8 @@
 class Loaded(msgspec.Struct):
     """What was stored; all None and empty for a blank process."""
 
-    snapshot: Snapshot | None
-    hard: Hard | None
+    snapshot: RaftSnapshot | None
+    hard: HardState | None
     entries: list[Entry]
 
 
@@ -34,8 +34,8 @@
         return Err([Finding("log", f"not understood: {e}")])
 
 
-def _replay(p: Snapshot, disk_log: DiskLog) -> Loaded:
-    hard: Hard | None = None
+def _replay(p: RaftSnapshot, disk_log: DiskLog) -> Loaded:
+    hard: HardState | None = None
     entries: list[Entry] = []
     base, group = -1, None
     for batch in disk_log.batches:
@@ -58,7 +58,7 @@
     return Loaded(p, hard, _tail(p, entries))
 
 
-def _tail(p: Snapshot, entries: list[Entry]) -> list[Entry]:
+def _tail(p: RaftSnapshot, entries: list[Entry]) -> list[Entry]:
     at = next((i for i, e in enumerate(entries) if e.index == p.index), None)
     if at is not None and entries[at].term != p.term:
         return []
@@ -68,38 +68,38 @@
 
 def items(r: Ready) -> list[bytes]:
     """What a step of Raft stores, as one batch."""
-    out = [HARD + encode(r.hard)] if r.hard is not None else []
+    out = [HARD + encode(r.hard_state)] if r.hard_state is not None else []
     return out + [ENTRY + encode(e) for e in r.entries]
 
 
-def head(hard: Hard, tail: list[Entry]) -> list[bytes]:
+def head(hard: HardState, tail: list[Entry]) -> list[bytes]:
     """What a log begins with that follows a snapshot."""
     return [HARD + encode(hard)] + [ENTRY + encode(e) for e in tail]
 
 
-def parts(p: Snapshot) -> list[bytes]:
+def parts(p: RaftSnapshot) -> list[bytes]:
     """A snapshot as it is stored, its head first."""
     return [encode(replace(p, state=[])), *p.state]
 
 
-def snapshot_in(parts: list[bytes]) -> Snapshot:
+def snapshot_in(parts: list[bytes]) -> RaftSnapshot:
     """The snapshot of stored parts."""
-    return replace(snapshot_of(parts[0]), state=parts[1:])
+    return replace(decode_snapshot(parts[0]), state=parts[1:])
 
 
-def save(disk_log: DiskLog, r: Ready, hard: Hard, stored: str | None = None) -> None:
+def save(disk_log: DiskLog, r: Ready, hard: HardState, stored: str | None = None) -> None:
     """Saves a step; an installed snapshot may have been stored beside the log before."""
-    if r.install is not None:
-        turn(disk_log, r.install, head(hard, r.entries), stored)
+    if r.snapshot is not None:
+        turn(disk_log, r.snapshot, head(hard, r.entries), stored)
         return
     batch = items(r)
     if batch:
         disk_log.save(batch)
 
 
-def turn(disk_log: DiskLog, p: Snapshot, first: list[bytes], stored: str | None = None) -> None:
+def turn(disk_log: DiskLog, p: RaftSnapshot, first: list[bytes], stored: str | None = None) -> None:
     """Makes the log begin at this snapshot."""
-    whole, name = parts(p), stored or disk_log.reserve()
+    whole, name = parts(p), stored or disk_log.reserve_snapshot()
     if stored is None:
-        disk_log.put(name, whole)
-    disk_log.turn(name, whole, first)
+        disk_log.store_snapshot(name, whole)
+    disk_log.start_from_snapshot(name, whole, first)
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -28,8 +28,8 @@
 from mallowvalve.membership.wire import FAILED, LEFT
 from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
-from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, encode, envelope
-from mallowvalve.raft.progress import Times
+from mallowvalve.raft.messages import Envelope, GroupId, InstallSnapshot, Message, RaftSnapshot, decode_envelope, encode
+from mallowvalve.raft.progress import RaftTimings
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address
 
@@ -73,7 +73,7 @@
             p.locality,
             random.Random(node.boot),
             p.acks,
-            Times(pace=p.pace, election=p.election),
+            RaftTimings(min_broadcast_interval=p.pace, election_timeout=p.election),
         )
         self.core.members.boot = node.boot
         if loaded.snapshot is not None:
@@ -85,7 +85,7 @@
         self.puller = Puller(node.transport, self.core.snapshot, self.core.base, self.core.settings)
         self._saving = False
         self._fetching = Fetching()
-        self._stored: dict[tuple[Group, int], str] = {}
+        self._stored: dict[tuple[GroupId, int], str] = {}
         self.disk = RLock()
         self._waits: set[AsyncResult] = set()
         self._over = False
@@ -189,7 +189,7 @@
     def hand_over(self) -> None:
         """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
         self.core.members.leaving = True
-        self.put(lambda now: self.core.raft and self.core.raft.hand_over())
+        self.put(lambda now: self.core.raft and self.core.raft.transfer_leadership())
         self.founder.say_here()
 
     def _watch(self) -> None:
@@ -200,7 +200,7 @@
             if raft is None or not raft.leads:
                 continue
             view = self.node.membership.membership.view
-            records = [view[a] for a in raft.log.voters.everyone().values() if a in view]
+            records = [view[a] for a in raft.log.configuration.members().values() if a in view]
             departed = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
             given_away = {r.addr for r in records if r.role != "control"}
             self.put(lambda now, verdicts=(departed, given_away): self.core.members.verdicts(*verdicts))
@@ -231,13 +231,13 @@
         return self._do(lambda t, now: self.core.want(w, t, now), 2.0) or wire.Fed(None)
 
     def _vote(self, sender: Address, body: bytes) -> None:
-        e = envelope(body)
+        e = decode_envelope(body)
         self.put(lambda now: self.core.receive(e, now))
         if (
-            isinstance(e.body, Install)
+            isinstance(e.body, InstallSnapshot)
             and self.core.raft
             and e.group == self.core.raft.group
-            and e.body.snapshot.index > self.core.raft.commit
+            and e.body.snapshot.index > self.core.raft.commit_index
             and self._fetching.announced(e.body.snapshot.index)
         ):
             gevent.spawn(self._install, e)
@@ -261,18 +261,23 @@
 
     def _show(self, e: Envelope, s: State, name: str, now: float) -> None:
         raft = self.core.raft
-        if raft is None or raft.group != e.group or e.body.snapshot.index <= raft.commit or e.body.term < raft.term:
-            return self.persist(lambda: self.disk_log.drop(name))
+        if (
+            raft is None
+            or raft.group != e.group
+            or e.body.snapshot.index <= raft.commit_index
+            or e.body.term < raft.term
+        ):
+            return self.persist(lambda: self.disk_log.drop_snapshot(name))
         self._stored = {(e.group, e.body.snapshot.index): name}
         self.core.bring(e.body.snapshot, s)
         self.core.receive(e, now)
 
-    def _store(self, p: Snapshot) -> str | None:
+    def _store(self, p: RaftSnapshot) -> str | None:
         """Writes a snapshot beside the log; a disk without room for it is not yet one without room for the log."""
         with self.disk:
-            name = self.disk_log.reserve()
+            name = self.disk_log.reserve_snapshot()
             try:
-                gevent.get_hub().threadpool.apply(self.disk_log.put, (name, store.parts(p)))
+                gevent.get_hub().threadpool.apply(self.disk_log.store_snapshot, (name, store.parts(p)))
                 return name
             except OSError as e:
                 self.node.counts.add("snapshots_not_stored")
@@ -305,16 +310,16 @@
         r = self.core.ready(clock.now())
         if r is not None:
             group = self.core.raft.group
-            self._send(group, r.early)
-            if r.entries or r.hard is not None:
+            self._send(group, r.before_save)
+            if r.entries or r.hard_state is not None:
                 self.node.counts.add("log_batches")
                 self.node.counts.add("log_entries", len(r.entries))
                 self.node.counts.add("log_bytes", sum(len(e.data) for e in r.entries))
-            stored = self._stored.pop((group, r.install.index), None) if r.install is not None else None
-            self.persist(lambda: store.save(self.disk_log, r, self.core.raft.hard(), stored))
-            self._send(group, r.late)
+            stored = self._stored.pop((group, r.snapshot.index), None) if r.snapshot is not None else None
+            self.persist(lambda: store.save(self.disk_log, r, self.core.raft.hard_state(), stored))
+            self._send(group, r.after_save)
             self.core.saved(r, clock.now())
-            if self.disk_log.full() and not self._saving and not self.puller.holds():
+            if self.disk_log.snapshot_due() and not self._saving and not self.puller.holds():
                 self._saving = True
                 gevent.spawn(self._compact, *self.core.snapshot())
         replies, self.core.replies = self.core.replies, []
@@ -341,7 +346,7 @@
                 self.node.counts.add("disk_errors")
                 gevent.sleep(0.5)
 
-    def _compact(self, p: Snapshot, pieces: Iterator[bytes]) -> None:
+    def _compact(self, p: RaftSnapshot, pieces: Iterator[bytes]) -> None:
         """Makes and stores a snapshot while the machine goes on; the log turns to it once it is safe."""
         p = fill(p, pieces)
         name = self._store(p)
@@ -351,17 +356,17 @@
             return
         self.put(lambda now: self._turn(p, name))
 
-    def _turn(self, p: Snapshot, name: str) -> None:
+    def _turn(self, p: RaftSnapshot, name: str) -> None:
         raft, self._saving = self.core.raft, False
-        if raft is None or raft.group != p.group or p.index <= raft.log.base:
-            return self.persist(lambda: self.disk_log.drop(name))
+        if raft is None or raft.group != p.group or p.index <= raft.log.snapshot_index:
+            return self.persist(lambda: self.disk_log.drop_snapshot(name))
         tail = [e for e in raft.log.entries if e.index > p.index]
-        first = store.head(raft.hard(), tail)
+        first = store.head(raft.hard_state(), tail)
         self.persist(lambda: store.turn(self.disk_log, p, first, name))
         self.core.compact(p)
         self.node.counts.add("snapshots_taken")
 
-    def _send(self, group: Group, out: list) -> None:
+    def _send(self, group: GroupId, out: list) -> None:
         for to, message in out:
             address = self.core.address_of(to)
             if address is None:
@@ -386,6 +391,6 @@
 
 def announced(m: Message) -> Message:
     """A snapshot is only named in a message; its pieces are fetched."""
-    if not isinstance(m, Install):
+    if not isinstance(m, InstallSnapshot):
         return m
     return msgspec.structs.replace(m, snapshot=msgspec.structs.replace(m.snapshot, state=[]))
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from mallowvalve.control.outcome import Code
-from mallowvalve.raft.messages import Entry, Group, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, Entry, GroupId
 from mallowvalve.types import Address, Locality
 
 
@@ -21,9 +21,9 @@
     locality: Locality
     seeds: list[Address]
     blank: bool
-    group: Group | None
+    group: GroupId | None
     index: int
-    voters: Voters | None
+    voters: ClusterConfiguration | None
     leader: Address | None
     whole: bool = True
     boot: int = 0
@@ -37,7 +37,7 @@
     boot: int
     role: str
     locality: Locality
-    group: Group | None
+    group: GroupId | None
     index: int
     revision: int
     stamp: float
@@ -52,13 +52,13 @@
     """
 
     leader: Address | None
-    group: Group | None = None
+    group: GroupId | None = None
     lacking: bool = False
     entries: list[Entry] = []
     index: int = 0
     revision: int = 0
     sure: float = -1.0
-    voters: Voters | None = None
+    voters: ClusterConfiguration | None = None
     clock: int = 0
     time: int = 0
 
@@ -76,7 +76,7 @@
     sender: Address
     boot: int
     stamp: float
-    group: Group | None
+    group: GroupId | None
     revision: int
     index: int
 
--- a/mallowvalve/fault.py
+++ b/mallowvalve/fault.py
@@ -132,9 +132,9 @@
         time.sleep(self.faults.stall)
         self.disk.sync(name)
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Shorten a file to `size` bytes."""
-        self.disk.cut(name, size)
+        self.disk.truncate(name, size)
 
     def put(self, name: str, *parts: bytes) -> None:
         """Replace a whole file, after the stall, or refuse it whole."""
--- a/mallowvalve/raft/contact.py
+++ b/mallowvalve/raft/contact.py
@@ -11,41 +11,41 @@
 from collections import deque
 
 NO_STAMP = -1e9
-MOST_QUESTIONS = 256
+MAX_PENDING_STAMPS = 256
 
 
-class Questions:
+class ContactStamps:
     """What a leader keeps of one member's stamps (s of that member's clock)."""
 
-    __slots__ = ("_sure", "_waiting")
+    __slots__ = ("_confirmed", "_pending")
 
     def __init__(self) -> None:
         """No stamp has come yet."""
-        self._sure = NO_STAMP
-        self._waiting: deque[tuple[int, float]] = deque()
+        self._confirmed = NO_STAMP
+        self._pending: deque[tuple[int, float]] = deque()
 
-    def ask(self, stamp: float, need: int) -> None:
+    def add(self, stamp: float, need: int) -> None:
         """A stamp came; `need` is the first round that will be sent after it. With too many, it isn't kept."""
-        if len(self._waiting) < MOST_QUESTIONS:
-            self._waiting.append((need, stamp))
+        if len(self._pending) < MAX_PENDING_STAMPS:
+            self._pending.append((need, stamp))
 
-    def sure(self, confirmed: int) -> float:
+    def confirmed_stamp(self, confirmed: int) -> float:
         """The newest stamp whose round, or a later one, is among the `confirmed`."""
-        while self._waiting and self._waiting[0][0] <= confirmed:
-            self._sure = self._waiting.popleft()[1]
-        return self._sure
+        while self._pending and self._pending[0][0] <= confirmed:
+            self._confirmed = self._pending.popleft()[1]
+        return self._confirmed
 
 
-class Contact:
+class QuorumContact:
     """What a follower knows of its own stamps; one from before its present life, or from the future, is no proof."""
 
-    __slots__ = ("at", "_born")
+    __slots__ = ("confirmed_at", "_started_at")
 
     def __init__(self, now: float) -> None:
         """Nothing is proved yet; `now` is when this life of the machine began (s)."""
-        self.at, self._born = NO_STAMP, now
+        self.confirmed_at, self._started_at = NO_STAMP, now
 
-    def hear(self, sure: float, now: float) -> None:
+    def record_echo(self, confirmed_stamp: float, now: float) -> None:
         """The leader echoes a stamp, which arrives now (s of the same clock)."""
-        if self._born <= sure <= now:
-            self.at = max(self.at, sure)
+        if self._started_at <= confirmed_stamp <= now:
+            self.confirmed_at = max(self.confirmed_at, confirmed_stamp)
--- a/mallowvalve/raft/election.py
+++ b/mallowvalve/raft/election.py
@@ -6,12 +6,12 @@
 
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import Ask, Group, Message, Voice
-from mallowvalve.raft.progress import CANDIDATE, FOLLOWER, LEADER, PRE, Times
+from mallowvalve.raft.messages import GroupId, Message, RequestVote, RequestVoteResponse
+from mallowvalve.raft.progress import CANDIDATE, FOLLOWER, LEADER, PRE_CANDIDATE, RaftTimings
 
 
 class Election:
-    """The part of the Raft machine that holds the term, the vote and the role; `_lead` is what winning calls."""
+    """The part of the Raft machine that holds the term, the vote and the role; `_become_leader` starts its term."""
 
     __slots__ = (
         "me",
@@ -25,45 +25,45 @@
         "times",
         "rng",
         "halted",
-        "_voices",
+        "_votes",
         "_election_at",
-        "_heard",
+        "_leader_heard_at",
         "_last_leader",
-        "_late",
+        "_after_save",
     )
 
     me: str
-    group: Group
+    group: GroupId
     log: Log
     term: int
     vote: str
     role: str
     leader: str
     counts: Counts
-    times: Times
+    times: RaftTimings
     rng: random.Random
     halted: bool
-    _voices: set[str]
+    _votes: set[str]
     _election_at: float
-    _heard: float
+    _leader_heard_at: float
     _last_leader: tuple[str, float]
-    _late: list[tuple[str, Message]]
+    _after_save: list[tuple[str, Message]]
 
     @property
     def leads(self) -> bool:
         """Whether this member is the leader of its term."""
         return self.role == LEADER
 
-    def _lead(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         raise NotImplementedError
 
-    def _rest(self, now: float) -> None:
-        self._election_at = now + self.times.election * (1 + self.rng.random())
+    def _reset_election_timer(self, now: float) -> None:
+        self._election_at = now + self.times.election_timeout * (1 + self.rng.random())
 
-    def _loyal(self, now: float) -> bool:
-        return self.leads or bool(self.leader) and now - self._heard < self.times.election
+    def _trusts_leader(self, now: float) -> bool:
+        return self.leads or bool(self.leader) and now - self._leader_heard_at < self.times.election_timeout
 
-    def _follow(self, term: int, leader: str, now: float) -> None:
+    def _become_follower(self, term: int, leader: str, now: float) -> None:
         if self.leads:
             self.counts.add("raft_step_down")
         if term > self.term:
@@ -71,46 +71,48 @@
         self.role, self.leader = FOLLOWER, leader
         if leader:
             self._last_leader = (leader, now)
-        self._voices = set()
-        self._rest(now)
+        self._votes = set()
+        self._reset_election_timer(now)
 
-    def _campaign(self, now: float, pre: bool, forced: bool = False) -> None:
-        self._rest(now)
-        if self.me not in self.log.voters.electors() or self.halted:
+    def _campaign(self, now: float, pre_vote: bool, leader_transfer: bool = False) -> None:
+        self._reset_election_timer(now)
+        if self.me not in self.log.configuration.all_voters() or self.halted:
             return
-        self.role, self.leader, self._voices = (PRE if pre else CANDIDATE), "", {self.me}
-        if not pre:
+        self.role, self.leader, self._votes = (PRE_CANDIDATE if pre_vote else CANDIDATE), "", {self.me}
+        if not pre_vote:
             self.term, self.vote = self.term + 1, self.me
             self.counts.add("raft_campaigns")
-        term = self.term + 1 if pre else self.term
-        for v in self.log.voters.electors():
+        term = self.term + 1 if pre_vote else self.term
+        for v in self.log.configuration.all_voters():
             if v != self.me:
-                self._late.append((v, Ask(term, pre, self.log.last, self.log.last_term, forced)))
-        self._count(now)
-
-    def _on_ask(self, src: str, m: Ask, now: float) -> None:
-        fit = (m.last_term, m.last_index) >= (self.log.last_term, self.log.last)
-        if m.pre:
-            ok = fit and m.term > self.term and not self._loyal(now)
-            self._late.append((src, Voice(m.term if ok else self.term, True, ok)))
+                self._after_save.append(
+                    (v, RequestVote(term, pre_vote, self.log.last_index, self.log.last_term, leader_transfer))
+                )
+        self._count_votes(now)
+
+    def _on_request_vote(self, src: str, m: RequestVote, now: float) -> None:
+        fit = (m.last_term, m.last_index) >= (self.log.last_term, self.log.last_index)
+        if m.pre_vote:
+            ok = fit and m.term > self.term and not self._trusts_leader(now)
+            self._after_save.append((src, RequestVoteResponse(m.term if ok else self.term, True, ok)))
             return
-        ok = fit and self.vote in ("", src) and self.role in (FOLLOWER, PRE)
+        ok = fit and self.vote in ("", src) and self.role in (FOLLOWER, PRE_CANDIDATE)
         if ok:
             self.vote = src
-            self._rest(now)
-        self._late.append((src, Voice(self.term, False, ok)))
+            self._reset_election_timer(now)
+        self._after_save.append((src, RequestVoteResponse(self.term, False, ok)))
 
-    def _on_voice(self, src: str, m: Voice, now: float) -> None:
-        want = self.term + 1 if m.pre else self.term
-        if not m.granted or m.term != want or self.role != (PRE if m.pre else CANDIDATE):
+    def _on_request_vote_response(self, src: str, m: RequestVoteResponse, now: float) -> None:
+        want = self.term + 1 if m.pre_vote else self.term
+        if not m.granted or m.term != want or self.role != (PRE_CANDIDATE if m.pre_vote else CANDIDATE):
             return
-        self._voices.add(src)
-        self._count(now)
+        self._votes.add(src)
+        self._count_votes(now)
 
-    def _count(self, now: float) -> None:
-        if not self.log.voters.elects(self._voices):
+    def _count_votes(self, now: float) -> None:
+        if not self.log.configuration.has_majority(self._votes):
             return
-        if self.role == PRE:
-            self._campaign(now, pre=False)
+        if self.role == PRE_CANDIDATE:
+            self._campaign(now, pre_vote=False)
         elif self.role == CANDIDATE:
-            self._lead(now)
+            self._become_leader(now)
--- a/mallowvalve/storage/disk.py
+++ b/mallowvalve/storage/disk.py
@@ -38,7 +38,7 @@
         """Return once all that was appended to this file is safe, and its name, and every name removed before."""
         ...
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Shorten a file to `size` bytes, safely."""
         ...
 
@@ -118,7 +118,7 @@
         if self._unsafe:
             self._sync_names()
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         """Shorten a file; the new size is safe (fsync, as fdatasync need not keep a size that only shrinks)."""
         fd = self._fd(name)
         os.ftruncate(fd, size)
--- a/sim/catch_up.py
+++ b/sim/catch_up.py
@@ -124,7 +124,7 @@
     seconds = None
     while seconds is None and fleet.world.now - begun < MOST:
         lead = fleet.leader()
-        commits.append(lead.core.raft.commit if lead is not None else 1 << 62)
+        commits.append(lead.core.raft.commit_index if lead is not None else 1 << 62)
         fleet.run(LOOK)
         state = node.core.state
         if state is not None and len(commits) == commits.maxlen and state.index >= commits[0]:
--- a/sim/control.py
+++ b/sim/control.py
@@ -14,8 +14,16 @@
 from mallowvalve.control.snapshot_transfer import Fetching, read_want
 from mallowvalve.control.state import State
 from mallowvalve.control.task import announced
-from mallowvalve.raft.messages import Envelope, Group, Hard, Install, Snapshot, encode, envelope
-from mallowvalve.raft.progress import Times
+from mallowvalve.raft.messages import (
+    Envelope,
+    GroupId,
+    HardState,
+    InstallSnapshot,
+    RaftSnapshot,
+    decode_envelope,
+    encode,
+)
+from mallowvalve.raft.progress import RaftTimings
 from mallowvalve.settings import Acks
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address, Locality
@@ -28,7 +36,7 @@
 
 class ControlNode(Node):
     role = "control"
-    acks, times = Acks(), Times()
+    acks, times = Acks(), RaftTimings()
     segment_bytes = 20_000
 
     def __init__(
@@ -71,7 +79,7 @@
     def handle(self, kind, src, body, answer) -> None:
         match kind:
             case "raft":
-                self._vote(envelope(body))
+                self._vote(decode_envelope(body))
             case "want":
                 self._put(lambda: self.core.want(wire.want(body), answer, self.now))
             case "offer":
@@ -102,10 +110,10 @@
     def _vote(self, e: Envelope) -> None:
         self._put(lambda: self.core.receive(e, self.now))
         if (
-            not isinstance(e.body, Install)
+            not isinstance(e.body, InstallSnapshot)
             or self.core.raft is None
             or e.group != self.core.raft.group
-            or e.body.snapshot.index <= self.core.raft.commit
+            or e.body.snapshot.index <= self.core.raft.commit_index
             or not self._fetching.announced(e.body.snapshot.index)
         ):
             return
@@ -123,8 +131,8 @@
             lambda offered: offered.group == e.group and offered.index >= e.body.snapshot.index,
         )
 
-    def _show(self, e: Envelope, p: Snapshot, s) -> None:
-        if self.core.raft is not None and self.core.raft.group == e.group and p.index > self.core.raft.commit:
+    def _show(self, e: Envelope, p: RaftSnapshot, s) -> None:
+        if self.core.raft is not None and self.core.raft.group == e.group and p.index > self.core.raft.commit_index:
             self.core.bring(p, s)
             self.core.receive(replace(e, body=replace(e.body, snapshot=p)), self.now)
 
@@ -145,8 +153,8 @@
         if r is None:
             return self._reply()
         raft = self.core.raft
-        self._send(raft.group, r.early)
-        hard = raft.hard()
+        self._send(raft.group, r.before_save)
+        hard = raft.hard_state()
         self._persist(lambda: store.save(self.disk_log, r, hard), lambda: self._saved(raft, r))
 
     def _persist(self, act, then) -> None:
@@ -165,9 +173,9 @@
 
     def _saved(self, raft, r) -> None:
         if self.core.raft is raft:
-            self._send(raft.group, r.late)
+            self._send(raft.group, r.after_save)
             self.core.saved(r, self.now)
-            if self.disk_log.full() and not self._saving and not self.shelf.holds(self.now):
+            if self.disk_log.snapshot_due() and not self._saving and not self.shelf.holds(self.now):
                 self._compact()
         self._reply()
 
@@ -175,22 +183,22 @@
         """Stored while the machine goes on; the log turns to it some time later, as in the daemon."""
         p, pieces = self.core.snapshot()
         p = replace(p, state=list(pieces))
-        name = self.disk_log.reserve()
+        name = self.disk_log.reserve_snapshot()
         try:
-            self.disk_log.put(name, store.parts(p))
+            self.disk_log.store_snapshot(name, store.parts(p))
         except OSError:
             return
         self._saving = True
         self.wake(0.3 + self.disk.stall, lambda: self._put(lambda: self._turn(p, name)))
 
-    def _turn(self, p: Snapshot, name: str) -> None:
+    def _turn(self, p: RaftSnapshot, name: str) -> None:
         raft, self._saving = self.core.raft, False
-        if raft is None or raft.group != p.group or p.index <= raft.log.base:
-            return self.disk_log.drop(name)
+        if raft is None or raft.group != p.group or p.index <= raft.log.snapshot_index:
+            return self.disk_log.drop_snapshot(name)
 
         def turn() -> None:
             tail = [e for e in raft.log.entries if e.index > p.index]
-            store.turn(self.disk_log, p, store.head(raft.hard(), tail), name)
+            store.turn(self.disk_log, p, store.head(raft.hard_state(), tail), name)
 
         self._persist(turn, lambda: self.core.compact(p))
 
@@ -202,7 +210,7 @@
         if self._box and not self._busy:
             self._step()
 
-    def _send(self, group: Group, out: list) -> None:
+    def _send(self, group: GroupId, out: list) -> None:
         for to, m in out:
             a = self.core.address_of(to)
             if a is not None:
@@ -213,7 +221,7 @@
         if self.core.raft is None:
             return
         present = set(self.peers()) - self.world.frozen.keys()
-        at = {a for a in self.core.raft.log.voters.everyone().values() if a not in present}
+        at = {a for a in self.core.raft.log.configuration.members().values() if a not in present}
         self._absent = {a: self._absent.get(a, self.now) for a in at}
         failed = [a for a, since in self._absent.items() if self.now - since >= DETECT]
         boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
@@ -223,7 +231,7 @@
     def leave(self, limit: float) -> None:
         """A polite stop: hands over, says goodbye, and ends as the daemon does, `limit` seconds from now at most."""
         self.core.members.leaving = True
-        self._put(lambda: self.core.raft and self.core.raft.hand_over())
+        self._put(lambda: self.core.raft and self.core.raft.transfer_leadership())
         self._go(Leave(self.core.id), self.now + limit)
 
     def _go(self, leave: Leave, end: float) -> None:
@@ -265,7 +273,7 @@
         self._answers = []
         to = set(self.peers()) | set(self.seeds)
         if self.core.raft is not None:
-            to |= set(self.core.raft.log.voters.electors().values())
+            to |= set(self.core.raft.log.configuration.all_voters().values())
         asked = to - {self.addr}
         for a in sorted(asked):
             self.call(a, "who", b"", 0.3, lambda d: self._heard(d, asked))
@@ -282,7 +290,7 @@
             return
         w = wire.who(data)
         self._answers.append(w)
-        more = set(w.voters.electors().values()) - asked - {self.addr} if w.voters else set()
+        more = set(w.voters.all_voters().values()) - asked - {self.addr} if w.voters else set()
         for a in sorted(more):
             asked.add(a)
             self.call(a, "who", b"", 0.14, lambda d: self._heard(d, asked))
@@ -290,7 +298,7 @@
     def _judge(self) -> None:
         v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.unborn), self.now)
         if isinstance(v, Found) and v.base is None:
-            self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, None))
+            self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, None))
         elif isinstance(v, Found):
             answers = list(self._answers)
             pull(
@@ -314,10 +322,10 @@
 
     def _found_anew(self, v: Found, base: State, answers: list) -> None:
         if heard_enough(base, answers):
-            self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, base))
+            self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, base))
 
-    def _begin(self, p: Snapshot) -> None:
-        head = store.head(Hard(p.group, 0, ""), [])
+    def _begin(self, p: RaftSnapshot) -> None:
+        head = store.head(HardState(p.group, 0, ""), [])
 
         def act() -> None:
             if self.core.raft is not None and self.core.raft.group.generation >= p.group.generation:
--- a/sim/core_fleet.py
+++ b/sim/core_fleet.py
@@ -80,7 +80,7 @@
     def voters(self) -> list[Address]:
         """Running voters by the leader's log, or the whole core where nobody leads."""
         lead = self.leader()
-        voters = set(lead.core.raft.log.voters.voters.values()) if lead is not None else set(self.core)
+        voters = set(lead.core.raft.log.configuration.voters.values()) if lead is not None else set(self.core)
         return [a for a in self.core if a in voters and self.world.up(a)] or list(self.core)
 
     def isolate(self, some: list[Address], ways: str, held: bool) -> Cut:
--- a/sim/disk.py
+++ b/sim/disk.py
@@ -32,7 +32,7 @@
     def sync(self, name: str) -> None:
         self.safe[name] = len(self.files[name])
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         del self.files.setdefault(name, bytearray())[size:]
         self.safe[name] = size
 
--- a/sim/door.py
+++ b/sim/door.py
@@ -18,7 +18,7 @@
 from mallowvalve.control.state import encode as encode_command
 from mallowvalve.control.wire import Took
 from mallowvalve.coordination.plain import Word
-from mallowvalve.raft.progress import Times
+from mallowvalve.raft.progress import RaftTimings
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address
 from mallowvalve.upstreams.liveness import Heard, Liveness
@@ -39,7 +39,10 @@
 class DoorNode(ControlNode):
     """A `ControlNode` that also answers the pages of operators, applications and upstreams."""
 
-    acks, times = Acks(settings="held", coordination="commit"), Times(pace=0.01, election=0.6)
+    acks, times = (
+        Acks(settings="held", coordination="commit"),
+        RaftTimings(min_broadcast_interval=0.01, election_timeout=0.6),
+    )
 
     def __init__(self, *args):
         super().__init__(*args)
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -26,7 +26,7 @@
     Room,
 )
 from mallowvalve.proxy.tries import Tries
-from mallowvalve.raft.messages import Group
+from mallowvalve.raft.messages import GroupId
 from mallowvalve.settings import check
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
@@ -201,7 +201,7 @@
         for u in self.upstreams.values():
             state.registry.rows[u.up.instance] = u.up
         state.registry.revision = 1
-        replica.group, replica.state = Group(1, "g"), state
+        replica.group, replica.state = GroupId(1, "g"), state
         self.listens = self.told_at is None
 
     def serves_until(self) -> float | None:
--- a/sim/joiners.py
+++ b/sim/joiners.py
@@ -15,7 +15,7 @@
 from mallowvalve.control.snapshot_fetch import QUICK_TRIES, SETTINGS, Puller
 from mallowvalve.control.snapshot_transfer import Gather, read_want
 from mallowvalve.control.state import State, encode
-from mallowvalve.raft.messages import Snapshot
+from mallowvalve.raft.messages import RaftSnapshot
 from sim.target import GROUP, items, registry, voters
 
 AGAIN = 0.05
@@ -32,7 +32,7 @@
 
     def settings(self):
         self.state.index = 1 + int(self.now / self.every)
-        return Snapshot(GROUP, self.state.index, 0, voters(), []), self.pieces()
+        return RaftSnapshot(GROUP, self.state.index, 0, voters(), []), self.pieces()
 
     def pieces(self):
         self.made += 1
--- a/sim/large.py
+++ b/sim/large.py
@@ -20,7 +20,7 @@
 from mallowvalve.localfleet.fleet import Fleet, Proc, until
 from mallowvalve.localfleet.main import load_shape
 from mallowvalve.proxy.call import digest
-from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, HardState, RaftSnapshot
 from mallowvalve.storage.disk import Folder
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address
@@ -47,11 +47,11 @@
     """Gives the first core machines disks that hold this state, as if they had been stopped."""
     controls = f.of("control")[:3]
     ids = {uuid.uuid4().hex: p for p in controls}
-    voters = Voters({i: Address("127.0.0.1", p.transport) for i, p in ids.items()})
-    pic = Snapshot(Group(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
+    voters = ClusterConfiguration({i: Address("127.0.0.1", p.transport) for i, p in ids.items()})
+    pic = RaftSnapshot(GroupId(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
     for i, p in ids.items():
         with Folder(p.data) as d:
-            store.turn(DiskLog.open(d, FLEET, i).unwrap(), pic, store.head(Hard(pic.group, 1, ""), []))
+            store.turn(DiskLog.open(d, FLEET, i).unwrap(), pic, store.head(HardState(pic.group, 1, ""), []))
     return sum(map(len, pic.state))
 
 
--- a/sim/storms.py
+++ b/sim/storms.py
@@ -185,7 +185,7 @@
 
 
 def wiped_most(f: Fleet) -> None:
-    voters = list(f.leader().core.raft.log.voters.voters.values()) if f.leader() else f.core
+    voters = list(f.leader().core.raft.log.configuration.voters.values()) if f.leader() else f.core
     for a in f.rng.sample(sorted(voters), len(voters) // 2 + 1):
         f.kill(a)
         f.disks[a].wipe()
--- a/sim/target.py
+++ b/sim/target.py
@@ -15,7 +15,7 @@
 from mallowvalve.membership.detector import Membership
 from mallowvalve.membership.wire import ALIVE, VERSION, Ack, Head, Ping, Record, Tell
 from mallowvalve.membership.wire import encode as membership_encode
-from mallowvalve.raft.messages import COMMAND, Entry, Group, Voters
+from mallowvalve.raft.messages import COMMAND, ClusterConfiguration, Entry, GroupId
 from mallowvalve.transport.frame import Frame, framed
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Aged, Board, Heartbeat
@@ -23,7 +23,7 @@
 
 REGIONS, ZONES = 16, 34
 NODES, UPSTREAMS, SERVICES, ROUTES, TENANTS = 5500, 66_000, 3400, 130_000, 370_000
-GROUP = Group(20_000_000, "0123456789abcdef")
+GROUP = GroupId(20_000_000, "0123456789abcdef")
 BOOT = 3_141_592_653_589_793
 
 
@@ -36,8 +36,8 @@
     return Address(f"10.{i >> 16 & 255}.{i >> 8 & 255}.{i & 255}", port)
 
 
-def voters() -> Voters:
-    return Voters({f"{i:032x}": addr(i) for i in range(5)}, {f"{i:032x}": addr(i) for i in range(5, 13)})
+def voters() -> ClusterConfiguration:
+    return ClusterConfiguration({f"{i:032x}": addr(i) for i in range(5)}, {f"{i:032x}": addr(i) for i in range(5, 13)})
 
 
 def upstream(i: int) -> Upstream:
@@ -113,7 +113,7 @@
     }
 
 
-def fed(entries: list[Entry], told: Voters | None = None) -> Fed:
+def fed(entries: list[Entry], told: ClusterConfiguration | None = None) -> Fed:
     """An answer of the leader; the core machines are named only to a replica that may not know them."""
     n = 1_000_000
     return Fed(addr(1), GROUP, False, entries, n, 20_000_000 << 36 | n, 123456.789, told, 86_400_000, 86_400_100)
@@ -224,7 +224,7 @@
         self.c = Core("a", addr(1), at(1), random.Random(1))
         s = State(GROUP.generation)
         s.settings.roster = {str(addr(i)): Seat(BOOT + i, at(i)) for i in range(100, 100 + n)}
-        self.c.start(founding(GROUP, Voters({"a": addr(1)}), s), None, [], 0.0, s)
+        self.c.start(founding(GROUP, ClusterConfiguration({"a": addr(1)}), s), None, [], 0.0, s)
         self.batch, self.now, self.sent, self.fed_entries = batch, 5.0, 0, 0
         self.wants = {
             i: Want(addr(i), BOOT + i, "proxy", at(i), GROUP, 0, 0, 0.0, "settings", 1.0) for i in range(100, 100 + n)
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -10,7 +10,7 @@
 from mallowvalve.proxy.path import Path
 from mallowvalve.proxy.pool import Pool
 from mallowvalve.proxy.repeats import Repeats
-from mallowvalve.raft.messages import Group
+from mallowvalve.raft.messages import GroupId
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Board, Heartbeat
 
@@ -32,7 +32,7 @@
 
     def __init__(self, now=lambda: 0.0, config=CONFIG):
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = Group(1, "g"), State(1)
+        self.replica.group, self.replica.state = GroupId(1, "g"), State(1)
         self.replica.state.settings.roster = {str(ME): Seat(7, HERE)}
         self.board, self.counts = Board(), Counts()
         self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -51,9 +51,9 @@
     """What the leader has on its own disk counts as committed."""
 
     def advance(self) -> None:
-        n = self._saved
-        if n > self.commit and self.log.term(n) == self.term:
-            self.commit = self.told = n
+        n = self._saved_index
+        if n > self.commit_index and self.log.term(n) == self.term:
+            self.commit_index = self.known_commit_index = n
 
     return patch.object(Raft, "_advance", advance)
 
--- a/tests/storageplay.py
+++ b/tests/storageplay.py
@@ -61,8 +61,8 @@
         self._do(after, lambda: self.log.save([batch]), changes=False)
 
     def store(self):
-        name, snapshot = self.log.reserve(), [self.fresh(), self.fresh()]
-        self.log.put(name, snapshot)
+        name, snapshot = self.log.reserve_snapshot(), [self.fresh(), self.fresh()]
+        self.log.store_snapshot(name, snapshot)
         self.stored.append((name, snapshot))
 
     def turn(self, at=-1):
@@ -71,11 +71,11 @@
         name, snapshot = self.stored.pop(at)
         head = self.fresh()
         after = {Shown(s.id, tuple(snapshot), (head,)) for s in self.live}
-        self._do(after, lambda: self.log.turn(name, snapshot, [head]))
+        self._do(after, lambda: self.log.start_from_snapshot(name, snapshot, [head]))
 
     def drop(self):
         if self.stored:
-            self.log.drop(self.stored.pop()[0])
+            self.log.drop_snapshot(self.stored.pop()[0])
 
     def wipe(self):
         self.n += 1
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -18,8 +18,17 @@
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.main import Doors
-from mallowvalve.raft.messages import Append, Ask, Entry, Envelope, Group, Hard, Voice, Voters
-from mallowvalve.raft.raft import DOUBT, FIRST, Times
+from mallowvalve.raft.messages import (
+    AppendEntries,
+    ClusterConfiguration,
+    Entry,
+    Envelope,
+    GroupId,
+    HardState,
+    RequestVote,
+    RequestVoteResponse,
+)
+from mallowvalve.raft.raft import FIRST_ELECTION_TIMEOUT_RATIO, SUSPECTED_LEADER_TIMEOUT_RATIO, RaftTimings
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
@@ -28,7 +37,7 @@
 from tests.test_follow import fleet, soon  # noqa: F401
 from tests.test_parts import service
 
-AB = Voters({"a": A, "b": B})
+AB = ClusterConfiguration({"a": A, "b": B})
 
 
 class Saved:
@@ -41,7 +50,7 @@
         self.core = Core("a", A, EU, random.Random(1))
         if loaded.snapshot is None:
             p = founding(G, voters, None)
-            store.turn(self.disk_log, p, store.head(Hard(G, 0, ""), []))
+            store.turn(self.disk_log, p, store.head(HardState(G, 0, ""), []))
             self.core.start(p, None, [], 0.0)
         else:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, 0.0)
@@ -49,7 +58,7 @@
     def step(self, now):
         self.core.tick(now)
         r = self.core.ready(now)
-        store.save(self.disk_log, r, self.core.raft.hard())
+        store.save(self.disk_log, r, self.core.raft.hard_state())
         self.core.saved(r, now)
         return r
 
@@ -59,7 +68,7 @@
 
 
 def heard(s, es, commit, now, prev=0):
-    m = Append(1, prev, 1 if prev else 0, es, commit, 1)
+    m = AppendEntries(1, prev, 1 if prev else 0, es, commit, 1)
     s.core.receive(Envelope(G, "b", "a", B, m), now)
     return s.step(now)
 
@@ -73,7 +82,7 @@
     assert again.state.index == 3 and again.leader() is None and not again.unborn and again.decided == []
     p, pieces = again.settings()
     assert p.index == 3 and load(list(pieces)).items.services["s"].version == 3
-    assert again.raft.log.last == 5 and again.raft.commit == 3
+    assert again.raft.log.last_index == 5 and again.raft.commit_index == 3
 
 
 def test_settings_committed_with_nothing_after_them_are_noted_once():
@@ -95,29 +104,29 @@
 def test_a_note_beyond_a_torn_log_counts_only_for_what_is_there():
     p = founding(G, AB, None)
     c = Core("a", A, EU, random.Random(1))
-    c.start(p, Hard(G, 1, "", 9), entries(4), 0.0)
-    assert c.raft.commit == c.state.index == 4
-    c.start(p, Hard(Group(2, "other"), 1, "", 4), entries(4), 0.0)
+    c.start(p, HardState(G, 1, "", 9), entries(4), 0.0)
+    assert c.raft.commit_index == c.state.index == 4
+    c.start(p, HardState(GroupId(2, "other"), 1, "", 4), entries(4), 0.0)
     assert c.state.index == 0
 
 
 def test_a_disk_written_without_the_note_is_read():
     class Old(msgspec.Struct, array_like=True):
-        group: Group
+        group: GroupId
         term: int
         vote: str
 
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(Old(G, 2, "b")), type=Hard) == Hard(G, 2, "b", 0)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(Old(G, 2, "b")), type=HardState) == HardState(G, 2, "b", 0)
 
 
 def test_the_first_campaign_after_a_start_comes_within_one_time_out():
-    t = Times().election
+    t = RaftTimings().election_timeout
     at = [Core("a", A, EU, random.Random(n)) for n in range(50)]
     for c in at:
         c.start(founding(G, AB, None), None, [], 10.0)
-    assert all(10 + FIRST * t <= c.raft.timer() <= 10 + t for c in at)
+    assert all(10 + FIRST_ELECTION_TIMEOUT_RATIO * t <= c.raft.timer() <= 10 + t for c in at)
     c = core(AB)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
+    c.receive(Envelope(G, "b", "a", B, AppendEntries(1, 0, 0, [], 0, 1)), 1.0)
     assert 1 + t <= c.raft.timer() <= 1 + 2 * t
 
 
@@ -173,34 +182,37 @@
 
 def loyal(c, now):
     """Whether it refuses a pre-vote because it hears a leader."""
-    c.receive(Envelope(G, "b", "a", B, Ask(c.raft.term + 1, True, 9, 9)), now)
-    return [m.granted for _, m in c.raft.ready(now).late if isinstance(m, Voice)] == [False]
+    c.receive(Envelope(G, "b", "a", B, RequestVote(c.raft.term + 1, True, 9, 9)), now)
+    return [m.granted for _, m in c.raft.ready(now).after_save if isinstance(m, RequestVoteResponse)] == [False]
 
 
 def test_a_follower_whose_leader_hung_up_waits_less_unless_it_speaks_again():
     c = core(AB)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1, 0.9)), 1.0)
+    c.receive(Envelope(G, "b", "a", B, AppendEntries(1, 0, 0, [], 0, 1, 0.9)), 1.0)
     c.gone(A, 1.05)
     assert c.raft.timer() >= 2.0 and loyal(c, 1.1)
     c.gone(B, 1.1)
-    assert 1.1 + DOUBT <= c.raft.timer() <= 1.1 + 2 * DOUBT and not loyal(c, 1.1)
+    assert (
+        1.1 + SUSPECTED_LEADER_TIMEOUT_RATIO <= c.raft.timer() <= 1.1 + 2 * SUSPECTED_LEADER_TIMEOUT_RATIO
+        and not loyal(c, 1.1)
+    )
     assert c.holds(Answer.WATCH, 1.1) and not c.holds(Answer.WATCH, 1.5)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 2)), 1.2)
+    c.receive(Envelope(G, "b", "a", B, AppendEntries(1, 0, 0, [], 0, 2)), 1.2)
     assert c.raft.timer() >= 2.2 and c.raft.leader == "b"
 
 
 def test_doubt_of_one_follower_moves_nobody_while_the_others_hear_the_leader():
-    three = Voters({"a": A, "b": B, "c": Address("10.0.0.3", 1)})
+    three = ClusterConfiguration({"a": A, "b": B, "c": Address("10.0.0.3", 1)})
     c = core(three)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
+    c.receive(Envelope(G, "b", "a", B, AppendEntries(1, 0, 0, [], 0, 1)), 1.0)
     c.ready(1.0)
-    c.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.1)
-    c.receive(Envelope(G, "c", "a", B, Ask(2, False, 5, 1)), 1.1)
+    c.receive(Envelope(G, "c", "a", B, RequestVote(2, True, 5, 1)), 1.1)
+    c.receive(Envelope(G, "c", "a", B, RequestVote(2, False, 5, 1)), 1.1)
     r = c.ready(1.1)
-    assert [m.granted for _, m in r.late] == [False] and c.raft.term == 1
+    assert [m.granted for _, m in r.after_save] == [False] and c.raft.term == 1
     c.gone(B, 1.2)
-    c.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.3)
-    assert [m.granted for _, m in c.ready(1.3).late] == [True]
+    c.receive(Envelope(G, "c", "a", B, RequestVote(2, True, 5, 1)), 1.3)
+    assert [m.granted for _, m in c.ready(1.3).after_save] == [True]
 
 
 def test_a_peer_is_gone_with_its_last_connection():
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -2,13 +2,13 @@
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.state import Seat, State
 from mallowvalve.control.wire import Want, Who
-from mallowvalve.raft.messages import Group, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId
 from mallowvalve.types import Address, Locality
 
 A, B, C, D = (Address("10.0.0.1", p) for p in (1, 2, 3, 4))
 P = [Address("10.0.1.1", p) for p in (1, 2, 3)]
-OLD = Voters({"a": A, "b": B, "c": C})
-G = Group(1, "n")
+OLD = ClusterConfiguration({"a": A, "b": B, "c": C})
+G = GroupId(1, "n")
 
 
 def who(id, addr, blank=True, role="control", **more):
@@ -54,11 +54,11 @@
 def test_most_voters_back_empty_found_a_new_generation_from_the_highest_state():
     v = decide(who("x", A), [replica(5), replica(9), who("y", B)], 7, False)
     assert v.generation == 2 and v.base.index == 9
-    assert v.voters == Voters({"x": A, "y": B, "c": C})
+    assert v.voters == ClusterConfiguration({"x": A, "y": B, "c": C})
 
 
 def test_a_voter_back_empty_and_already_a_learner_counts_as_lost():
-    voters = Voters({"a": A, "b": B, "c": C}, {"y": B})
+    voters = ClusterConfiguration({"a": A, "b": B, "c": C}, {"y": B})
     learner = who("y", B, blank=False, voters=voters)
     survivor = who("c", C, blank=False, voters=voters)
     v = decide(who("x", A), [learner, survivor, replica()], 7, False)
@@ -95,13 +95,13 @@
 
 
 def test_a_member_that_knows_more_than_all_who_answer_does_not_found_on_their_older_voters():
-    newer = Voters({"c": C, "x": A, "y": B})
+    newer = ClusterConfiguration({"c": C, "x": A, "y": B})
     me = who("x", A, blank=False, index=12, voters=newer)
     assert decide(me, [who("z", B), replica(5)], 7, False) == Wait("member")
 
 
 def test_a_joint_configuration_is_lost_only_with_most_of_both_sets():
-    joint = Voters({"b": B, "c": C, "d": D}, {}, {"a": A, "b": B, "c": C})
+    joint = ClusterConfiguration({"b": B, "c": C, "d": D}, {}, {"a": A, "b": B, "c": C})
     held = who("", P[0], blank=False, role="proxy", index=9, seeds=[], voters=joint)
     assert isinstance(decide(who("x", A), [held, who("y", B)], 7, False), Wait)
     assert isinstance(decide(who("x", C), [held, who("y", D)], 7, False), Wait)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -8,7 +8,7 @@
 from mallowvalve.membership.task import MembershipTask
 from mallowvalve.membership.wire import FAILED, VERSION, Head, Tell
 from mallowvalve.metrics import Counts
-from mallowvalve.raft.messages import Group
+from mallowvalve.raft.messages import GroupId
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import TOMBSTONE, Heartbeat
@@ -58,6 +58,6 @@
     assert len(c.seen) < 100
     e = Replicas(LOC)
     for i, a in enumerate(MANY):
-        e.heard(Want(a, 1, "directory", LOC, None, 0, 0, 0.0), Group(1, "g"), 1, i * 1.0)
+        e.heard(Want(a, 1, "directory", LOC, None, 0, 0, 0.0), GroupId(1, "g"), 1, i * 1.0)
         e.watch(Settings(), i * 1.0)
     assert len(e.heard_of) < 100
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -5,16 +5,16 @@
 import pytest
 
 from mallowvalve.control.snapshot_transfer import ASKED, HOLD, Fetching, Shelf, Want
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from sim.catch_up import KINDS, play
 
-G = Group(1, "g")
+G = GroupId(1, "g")
 SOON = 5.0
 SLOWLY = {"made": 400, "rate": 200.0, "slow": 0.1, "rows": 20}
 
 
 def snapshot(index):
-    return Snapshot(G, index, 1, Voters({}), [b"a", b"b", b"c"])
+    return RaftSnapshot(G, index, 1, ClusterConfiguration({}), [b"a", b"b", b"c"])
 
 
 def test_a_snapshot_that_is_being_fetched_outlives_newer_ones():
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,21 +10,21 @@
 from mallowvalve.raft.messages import (
     COMMAND,
     NOOP,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
+    ClusterConfiguration,
     Entry,
     Envelope,
-    Group,
-    Install,
-    Snapshot,
-    Voice,
-    Voters,
+    GroupId,
+    InstallSnapshot,
+    RaftSnapshot,
+    RequestVoteResponse,
 )
 from mallowvalve.types import Address, Locality
 
 A, B = Address("10.0.0.1", 1), Address("10.0.0.2", 1)
 EU, US = Locality("eu", "a"), Locality("us", "a")
-G = Group(3, "g")
+G = GroupId(3, "g")
 
 
 def core(voters):
@@ -41,7 +41,7 @@
 
 
 def alone():
-    c = core(Voters({"a": A}))
+    c = core(ClusterConfiguration({"a": A}))
     step(c, 5.0)
     step(c, 5.1)
     assert c.leads
@@ -49,14 +49,14 @@
 
 
 def test_who_and_snapshot_answer_while_an_installed_snapshot_is_being_saved():
-    c = core(Voters({"a": A, "b": B}))
+    c = core(ClusterConfiguration({"a": A, "b": B}))
     s = State(3)
     s.index = 50
-    p = Snapshot(G, 50, 2, Voters({"a": A, "b": B}), dump(s))
-    c.receive(Envelope(G, "b", "a", B, Install(2, p, 1)), 1.0)
+    p = RaftSnapshot(G, 50, 2, ClusterConfiguration({"a": A, "b": B}), dump(s))
+    c.receive(Envelope(G, "b", "a", B, InstallSnapshot(2, p, 1)), 1.0)
     r = c.ready(1.0)
-    assert r.install == p and c.state.index == 0
-    assert c.who("control", []).voters == p.voters
+    assert r.snapshot == p and c.state.index == 0
+    assert c.who("control", []).voters == p.configuration
     assert c.base() == p
     c.saved(r, 1.1)
     assert c.state.index == 50 and c.who("control", []).index == 50
@@ -72,7 +72,7 @@
     assert step(c, 8.1)[0][1].code == "conflict"
     c.propose(encode(Change(None, b"{}", "x")), "t3", 20.0, 8.2)
     assert step(c, 8.2)[0][1] == took
-    f = core(Voters({"a": A, "b": B}))
+    f = core(ClusterConfiguration({"a": A, "b": B}))
     f.propose(encode(Tick()), "t", 9.0, 1.0)
     assert step(f, 0.5) == [("t", Took("leader"))]
 
@@ -147,18 +147,18 @@
 def test_a_new_leader_answers_no_read_before_what_was_committed_is_applied():
     entries = [Entry(1, 1, COMMAND, 10, encode(Count("n")))]
     c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
+    c.start(founding(G, ClusterConfiguration({"a": A, "b": B}), None), None, entries, 0.0)
     at = 5.0
     c.tick(at)
     c.saved(c.ready(at), at)
     for pre in (True, False):
-        c.receive(Envelope(G, "b", "a", B, Voice(c.raft.term + pre, pre, True)), at)
+        c.receive(Envelope(G, "b", "a", B, RequestVoteResponse(c.raft.term + pre, pre, True)), at)
         c.saved(c.ready(at), at)
     assert c.raft.leads and not c.leads
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 2, c.raft.rounds.seq)), at)
+    c.receive(Envelope(G, "b", "a", B, AppendEntriesResponse(c.raft.term, True, 2, c.raft.rounds.round_number)), at)
     c.read("r", 9.0, at)
     c.tick(at)
-    assert c.raft.settled and c.state.index == 0 and not c.leads
+    assert c.raft.committed_in_term and c.state.index == 0 and not c.leads
     assert [took.code for t, took in c.replies if t == "r"] == ["leader"]
     c.saved(c.ready(at), at)
     assert c.leads and c.state.plain.numbers == {"n": 1}
@@ -167,27 +167,27 @@
 def test_a_restarted_follower_is_not_current_before_its_leader_s_term_is_applied():
     entries = [Entry(1, 1, COMMAND, 10, encode(Count("n")))]
     c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
+    c.start(founding(G, ClusterConfiguration({"a": A, "b": B}), None), None, entries, 0.0)
 
     def heard(m):
-        c.receive(Envelope(G, "b", "a", B, msgspec.structs.replace(m, sure=0.05)), 0.1)
+        c.receive(Envelope(G, "b", "a", B, msgspec.structs.replace(m, confirmed_stamp=0.05)), 0.1)
         c.saved(c.ready(0.1), 0.1)
         return c.current(0.2)
 
     assert not c.current(0.1)
-    assert not heard(Append(2, 1, 1, [], 0, 1))
-    assert not heard(Append(2, 1, 1, [Entry(2, 2, NOOP, 20, b"")], 0, 2))
-    assert heard(Append(2, 2, 2, [], 2, 3)) and c.state.plain.numbers == {"n": 1}
+    assert not heard(AppendEntries(2, 1, 1, [], 0, 1))
+    assert not heard(AppendEntries(2, 1, 1, [Entry(2, 2, NOOP, 20, b"")], 0, 2))
+    assert heard(AppendEntries(2, 2, 2, [], 2, 3)) and c.state.plain.numbers == {"n": 1}
     assert not c.current(3.0)
 
 
 def test_a_lock_outlives_leaders_whose_clocks_run_one_behind_the_other():
     """Heard at once of one leader, late of the next, whose clock so runs behind: its own leases are what must not end early."""
     c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, Voters({"a": A, "b": B}), None), None, [], 0.0)
+    c.start(founding(G, ClusterConfiguration({"a": A, "b": B}), None), None, [], 0.0)
 
     def heard(term, prev, prev_term, e, at):
-        c.receive(Envelope(G, "b", "a", B, Append(term, prev, prev_term, [e], e.index, e.index)), at)
+        c.receive(Envelope(G, "b", "a", B, AppendEntries(term, prev, prev_term, [e], e.index, e.index)), at)
         c.saved(c.ready(at), at)
 
     heard(2, 0, 0, Entry(1, 2, COMMAND, 5000, encode(Count("n"))), 5.0)
@@ -198,15 +198,15 @@
     c.tick(at)
     c.saved(c.ready(at), at)
     for pre in (True, False):
-        c.receive(Envelope(G, "b", "a", B, Voice(c.raft.term + pre, pre, True)), at)
+        c.receive(Envelope(G, "b", "a", B, RequestVoteResponse(c.raft.term + pre, pre, True)), at)
         c.saved(c.ready(at), at)
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 4, c.raft.rounds.seq)), at)
+    c.receive(Envelope(G, "b", "a", B, AppendEntriesResponse(c.raft.term, True, 4, c.raft.rounds.round_number)), at)
     c.saved(c.ready(at), at)
     assert c.leads
     c.propose(encode(Take("l", "y", 2000)), "early", 20.0, 7.9)
     c.propose(encode(Take("l", "y", 2000)), "late", 20.0, 8.1)
     c.saved(c.ready(8.1), 8.1)
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 6, c.raft.rounds.seq)), 8.1)
+    c.receive(Envelope(G, "b", "a", B, AppendEntriesResponse(c.raft.term, True, 6, c.raft.rounds.round_number)), 8.1)
     c.saved(c.ready(8.1), 8.1)
     said = {t: msgspec.msgpack.decode(took.body)[0] for t, took in step(c, 8.2) if t in ("early", "late")}
     assert said == {"early": "held", "late": "ok"}
--- a/tests/test_disk_log.py
+++ b/tests/test_disk_log.py
@@ -20,9 +20,9 @@
 
 
 def turn(t, snapshot, head):
-    name = t.reserve()
-    t.put(name, [snapshot])
-    t.turn(name, [snapshot], head)
+    name = t.reserve_snapshot()
+    t.store_snapshot(name, [snapshot])
+    t.start_from_snapshot(name, [snapshot], head)
 
 
 def test_what_was_saved_is_read_back():
@@ -110,10 +110,10 @@
 
 def test_a_snapshot_that_lacks_a_part_is_damaged():
     d, t = filled()
-    name = t.reserve()
-    t.put(name, [b"one", b"two"])
+    name = t.reserve_snapshot()
+    t.store_snapshot(name, [b"one", b"two"])
     assert opened(d).unwrap().snapshot is None
-    t.turn(name, [b"one", b"two"], [b"head"])
+    t.start_from_snapshot(name, [b"one", b"two"], [b"head"])
     name = next(n for n in d.names() if n.startswith("snapshot"))
     assert opened(d).unwrap().snapshot == [b"one", b"two"]
     del d.files[name][-15:]
@@ -123,11 +123,11 @@
 def test_a_large_snapshot_lets_the_log_grow_to_half_its_size_before_the_next():
     d, t = filled()
     t.segment_bytes = 1000
-    name = t.reserve()
-    t.put(name, [b"x" * 10_000])
-    t.turn(name, [b"x" * 10_000], [b"head"])
+    name = t.reserve_snapshot()
+    t.store_snapshot(name, [b"x" * 10_000])
+    t.start_from_snapshot(name, [b"x" * 10_000], [b"head"])
     n = 0
-    while not t.full():
+    while not t.snapshot_due():
         t.save([b"y" * 100])
         n += 1
     assert 40 <= n <= 50
@@ -149,7 +149,7 @@
     assert [f.place for f in opened(d, "other").err_value] == ["identity.fleet"]
     from mallowvalve.storage import log
 
-    d.put("identity", log.seal(b'{"format":9,"fleet":"other","id":"x"}'))
+    d.put("identity", log.encode_record(b'{"format":9,"fleet":"other","id":"x"}'))
     assert [f.place for f in opened(d).err_value] == ["identity.format", "identity.fleet"]
     d.remove("identity")
     assert "identity" in opened(d).err_value[0].place
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -12,12 +12,12 @@
 from mallowvalve.control.wire import Fed, Who
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address, Locality
 from tests.test_parts import service
 
-G, EU = Group(3, "g"), Locality("eu", "a")
+G, EU = GroupId(3, "g"), Locality("eu", "a")
 
 
 def soon(test) -> bool:
@@ -40,10 +40,10 @@
         self.transport.on("who", lambda s, b: None if self.role == "silent" else wire.encode(self.who()))
 
     def made(self):
-        return Snapshot(G, self.state.index, 1, Voters({}), []), cut_settings(self.state)
+        return RaftSnapshot(G, self.state.index, 1, ClusterConfiguration({}), []), cut_settings(self.state)
 
     def who(self):
-        return Who("control", "x", self.addr, EU, [], False, G, self.state.index, Voters({}), None)
+        return Who("control", "x", self.addr, EU, [], False, G, self.state.index, ClusterConfiguration({}), None)
 
     def want(self, sender, body):
         w = wire.want(body)
@@ -55,7 +55,9 @@
         Event().wait(min(w.hold, 0.05))
         lacking = w.group != G or w.index < self.state.index
         return wire.encode(
-            Fed(self.addr, G, lacking, [], self.state.index, self.state.settings.revision, 0.0, Voters({}))
+            Fed(
+                self.addr, G, lacking, [], self.state.index, self.state.settings.revision, 0.0, ClusterConfiguration({})
+            )
         )
 
 
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -12,10 +12,10 @@
 
 from mallowvalve.control.bootstrap import Found, decide
 from mallowvalve.control.wire import Who
-from mallowvalve.raft.messages import Group, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId
 from mallowvalve.types import Address, Locality
 
-G = Group(1, "g")
+G = GroupId(1, "g")
 EU = Locality("eu", "x")
 
 
@@ -34,7 +34,7 @@
         self.rng, self.n, self.ports = rng, 0, 0
         self.machines = [self.machine() for _ in range(size)]
         self.seeds = [m.addr for m in self.machines[:3]]
-        self.configs = [(0, Voters({m.id: m.addr for m in self.machines}))]
+        self.configs = [(0, ClusterConfiguration({m.id: m.addr for m in self.machines}))]
         for m in self.machines:
             m.index = 0
         self.proxies = [0, 0, 0]
@@ -63,13 +63,15 @@
 
     def may_lose(self, ids):
         gone = {*self.lost(), *ids}
-        return all(2 * len(gone & part.keys()) < len(part) for part in (self.voters.voters, self.voters.old) if part)
+        return all(
+            2 * len(gone & part.keys()) < len(part) for part in (self.voters.voters, self.voters.old_voters) if part
+        )
 
     # what may happen
 
     def loses(self):
         """One voter is away with its disk, wiped, replaced, or away while another machine has its address."""
-        ids = [i for i in self.voters.electors() if self.whole(i) and self.may_lose([i])]
+        ids = [i for i in self.voters.all_voters() if self.whole(i) and self.may_lose([i])]
         if not ids:
             return
         m = self.by(self.rng.choice(ids))
@@ -101,7 +103,7 @@
     def change(self, voters):
         self.n += 1
         self.configs.append((self.n, voters))
-        sets = [part for part in (voters.voters, voters.old) if part]
+        sets = [part for part in (voters.voters, voters.old_voters) if part]
         hold = [m for m in self.machines if m.up and not m.blank and voters.address(m.id)]
         need = {m.id for m in hold if self.rng.random() < 0.7}
         for part in sets:
@@ -114,22 +116,22 @@
     def steps(self):
         """One step of the core's own: an address, a learner, a swap through a joint configuration."""
         v = self.voters
-        if v.old:
-            return self.change(Voters(v.voters, v.learners))
+        if v.old_voters:
+            return self.change(ClusterConfiguration(v.voters, v.learners))
         for m in self.machines:
             if m.up and v.address(m.id) not in (None, m.addr):
                 moved = [{i: m.addr if i == m.id else a for i, a in p.items()} for p in (v.voters, v.learners)]
-                return self.change(Voters(*moved))
+                return self.change(ClusterConfiguration(*moved))
         for m in self.machines:
             if m.up and v.address(m.id) is None:
-                self.change(Voters(v.voters, {**v.learners, m.id: m.addr}))
+                self.change(ClusterConfiguration(v.voters, {**v.learners, m.id: m.addr}))
                 return None
         ripe = [i for i in v.learners if self.whole(i)]
         out = [i for i in v.voters if self.by(i) is None or not self.by(i).up]
         if ripe and out:
             kept = {i: a for i, a in v.voters.items() if i != out[0]}
             learners = {i: a for i, a in v.learners.items() if i != ripe[0]}
-            return self.change(Voters({**kept, ripe[0]: v.learners[ripe[0]]}, learners, v.voters))
+            return self.change(ClusterConfiguration({**kept, ripe[0]: v.learners[ripe[0]]}, learners, v.voters))
         return None
 
     def follows(self):
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -13,17 +13,17 @@
 from mallowvalve.control.state import Enrol, Evacuate, Seats, State, Strike, Tick, encode
 from mallowvalve.control.wire import Want
 from mallowvalve.membership.detector import fresh_record
-from mallowvalve.raft.messages import Group, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address, Locality
 
-A, G, LOC = Address("10.0.0.1", 1), Group(1, "g"), Locality("eu", "x")
+A, G, LOC = Address("10.0.0.1", 1), GroupId(1, "g"), Locality("eu", "x")
 MANY = [Address("10.1.0.1", n + 1) for n in range(82)]
 
 
 def leader(settings):
     c = Core("a", A, LOC, random.Random(1), Acks(settings=settings))
-    c.start(founding(G, Voters({"a": A}), None), None, [], 0.0)
+    c.start(founding(G, ClusterConfiguration({"a": A}), None), None, [], 0.0)
     go_on(c, 5.0, 8.0)
     assert c.leads
     return c
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -10,13 +10,24 @@
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.state import encode
 from mallowvalve.coordination.plain import Count
-from mallowvalve.raft.contact import MOST_QUESTIONS, NO_STAMP, Contact, Questions
+from mallowvalve.raft.contact import MAX_PENDING_STAMPS, NO_STAMP, ContactStamps, QuorumContact
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import NOOP, Append, Appended, Ask, Entry, Envelope, Group, Snapshot, Voice, Voters
+from mallowvalve.raft.messages import (
+    NOOP,
+    AppendEntries,
+    AppendEntriesResponse,
+    ClusterConfiguration,
+    Entry,
+    Envelope,
+    GroupId,
+    RaftSnapshot,
+    RequestVote,
+    RequestVoteResponse,
+)
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 
-G = Group(1, "g")
+G = GroupId(1, "g")
 ADDRESSES = {i: Address("10.0.0.1", n) for n, i in enumerate("abc", 1)}
 WATCH = BOUNDS[Answer.WATCH].seconds
 BETWEEN_REGIONS = 0.035
@@ -27,7 +38,7 @@
     """Three Raft machines, whose steady clocks differ, and the messages on their way; a held pair keeps its own."""
 
     def __init__(self, seed=1, delay=BETWEEN_REGIONS):
-        snapshot = Snapshot(G, 0, 0, Voters(ADDRESSES), [])
+        snapshot = RaftSnapshot(G, 0, 0, ClusterConfiguration(ADDRESSES), [])
         self.now, self.delay, self.rng = 0.0, delay, random.Random(seed)
         self.ahead = {"a": 0.0, "b": 5000.0, "c": 300.0}
         self.rafts = {
@@ -56,19 +67,19 @@
         r.tick(self.clock(i))
         ready = r.ready(self.clock(i))
         r.saved(ready)
-        for to, m in [*ready.early, *ready.late]:
+        for to, m in [*ready.before_save, *ready.after_save]:
             if (i, to) not in self.lost:
                 self.way.append((self.now + self.delay, i, to, m))
 
     def leader(self):
-        return next(i for i, r in self.rafts.items() if r.settled)
+        return next(i for i, r in self.rafts.items() if r.committed_in_term)
 
     def followers(self):
         return sorted(set(self.rafts) - {self.leader()})
 
     def age(self, i):
         """How long ago, by this machine's own clock, it asked what a majority has confirmed since."""
-        return self.clock(i) - self.rafts[i].contact()
+        return self.clock(i) - self.rafts[i].last_quorum_contact()
 
 
 @pytest.fixture(params=range(3))
@@ -126,44 +137,49 @@
     lead, (one, _) = trio.leader(), trio.followers()
     term = trio.rafts[lead].term
     for _ in range(30):
-        trio.rafts[one].doubt(trio.clock(one))
+        trio.rafts[one].suspect_leader(trio.clock(one))
         assert trio.age(one) < WATCH
         trio.run(0.1)
     assert trio.leader() == lead and trio.rafts[lead].term == term
 
 
 def test_votes_held_on_their_way_are_no_contact():
-    r = Raft("a", Log(Snapshot(G, 0, 0, Voters(ADDRESSES), []), []), 0, "", random.Random(1), 0.0)
+    r = Raft("a", Log(RaftSnapshot(G, 0, 0, ClusterConfiguration(ADDRESSES), []), []), 0, "", random.Random(1), 0.0)
     r.tick(5.0)
-    r.receive("b", Voice(1, True, True), 5.0)
-    r.receive("b", Voice(1, False, True), 5.9)
+    r.receive("b", RequestVoteResponse(1, True, True), 5.0)
+    r.receive("b", RequestVoteResponse(1, False, True), 5.9)
     r.ready(5.9)
-    assert r.leads and r.contact() == NO_STAMP
-    r.receive("b", Appended(1, True, 0, r.rounds.seq, 5.95), 7.0)
-    assert r.contact() == 5.9
+    assert r.leads and r.last_quorum_contact() == NO_STAMP
+    r.receive("b", AppendEntriesResponse(1, True, 0, r.rounds.round_number, 5.95), 7.0)
+    assert r.last_quorum_contact() == 5.9
 
 
 def test_a_stamp_is_sure_once_a_round_sent_after_it_is_confirmed():
-    q = Questions()
-    assert q.sure(9) == NO_STAMP
-    q.ask(1.0, 4)
-    q.ask(2.0, 6)
-    assert [q.sure(n) for n in (3, 4, 5, 6, 7)] == [NO_STAMP, 1.0, 1.0, 2.0, 2.0]
-    for n in range(2 * MOST_QUESTIONS):
-        q.ask(3.0 + n, 7)
-    assert q.sure(7) == 3.0 + MOST_QUESTIONS - 1
+    q = ContactStamps()
+    assert q.confirmed_stamp(9) == NO_STAMP
+    q.add(1.0, 4)
+    q.add(2.0, 6)
+    assert [q.confirmed_stamp(n) for n in (3, 4, 5, 6, 7)] == [NO_STAMP, 1.0, 1.0, 2.0, 2.0]
+    for n in range(2 * MAX_PENDING_STAMPS):
+        q.add(3.0 + n, 7)
+    assert q.confirmed_stamp(7) == 3.0 + MAX_PENDING_STAMPS - 1
 
 
 def test_stamps_of_another_life_or_of_the_future_are_no_proof():
-    c = Contact(10.0)
-    for sure, now, at in ((9.0, 11.0, NO_STAMP), (12.0, 11.0, NO_STAMP), (10.5, 11.0, 10.5), (10.2, 11.0, 10.5)):
-        c.hear(sure, now)
-        assert c.at == at
+    c = QuorumContact(10.0)
+    for confirmed_stamp, now, at in (
+        (9.0, 11.0, NO_STAMP),
+        (12.0, 11.0, NO_STAMP),
+        (10.5, 11.0, 10.5),
+        (10.2, 11.0, 10.5),
+    ):
+        c.record_echo(confirmed_stamp, now)
+        assert c.confirmed_at == at
 
 
 def core(entries=()):
     c = Core("a", ADDRESSES["a"], Locality("eu", "eu-a"), random.Random(1))
-    c.start(founding(G, Voters(ADDRESSES), None), None, list(entries), 0.0)
+    c.start(founding(G, ClusterConfiguration(ADDRESSES), None), None, list(entries), 0.0)
     return c
 
 
@@ -180,8 +196,8 @@
 def test_a_core_that_only_hears_its_leader_answers_no_watch_and_no_heartbeat():
     c = core()
 
-    def heard(at, sure):
-        c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Append(1, 0, 0, [], 0, 1, sure)), at)
+    def heard(at, confirmed_stamp):
+        c.receive(Envelope(G, "b", "a", ADDRESSES["b"], AppendEntries(1, 0, 0, [], 0, 1, confirmed_stamp)), at)
         c.saved(c.ready(at), at)
         return [kind for kind in Answer if c.holds(kind, at)]
 
@@ -201,43 +217,53 @@
     c.tick(5.0)
     for pre in (True, False):
         c.saved(c.ready(5.0), 5.0)
-        c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Voice(c.raft.term + pre, pre, True)), 5.0)
+        c.receive(Envelope(G, "b", "a", ADDRESSES["b"], RequestVoteResponse(c.raft.term + pre, pre, True)), 5.0)
     c.saved(c.ready(5.0), 5.0)
-    c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Appended(c.raft.term, True, 1, c.raft.rounds.seq, 5.0)), 5.0)
+    c.receive(
+        Envelope(
+            G, "b", "a", ADDRESSES["b"], AppendEntriesResponse(c.raft.term, True, 1, c.raft.rounds.round_number, 5.0)
+        ),
+        5.0,
+    )
     c.saved(c.ready(5.0), 5.0)
     assert c.leads
     c.propose(encode(Count("n")), "order", 9.0, 5.1)
     c.read("read", 9.0, 5.1)
     c.saved(c.ready(5.1), 5.1)
-    c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Appended(c.raft.term, True, 2, c.raft.rounds.seq, 5.1)), 5.2)
+    c.receive(
+        Envelope(
+            G, "b", "a", ADDRESSES["b"], AppendEntriesResponse(c.raft.term, True, 2, c.raft.rounds.round_number, 5.1)
+        ),
+        5.2,
+    )
     c.saved(c.ready(5.2), 5.2)
     assert {t: (took.code, took.term) for t, took in c.replies} == {"order": ("ok", 1), "read": ("ok", 1)}
 
 
 def test_a_vote_is_asked_for_anew_by_one_that_doubts_and_given_by_one_that_doubts_too():
-    r = Raft("a", Log(Snapshot(G, 0, 0, Voters(ADDRESSES), []), []), 1, "", random.Random(1), 0.0)
-    r.receive("b", Append(1, 0, 0, [], 0, 1), 1.0)
+    r = Raft("a", Log(RaftSnapshot(G, 0, 0, ClusterConfiguration(ADDRESSES), []), []), 1, "", random.Random(1), 0.0)
+    r.receive("b", AppendEntries(1, 0, 0, [], 0, 1), 1.0)
 
     def vote(at):
         r.ready(at)
-        r.receive("c", Ask(2, True, 0, 0), at)
-        return [m.granted for _, m in r.ready(at).late if isinstance(m, Voice)]
+        r.receive("c", RequestVote(2, True, 0, 0), at)
+        return [m.granted for _, m in r.ready(at).after_save if isinstance(m, RequestVoteResponse)]
 
     assert vote(1.1) == [False]
-    r.doubt(1.1)
+    r.suspect_leader(1.1)
     assert vote(1.2) == [True]
 
 
 def test_a_follower_that_lacks_what_its_leader_has_decided_serves_no_watch():
     core = Core("a", ADDRESSES["a"], Locality("r", "z"), random.Random(1))
-    core.start(founding(G, Voters(ADDRESSES), None), None, [], 0.0)
+    core.start(founding(G, ClusterConfiguration(ADDRESSES), None), None, [], 0.0)
 
     def hear(message, now):
         core.receive(Envelope(G, "b", "a", ADDRESSES["b"], message), now)
         core.tick(now)
         core.saved(core.ready(now), now)
 
-    hear(Append(1, 0, 0, [Entry(1, 1, NOOP, 0, b"")], 1, 1, 0.0), 0.1)
+    hear(AppendEntries(1, 0, 0, [Entry(1, 1, NOOP, 0, b"")], 1, 1, 0.0), 0.1)
     assert core.current(0.2)
-    hear(Append(1, 500, 1, [], 500, 9, 5.0), 5.1)
+    hear(AppendEntries(1, 500, 1, [], 500, 9, 5.0), 5.1)
     assert core.state.index == 1 and not core.current(5.2)
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -8,7 +8,7 @@
 from mallowvalve.control.leave import Leave, Why
 from mallowvalve.control.wire import Who
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import VOTERS, Entry, Group, Snapshot, Voters, encode
+from mallowvalve.raft.messages import CONFIGURATION, ClusterConfiguration, Entry, GroupId, RaftSnapshot, encode
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
@@ -18,18 +18,18 @@
 CATCH_UP = 4.0
 GRACE = 3.4
 A, B, C, D = (Address("10.0.0.1", p) for p in (1, 2, 3, 4))
-G = Group(1, "g")
+G = GroupId(1, "g")
 
 
 def member(voters, learners=(), old=()):
     def ids(text):
         return {i: a for i, a in zip("abcd", (A, B, C, D)) if i in text}
 
-    return Voters(ids(voters), ids(learners), ids(old))
+    return ClusterConfiguration(ids(voters), ids(learners), ids(old))
 
 
 def raft(v):
-    return Raft("a", Log(Snapshot(G, 0, 0, v, [])), 0, "", random.Random(1), 0.0)
+    return Raft("a", Log(RaftSnapshot(G, 0, 0, v, [])), 0, "", random.Random(1), 0.0)
 
 
 def answer(v, group=G):
@@ -37,23 +37,25 @@
 
 
 def test_a_configuration_is_committed_before_one_of_its_members_goes():
-    log = Log(Snapshot(G, 6, 1, member("abc", "", "abd"), []), [Entry(7, 2, VOTERS, 0, encode(member("abc")))])
+    log = Log(
+        RaftSnapshot(G, 6, 1, member("abc", "", "abd"), []), [Entry(7, 2, CONFIGURATION, 0, encode(member("abc")))]
+    )
     machine = Raft("a", log, 2, "", random.Random(1), 0.0)
     leave = Leave("a")
     assert not leave.over(machine, [], [B, C]) and leave.why is Why.WAITS
-    machine = Raft("a", log, 2, "", random.Random(1), 0.0, commit=7)
+    machine = Raft("a", log, 2, "", random.Random(1), 0.0, commit_index=7)
     assert leave.over(machine, [], [B, C]) and leave.why is Why.NOBODY
 
 
 def test_a_change_that_only_another_member_knows_of_is_waited_for():
-    machine = Raft("a", Log(Snapshot(G, 6, 1, member("abc"), [])), 1, "", random.Random(1), 0.0)
+    machine = Raft("a", Log(RaftSnapshot(G, 6, 1, member("abc"), [])), 1, "", random.Random(1), 0.0)
     joint = msgspec.structs.replace(answer(member("abd", "", "abc")), index=8)
     leave = Leave("a")
     assert not leave.over(machine, [joint], [B, C]) and leave.why is Why.WAITS
 
 
 def test_what_a_member_that_lags_says_of_seats_does_not_count():
-    log = Log(Snapshot(G, 6, 1, member("abc"), []))
+    log = Log(RaftSnapshot(G, 6, 1, member("abc"), []))
     machine = Raft("a", log, 1, "", random.Random(1), 0.0)
     leave = Leave("a")
     assert not leave.over(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is Why.WAITS
@@ -73,12 +75,12 @@
         (member("abc"), [], [B, C, D], Why.WAITS),
         (member("abc", "d"), [answer(member("bcd", "", "abc"))], [B, C, D], Why.WAITS),
         (member("abc", "d"), [answer(member("bcd"))], [B, C, D], Why.REPLACED),
-        (member("abc", "d"), [answer(member("bcd"), Group(1, "other"))], [B, C, D], Why.WAITS),
+        (member("abc", "d"), [answer(member("bcd"), GroupId(1, "other"))], [B, C, D], Why.WAITS),
         (member("bcd", "", "abc"), [], [B, C, D], Why.WAITS),
         (member("bcd"), [], [B, C, D], Why.REPLACED),
         (member("bcd", "a"), [], [B, C, D], Why.NO_SEAT),
-        (Voters(member("abc").voters, {"x": B}), [], [B, C], Why.WAITS),
-        (Voters(member("abc").voters, {"x": D}), [], [B, C], Why.NOBODY),
+        (ClusterConfiguration(member("abc").voters, {"x": B}), [], [B, C], Why.WAITS),
+        (ClusterConfiguration(member("abc").voters, {"x": D}), [], [B, C], Why.NOBODY),
         (member("abc"), [came_back("x", B)], [B, C], Why.WAITS),
         (member("abc"), [came_back("b", B)], [B, C], Why.NOBODY),
         (member("abc"), [came_back("x", B, leaving=True)], [B, C], Why.NOBODY),
@@ -103,7 +105,7 @@
 
 def commits(f):
     lead = f.leader()
-    return lead is not None and f.world.now - lead.core.raft.contact() <= 1.0
+    return lead is not None and f.world.now - lead.core.raft.last_quorum_contact() <= 1.0
 
 
 def joins(f):
@@ -124,7 +126,7 @@
 
 
 def voters(f):
-    return set(f.leader().core.raft.log.voters.electors().values())
+    return set(f.leader().core.raft.log.configuration.all_voters().values())
 
 
 def goes_on(f):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -13,14 +13,14 @@
 from mallowvalve.coordination.plain import Count, Take, Write
 from mallowvalve.coordination.state import Lock, Next, Put
 from mallowvalve.ledger.ledger import Claim, Done
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Registered, Upstream
 
 A = Address("10.0.0.1", 1)
 EU, US = Locality("eu", "a"), Locality("us", "a")
-G = Group(3, "g")
+G = GroupId(3, "g")
 GONE = 1e9
 
 
@@ -35,7 +35,7 @@
 
 def leading(**acks) -> Core:
     c = Core("a", A, EU, random.Random(1), Acks(**acks))
-    c.start(founding(G, Voters({"a": A}), None), None, [], 0.0)
+    c.start(founding(G, ClusterConfiguration({"a": A}), None), None, [], 0.0)
     for n in range(31):
         step(c, 5.0 + n / 10)
     assert c.leads
@@ -177,7 +177,7 @@
 def test_entries_far_behind_are_fed_in_parts_and_after_a_compaction_as_a_snapshot(monkeypatch):
     from mallowvalve.control import news
 
-    monkeypatch.setattr(news, "CHUNK", 10)
+    monkeypatch.setattr(news, "MAX_ENTRIES_PER_MESSAGE", 10)
     c, e = leading(settings="commit"), replica()
     follow(e, c, 8.0)
     propose(c, 8.0, *[x for n in range(25) for x in (service("s", n + 1), Tick())])
@@ -216,7 +216,7 @@
     follow(e, c, 8.0)
     at = e.state.index
     e.fed(Fed(A, G, True, [], at + 50, 0, -1.0, None), 8.1)
-    e.fed(Fed(A, Group(4, "x"), False, [], at + 50, 0, -1.0, None), 8.1)
+    e.fed(Fed(A, GroupId(4, "x"), False, [], at + 50, 0, -1.0, None), 8.1)
     e.fed(Fed(A, G, False, [], at - 1, 0, -1.0, None), 8.1)
     assert e.state.index == at
 
@@ -345,7 +345,7 @@
 def test_a_shelf_keeps_snapshots_of_both_kinds_apart():
     s, shelf = filled(), Shelf()
     labels = [
-        shelf.put(Snapshot(G, s.index, 1, Voters({}), list(pieces)), 0.0, part)
+        shelf.put(RaftSnapshot(G, s.index, 1, ClusterConfiguration({}), list(pieces)), 0.0, part)
         for pieces, part in ((cut(s), False), (cut_settings(s), True))
     ]
     assert shelf.newest(G, s.index, 0.0, True) is not shelf.newest(G, s.index, 0.0)
@@ -360,11 +360,14 @@
 
 def test_a_replica_without_all_hands_out_no_whole_snapshot_and_none_older_is_taken():
     e, s = replica(), filled()
-    p = Snapshot(G, s.index, 1, Voters({}), [])
+    p = RaftSnapshot(G, s.index, 1, ClusterConfiguration({}), [])
     e.adopt(p, s)
-    assert e.outgrown(Group(2, "z")) and not e.outgrown(G) and not e.outgrown(Group(4, "z"))
+    assert e.outgrown(GroupId(2, "z")) and not e.outgrown(G) and not e.outgrown(GroupId(4, "z"))
     assert e.snapshot() is None and load(list(e.settings()[1])).items.rows == s.items.rows
-    for old in (Snapshot(G, s.index - 1, 1, Voters({}), []), Snapshot(Group(2, "z"), 99, 1, Voters({}), [])):
+    for old in (
+        RaftSnapshot(G, s.index - 1, 1, ClusterConfiguration({}), []),
+        RaftSnapshot(GroupId(2, "z"), 99, 1, ClusterConfiguration({}), []),
+    ):
         assert not e.lacks(label(old))
         e.adopt(old, State(2))
         assert e.state is s
--- a/tests/test_parts_bootstrap.py
+++ b/tests/test_parts_bootstrap.py
@@ -2,13 +2,13 @@
 from mallowvalve.control.snapshot import cut_settings, load
 from mallowvalve.control.state import encode
 from mallowvalve.control.wire import Who
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import ClusterConfiguration
 from mallowvalve.types import Address
 from tests.test_parts import EU, G, filled, service, settings
 
 
 def who(id, addr, index, whole=True, role="control", group=G, blank=False):
-    voters = None if blank else Voters({i: Address("10.0.0.1", n + 1) for n, i in enumerate("abc")})
+    voters = None if blank else ClusterConfiguration({i: Address("10.0.0.1", n + 1) for n, i in enumerate("abc")})
     return Who(role, id, addr, EU, [], blank, None if blank else group, index, voters, None, whole)
 
 
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.control.reconfiguration import Members, Seen
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.raft.progress import Progress
 from mallowvalve.types import Address, Locality
 from sim.control import ControlNode
@@ -58,13 +58,13 @@
 
 
 def voters(f):
-    return sorted(f.leader().core.raft.log.voters.voters.values())
+    return sorted(f.leader().core.raft.log.configuration.voters.values())
 
 
 def commits(f):
     """A leader that a majority confirmed within the last second."""
     lead = f.leader()
-    return lead is not None and f.world.now - lead.core.raft.contact() <= 1.0
+    return lead is not None and f.world.now - lead.core.raft.last_quorum_contact() <= 1.0
 
 
 def settled_fleet(seed, cores):
@@ -147,15 +147,15 @@
 
     def __init__(self, voters, heard):
         self.me = "a"
-        self.log = Log(Snapshot(Group(1, "g"), 500, 1, voters, []))
-        self.commit = 500
+        self.log = Log(RaftSnapshot(GroupId(1, "g"), 500, 1, voters, []))
+        self.commit_index = 500
         self.heard = heard
 
     def progress(self):
         out = {}
-        for i in self.log.voters.everyone():
+        for i in self.log.configuration.members():
             out[i] = Progress(501, NOW - self.heard.get(i, 0.0))
-            out[i].match = 500
+            out[i].match_index = 500
         return out
 
 
@@ -168,57 +168,57 @@
 
 def wanted(members, voters, learners="", **heard):
     members.seen = {i: s for i, s in members.seen.items() if i in voters + learners}
-    return members.next_voters(Told(Voters(ids(voters), ids(learners)), heard), NOW)
+    return members.next_voters(Told(ClusterConfiguration(ids(voters), ids(learners)), heard), NOW)
 
 
 def test_a_verdict_counts_once_raft_does_not_hear_the_member_either():
     members = known()
     members.departed = {B: 7}
     assert wanted(members, "abc", "d", b=0.9) is None
-    assert wanted(members, "abc", "d", b=1.1) == Voters(ids("acd"))
+    assert wanted(members, "abc", "d", b=1.1) == ClusterConfiguration(ids("acd"))
 
 
 def test_a_verdict_on_an_earlier_process_is_not_one_on_its_successor():
     members = known(boots={"b": 8})
     members.departed = {B: 7}
     assert wanted(members, "abc", "d", b=2.0) is None
-    assert wanted(members, "abc", "d", b=3.1) == Voters(ids("acd"))
+    assert wanted(members, "abc", "d", b=3.1) == ClusterConfiguration(ids("acd"))
 
 
 def test_silence_alone_counts_after_longer_only():
     assert wanted(known(), "abc", "d", b=2.9) is None
-    assert wanted(known(), "abc", "d", b=3.1) == Voters(ids("acd"))
+    assert wanted(known(), "abc", "d", b=3.1) == ClusterConfiguration(ids("acd"))
 
 
 def test_a_goodbye_and_an_address_taken_count_at_once():
-    assert wanted(known("b"), "abc", "d") == Voters(ids("acd"))
+    assert wanted(known("b"), "abc", "d") == ClusterConfiguration(ids("acd"))
     members = known()
     members.seen["d"] = Seen(B, EU, NOW + 0.1, 9)
-    told = Told(Voters(ids("abc"), {"d": B}), {})
+    told = Told(ClusterConfiguration(ids("abc"), {"d": B}), {})
     members.seen = {i: s for i, s in members.seen.items() if i in "acd"}
-    assert members.next_voters(told, NOW + 0.1) == Voters({"a": A, "c": C, "d": B})
+    assert members.next_voters(told, NOW + 0.1) == ClusterConfiguration({"a": A, "c": C, "d": B})
 
 
 def test_an_address_that_a_process_of_another_role_has_counts_once_raft_is_silent():
     members = known()
     members.verdicts({}, {B})
     assert wanted(members, "abc", "d", b=0.9) is None
-    assert wanted(members, "abc", "d", b=1.1) == Voters(ids("acd"))
+    assert wanted(members, "abc", "d", b=1.1) == ClusterConfiguration(ids("acd"))
 
 
 def test_a_leader_that_leaves_gives_up_its_own_seat():
     members = known()
     members.leaving = True
-    assert wanted(members, "abc", "d") == Voters(ids("bcd"))
+    assert wanted(members, "abc", "d") == ClusterConfiguration(ids("bcd"))
 
 
 def test_the_dead_are_replaced_before_the_leaving():
-    assert wanted(known("b"), "abc", "d", c=6.0) == Voters(ids("abd"))
+    assert wanted(known("b"), "abc", "d", c=6.0) == ClusterConfiguration(ids("abd"))
 
 
 def test_no_voter_goes_where_no_majority_of_the_rest_is_alive():
     assert wanted(known(), "abcde", "f", b=6.0, c=6.0) is not None
-    assert wanted(known(), "abcde", "f", b=6.0, c=6.0, d=6.0) == Voters(ids("acdef"))
+    assert wanted(known(), "abcde", "f", b=6.0, c=6.0, d=6.0) == ClusterConfiguration(ids("acdef"))
     assert wanted(known(), "abcde", "f", b=6.0, c=6.0, d=6.0, e=6.0) is None
     assert wanted(known(), "abcde", b=6.0) is None
 
@@ -226,17 +226,17 @@
 def test_a_learner_that_lacks_what_was_committed_half_a_second_ago_takes_no_seat():
     members = known()
     members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
-    told = Told(Voters(ids("abc"), ids("d")), {"b": 6.0})
-    told.commit = 510
+    told = Told(ClusterConfiguration(ids("abc"), ids("d")), {"b": 6.0})
+    told.commit_index = 510
     assert members.next_voters(told, NOW) is None
-    told.commit = 500
-    assert members.next_voters(told, NOW + 0.1) == Voters(ids("acd"))
+    told.commit_index = 500
+    assert members.next_voters(told, NOW + 0.1) == ClusterConfiguration(ids("acd"))
     members = known()
     members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
     for step in range(6):
-        told.commit = 500 + step
+        told.commit_index = 500 + step
         wanted_now = members.next_voters(told, NOW + step / 10)
-    assert wanted_now == Voters(ids("acd")), "it holds what was committed 0.5 s ago"
+    assert wanted_now == ClusterConfiguration(ids("acd")), "it holds what was committed 0.5 s ago"
 
 
 def test_one_that_is_known_to_be_gone_does_not_come_back_as_a_learner():
@@ -244,9 +244,11 @@
         members = known()
         members.verdicts(*verdicts)
         members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
-        assert members.next_voters(Told(Voters(ids("abc")), {}), NOW) is None
+        assert members.next_voters(Told(ClusterConfiguration(ids("abc")), {}), NOW) is None
     members.verdicts({D: 6}, set())
-    assert members.next_voters(Told(Voters(ids("abc")), {}), NOW) == Voters(ids("abc"), ids("d"))
+    assert members.next_voters(Told(ClusterConfiguration(ids("abc")), {}), NOW) == ClusterConfiguration(
+        ids("abc"), ids("d")
+    )
 
 
 def test_a_dead_voter_is_replaced_before_a_learner_is_dropped():
@@ -254,8 +256,8 @@
     members.verdicts({B: 7}, {E})
     seen = members.seen
     members.seen = {i: s for i, s in seen.items() if i in "abcde"}
-    told = Told(Voters(ids("abc"), ids("de")), {"b": 6.0, "e": 6.0})
-    assert members.next_voters(told, NOW) == Voters(ids("acd"), ids("e"))
+    told = Told(ClusterConfiguration(ids("abc"), ids("de")), {"b": 6.0, "e": 6.0})
+    assert members.next_voters(told, NOW) == ClusterConfiguration(ids("acd"), ids("e"))
 
 
 def test_learners_that_leave_are_silent_or_lag_take_no_seat():
@@ -264,25 +266,25 @@
 
 
 def test_a_core_grows_to_an_odd_number_in_one_change():
-    assert wanted(known(), "a", "bc") == Voters(ids("abc"))
+    assert wanted(known(), "a", "bc") == ClusterConfiguration(ids("abc"))
     assert wanted(known(), "abc", "d") is None
-    assert wanted(known(), "abc", "defh") == Voters(ids("abcde"), ids("fh"))
+    assert wanted(known(), "abc", "defh") == ClusterConfiguration(ids("abcde"), ids("fh"))
 
 
 def test_while_a_change_is_under_way_only_an_address_changes():
-    joint = Voters(ids("acd"), ids("e"), ids("abc"))
+    joint = ClusterConfiguration(ids("acd"), ids("e"), ids("abc"))
     members = known()
     assert members.next_voters(Told(joint, {"b": 9.0, "c": 9.0}), NOW) is None
     members.seen["c"] = Seen(H, EU, NOW, 7)
     del members.seen["h"]
     moved = members.next_voters(Told(joint, {}), NOW)
-    assert moved == Voters({**ids("ad"), "c": H}, ids("e"), {**ids("ab"), "c": H})
+    assert moved == ClusterConfiguration({**ids("ad"), "c": H}, ids("e"), {**ids("ab"), "c": H})
 
 
 def test_one_that_says_goodbye_does_not_come_back_as_a_learner():
     members = known("d")
-    told = Told(Voters(ids("abc")), {})
+    told = Told(ClusterConfiguration(ids("abc")), {})
     members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
     assert members.next_voters(told, NOW) is None
     members.seen["d"] = Seen(D, EU, NOW, 8)
-    assert members.next_voters(told, NOW) == Voters(ids("abc"), ids("d"))
+    assert members.next_voters(told, NOW) == ClusterConfiguration(ids("abc"), ids("d"))
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -14,12 +14,12 @@
 from mallowvalve.ledger.ledger import Claim, Done
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
-from mallowvalve.raft.messages import Group, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.transport.frame import LARGEST
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
-G = Group(3, "g")
+G = GroupId(3, "g")
 
 
 def filled(n=300, body=b"x" * 100, seed=1):
@@ -38,7 +38,7 @@
 
 
 def snapshot(s):
-    return Snapshot(G, s.index, 1, Voters({}), dump(s))
+    return RaftSnapshot(G, s.index, 1, ClusterConfiguration({}), dump(s))
 
 
 def same(a, b):
@@ -89,7 +89,7 @@
     s, shelf = filled(), Shelf()
     label = shelf.put(snapshot(s), 0.0)
     good = [shelf.cut(Want(G, label.index, n), 0.0) for n in range(label.count)]
-    other = msgspec.structs.replace(good[0], group=Group(4, "g"))
+    other = msgspec.structs.replace(good[0], group=GroupId(4, "g"))
     later = msgspec.structs.replace(good[0], index=label.index + 1)
     torn = msgspec.structs.replace(good[0], data=good[0].data[:-1])
     garbage = Piece(G, label.index, 0, crc32(b"\xff"), b"\xff")
@@ -136,7 +136,7 @@
     s.ledger.rows |= {
         f"big{i}": msgspec.structs.replace(next(iter(s.ledger.rows.values())), body=b"z" * 60_000) for i in range(1200)
     }
-    p = Snapshot(G, s.index, 1, Voters({}), [])
+    p = RaftSnapshot(G, s.index, 1, ClusterConfiguration({}), [])
     Puller(x, lambda: (p, snapshots.cut(s)))
     got = Puller(y, lambda: None).pull(x.me, NOW)
     whole, t = got.unwrap()
@@ -147,7 +147,7 @@
 def test_a_fetch_that_is_not_wanted_or_never_ends_is_given_up(transports, monkeypatch):
     x, y = transports
     s = filled(20)
-    mine = Puller(x, lambda: (Snapshot(G, s.index, 1, Voters({}), []), snapshots.cut(s)))
+    mine = Puller(x, lambda: (RaftSnapshot(G, s.index, 1, ClusterConfiguration({}), []), snapshots.cut(s)))
     other = Puller(y, lambda: None)
     assert other.pull(x.me, NOW, lambda l: l.index > s.index) == Err("has none that is wanted")
     assert mine.pull(y.me, NOW) == Err("has none that is wanted")
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -6,14 +6,14 @@
 import pytest
 
 from mallowvalve.control import store
-from mallowvalve.raft.messages import Entry, Group, Hard, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, Entry, GroupId, HardState, RaftSnapshot
 from mallowvalve.storage import disk as disk_module
 from mallowvalve.storage.disk import Folder
-from mallowvalve.storage.log import DiskLog, seal
+from mallowvalve.storage.log import DiskLog, encode_record
 from sim.disk import SimDisk
 from tests.power import ROOT, PowerLossError, PowerSystem, Removed
 
-GROUP = Group(1, "g")
+GROUP = GroupId(1, "g")
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 
 
 def snapshot(index):
-    return Snapshot(GROUP, index, 1, Voters({}), [b"state %d" % index])
+    return RaftSnapshot(GROUP, index, 1, ClusterConfiguration({}), [b"state %d" % index])
 
 
 def entry(index):
@@ -38,7 +38,7 @@
 
 
 def head(first, last):
-    return store.head(Hard(GROUP, 1, ""), [entry(i) for i in range(first, last + 1)])
+    return store.head(HardState(GROUP, 1, ""), [entry(i) for i in range(first, last + 1)])
 
 
 def held(log):
@@ -75,7 +75,7 @@
     log = opened().unwrap()
     store.turn(log, snapshot(10), head(11, 900))
     store.turn(log, snapshot(1000), head(1001, 1005))
-    log.put(log.reserve(), store.parts(snapshot(900)))
+    log.store_snapshot(log.reserve_snapshot(), store.parts(snapshot(900)))
     system.lose_power()
     assert held(opened().unwrap()) == 1005
 
@@ -83,9 +83,9 @@
 def test_a_dropped_snapshot_that_comes_back_counts_no_more(system):
     log = opened().unwrap()
     store.turn(log, snapshot(1000), head(1001, 1005))
-    name = log.reserve()
-    log.put(name, store.parts(snapshot(900)))
-    log.drop(name)
+    name = log.reserve_snapshot()
+    log.store_snapshot(name, store.parts(snapshot(900)))
+    log.drop_snapshot(name)
     log.save([store.ENTRY + store.encode(entry(1006))])
     system.lose_power(keeps=lambda c: not isinstance(c, Removed))
     assert held(opened().unwrap()) == 1006
@@ -95,10 +95,10 @@
     """A snapshot from the leader is stored and waits for its step while the machine turns to one of its own."""
     log = opened().unwrap()
     store.turn(log, snapshot(10), head(11, 12))
-    theirs = log.reserve()
-    log.put(theirs, store.parts(snapshot(2000)))
-    mine = log.reserve()
-    log.put(mine, store.parts(snapshot(12)))
+    theirs = log.reserve_snapshot()
+    log.store_snapshot(theirs, store.parts(snapshot(2000)))
+    mine = log.reserve_snapshot()
+    log.store_snapshot(mine, store.parts(snapshot(12)))
     store.turn(log, snapshot(12), head(13, 13), mine)
     store.turn(log, snapshot(2000), head(2001, 2001), theirs)
     system.kill()
@@ -109,8 +109,8 @@
     disk = SimDisk(random.Random(3))
     log = opened(disk).unwrap()
     store.turn(log, snapshot(10), head(11, 12))
-    name = log.reserve()
-    log.put(name, store.parts(snapshot(12)))
+    name = log.reserve_snapshot()
+    log.store_snapshot(name, store.parts(snapshot(12)))
     disk.full = True
     with pytest.raises(OSError):
         store.turn(log, snapshot(12), head(13, 13), name)
@@ -170,12 +170,12 @@
 
 
 def test_a_torn_header_followed_by_zeros_is_a_torn_end():
-    for torn in range(1, len(seal(b""))):
+    for torn in range(1, len(encode_record(b""))):
         disk = SimDisk(random.Random(1))
         log = opened(disk).unwrap()
         log.save([b"one"])
         name = max(n for n in disk.names() if n.startswith("log-"))
-        disk.append(name, seal(b"payload")[:torn] + bytes(100))
+        disk.append(name, encode_record(b"payload")[:torn] + bytes(100))
         assert opened(disk).unwrap().batches == [[b"one"]]
 
 
--- a/tests/test_storage_model.py
+++ b/tests/test_storage_model.py
@@ -18,7 +18,7 @@
 from mallowvalve.storage import disk as disk_module
 from mallowvalve.storage import log as log_module
 from mallowvalve.storage.disk import Folder
-from mallowvalve.storage.log import DiskLog, seal, unseal
+from mallowvalve.storage.log import DiskLog, decode_record, encode_record
 from tests.power import ROOT, PowerLossError, PowerSystem
 from tests.storageplay import SCENARIOS, Machine, calm, run, use
 
@@ -107,7 +107,7 @@
     disk_module.os.close(fd)
 
 
-def cut_only_shorter(folder, name, size, real=Folder.cut):
+def cut_only_shorter(folder, name, size, real=Folder.truncate):
     """What a start read is not made safe."""
     if size < len(folder.read(name)):
         real(folder, name, size)
@@ -129,7 +129,7 @@
 
 def forgets_stored(log):
     """A turn does not know which snapshots wait for their own."""
-    return "snapshot-" + log._next()
+    return "snapshot-" + log._next_serial()
 
 
 TAKEN_OUT = {
@@ -138,15 +138,15 @@
     "the sync of names at the start": (Folder, "__enter__", no_names_at_start),
     "the sync before a rename": (Folder, "_write_whole", unsynced_whole),
     "the rename": (Folder, "put", plain_put),
-    "the sync of what a start read": (Folder, "cut", cut_only_shorter),
-    "the cut of what failed": (Folder, "cut", lambda *_: None),
-    "what a put that failed may have left is taken back": (DiskLog, "_settle", lambda _: None),
+    "the sync of what a start read": (Folder, "truncate", cut_only_shorter),
+    "the cut of what failed": (Folder, "truncate", lambda *_: None),
+    "what a put that failed may have left is taken back": (DiskLog, "_undo_failed_writes", lambda _: None),
     "the serial of an earlier life": (
         log_module,
         "_sealed",
         lambda i, real=log_module._sealed: real(replace(i, before=0)),
     ),
-    "the snapshots that wait": (DiskLog, "reserve", forgets_stored),
+    "the snapshots that wait": (DiskLog, "reserve_snapshot", forgets_stored),
     "the length in the checksum": (log_module, "_checksum", zlib.crc32),
 }
 
@@ -236,7 +236,7 @@
         data = m.system.names[name].data
         starts = [0]
         while starts[-1] < len(data):
-            starts.append(starts[-1] + len(seal(unseal(data, starts[-1]))))
+            starts.append(starts[-1] + len(encode_record(decode_record(data, starts[-1]))))
         which = rng.randrange(len(starts) - 2)
         data[rng.randrange(starts[which], starts[which + 1])] ^= 1 << rng.randrange(8)
         with Folder(Path(ROOT)) as folder:
--- a/tests/test_verification_explorer.py
+++ b/tests/test_verification_explorer.py
@@ -74,7 +74,7 @@
 
 
 def test_paths_hold_where_entries_travel_one_at_a_time(monkeypatch):
-    monkeypatch.setattr(log, "CHUNK", 1)
+    monkeypatch.setattr(log, "MAX_ENTRIES_PER_MESSAGE", 1)
     assert walks(WALK, range(20), 600).broken == ""
 
 
@@ -116,7 +116,7 @@
 
 
 def test_a_step_of_another_state_is_refused():
-    for step in (steps.Save("n0"), steps.Timeout("n9"), steps.Deliver("n0", "n1", "Elect(term=1)")):
+    for step in (steps.Save("n0"), steps.Timeout("n9"), steps.Deliver("n0", "n1", "TimeoutNow(term=1)")):
         with pytest.raises(ImpossibleError):
             replay([step], WALK)
 
@@ -128,7 +128,7 @@
     assert cluster.members["n0"].raft.term == 1 and cluster.members["n0"].unsaved is not None
     assert cluster.apply(steps.Crash("n0", kept)) is None
     raft = cluster.members["n0"].raft
-    assert (raft.term, raft.vote, raft.log.last) == ((1, "n0", 1) if kept == WHOLE else (0, "", 0))
+    assert (raft.term, raft.vote, raft.log.last_index) == ((1, "n0", 1) if kept == WHOLE else (0, "", 0))
 
 
 def test_a_disk_keeps_what_was_synced_before_it_lost_power():
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -13,7 +13,7 @@
 from mallowvalve.proxy.reader import Reader
 from mallowvalve.proxy.steps import Answer, Ask, Await, Body, ClientCheck, ClientLeft, Exchange, Open, Room
 from mallowvalve.proxy.tries import Tries
-from mallowvalve.raft.messages import Group
+from mallowvalve.raft.messages import GroupId
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
 
@@ -52,7 +52,7 @@
         p = settings.check("proxy", RAW | raw).ok_value
         self.now = now
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = Group(1, "g"), State(1)
+        self.replica.group, self.replica.state = GroupId(1, "g"), State(1)
         s = self.state = self.replica.state
         s.items, s.registry = FakeItems(), FakeRegistry()
         s.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 from result import UnwrapError
 
-from mallowvalve.raft.messages import Group, Install, Message, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, GroupId, InstallSnapshot, Message, RaftSnapshot
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address
 from verification import steps
@@ -20,7 +20,7 @@
 from verification.member import FROZEN_FOR, Member, Sent, announced
 from verification.reconfigurations import proposals
 
-GROUP = Group(1, "verification")
+GROUP = GroupId(1, "verification")
 HOST = "10.0.0.1"
 FIRST_PORT = 7001
 PASSES = (30, 300)
@@ -48,7 +48,7 @@
         """With no `seed` the members' random numbers are all 0, which the breadth-first search needs."""
         self.bounds, self.machine, self.kind = bounds, machine, member
         names = [f"n{number}" for number in range(bounds.members)]
-        first = member.first(GROUP, Voters({name: address(name) for name in names}))
+        first = member.first(GROUP, ClusterConfiguration({name: address(name) for name in names}))
         self.members: dict[str, Member] = {}
         for number in range(bounds.members + bounds.spares):
             self._add(f"n{number}", first, seed)
@@ -61,7 +61,7 @@
         if bounds.contested:
             self._contest_first()
 
-    def _add(self, name: str, snapshot: Snapshot, seed: int | None, now: float = 0.0) -> None:
+    def _add(self, name: str, snapshot: RaftSnapshot, seed: int | None, now: float = 0.0) -> None:
         self.members[name] = self.kind(name, self.machine, seed, snapshot, now)
 
     def fork(self) -> Cluster:
@@ -164,11 +164,13 @@
                 return member.read(self.record.acknowledged)
             case steps.Reconfigure():
                 self._spend("changes")
-                voters = Voters(*[{name: address(name) for name in part} for part in (step.voters, step.learners)])
-                return member.step(lambda raft: raft.change_voters(voters, 0))
+                voters = ClusterConfiguration(
+                    *[{name: address(name) for name in part} for part in (step.voters, step.learners)]
+                )
+                return member.step(lambda raft: raft.change_configuration(voters, 0))
             case steps.HandOver():
                 self._spend("handovers")
-                return member.step(lambda raft: raft.hand_over())
+                return member.step(lambda raft: raft.transfer_leadership())
             case steps.Compact():
                 self._spend("compactions")
                 member.compact()
@@ -216,7 +218,7 @@
         for to, message in sent:
             if to not in self.members:
                 continue
-            if isinstance(message, Install):
+            if isinstance(message, InstallSnapshot):
                 told = replace(message, snapshot=announced(message.snapshot))
                 self.flights[(sender, to, repr(told))] = told
             self.flights[(sender, to, repr(message))] = message
@@ -286,7 +288,7 @@
         yield from ()
 
     def _read_options(self) -> Iterator[steps.Step]:
-        yield from (steps.Read(member.id) for member in self.leaders("reads") if member.raft.settled)
+        yield from (steps.Read(member.id) for member in self.leaders("reads") if member.raft.committed_in_term)
 
     def _hand_over_options(self) -> Iterator[steps.Step]:
         if any(member.raft.term >= self.bounds.terms for member in self.members.values()):
@@ -295,7 +297,7 @@
 
     def _compact_options(self) -> Iterator[steps.Step]:
         if self._left("compactions"):
-            yield from (steps.Compact(m.id) for m in self.idle() if m.applied.index > m.raft.log.base)
+            yield from (steps.Compact(m.id) for m in self.idle() if m.applied.index > m.raft.log.snapshot_index)
 
     def _wipe_options(self) -> Iterator[steps.Step]:
         if not self._left("wipes"):
@@ -307,7 +309,7 @@
 
     def _reconfigure_options(self) -> Iterator[steps.Step]:
         for member in self.leaders("changes"):
-            for voters, learners in proposals(member.raft.log.voters, list(self.members)):
+            for voters, learners in proposals(member.raft.log.configuration, list(self.members)):
                 yield steps.Reconfigure(member.id, voters, learners)
 
     def _lead_first(self) -> None:
--- a/verification/control_faults.py
+++ b/verification/control_faults.py
@@ -10,8 +10,8 @@
 from mallowvalve.control.core import Core
 from mallowvalve.control.outcome import Code, Outcome
 from mallowvalve.control.sessions import Kept, Origin, Sessions
-from mallowvalve.raft.contact import Contact
-from mallowvalve.raft.messages import Append
+from mallowvalve.raft.contact import QuorumContact
+from mallowvalve.raft.messages import AppendEntries
 from mallowvalve.raft.raft import Raft
 from verification.bounds import UNBOUNDED, WALK
 from verification.control_cluster import ControlCluster
@@ -24,7 +24,7 @@
 EXACT = ((lease, "LAG", 0),)
 """With it a watch may lag by no entry, so that short logs show what long ones would."""
 
-_judge, _on_append = Sessions.judge, Raft._on_append
+_judge, _on_append_entries = Sessions.judge, Raft._on_append_entries
 
 
 def _keep_nothing(sessions: Sessions, origin: Origin, outcome: Outcome) -> None:
@@ -42,17 +42,17 @@
     return _judge(sessions, replace(origin, not_after=max(sessions.latest, at)), at)
 
 
-def _from_arrival(contact: Contact, sure: float, now: float) -> None:
+def _from_arrival(contact: QuorumContact, sure: float, now: float) -> None:
     """Contact that is counted from when the leader's word came."""
-    contact.at = now
+    contact.confirmed_at = now
 
 
-def _told_by_what_fits(raft: Raft, sender: str, message: Append, now: float) -> None:
+def _told_by_what_fits(raft: Raft, sender: str, message: AppendEntries, now: float) -> None:
     """What is decided is heard only from an append that fits the log, contact from every one."""
-    told = raft.told
-    _on_append(raft, sender, message, now)
-    if not raft._late[-1][1].ok:
-        raft.told = told
+    told = raft.known_commit_index
+    _on_append_entries(raft, sender, message, now)
+    if not raft._after_save[-1][1].ok:
+        raft.known_commit_index = told
 
 
 def _always_in_touch(raft: Raft) -> float:
@@ -62,7 +62,7 @@
 
 def _current_in_any_term(machine: Core, now: float) -> bool:
     """Watches served from a state of an earlier term."""
-    return machine.holds(lease.Answer.WATCH, now) and machine.state.index + lease.LAG >= machine.raft.told
+    return machine.holds(lease.Answer.WATCH, now) and machine.state.index + lease.LAG >= machine.raft.known_commit_index
 
 
 def _leads_at_once(machine: Core) -> bool:
@@ -79,16 +79,26 @@
     _fault("sessions in the snapshot", (STATE, ONCE), (Sessions, "adopt_rows", _adopt_nothing)),
     _fault("no effect after the not-after", (NOT_AFTER,), (Sessions, "judge", _never_late)),
     _fault(
-        "contact counted from the question", (STALE_WATCH,), (Contact, "hear", _from_arrival), *EXACT, bounds=WATCHING
+        "contact counted from the question",
+        (STALE_WATCH,),
+        (QuorumContact, "record_echo", _from_arrival),
+        *EXACT,
+        bounds=WATCHING,
     ),
     _fault(
         "what is decided heard from every append",
         (STALE_WATCH,),
-        (Raft, "_on_append", _told_by_what_fits),
+        (Raft, "_on_append_entries", _told_by_what_fits),
+        *EXACT,
+        bounds=WATCHING,
+    ),
+    _fault(
+        "watches only while in touch",
+        (STALE_WATCH,),
+        (Raft, "last_quorum_contact", _always_in_touch),
         *EXACT,
         bounds=WATCHING,
     ),
-    _fault("watches only while in touch", (STALE_WATCH,), (Raft, "contact", _always_in_touch), *EXACT, bounds=WATCHING),
     _fault(
         "watches from a state of the term",
         (STALE_WATCH,),
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -12,7 +12,7 @@
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.snapshot import founding, load
 from mallowvalve.control.wire import Took, Who
-from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, Voters
+from mallowvalve.raft.messages import ClusterConfiguration, Envelope, GroupId, InstallSnapshot, Message, RaftSnapshot
 from mallowvalve.raft.raft import Raft
 from mallowvalve.settings import Acks
 from mallowvalve.storage.log import DiskLog
@@ -72,7 +72,7 @@
     __slots__ = ("core", "replies", "boot")
 
     @staticmethod
-    def first(group: Group, voters: Voters) -> Snapshot:
+    def first(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
         """The snapshot that all members begin from."""
         return founding(group, voters, None)
 
@@ -95,14 +95,18 @@
         act(self.raft)
         self.core.tick(self.now)
         ready = self.core.ready(self.now)
-        if ready.hard is None and not ready.entries and ready.install is None:
-            return ready.early + self._after(ready)
-        self.unsaved = ready, self.raft.hard()
-        return ready.early
+        if ready.hard_state is None and not ready.entries and ready.snapshot is None:
+            return ready.before_save + self._after(ready)
+        self.unsaved = ready, self.raft.hard_state()
+        return ready.before_save
 
     def receive(self, sender: str, message: Message) -> Sent:
         """Takes in a message; the state of a snapshot is built beside the machine first, as its daemon does."""
-        if isinstance(message, Install) and message.snapshot.state and message.snapshot.index > self.raft.commit:
+        if (
+            isinstance(message, InstallSnapshot)
+            and message.snapshot.state
+            and message.snapshot.index > self.raft.commit_index
+        ):
             snapshot = message.snapshot
             self.core.bring(snapshot, load(snapshot.state, snapshot.group.generation))
         envelope = Envelope(self.raft.group, sender, self.id, address(sender), message)
@@ -129,9 +133,9 @@
         head, pieces = self.core.snapshot()
         snapshot = replace(head, state=list(pieces))
         tail = [entry for entry in self.raft.log.entries if entry.index > snapshot.index]
-        store.turn(self.disk_log, snapshot, store.head(self.raft.hard(), tail))
+        store.turn(self.disk_log, snapshot, store.head(self.raft.hard_state(), tail))
         self.core.compact(snapshot)
-        self._hold(self.raft.hard())
+        self._hold(self.raft.hard_state())
 
     def current(self) -> bool:
         """Whether it would answer watches from what it holds."""
@@ -146,7 +150,7 @@
                 self.replies.append(Reply(token.call, token.frame, token.unheard, took))
             elif took.code == Code.OK:
                 self.answers.append(Answered(token.index, Revision(took.revision).index))
-        return ready.late
+        return ready.after_save
 
     def _look(self) -> None:
         with contextlib.suppress(AttributeError):
--- a/verification/explorer.py
+++ b/verification/explorer.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from mallowvalve.raft.messages import VOTERS
+from mallowvalve.raft.messages import CONFIGURATION
 from verification.bounds import Bounds
 from verification.cluster import Cluster, ImpossibleError
 from verification.steps import Deliver, Lose, Step, Trace, line
@@ -92,7 +92,7 @@
     reached = {
         "elections": len(cluster.record.leaders),
         "commits": len(committed),
-        "configurations": sum(entry.kind == VOTERS for entry in committed),
+        "configurations": sum(entry.kind == CONFIGURATION for entry in committed),
     }
     return {**cluster.spent, **reached}
 
--- a/verification/faults.py
+++ b/verification/faults.py
@@ -14,10 +14,18 @@
 from msgspec.structs import replace
 
 from mallowvalve.raft import log
-from mallowvalve.raft.messages import VOTERS, Ask, Entry, Hard, Install, Voters, encode
+from mallowvalve.raft.messages import (
+    CONFIGURATION,
+    ClusterConfiguration,
+    Entry,
+    HardState,
+    InstallSnapshot,
+    RequestVote,
+    encode,
+)
 from mallowvalve.raft.progress import Ready
 from mallowvalve.raft.raft import Raft
-from mallowvalve.raft.rounds import Rounds
+from mallowvalve.raft.rounds import HeartbeatRounds
 from mallowvalve.storage import log as storage_log
 from verification import steps
 from verification.bounds import UNBOUNDED, WALK, Bounds
@@ -40,9 +48,9 @@
 class VoteNotSaved(Raft):
     """Writes its term without its vote."""
 
-    def hard(self) -> Hard:
+    def hard_state(self) -> HardState:
         """What is written."""
-        return replace(super().hard(), vote="")
+        return replace(super().hard_state(), vote="")
 
 
 class TermNotSaved(Raft):
@@ -51,8 +59,8 @@
     def ready(self, now: float) -> Ready:
         """What is to be written and sent."""
         out = super().ready(now)
-        if not out.entries and out.install is None:
-            out.hard = None
+        if not out.entries and out.snapshot is None:
+            out.hard_state = None
         return out
 
 
@@ -62,24 +70,24 @@
     def ready(self, now: float) -> Ready:
         """What is to be written and sent."""
         out = super().ready(now)
-        out.early, out.late = out.early + out.late, []
+        out.before_save, out.after_save = out.before_save + out.after_save, []
         return out
 
 
 class VotesForAnyLog(Raft):
     """Votes for a candidate whatever its log holds."""
 
-    def _on_ask(self, src: str, m: Ask, now: float) -> None:
-        super()._on_ask(src, replace(m, last_index=NEWEST, last_term=NEWEST), now)
+    def _on_request_vote(self, src: str, m: RequestVote, now: float) -> None:
+        super()._on_request_vote(src, replace(m, last_index=NEWEST, last_term=NEWEST), now)
 
 
 class VotesTwice(Raft):
     """Forgets within a term that it has voted."""
 
-    def _on_ask(self, src: str, m: Ask, now: float) -> None:
-        if not m.pre and not self.leads:
+    def _on_request_vote(self, src: str, m: RequestVote, now: float) -> None:
+        if not m.pre_vote and not self.leads:
             self.vote = ""
-        super()._on_ask(src, m, now)
+        super()._on_request_vote(src, m, now)
 
 
 class CommitsFormerTerms(Raft):
@@ -87,14 +95,16 @@
 
     def _advance(self) -> None:
         super()._advance()
-        count = self.log.voters.agreed(lambda name: self._saved if name == self.me else self._of(name).match)
-        self.commit = max(self.commit, count)
+        count = self.log.configuration.majority_value(
+            lambda name: self._saved_index if name == self.me else self._progress_of(name).match_index
+        )
+        self.commit_index = max(self.commit_index, count)
 
 
 class ReadsUnconfirmed(Raft):
     """Takes a read as confirmed by rounds that went out before it was asked."""
 
-    def ask_quorum(self) -> int:
+    def request_confirmation_round(self) -> int:
         """The round that a read waits for."""
         return self.rounds.confirmed
 
@@ -102,36 +112,36 @@
 class ChangesAtOnce(Raft):
     """Begins a change of voters while another is under way."""
 
-    def change_voters(self, v: Voters, at: int) -> int | None:
+    def change_configuration(self, v: ClusterConfiguration, at: int) -> int | None:
         """Begins the change."""
         if not self.leads:
             return None
-        joint = replace(v, old=self.log.voters.voters)
-        return self._append(joint if v.voters != joint.old else v)
+        joint = replace(v, old_voters=self.log.configuration.voters)
+        return self._append(joint if v.voters != joint.old_voters else v)
 
-    def _append(self, voters: Voters) -> int:
-        entry = Entry(self.log.last + 1, self.term, VOTERS, 0, encode(voters))
+    def _append(self, voters: ClusterConfiguration) -> int:
+        entry = Entry(self.log.last_index + 1, self.term, CONFIGURATION, 0, encode(voters))
         self.log.append(entry)
-        self._fresh.append(entry)
-        self.nudge = True
+        self._unsaved_entries.append(entry)
+        self.broadcast_requested = True
         return entry.index
 
 
 class ChangesInOneStep(Raft):
     """Goes to other voters without a joint configuration between."""
 
-    def change_voters(self, v: Voters, at: int) -> int | None:
+    def change_configuration(self, v: ClusterConfiguration, at: int) -> int | None:
         """Begins the change."""
-        return self.propose(VOTERS, encode(v), at)
+        return self.propose(CONFIGURATION, encode(v), at)
 
 
 class TakesOlderSnapshots(Raft):
     """Installs a snapshot over a log that is committed further on."""
 
-    def _on_install(self, src: str, m: Install, now: float) -> None:
+    def _on_install_snapshot(self, src: str, m: InstallSnapshot, now: float) -> None:
         if m.snapshot.state:
-            self.commit = 0
-        super()._on_install(src, m, now)
+            self.commit_index = 0
+        super()._on_install_snapshot(src, m, now)
 
 
 class KeepsConflicts(Raft):
@@ -139,8 +149,8 @@
 
     def receive(self, src: str, m: Any, now: float) -> None:
         """Takes in a message."""
-        if hasattr(m, "prev_term") and self.log.base <= m.prev_index <= self.log.last:
-            m = replace(m, prev_term=self.log.term(m.prev_index))
+        if hasattr(m, "previous_term") and self.log.snapshot_index <= m.previous_index <= self.log.last_index:
+            m = replace(m, previous_term=self.log.term(m.previous_index))
         super().receive(src, m, now)
 
 
@@ -167,24 +177,24 @@
     return sorted(map(reach, names), reverse=True)[len(names) // 2]
 
 
-def _new_voters_only(voters: Voters, reach: Reach) -> int:
+def _new_voters_only(voters: ClusterConfiguration, reach: Reach) -> int:
     """A joint configuration that asks no majority of the former voters."""
     return _majority(voters.voters, reach)
 
 
-def _learners_too(voters: Voters, reach: Reach) -> int:
+def _learners_too(voters: ClusterConfiguration, reach: Reach) -> int:
     """A configuration in which learners count as voters."""
-    return _majority(voters.everyone(), reach)
+    return _majority(voters.members(), reach)
 
 
-def _half(voters: Voters, reach: Reach) -> int:
+def _half(voters: ClusterConfiguration, reach: Reach) -> int:
     """A configuration whose quorum is one member short of a majority."""
     return max(map(reach, voters.voters))
 
 
-def _always_answered(rounds: Rounds, seq: int) -> None:
+def _always_answered(rounds: HeartbeatRounds, seq: int) -> None:
     """Rounds that are confirmed as soon as they are sent."""
-    rounds.confirmed = rounds.seq
+    rounds.confirmed = rounds.round_number
 
 
 class Fault(msgspec.Struct, frozen=True):
@@ -224,32 +234,36 @@
         length=100,
     ),
     Fault("nothing said before the disk confirms", (ELECTION, QUORUM, COMPLETE), SpeaksBeforeSaving),
-    Fault("a torn record is cut off", ("exception", ELECTION, QUORUM), patches=((storage_log, "unseal", _unchecked),)),
+    Fault(
+        "a torn record is cut off",
+        ("exception", ELECTION, QUORUM),
+        patches=((storage_log, "decode_record", _unchecked),),
+    ),
     Fault("votes only for logs as new", (COMPLETE, STATE), VotesForAnyLog),
     Fault(
         "former terms commit by an entry of the term",
         (COMPLETE, STATE),
         CommitsFormerTerms,
-        ((log, "CHUNK", 1),),
+        ((log, "MAX_ENTRIES_PER_MESSAGE", 1),),
         bounds=STEADY,
     ),
     Fault("entries only behind their predecessor", (LOG, STATE, QUORUM), KeepsConflicts),
     Fault("reads wait for a round sent after them", (STALE,), ReadsUnconfirmed, bounds=READING),
-    Fault("rounds need answers", (STALE,), patches=((Rounds, "confirm", _always_answered),), bounds=READING),
-    Fault("a majority, not half", (ELECTION, QUORUM), patches=((Voters, "agreed", _half),)),
+    Fault("rounds need answers", (STALE,), patches=((HeartbeatRounds, "confirm", _always_answered),), bounds=READING),
+    Fault("a majority, not half", (ELECTION, QUORUM), patches=((ClusterConfiguration, "majority_value", _half),)),
     Fault("no snapshot over a newer log", (STATE, COMPLETE, QUORUM), TakesOlderSnapshots, bounds=SNAPSHOTS),
     Fault("one change of voters at a time", (CHANGE,), ChangesAtOnce, bounds=CHANGING),
     Fault("a joint configuration between two", (CHANGE,), ChangesInOneStep, bounds=CHANGING),
     Fault(
         "both majorities while joint",
         (QUORUM, ELECTION, COMPLETE),
-        patches=((Voters, "agreed", _new_voters_only),),
+        patches=((ClusterConfiguration, "majority_value", _new_voters_only),),
         bounds=SWAPPING,
     ),
     Fault(
         "learners have no vote",
         (QUORUM, ELECTION),
-        patches=((Voters, "agreed", _learners_too),),
+        patches=((ClusterConfiguration, "majority_value", _learners_too),),
         bounds=CHANGING,
     ),
     Fault("a new id after a lost disk", (QUORUM, ELECTION, COMPLETE, LOST), bounds=WIPING, cluster=SameIdAfterWipe),
--- a/verification/identity.py
+++ b/verification/identity.py
@@ -19,7 +19,7 @@
 FAR = 9.0
 DIGITS = 3
 UNCOUNTED = frozenset({"rng", "counts", "times", "_now"})
-TIMELESS = UNCOUNTED | {"questions", "_contact"}
+TIMELESS = UNCOUNTED | {"contact_stamps", "_quorum_contact"}
 """Where each member has a clock of its own no lease is checked, so who is in touch makes no state another one."""
 NOBODY = ""
 """A pair of a member and a time says nothing if it names no member."""
--- a/verification/invariants.py
+++ b/verification/invariants.py
@@ -7,7 +7,7 @@
 
 import itertools
 
-from mallowvalve.raft.messages import VOTERS, Entry, Voters, voters_of
+from mallowvalve.raft.messages import CONFIGURATION, ClusterConfiguration, Entry, decode_configuration
 from verification.identity import digest
 from verification.member import Member
 
@@ -72,14 +72,14 @@
         applied, log = touched.applied.index, touched.raft.log
         if applied < touched.reached:
             return f"state machine safety: {touched.id} went back from {touched.reached} to {applied}"
-        for index in range(log.base + 1, min(applied, len(self.committed)) + 1):
+        for index in range(log.snapshot_index + 1, min(applied, len(self.committed)) + 1):
             if log.term(index) is None or log.get(index) != self.committed[index - 1][0]:
                 return f"state machine safety: {touched.id} applied another entry at {index}"
         for index in range(len(self.committed) + 1, applied + 1):
-            if not log.base < index <= log.last:
+            if not log.snapshot_index < index <= log.last_index:
                 return f"state machine safety: {touched.id} applied entry {index}, which nobody committed"
             self.committed.append((log.get(index), touched.raft.term))
-            voters = touched.voters or log.voters
+            voters = touched.voters or log.configuration
             if not _quorum(_holders(members, index, log.get(index).term) | self.gone, voters):
                 return f"commit without a quorum: entry {index} is not on the disks of a quorum of {_seats(voters)}"
         had = self.histories.setdefault(applied, touched.applied.history)
@@ -92,7 +92,7 @@
         raft = touched.raft
         if not raft.leads:
             return None
-        for entry, term in self.committed[raft.log.base :]:
+        for entry, term in self.committed[raft.log.snapshot_index :]:
             if term <= raft.term and raft.log.term(entry.index) != entry.term:
                 return f"leader completeness: {touched.id} leads term {raft.term} without entry {entry.index}"
         return None
@@ -121,8 +121,8 @@
         log = touched.raft.log
         if not touched.raft.leads:
             return None
-        changes = [entry for entry in log.entries if entry.kind == VOTERS]
-        done = max(touched.raft.commit, len(self.committed))
+        changes = [entry for entry in log.entries if entry.kind == CONFIGURATION]
+        done = max(touched.raft.commit_index, len(self.committed))
         if sum(entry.index > done for entry in changes) > 1:
             return f"one change at a time: {touched.id} has two changes of voters under way"
         sets = _configurations(touched)
@@ -144,13 +144,16 @@
 
 def _match(one: Member, two: Member) -> bool:
     left, right = one.raft.log, two.raft.log
-    low = max(left.base, right.base)
-    high = min(left.last, right.last)
+    low = max(left.snapshot_index, right.snapshot_index)
+    high = min(left.last_index, right.last_index)
     while high > low and left.term(high) != right.term(high):
         high -= 1
     if high <= low:
         return True
-    return left.entries[low - left.base : high - left.base] == right.entries[low - right.base : high - right.base]
+    return (
+        left.entries[low - left.snapshot_index : high - left.snapshot_index]
+        == right.entries[low - right.snapshot_index : high - right.snapshot_index]
+    )
 
 
 def _holders(members: Members, index: int, term: int) -> set[str]:
@@ -162,21 +165,26 @@
     return index <= member.held.base or member.held.term(index) == term
 
 
-def _configurations(member: Member) -> list[Voters]:
+def _configurations(member: Member) -> list[ClusterConfiguration]:
     """All sets of voters that a member's log names since its base."""
     log = member.raft.log
-    return [log.snapshot.voters, *(voters_of(entry.data) for entry in log.entries if entry.kind == VOTERS)]
+    return [
+        log.snapshot.configuration,
+        *(decode_configuration(entry.data) for entry in log.entries if entry.kind == CONFIGURATION),
+    ]
 
 
-def _quorum(names: set[str], voters: Voters) -> bool:
+def _quorum(names: set[str], voters: ClusterConfiguration) -> bool:
     """A majority of the voters, and of the former voters while both count."""
-    sides = [side for side in (voters.voters, getattr(voters, "old", {})) if side]
+    sides = [side for side in (voters.voters, getattr(voters, "old_voters", {})) if side]
     return all(2 * len(names & side.keys()) > len(side) for side in sides)
 
 
-def _quorums_meet(before: Voters, after: Voters) -> bool:
+def _quorums_meet(before: ClusterConfiguration, after: ClusterConfiguration) -> bool:
     """Whether each quorum of the one shares a member with each quorum of the other: no split gives both one."""
-    everyone = sorted({*before.voters, *after.voters, *getattr(before, "old", {}), *getattr(after, "old", {})})
+    everyone = sorted(
+        {*before.voters, *after.voters, *getattr(before, "old_voters", {}), *getattr(after, "old_voters", {})}
+    )
     for size in range(len(everyone) + 1):
         for part in itertools.combinations(everyone, size):
             if _quorum(set(part), before) and _quorum(set(everyone) - set(part), after):
@@ -184,6 +192,6 @@
     return True
 
 
-def _seats(voters: Voters) -> str:
-    old = getattr(voters, "old", {})
+def _seats(voters: ClusterConfiguration) -> str:
+    old = getattr(voters, "old_voters", {})
     return "+".join(sorted(voters.voters)) + (" with " + "+".join(sorted(old)) if old else "")
--- a/verification/member.py
+++ b/verification/member.py
@@ -18,16 +18,16 @@
 from mallowvalve.control import store
 from mallowvalve.control.waiting import Read, Reads
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import COMMAND, Entry, Group, Hard, Message, Snapshot, Voters
-from mallowvalve.raft.progress import Ready, Times
+from mallowvalve.raft.messages import COMMAND, ClusterConfiguration, Entry, GroupId, HardState, Message, RaftSnapshot
+from mallowvalve.raft.progress import RaftTimings, Ready
 from mallowvalve.raft.raft import Raft
 from mallowvalve.storage.log import DiskLog
 from verification.disk import PowerDisk, PowerLossError
 from verification.identity import TIMELESS, UNCOUNTED, Still, clone, digest, shape
 
 FLEET = "verification"
-TIMES = Times()
-FROZEN_FOR = 3 * TIMES.election
+TIMES = RaftTimings()
+FROZEN_FOR = 3 * TIMES.election_timeout
 Sent = list[tuple[str, Message]]
 
 
@@ -36,7 +36,7 @@
 
     __slots__ = ("index", "history")
 
-    def __init__(self, snapshot: Snapshot):
+    def __init__(self, snapshot: RaftSnapshot):
         """The state that a snapshot holds."""
         self.index, self.history = snapshot.index, snapshot.state[0]
 
@@ -57,7 +57,7 @@
     base: int = 0
     base_term: int = 0
     terms: tuple[int, ...] = ()
-    hard: Hard | None = None
+    hard: HardState | None = None
 
     def term(self, index: int) -> int | None:
         """The term of the entry held at an index, None if there is none."""
@@ -97,30 +97,30 @@
         "_key",
     )
 
-    def __init__(self, id: str, machine: type[Raft], seed: int | None, snapshot: Snapshot, now: float = 0.0):
+    def __init__(self, id: str, machine: type[Raft], seed: int | None, snapshot: RaftSnapshot, now: float = 0.0):
         """With no `seed` its random numbers are all 0; `now` is what its clock shows (s)."""
         self.id, self.machine, self.seed, self.now = id, machine, seed, now
         self.rng = Still() if seed is None else random.Random(f"{seed} {id}")
         disk = PowerDisk()
-        store.turn(DiskLog.open(disk, FLEET, id).unwrap(), snapshot, store.head(Hard(snapshot.group, 0, ""), []))
+        store.turn(DiskLog.open(disk, FLEET, id).unwrap(), snapshot, store.head(HardState(snapshot.group, 0, ""), []))
         self._start(disk)
 
     @staticmethod
-    def first(group: Group, voters: Voters) -> Snapshot:
+    def first(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
         """The snapshot that all members begin from."""
-        return Snapshot(group, 0, 0, voters, [b""])
+        return RaftSnapshot(group, 0, 0, voters, [b""])
 
     def _start(self, disk: PowerDisk) -> None:
         self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
         loaded = store.load(self.disk_log).unwrap()
         snapshot = loaded.snapshot
-        hard = loaded.hard or Hard(snapshot.group, 0, "")
+        hard = loaded.hard or HardState(snapshot.group, 0, "")
         log = Log(snapshot, loaded.entries)
-        self.raft = self.machine(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMES, hard.commit)
+        self.raft = self.machine(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMES, hard.commit_index)
         self.applied = Applied(snapshot)
         self.reached = 0
-        self.voters: Voters | None = None
-        self.unsaved: tuple[Ready, Hard] | None = None
+        self.voters: ClusterConfiguration | None = None
+        self.unsaved: tuple[Ready, HardState] | None = None
         self.reads, self.proposed = Reads(), {}
         self.acknowledged: list[int] = []
         self.answers: list[Answered] = []
@@ -135,15 +135,15 @@
         act(self.raft)
         self.raft.tick(self.now)
         ready = self.raft.ready(self.now)
-        if ready.hard is None and not ready.entries and ready.install is None:
-            return ready.early + self._after(ready)
-        self.unsaved = ready, self.raft.hard()
-        return ready.early
+        if ready.hard_state is None and not ready.entries and ready.snapshot is None:
+            return ready.before_save + self._after(ready)
+        self.unsaved = ready, self.raft.hard_state()
+        return ready.before_save
 
     def begin(self) -> None:
         """Notes the voters in force before a step: by them it commits, also if it then goes on to others."""
         self._key = None
-        self.voters = self.voters or self.raft.log.voters
+        self.voters = self.voters or self.raft.log.configuration
 
     def save(self) -> Sent:
         """The disk has it all; gives the messages that waited for it."""
@@ -151,7 +151,7 @@
         ready, hard = self.unsaved
         store.save(self.disk_log, ready, hard)
         self.unsaved = None
-        self._hold(hard if ready.hard is not None or ready.install is not None else self.held.hard)
+        self._hold(hard if ready.hard_state is not None or ready.snapshot is not None else self.held.hard)
         return self._after(ready)
 
     def crash(self, kept: int) -> None:
@@ -183,20 +183,22 @@
 
     def read(self, floor: int) -> Sent:
         """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
-        if not self.raft.settled:
+        if not self.raft.committed_in_term:
             return []
-        return self.step(lambda raft: self.reads.add(Read(floor, raft.ask_quorum(), raft.commit, float("inf"))))
+        return self.step(
+            lambda raft: self.reads.add(Read(floor, raft.request_confirmation_round(), raft.commit_index, float("inf")))
+        )
 
     def compact(self) -> None:
         """Writes a snapshot of the applied state, and the log turns to it."""
         self._key = None
         raft, index = self.raft, self.applied.index
-        term, voters = raft.log.term(index), raft.log.voters_at(index)
-        snapshot = Snapshot(raft.group, index, term, voters, [self.applied.history])
+        term, voters = raft.log.term(index), raft.log.configuration_at(index)
+        snapshot = RaftSnapshot(raft.group, index, term, voters, [self.applied.history])
         tail = [entry for entry in raft.log.entries if entry.index > index]
-        store.turn(self.disk_log, snapshot, store.head(raft.hard(), tail))
+        store.turn(self.disk_log, snapshot, store.head(raft.hard_state(), tail))
         raft.log.compact(snapshot)
-        self._hold(raft.hard())
+        self._hold(raft.hard_state())
 
     def key(self, timed: bool) -> bytes:
         """The identity of the member's state; `timed` with the stamps by which it is in touch."""
@@ -211,20 +213,20 @@
         """A member in the same state."""
         return clone(self)
 
-    def _hold(self, hard: Hard | None) -> None:
+    def _hold(self, hard: HardState | None) -> None:
         log = self.raft.log
-        self.held = Held(log.base, log.snapshot.term, tuple(entry.term for entry in log.entries), hard)
+        self.held = Held(log.snapshot_index, log.snapshot.term, tuple(entry.term for entry in log.entries), hard)
 
     def _after(self, ready: Ready) -> Sent:
-        if ready.install is not None:
-            self.applied = Applied(ready.install)
+        if ready.snapshot is not None:
+            self.applied = Applied(ready.snapshot)
         self.raft.saved(ready)
         self._apply()
         self._answer()
-        return ready.late
+        return ready.after_save
 
     def _apply(self) -> None:
-        while self.applied.index < self.raft.commit:
+        while self.applied.index < self.raft.commit_index:
             entry = self.raft.log.get(self.applied.index + 1)
             self.applied.apply(entry)
             if self.proposed.pop(entry.index, None) == entry.term:
@@ -240,6 +242,6 @@
         self.answers += [Answered(floor, took.revision) for floor, took in answered]
 
 
-def announced(snapshot: Snapshot) -> Snapshot:
+def announced(snapshot: RaftSnapshot) -> RaftSnapshot:
     """A snapshot as its announcement names it: without its state, which is fetched afterwards."""
     return replace(snapshot, state=[])
--- a/verification/reconfigurations.py
+++ b/verification/reconfigurations.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterator
 
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import ClusterConfiguration
 
 Seats = tuple[tuple[str, ...], tuple[str, ...]]
 
 
-def proposals(now: Voters, names: list[str]) -> Iterator[Seats]:
+def proposals(now: ClusterConfiguration, names: list[str]) -> Iterator[Seats]:
     """Changes from the voters of now: a learner more, a learner's vote, a voter less, voters for learners."""
-    if now.old:
+    if now.old_voters:
         return
     voters, learners = tuple(now.voters), tuple(now.learners)
     if learners and all(name in names for name in learners):
