--- a/mallowvalve/raft/election.py
+++ b/mallowvalve/raft/election.py
@@ -1,4 +1,4 @@
-"""How a member of the cluster votes and campaigns (Raft, section 5.2; the pre-vote is the dissertation's 9.6)."""
+"""Voting and campaigning of a member (Raft paper, section 5.2; the pre-vote is section 9.6 of the dissertation)."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class Election:
-    """The part of the Raft machine that holds the term, the vote and the role; `_become_leader` starts its term."""
+    """The part of the Raft state machine that manages the term, the vote and the role.
+
+    A subclass implements `_become_leader`, which runs when this member wins an election.
+    """
 
     __slots__ = (
         "me",
@@ -83,30 +86,34 @@
             self.term, self.vote = self.term + 1, self.me
             self.counts.add("raft_campaigns")
         term = self.term + 1 if pre_vote else self.term
-        for v in self.log.configuration.all_voters():
-            if v != self.me:
+        for voter in self.log.configuration.all_voters():
+            if voter != self.me:
                 self._after_save.append(
-                    (v, RequestVote(term, pre_vote, self.log.last_index, self.log.last_term, leader_transfer))
+                    (voter, RequestVote(term, pre_vote, self.log.last_index, self.log.last_term, leader_transfer))
                 )
         self._count_votes(now)
 
-    def _on_request_vote(self, src: str, m: RequestVote, now: float) -> None:
-        fit = (m.last_term, m.last_index) >= (self.log.last_term, self.log.last_index)
-        if m.pre_vote:
-            ok = fit and m.term > self.term and not self._trusts_leader(now)
-            self._after_save.append((src, RequestVoteResponse(m.term if ok else self.term, True, ok)))
+    def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
+        up_to_date = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
+        if message.pre_vote:
+            granted = up_to_date and message.term > self.term and not self._trusts_leader(now)
+            self._after_save.append(
+                (sender, RequestVoteResponse(message.term if granted else self.term, True, granted))
+            )
             return
-        ok = fit and self.vote in ("", src) and self.role in (FOLLOWER, PRE_CANDIDATE)
-        if ok:
-            self.vote = src
+        granted = up_to_date and self.vote in ("", sender) and self.role in (FOLLOWER, PRE_CANDIDATE)
+        if granted:
+            self.vote = sender
             self._reset_election_timer(now)
-        self._after_save.append((src, RequestVoteResponse(self.term, False, ok)))
+        self._after_save.append((sender, RequestVoteResponse(self.term, False, granted)))
 
-    def _on_request_vote_response(self, src: str, m: RequestVoteResponse, now: float) -> None:
-        want = self.term + 1 if m.pre_vote else self.term
-        if not m.granted or m.term != want or self.role != (PRE_CANDIDATE if m.pre_vote else CANDIDATE):
+    def _on_request_vote_response(self, sender: str, message: RequestVoteResponse, now: float) -> None:
+        expected_term = self.term + 1 if message.pre_vote else self.term
+        if not message.granted or message.term != expected_term:
+            return
+        if self.role != (PRE_CANDIDATE if message.pre_vote else CANDIDATE):
             return
-        self._votes.add(src)
+        self._votes.add(sender)
         self._count_votes(now)
 
     def _count_votes(self, now: float) -> None:
--- a/mallowvalve/raft/messages.py
+++ b/mallowvalve/raft/messages.py
@@ -1,4 +1,4 @@
-"""What members of a Raft group send each other, and what they store. Times in entries are the fleet's clock (ms)."""
+"""The messages of the Raft protocol and the records that a member stores. Entries carry fleet clock times (ms)."""
 
 from __future__ import annotations
 
@@ -9,18 +9,23 @@
 from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.types import Address
 
-NOOP, COMMAND, CONFIGURATION = range(3)
+NOOP = 0
+COMMAND = 1
+CONFIGURATION = 2
 
 
 class GroupId(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """A founding of the cluster: `generation` rises with each, `nonce` tells two of one generation apart."""
+    """Identifies one bootstrap of the cluster.
+
+    Each bootstrap increments `generation`; `nonce` distinguishes two bootstraps of the same generation.
+    """
 
     generation: int
     nonce: str
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log; `kind` is NOOP, COMMAND or VOTERS, `at` the leader's fleet clock (ms)."""
+    """A log entry. `kind` is NOOP, COMMAND or CONFIGURATION; `at` is the leader's fleet clock (ms)."""
 
     index: int
     term: int
@@ -30,9 +35,9 @@
 
 
 class ClusterConfiguration(msgspec.Struct, array_like=True, frozen=True):
-    """A configuration of the cluster. While `old` is not empty it is a joint one (Raft, section 6).
+    """A membership configuration; a joint configuration while `old_voters` is not empty (Raft paper, section 6).
 
-    A joint configuration decides nothing without a majority of `voters` and a majority of `old`, each by itself.
+    A joint configuration requires a majority of `voters` and, separately, a majority of `old_voters`.
     """
 
     voters: dict[str, Address]
@@ -40,29 +45,32 @@
     old_voters: dict[str, Address] = {}
 
     def address(self, id: str) -> Address | None:
-        """The address of a member by this configuration; None if it is not part of it."""
+        """Returns the address of a member, or None if the configuration does not contain it."""
         return self.voters.get(id) or self.old_voters.get(id) or self.learners.get(id)
 
     def members(self) -> dict[str, Address]:
-        """All members by their addresses, learners among them."""
+        """Returns the addresses of all members by id, including learners."""
         return {**self.learners, **self.old_voters, **self.voters}
 
     def all_voters(self) -> dict[str, Address]:
-        """All whose votes count, in either set."""
+        """Returns the addresses of the voters of both sets by id."""
         return {**self.old_voters, **self.voters} if self.old_voters else self.voters
 
     def majority_value(self, number: Callable[[str], int]) -> int:
-        """The highest number that a majority of each set has reached, by what `number` says of each member."""
-        return min(_reached(ids, number) for ids in (self.voters, self.old_voters) if ids)
+        """Returns the highest value that a majority of each voter set has reached; `number` maps a member to its value.
+
+        This is the commit index if `number` returns the match index.
+        """
+        return min(_majority_value(ids, number) for ids in (self.voters, self.old_voters) if ids)
 
     def has_majority(self, granted: set[str]) -> bool:
-        """Whether these members are a majority of each set."""
+        """Returns whether these members form a majority of each voter set."""
         return self.majority_value(lambda i: i in granted) == 1
 
     def next_toward(self, wanted: ClusterConfiguration) -> ClusterConfiguration | None:
-        """The next configuration on the way to the wanted one; None where a change under way forbids it.
+        """Returns the next configuration on the way to `wanted`, or None if a change in progress prevents it.
 
-        Any other set of voters is reached through a joint configuration, other learners or addresses in one step.
+        A change of voters takes a joint configuration; a change of learners or addresses takes a single step.
         """
         if (
             not wanted.voters
@@ -79,16 +87,16 @@
         return ClusterConfiguration(wanted.voters, wanted.learners, self.voters)
 
     def final_configuration(self) -> ClusterConfiguration:
-        """What a joint configuration leads to."""
+        """Returns the configuration that completes a joint configuration."""
         return ClusterConfiguration(self.voters, self.learners)
 
 
-def _reached(ids: dict[str, Address], number: Callable[[str], int]) -> int:
+def _majority_value(ids: dict[str, Address], number: Callable[[str], int]) -> int:
     return sorted(map(number, ids), reverse=True)[len(ids) // 2]
 
 
 class RaftSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state up to an index, in pieces that are loaded in their order."""
+    """The state up to and including `index`, in pieces that are loaded in order."""
 
     group: GroupId
     index: int
@@ -98,7 +106,11 @@
 
 
 class HardState(msgspec.Struct, array_like=True, frozen=True):
-    """`commit` is what was known to be committed of what is saved with it or before; never a promise to others."""
+    """The persistent term and vote.
+
+    `commit_index` is the known commit index at the time of the write. It covers only entries that are saved with it
+    or before, and no other member relies on it.
+    """
 
     group: GroupId
     term: int
@@ -107,7 +119,7 @@
 
 
 class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """RequestVote; `pre` for a pre-vote, `forced` where the leader itself handed over."""
+    """Requests a vote, or a pre-vote if `pre_vote` is set; `leader_transfer` marks a campaign started by the leader."""
 
     term: int
     pre_vote: bool
@@ -117,7 +129,7 @@
 
 
 class RequestVoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The answer to `Ask`."""
+    """The response to `RequestVote`."""
 
     term: int
     pre_vote: bool
@@ -125,7 +137,10 @@
 
 
 class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """`sure` echoes a stamp of the receiver's that a majority has confirmed this leader after (see `contact`)."""
+    """Replicates entries, and serves as the heartbeat.
+
+    `confirmed_stamp` echoes a stamp of the receiver; a majority has confirmed the leader since (see `contact`).
+    """
 
     term: int
     previous_index: int
@@ -137,7 +152,7 @@
 
 
 class AppendEntriesResponse(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """`stamp` is when it was said, in seconds of the sender's own steady clock."""
+    """The response to `AppendEntries` and `InstallSnapshot`; `stamp` is the sender's monotonic time of sending (s)."""
 
     term: int
     ok: bool
@@ -147,7 +162,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """InstallSnapshot: on the wire it only names the snapshot, whose pieces are fetched."""
+    """Announces a snapshot. On the wire it only identifies the snapshot; the receiver fetches the pieces separately."""
 
     term: int
     snapshot: RaftSnapshot
@@ -155,7 +170,7 @@
 
 
 class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """TimeoutNow: the receiver is to campaign at once."""
+    """Instructs the receiver to start an election immediately."""
 
     term: int
 
@@ -164,7 +179,7 @@
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A message between two members; `address` is where its sender is reached."""
+    """A message between two members; `address` is the address at which the sender is reachable."""
 
     group: GroupId
     sender: str
--- a/mallowvalve/raft/progress.py
+++ b/mallowvalve/raft/progress.py
@@ -1,4 +1,4 @@
-"""What the Raft machine is set to, what its leader knows of each member, and what it hands out to be saved and sent."""
+"""The timings of the Raft state machine, a leader's view of each member, and the work to save and send."""
 
 from __future__ import annotations
 
@@ -7,13 +7,17 @@
 from mallowvalve.raft.contact import ContactStamps
 from mallowvalve.raft.messages import Entry, HardState, Message, RaftSnapshot
 
-FOLLOWER, PRE_CANDIDATE, CANDIDATE, LEADER = "follower", "pre", "candidate", "leader"
+FOLLOWER = "follower"
+PRE_CANDIDATE = "pre"
+CANDIDATE = "candidate"
+LEADER = "leader"
 
 
 class RaftTimings(msgspec.Struct, frozen=True):
-    """Seconds. `pace` is the least between two rounds of a leader: what comes meanwhile goes along in the next.
+    """Intervals and timeouts in seconds.
 
-    `told` is how long the word that something is decided may wait for a round that goes anyway.
+    A leader waits at least `min_broadcast_interval` between two rounds and batches new entries into the next one.
+    A newly committed index waits up to `commit_notice_delay` to travel with a round that is sent for another reason.
     """
 
     heartbeat_interval: float = 0.1
@@ -24,7 +28,12 @@
 
 
 class Progress:
-    """What a leader knows of one member: `match` is what it has stored, `next` what to send it next."""
+    """A leader's view of one member.
+
+    `next_index` is the next entry to send, `match_index` the highest entry known to be stored. `round_number` is the
+    newest round that the member has answered, and `heard_at` the time of that answer (s). Answers to rounds before
+    `min_round_number` trigger no further message.
+    """
 
     __slots__ = (
         "next_index",
@@ -37,20 +46,21 @@
     )
 
     def __init__(self, next_index: int, now: float):
-        """A member that was heard `now` (s); `next` is the index to try first."""
-        (
-            self.next_index,
-            self.match_index,
-            self.round_number,
-            self.min_round_number,
-            self.heard_at,
-            self.snapshot_sent_at,
-        ) = next_index, 0, 0, 0, now, -1e9
+        """Creates the view of a member that was heard at `now` (s); `next_index` is the first index to try."""
+        self.next_index = next_index
+        self.match_index = 0
+        self.round_number = 0
+        self.min_round_number = 0
+        self.heard_at = now
+        self.snapshot_sent_at = -1e9
         self.contact_stamps = ContactStamps()
 
 
 class Ready(msgspec.Struct):
-    """What to do next, in this order: send `early`, store `hard`, `entries` and `install`, then send `late`."""
+    """The pending work of a member, in order.
+
+    The caller sends `before_save`, saves `hard_state`, `entries` and `snapshot`, then sends `after_save`.
+    """
 
     hard_state: HardState | None
     entries: list[Entry]
--- a/mallowvalve/raft/rounds.py
+++ b/mallowvalve/raft/rounds.py
@@ -1,4 +1,4 @@
-"""A leader's numbered rounds to the voters, and when the newest that a quorum answered was sent."""
+"""A leader's numbered heartbeat rounds, and the send time of the newest round that a quorum has answered."""
 
 from __future__ import annotations
 
@@ -8,37 +8,40 @@
 
 
 class HeartbeatRounds:
-    """Times are seconds of the leader's own steady clock, taken when a round was sent, never when it was answered."""
+    """Times are seconds of the leader's monotonic clock, taken when a round is sent, never when it is answered."""
 
-    __slots__ = ("round_number", "confirmed", "_sent", "_began", "_began_at")
+    __slots__ = ("round_number", "confirmed", "_sent", "_first_round", "_term_started_at")
 
     def __init__(self) -> None:
-        """No round was sent yet."""
-        self.round_number = self.confirmed = self._began = 0
+        """Starts without any round."""
+        self.round_number = self.confirmed = self._first_round = 0
         self._sent: deque[tuple[int, float]] = deque()
-        self._began_at = -1e9
+        self._term_started_at = -1e9
 
     def begin(self, now: float) -> None:
-        """A term begins: the votes that won it count as a confirmation of now."""
+        """Begins a term; the votes that won it count as a confirmation at `now` (s)."""
         self._sent = deque([(self.round_number, now)])
-        self.confirmed = self._began = self.round_number
-        self._began_at = now
+        self.confirmed = self._first_round = self.round_number
+        self._term_started_at = now
 
     def send(self, now: float) -> None:
-        """A round leaves now (s)."""
+        """Records that a round is sent at `now` (s)."""
         self.round_number += 1
         self._sent.append((self.round_number, now))
 
     def confirm(self, round_number: int) -> None:
-        """A quorum has answered the round of this number or a later one."""
+        """Records that a quorum has answered this round or a later one."""
         self.confirmed = max(self.confirmed, round_number)
         while len(self._sent) > 1 and self._sent[1][0] <= self.confirmed:
             self._sent.popleft()
 
     def confirmed_at(self) -> float:
-        """When the newest confirmed round was sent (s)."""
-        return next((t for s, t in reversed(self._sent) if s <= self.confirmed), self._began_at)
+        """Returns the send time of the newest confirmed round (s)."""
+        return next((at for number, at in reversed(self._sent) if number <= self.confirmed), self._term_started_at)
 
     def last_contact(self) -> float:
-        """As `confirmed_at`, but never before a round: votes may have been held on their way, and confirm nothing."""
-        return self.confirmed_at() if self.confirmed > self._began else NO_STAMP
+        """Returns `confirmed_at`, or NO_STAMP before the first confirmed round of the term.
+
+        Votes may have been delayed in transit, so they prove no contact.
+        """
+        return self.confirmed_at() if self.confirmed > self._first_round else NO_STAMP
