--- a/mallowvalve/storage/__init__.py
+++ b/mallowvalve/storage/__init__.py
@@ -1,6 +1,6 @@
-"""What a control machine keeps on its disk: a log of batches beside a snapshot, and its identity.
+"""Durable storage of a control process: a log of batches with a snapshot, and the identity of the disk.
 
-`disk` holds the few operations on files that the log is made of, and says which of them survive a loss of power;
-`log` builds on them a log of which everything whose save returned is read back, and nothing half. Neither knows what
-the batches mean (mallowvalve/control/store.py does).
+`disk` provides the file operations under the log and specifies which effects survive a power loss. `log` builds on them
+a log that returns every saved batch at the next start, and no partial one. Neither interprets the batches
+(mallowvalve/control/store.py does).
 """
--- a/mallowvalve/storage/disk.py
+++ b/mallowvalve/storage/disk.py
@@ -1,8 +1,8 @@
-"""The files under the log, in one folder, and what each operation on them promises when the power goes.
+"""The files under the log, in one folder, and the durability of each operation across a power loss.
 
-After a loss of power a file's bytes since its last sync are kept, missing or torn, and each name that was made,
-renamed or removed since the folder's last sync is kept or lost by itself. Both kinds of sync are therefore part of
-what the operations below promise; none of them relies on the order in which a file system happens to write.
+After a power loss, the bytes written to a file since its last sync may be kept, missing or torn. Each name that was
+created, renamed or removed since the folder's last sync is kept or lost independently. The operations below therefore
+specify both kinds of sync, and none relies on the order in which a file system writes.
 """
 
 from __future__ import annotations
@@ -14,72 +14,72 @@
 from types import TracebackType
 from typing import Protocol
 
-NEW = ".new"
-LOCK = ".lock"
-CHUNK = 1 << 20
+TEMPORARY_SUFFIX = ".new"
+LOCK_FILE = ".lock"
+READ_CHUNK_BYTES = 1 << 20
 
 
 class Disk(Protocol):
-    """Named files, each append-only; any operation that writes may raise OSError, with the effect it names."""
+    """Named append-only files. Any operation that writes may raise OSError, with the effect that it documents."""
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted."""
+        """Returns the sorted names of all files."""
         ...
 
     def read(self, name: str) -> bytes:
-        """Return a whole file."""
+        """Returns the contents of a file."""
         ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end, making it if need be; until `sync` a crash may keep any part. So may an OSError."""
+        """Appends to a file, creating it if necessary. A crash before `sync`, or an OSError, may keep any part."""
         ...
 
     def sync(self, name: str) -> None:
-        """Return once all that was appended to this file is safe, and its name, and every name removed before."""
+        """Makes all data appended to this file durable, along with its name and all earlier removals of names."""
         ...
 
     def truncate(self, name: str, size: int) -> None:
-        """Shorten a file to `size` bytes, safely."""
+        """Truncates a file to `size` bytes durably."""
         ...
 
     def put(self, name: str, *parts: bytes) -> None:
-        """Make or replace a whole file, safely: a crash inside leaves the old one or the new one, never a part.
+        """Creates or replaces a file atomically and durably; a crash leaves the old contents or the new ones.
 
-        After an OSError either may be there, and a crash may still change which.
+        After an OSError either may be present, and a crash may still change which.
         """
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file; it may be back after a crash, unless a `sync` or `put` of another file returned since."""
+        """Removes a file. A crash may restore it until a `sync` or `put` of another file returns."""
         ...
 
 
 class Folder:
-    """A folder of files that one process at a time may use; the context holds its lock."""
+    """A folder of files that one process at a time may use; the context manager holds its lock."""
 
-    __slots__ = ("path", "_open", "_lock", "_unsafe")
+    __slots__ = ("path", "_descriptors", "_lock", "_unsynced_names")
 
     def __init__(self, path: Path):
-        """Name the folder; nothing is read or written before the context is entered."""
+        """Selects the folder; no file access happens before the context is entered."""
         self.path = path
-        self._open: dict[str, int] = {}
-        self._unsafe: set[str] = set()
+        self._descriptors: dict[str, int] = {}
+        self._unsynced_names: set[str] = set()
 
     def __enter__(self) -> Folder:
-        """Make and lock the folder; BlockingIOError where another process has it.
+        """Creates and locks the folder; raises BlockingIOError if another process holds the lock.
 
-        A process that was killed may have made, renamed or removed names without its sync. Whoever reads them now acts
-        on them, so they are made safe first; a file that was being put is no file yet and goes.
+        A killed process may have created, renamed or removed names without a sync. A reader acts on those names, so
+        they are synced first. Temporary files of unfinished `put` calls are deleted.
         """
-        self._make(self.path)
-        self._lock = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT, 0o644)
+        self._make_folder(self.path)
+        self._lock = os.open(self.path / LOCK_FILE, os.O_RDWR | os.O_CREAT, 0o644)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._lock)
             raise BlockingIOError(f"{self.path} is in use by another process") from None
         for name in os.listdir(self.path):
-            if name.endswith(NEW):
+            if name.endswith(TEMPORARY_SUFFIX):
                 os.unlink(self.path / name)
         self._sync_names()
         return self
@@ -87,106 +87,107 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Close all files and give the lock back; nothing is synced that was not."""
-        for fd in self._open.values():
+        """Closes all files and releases the lock, without syncing anything."""
+        for fd in self._descriptors.values():
             os.close(fd)
-        self._open.clear()
+        self._descriptors.clear()
         os.close(self._lock)
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted; neither the lock nor a file that is being put."""
-        return sorted(n for n in os.listdir(self.path) if not n.startswith(".") and not n.endswith(NEW))
+        """Returns the sorted names of all files, except the lock file and temporary files."""
+        names = os.listdir(self.path)
+        return sorted(n for n in names if not n.startswith(".") and not n.endswith(TEMPORARY_SUFFIX))
 
     def read(self, name: str) -> bytes:
-        """Return a whole file."""
+        """Returns the contents of a file."""
         fd = os.open(self.path / name, os.O_RDONLY)
         try:
             parts = []
-            while part := os.read(fd, CHUNK):
+            while part := os.read(fd, READ_CHUNK_BYTES):
                 parts.append(part)
             return b"".join(parts)
         finally:
             os.close(fd)
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end; a crash before `sync` may keep any part of it, or not even the name."""
-        _write(self._fd(name), data)
+        """Appends to a file; a crash before `sync` may keep any part of the data, or not even the name."""
+        _write_all(self._descriptor(name), data)
 
     def sync(self, name: str) -> None:
-        """Return once the file's bytes are safe, and all names with them."""
-        os.fdatasync(self._fd(name))
-        if self._unsafe:
+        """Makes the file's data and all names durable."""
+        os.fdatasync(self._descriptor(name))
+        if self._unsynced_names:
             self._sync_names()
 
     def truncate(self, name: str, size: int) -> None:
-        """Shorten a file; the new size is safe (fsync, as fdatasync need not keep a size that only shrinks)."""
-        fd = self._fd(name)
+        """Truncates a file durably, by fsync, because fdatasync need not persist a size that only shrinks."""
+        fd = self._descriptor(name)
         os.ftruncate(fd, size)
         os.fsync(fd)
 
     def put(self, name: str, *parts: bytes) -> None:
-        """Make or replace a whole file.
+        """Creates or replaces a file atomically and durably.
 
-        The bytes are safe before the name is theirs, so that no crash can show the name with a part of them; the name
-        is safe before this returns, so that no crash takes back what the caller builds on it.
+        The data is synced before the rename, so that the name never refers to partial data after a crash. The name is
+        synced before this returns, so that a crash cannot undo a rename on which the caller relies.
         """
-        new = self.path / (name + NEW)
+        temporary = self.path / (name + TEMPORARY_SUFFIX)
         try:
-            self._write_whole(new, parts)
+            self._write_whole(temporary, parts)
         except OSError:
             with suppress(FileNotFoundError):
-                os.unlink(new)
+                os.unlink(temporary)
             raise
-        self._unsafe.add(name)
-        os.replace(new, self.path / name)
+        self._unsynced_names.add(name)
+        os.replace(temporary, self.path / name)
         self._sync_names()
 
     def remove(self, name: str) -> None:
-        """Remove a file, if it is there; it may be back after a crash until the next `sync` or `put`."""
-        fd = self._open.pop(name, None)
+        """Removes a file if it exists; a crash may restore it until the next `sync` or `put`."""
+        fd = self._descriptors.pop(name, None)
         if fd is not None:
             os.close(fd)
         with suppress(FileNotFoundError):
             os.unlink(self.path / name)
-            self._unsafe.add(name)
+            self._unsynced_names.add(name)
 
     def _write_whole(self, path: Path, parts: tuple[bytes, ...]) -> None:
         fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o644)
         try:
             for part in parts:
-                _write(fd, part)
+                _write_all(fd, part)
             os.fsync(fd)
         finally:
             os.close(fd)
 
-    def _fd(self, name: str) -> int:
-        """The open file; one that is made here has an unsafe name until the next `sync`."""
-        fd = self._open.get(name)
+    def _descriptor(self, name: str) -> int:
+        """Returns the file's descriptor for appending; a newly created name is not durable until the next `sync`."""
+        fd = self._descriptors.get(name)
         if fd is None:
             path = self.path / name
             try:
                 fd = os.open(path, os.O_WRONLY | os.O_APPEND)
             except FileNotFoundError:
-                self._unsafe.add(name)
+                self._unsynced_names.add(name)
                 fd = os.open(path, os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
-            self._open[name] = fd
+            self._descriptors[name] = fd
         return fd
 
     def _sync_names(self) -> None:
-        """Make all names of the folder safe; where that fails they stay unsafe, and the next sync tries again.
+        """Makes the names in the folder durable. On failure they stay recorded as unsynced, and the next sync retries.
 
-        Another thread may change other names meanwhile: only those that were unsafe before the sync are safe after it.
+        Another thread may change names meanwhile, so only the names that were recorded before the sync are cleared.
         """
-        before = set(self._unsafe)
+        before = set(self._unsynced_names)
         _sync_folder(self.path)
-        self._unsafe -= before
+        self._unsynced_names -= before
 
-    def _make(self, path: Path) -> None:
-        """Make the folder if need be; its own name must survive as well, or all files go with it."""
+    def _make_folder(self, path: Path) -> None:
+        """Creates the folder if necessary and syncs its own name, whose loss would lose all files."""
         try:
             os.mkdir(path)
         except FileNotFoundError:
-            self._make(path.parent)
+            self._make_folder(path.parent)
             os.mkdir(path)
         except FileExistsError:
             pass
@@ -194,10 +195,10 @@
             _sync_folder(path.parent)
 
 
-def _write(fd: int, data: bytes) -> None:
-    left = memoryview(data)
-    while left:
-        left = left[os.write(fd, left) :]
+def _write_all(fd: int, data: bytes) -> None:
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[os.write(fd, remaining) :]
 
 
 def _sync_folder(path: Path) -> None:
--- a/mallowvalve/storage/log.py
+++ b/mallowvalve/storage/log.py
@@ -1,20 +1,21 @@
-"""A log of batches beside a snapshot, of which everything whose save returned is read back, and nothing half.
+"""A log of batches with a snapshot, which returns every saved batch at the next start, and no partial one.
 
-The folder holds
+The folder contains
 
-- `identity`: whose disk this is, and up to which serial number files belong to an earlier life and count no more;
-- `log-SERIAL`: a segment. It comes into being whole, by a `put`, with its first record: a head, which names the
-  snapshot it follows. Batches are appended to it, each synced before its save returns;
+- `identity`: the identity of the disk, and the highest serial number that was in use before the last wipe; files up
+  to that serial are obsolete;
+- `log-SERIAL`: a segment, created atomically by a `put` along with its first record. That record is a header, which
+  names the snapshot that the segment follows. Each appended batch is synced before its save returns;
 - `snapshot-SERIAL`: a snapshot in parts.
 
-Serials rise and are never used twice in a life of the disk. **The newest segment counts, with the snapshot that its
-head names, and nothing else does**: a snapshot that is stored but not yet turned to, one that was dropped, and all
-that a turn or a wipe replaced may be there or not, whole or not, at any time and after any crash. So one rename
-decides each turn (that of the new segment) and each wipe (that of the identity), and no crash, however it mixes names
-kept and lost, shows a part of one and a part of the other.
+Serial numbers increase and are never reused on a disk. **Only the newest segment and the snapshot named in its header
+are in effect.** A stored snapshot that the log does not use yet, a dropped one, and all files that a newer segment or
+a wipe replaced may be present or missing, complete or partial, at any time and after any crash. A single rename
+therefore switches the log to a snapshot (that of the new segment) or wipes it (that of the identity). Whichever names a
+crash keeps or loses, no start reads a mixture of old and new state.
 
-Only the end of the newest segment may be torn (the batch whose save did not return); anything else that is damaged
-stops the start with its place.
+Only the end of the newest segment may be torn (a batch whose save did not return). Any other damage prevents the start,
+and is reported with its location.
 """
 
 from __future__ import annotations
@@ -30,15 +31,17 @@
 
 FORMAT_VERSION = 4
 DEFAULT_SEGMENT_BYTES = 4 << 20
-IDENTITY_FILE, LOG_PREFIX, SNAPSHOT_PREFIX = "identity", "log-", "snapshot-"
-_HEADER = struct.Struct("!4sII")
+IDENTITY_FILE = "identity"
+LOG_PREFIX = "log-"
+SNAPSHOT_PREFIX = "snapshot-"
+_RECORD_HEADER = struct.Struct("!4sII")
 _LENGTH = struct.Struct("!I")
 _MAGIC = b"MVt1"
 Batch = list[bytes]
 
 
 class DiskIdentity(msgspec.Struct, frozen=True):
-    """Whose disk this is: files with a serial up to `before` are left from an earlier life."""
+    """The identity of a disk; files with a serial up to `before` are left over from before the last wipe."""
 
     format: int
     fleet: str
@@ -47,34 +50,35 @@
 
 
 class SegmentHeader(msgspec.Struct, frozen=True):
-    """A segment's first record: the snapshot it follows (none before the first turn) and its first batch."""
+    """The first record of a segment: the snapshot that it follows, if there is one, and its first batch."""
 
     snapshot: str | None
     batch: Batch
 
 
-_head = msgspec.msgpack.Decoder(SegmentHeader).decode
-_batch = msgspec.msgpack.Decoder(Batch).decode
-_pack = msgspec.msgpack.Encoder().encode
+_decode_header = msgspec.msgpack.Decoder(SegmentHeader).decode
+_decode_batch = msgspec.msgpack.Decoder(Batch).decode
+_encode = msgspec.msgpack.Encoder().encode
 
 
 def encode_record(payload: bytes) -> bytes:
-    """Return a record: magic, length, checksum (CRC-32) and the payload.
+    """Returns a record: magic, length, checksum (CRC-32) and the payload.
 
-    The checksum covers the length too: else a torn header, its magic followed by zeros, would be an empty record.
+    The checksum covers the length too. Otherwise a torn header (the magic followed by zeros) would pass as an empty
+    record.
     """
-    return _HEADER.pack(_MAGIC, len(payload), _checksum(payload)) + payload
+    return _RECORD_HEADER.pack(_MAGIC, len(payload), _checksum(payload)) + payload
 
 
-def decode_record(data: bytes, at: int) -> bytes | None:
-    """Return the payload of the record at an offset, or None if no whole record is there."""
-    if len(data) < at + _HEADER.size:
+def decode_record(data: bytes, offset: int) -> bytes | None:
+    """Returns the payload of the record at an offset, or None if there is no complete record."""
+    if len(data) < offset + _RECORD_HEADER.size:
         return None
-    magic, n, checksum = _HEADER.unpack_from(data, at)
-    body = data[at + _HEADER.size : at + _HEADER.size + n]
-    if magic != _MAGIC or len(body) != n or _checksum(body) != checksum:
+    magic, length, checksum = _RECORD_HEADER.unpack_from(data, offset)
+    payload = data[offset + _RECORD_HEADER.size : offset + _RECORD_HEADER.size + length]
+    if magic != _MAGIC or len(payload) != length or _checksum(payload) != checksum:
         return None
-    return body
+    return payload
 
 
 def _checksum(payload: bytes) -> int:
@@ -82,11 +86,11 @@
 
 
 class DiskLog:
-    """The log of one process, for one thread; but snapshots may be `put` by others meanwhile.
+    """The log of one process. One thread may use it, but another may call `store_snapshot` at the same time.
 
-    `snapshot` and `batches` are what was there at the start. Any method that writes may raise OSError (a full disk, a
-    failing one); then what it was to write may be read back after a crash or not, and it may be called again. Sizes
-    are in bytes.
+    `snapshot` and `batches` are the contents at the start. Any method that writes may raise OSError (a full or failing
+    disk). After that error, the data may or may not be read back after a crash, and the caller may retry. Sizes are in
+    bytes.
     """
 
     __slots__ = (
@@ -106,7 +110,7 @@
     )
 
     def __init__(self, disk: Disk, identity: DiskIdentity, segment_bytes: int = DEFAULT_SEGMENT_BYTES):
-        """Begin an empty log; `open` reads one."""
+        """Creates an empty log; `open` reads an existing one."""
         self.disk, self.identity, self.segment_bytes = disk, identity, segment_bytes
         self.snapshot: list[bytes] | None = None
         self.snapshot_bytes = 0
@@ -123,23 +127,23 @@
     def open(
         cls, disk: Disk, fleet: str, fresh_id: str, segment_bytes: int = DEFAULT_SEGMENT_BYTES
     ) -> Result[DiskLog, Findings]:
-        """Return the log of a folder, or findings; a folder without any becomes that of a new machine, `fresh_id`.
+        """Returns the log of a folder, or findings. An empty folder gets the identity `fresh_id`.
 
-        OSError where a torn end cannot be cut or a new identity not be written.
+        Raises OSError if a torn end cannot be truncated or a new identity cannot be written.
         """
         names = disk.names()
-        who = _identity(disk, names, fleet, fresh_id)
-        if isinstance(who, Err):
-            return who
-        log = cls(disk, who.ok_value, segment_bytes)
-        found = log._load(names)
-        return Err(found) if found else Ok(log)
+        identity = _load_identity(disk, names, fleet, fresh_id)
+        if isinstance(identity, Err):
+            return identity
+        log = cls(disk, identity.ok_value, segment_bytes)
+        findings = log._load(names)
+        return Err(findings) if findings else Ok(log)
 
     def save(self, batch: Batch) -> None:
-        """Append a batch; once this returns it is safe.
+        """Appends a batch durably.
 
-        A crash before the sync may leave any part of the record, which the next start cuts off; after an OSError the
-        part is cut off here, before the next record, for whatever lies before a record must be whole.
+        A crash before the sync may leave a partial record, which the next start truncates. After an OSError, the next
+        call truncates the partial record before it writes, because all records before the last must be complete.
         """
         self._undo_failed_writes()
         if self._segment is None:
@@ -148,7 +152,7 @@
         if self._torn:
             self.disk.truncate(self._segment, self._segment_size)
             self._torn = False
-        data = encode_record(_pack(batch))
+        data = encode_record(_encode(batch))
         self._torn = True
         self.disk.append(self._segment, data)
         self.disk.sync(self._segment)
@@ -156,56 +160,56 @@
         self._segment_size += len(data)
 
     def snapshot_due(self) -> bool:
-        """Whether it is time for a snapshot.
+        """Returns whether the segment is large enough for a new snapshot.
 
-        A large one is written anew only once the log is half its size: a bound on writing, and on the disk.
+        The segment must reach half the size of the last snapshot, which bounds the write volume and the disk usage.
         """
         return self._segment_size >= max(self.segment_bytes, self.snapshot_bytes // 2)
 
     def reserve_snapshot(self) -> str:
-        """Return the name for a snapshot to be stored; it stays until the log turned to it or it was dropped."""
+        """Returns a name for a snapshot, whose file is kept until the log starts from it or drops it."""
         name = SNAPSHOT_PREFIX + self._next_serial()
         self._pending_snapshots.add(name)
         return name
 
     def store_snapshot(self, name: str, snapshot: list[bytes]) -> None:
-        """Write a snapshot beside the log, which goes on; it counts once the log has turned to it.
+        """Writes a snapshot without affecting the log; it takes effect by `start_from_snapshot`.
 
-        The only method that another thread may be in meanwhile. After an OSError the name is given up.
+        This is the only method that another thread may run concurrently. After an OSError the name is invalid.
         """
         try:
-            self.disk.put(name, encode_record(_pack(len(snapshot))), *map(encode_record, snapshot))
+            self.disk.put(name, encode_record(_encode(len(snapshot))), *map(encode_record, snapshot))
         except OSError:
             self._pending_snapshots.discard(name)
             raise
 
-    def start_from_snapshot(self, name: str, snapshot: list[bytes], head: Batch) -> None:
-        """Go on from a stored snapshot with `head`; all older batches are gone once this returns.
+    def start_from_snapshot(self, name: str, snapshot: list[bytes], first: Batch) -> None:
+        """Starts a new segment from a stored snapshot, with `first` as its first batch; discards all older batches.
 
-        A crash before the new segment has its name shows the old snapshot and batches; after it, the new ones, however
-        many of the files that are removed here come back. After an OSError turn again before anything else, to this
-        snapshot or to another, and this one is given up.
+        After a crash before the rename of the new segment, a start reads the old snapshot and batches; after it, the
+        new ones, however many of the files removed here reappear. After an OSError, the caller must call this again
+        before anything else, for this snapshot or another one, in which case this one is abandoned.
         """
         self._pending_snapshots.discard(name)
         self._undo_failed_writes()
-        self._begin_segment(name, head)
+        self._begin_segment(name, first)
         self.snapshot_bytes = sum(map(len, snapshot))
         self._remove_obsolete_files({name, *self._pending_snapshots})
 
     def drop_snapshot(self, name: str) -> None:
-        """Give up a stored snapshot; it may be back after a crash, but no segment names it."""
+        """Discards a stored snapshot; its file may reappear after a crash, but no segment refers to it."""
         self._pending_snapshots.discard(name)
         self.disk.remove(name)
 
     def wipe(self, fresh_id: str) -> None:
-        """Become a new machine with an empty log.
+        """Replaces the identity by a new one and empties the log.
 
-        A crash before the new identity has its name shows the old machine, whole; after it, the new one, empty,
-        however many of the files that are removed here come back: their serials are those of an earlier life.
+        After a crash before the rename of the new identity, a start reads the complete old state; after it, an empty
+        log, however many of the files removed here reappear, because `before` in the new identity covers their serials.
         """
         identity = DiskIdentity(FORMAT_VERSION, self.identity.fleet, fresh_id, self._serial)
         self._identity_uncertain = True
-        self.disk.put(IDENTITY_FILE, _sealed(identity))
+        self.disk.put(IDENTITY_FILE, _encode_identity(identity))
         self._identity_uncertain = False
         self.identity = identity
         self.snapshot, self.batches, self.snapshot_bytes = None, [], 0
@@ -219,132 +223,133 @@
         return f"{self._serial:016x}"
 
     def _begin_segment(self, snapshot: str | None, batch: Batch) -> None:
-        """Begin a segment; from the moment it has its name it counts, and all others do not."""
+        """Begins a segment, which replaces all others in effect from the moment of its rename."""
         name = LOG_PREFIX + self._next_serial()
-        data = encode_record(_pack(SegmentHeader(snapshot, batch)))
+        data = encode_record(_encode(SegmentHeader(snapshot, batch)))
         self._uncertain_segments.add(name)
         self.disk.put(name, data)
         self._uncertain_segments.discard(name)
         self._segment, self._segment_size, self._torn = name, len(data), False
 
     def _undo_failed_writes(self) -> None:
-        """Take back what failed on its way.
+        """Reverts failed writes.
 
-        A segment or an identity whose `put` raised may have its name all the same, and would then count before what
-        is saved from now on. Their removal is safe once the sync or put that follows has returned.
+        A segment or identity may have been renamed even though its `put` raised an error. It would then take precedence
+        over everything that is saved from now on. The removal is durable once the following sync or put returns.
         """
         if self._identity_uncertain:
-            self.disk.put(IDENTITY_FILE, _sealed(self.identity))
+            self.disk.put(IDENTITY_FILE, _encode_identity(self.identity))
             self._identity_uncertain = False
         for name in sorted(self._uncertain_segments):
             self.disk.remove(name)
             self._uncertain_segments.discard(name)
 
     def _remove_obsolete_files(self, kept: set[str]) -> None:
-        """Remove all segments and snapshots that do not count, but for those `kept`; a crash may bring any back."""
+        """Removes all segments and snapshots not in effect, except those in `kept`; a crash may restore any of them."""
         for name in self.disk.names():
             if name.startswith((LOG_PREFIX, SNAPSHOT_PREFIX)) and name != self._segment and name not in kept:
                 self.disk.remove(name)
 
     def _load(self, names: list[str]) -> Findings:
-        serials = {n: _serial(n) for n in names if n.startswith((LOG_PREFIX, SNAPSHOT_PREFIX))}
-        unclear = [Finding(n, "no serial number in its name") for n, serial in serials.items() if serial is None]
-        if unclear:
-            return unclear
+        serials = {n: _serial_of(n) for n in names if n.startswith((LOG_PREFIX, SNAPSHOT_PREFIX))}
+        unnumbered = [Finding(n, "no serial number in its name") for n, serial in serials.items() if serial is None]
+        if unnumbered:
+            return unnumbered
         self._serial = max((serial for serial in serials.values() if serial is not None), default=0)
         self._serial = max(self._serial, self.identity.before)
         segments = [n for n in names if n.startswith(LOG_PREFIX) and (serials[n] or 0) > self.identity.before]
         return self._load_segment(segments[-1], names) if segments else []
 
     def _load_segment(self, name: str, names: list[str]) -> Findings:
-        """Read the segment that counts.
+        """Reads the segment in effect.
 
-        What is read here is acted upon, and may never have been synced: a process that was killed between a write and
-        its sync leaves it to this one. So it is made safe at the end it has, torn or not, before anyone learns of it.
+        The process acts on the data that is read here, which may never have been synced: an earlier process may have
+        been killed between a write and its sync. The segment is therefore truncated and synced at its end, even if it
+        is not torn, before its contents are used.
         """
         data = self.disk.read(name)
         first = decode_record(data, 0)
         if first is None:
             return [Finding(f"{name}@0", "damaged record")]
-        head = _head(first)
-        self.batches.append(head.batch)
-        at = _HEADER.size + len(first)
-        while (body := decode_record(data, at)) is not None:
-            self.batches.append(_batch(body))
-            at += _HEADER.size + len(body)
-        if _valid_after(data, at + 1):
-            return [Finding(f"{name}@{at}", "damaged record")]
-        self.disk.truncate(name, at)
-        self._segment, self._segment_size = name, at
-        return self._load_snapshot(head.snapshot, name, names) if head.snapshot is not None else []
+        header = _decode_header(first)
+        self.batches.append(header.batch)
+        offset = _RECORD_HEADER.size + len(first)
+        while (payload := decode_record(data, offset)) is not None:
+            self.batches.append(_decode_batch(payload))
+            offset += _RECORD_HEADER.size + len(payload)
+        if _has_record_after(data, offset + 1):
+            return [Finding(f"{name}@{offset}", "damaged record")]
+        self.disk.truncate(name, offset)
+        self._segment, self._segment_size = name, offset
+        return self._load_snapshot(header.snapshot, name, names) if header.snapshot is not None else []
 
     def _load_snapshot(self, name: str, segment: str, names: list[str]) -> Findings:
         if name not in names:
             return [Finding(name, f"missing, {segment} follows it")]
-        self.snapshot = _parts(self.disk.read(name))
+        self.snapshot = _decode_parts(self.disk.read(name))
         if self.snapshot is None:
             return [Finding(name, "damaged snapshot")]
         self.snapshot_bytes = sum(map(len, self.snapshot))
         return []
 
 
-def _serial(name: str) -> int | None:
+def _serial_of(name: str) -> int | None:
     try:
         return int(name.rpartition("-")[2], 16)
     except ValueError:
         return None
 
 
-def _sealed(identity: DiskIdentity) -> bytes:
+def _encode_identity(identity: DiskIdentity) -> bytes:
     return encode_record(msgspec.json.encode(identity))
 
 
-def _parts(data: bytes) -> list[bytes] | None:
-    """A snapshot's parts, or None unless it has them all, whole."""
+def _decode_parts(data: bytes) -> list[bytes] | None:
+    """Returns the parts of a snapshot, or None if a part is missing or damaged."""
     first = decode_record(data, 0)
     if first is None:
         return None
-    out: list[bytes] = []
-    at = _HEADER.size + len(first)
-    while at < len(data):
-        body = decode_record(data, at)
-        if body is None:
+    parts: list[bytes] = []
+    offset = _RECORD_HEADER.size + len(first)
+    while offset < len(data):
+        part = decode_record(data, offset)
+        if part is None:
             return None
-        out.append(body)
-        at += _HEADER.size + len(body)
-    return out if _pack(len(out)) == first else None
+        parts.append(part)
+        offset += _RECORD_HEADER.size + len(part)
+    return parts if _encode(len(parts)) == first else None
 
 
-def _valid_after(data: bytes, at: int) -> bool:
-    """Whether a whole record begins anywhere from an offset on: what lies before it is damaged, not torn."""
-    while (at := data.find(_MAGIC, at)) >= 0:
-        if decode_record(data, at) is not None:
+def _has_record_after(data: bytes, offset: int) -> bool:
+    """Returns whether a complete record starts at or after an offset; the data before it is then damaged, not torn."""
+    while (offset := data.find(_MAGIC, offset)) >= 0:
+        if decode_record(data, offset) is not None:
             return True
-        at += 1
+        offset += 1
     return False
 
 
-def _identity(disk: Disk, names: list[str], fleet: str, fresh_id: str) -> Result[DiskIdentity, Findings]:
-    """The folder's identity; made here, safely, before anything else is in the folder."""
+def _load_identity(disk: Disk, names: list[str], fleet: str, fresh_id: str) -> Result[DiskIdentity, Findings]:
+    """Returns the identity of the folder; creates it durably, before any other file, if the folder is empty."""
     if IDENTITY_FILE not in names:
         if any(n.startswith((LOG_PREFIX, SNAPSHOT_PREFIX)) for n in names):
             return Err([Finding(IDENTITY_FILE, "missing beside a log: the folder is damaged")])
-        who = DiskIdentity(FORMAT_VERSION, fleet, fresh_id)
-        disk.put(IDENTITY_FILE, _sealed(who))
-        return Ok(who)
-    body = decode_record(disk.read(IDENTITY_FILE), 0)
-    if body is None:
+        identity = DiskIdentity(FORMAT_VERSION, fleet, fresh_id)
+        disk.put(IDENTITY_FILE, _encode_identity(identity))
+        return Ok(identity)
+    payload = decode_record(disk.read(IDENTITY_FILE), 0)
+    if payload is None:
         return Err([Finding(IDENTITY_FILE, "damaged")])
     try:
-        who = msgspec.json.decode(body, type=DiskIdentity)
-    except msgspec.DecodeError as e:
-        return Err([Finding(IDENTITY_FILE, str(e))])
-    found = []
-    if who.format != FORMAT_VERSION:
-        age = "newer" if who.format > FORMAT_VERSION else "older"
-        found.append(
-            Finding("identity.format", f"format {who.format} is {age} than {FORMAT_VERSION}, the only one read")
+        identity = msgspec.json.decode(payload, type=DiskIdentity)
+    except msgspec.DecodeError as error:
+        return Err([Finding(IDENTITY_FILE, str(error))])
+    findings = []
+    if identity.format != FORMAT_VERSION:
+        age = "newer" if identity.format > FORMAT_VERSION else "older"
+        findings.append(
+            Finding("identity.format", f"format {identity.format} is {age} than {FORMAT_VERSION}, the only one read")
         )
-    if who.fleet != fleet:
-        found.append(Finding("identity.fleet", f"the disk belongs to fleet {who.fleet!r}"))
-    return Err(found) if found else Ok(who)
+    if identity.fleet != fleet:
+        findings.append(Finding("identity.fleet", f"the disk belongs to fleet {identity.fleet!r}"))
+    return Err(findings) if findings else Ok(identity)
--- a/tests/test_storage_model.py
+++ b/tests/test_storage_model.py
@@ -103,7 +103,7 @@
     """The bytes of a file that is put are not safe before it has its name."""
     fd = disk_module.os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
     for part in parts:
-        disk_module._write(fd, part)
+        disk_module._write_all(fd, part)
     disk_module.os.close(fd)
 
 
@@ -143,8 +143,8 @@
     "what a put that failed may have left is taken back": (DiskLog, "_undo_failed_writes", lambda _: None),
     "the serial of an earlier life": (
         log_module,
-        "_sealed",
-        lambda i, real=log_module._sealed: real(replace(i, before=0)),
+        "_encode_identity",
+        lambda i, real=log_module._encode_identity: real(replace(i, before=0)),
     ),
     "the snapshots that wait": (DiskLog, "reserve_snapshot", forgets_stored),
     "the length in the checksum": (log_module, "_checksum", zlib.crc32),
