--- a/tests/power.py
+++ b/tests/power.py
@@ -1,8 +1,8 @@
-"""One folder of a file system that loses power: what no sync covers is kept, missing or torn, each by itself.
+"""A simulated folder of a file system that loses power.
 
-Stands in for `os` (and `fcntl`) under mallowvalve/storage/disk.py. Each operation that changes anything is a step;
-the power can be set to go inside any of them. A loss keeps what was synced and, for all else, throws a coin: for each
-write of a file by itself (kept, missing or torn at any byte), for each name made, renamed or removed by itself.
+Replaces `os` (and `fcntl`) in mallowvalve/storage/disk.py. Each operation that changes the folder is a step, and a test
+can let the power fail during any step. A power loss keeps all synced data. Each unsynced write is independently kept,
+lost or torn at any byte; each unsynced creation, renaming or removal of a name is independently kept or lost.
 """
 
 import errno
@@ -11,17 +11,19 @@
 import msgspec
 
 ROOT = "/data"
-KEPT, MISSING, TORN = range(3)
+KEPT = 0
+MISSING = 1
+TORN = 2
 
 
 class PowerLossError(Exception):
-    """The power went; nothing that the process does after this has any effect."""
+    """The power failed; later operations of the process have no effect."""
 
 
 class Inode:
     def __init__(self, data=b""):
         self.data = bytearray(data)
-        self.safe = bytearray(data)
+        self.synced = bytearray(data)
         self.writes = []
 
     def write(self, data):
@@ -29,46 +31,50 @@
         self.data += data
 
     def sync(self):
-        self.safe, self.writes = bytearray(self.data), []
+        self.synced, self.writes = bytearray(self.data), []
 
     def lose(self, rng):
-        after = bytearray(self.safe)
-        for at, data in self.writes:
-            fate = rng.randrange(3)
-            if fate == MISSING or not data:
+        after = bytearray(self.synced)
+        for offset, data in self.writes:
+            outcome = rng.randrange(3)
+            if outcome == MISSING or not data:
                 continue
-            kept = data if fate == KEPT else data[: rng.randrange(len(data))]
-            after += bytes(max(0, at - len(after)))
-            after[at : at + len(kept)] = kept
+            kept = data if outcome == KEPT else data[: rng.randrange(len(data))]
+            after += bytes(max(0, offset - len(after)))
+            after[offset : offset + len(kept)] = kept
         self.data = after
         self.sync()
 
 
-class Made(msgspec.Struct):
+class NameCreated(msgspec.Struct):
     name: str
     inode: object
 
 
-class Removed(msgspec.Struct):
+class NameRemoved(msgspec.Struct):
     name: str
 
 
-class Renamed(msgspec.Struct):
+class NameRenamed(msgspec.Struct):
     name: str
     to: str
     inode: object
 
 
-class File(msgspec.Struct):
-    """An open file, the folder itself (`folder`), or a folder above it, whose sync says nothing of these names."""
+class OpenFile(msgspec.Struct):
+    """An open file, the folder itself (`folder`), or a parent folder, whose sync does not affect the names here."""
 
     inode: object = None
     folder: bool = False
-    at: int = 0
+    offset: int = 0
 
 
-class PowerSystem:
-    """The calls of `os` that the folder uses. `fail_at` counts down over the steps; `full` refuses what needs room."""
+class PowerLossFileSystem:
+    """The functions of `os` that the storage uses.
+
+    `power_loss_in` and `error_in` count down the steps to a power loss or an I/O error. While `full` is set, steps that
+    need space fail.
+    """
 
     O_RDONLY, O_WRONLY, O_RDWR = os.O_RDONLY, os.O_WRONLY, os.O_RDWR
     O_APPEND, O_CREAT, O_TRUNC = os.O_APPEND, os.O_CREAT, os.O_TRUNC
@@ -78,36 +84,36 @@
     def __init__(self, rng):
         self.rng = rng
         self.names: dict[str, Inode] = {}
-        self.safe_names: dict[str, Inode] = {}
-        self.changes: list = []
-        self.files: dict[int, File] = {}
+        self.synced_names: dict[str, Inode] = {}
+        self.unsynced_changes: list = []
+        self.files: dict[int, OpenFile] = {}
         self.fd = 10
         self.steps = 0
-        self.fail_at: int | None = None
-        self.error_at: int | None = None
+        self.power_loss_in: int | None = None
+        self.error_in: int | None = None
         self.full = self.dead = False
 
-    def flock(self, fd, how):
+    def flock(self, fd, operation):
         pass
 
-    def step(self, room=False):
-        """One step; True where the power goes in the middle of it."""
+    def step(self, needs_space=False):
+        """Counts a step; returns True if the power fails during it."""
         if self.dead:
             raise PowerLossError
         self.steps += 1
-        if self.full and room:
+        if self.full and needs_space:
             raise OSError(errno.ENOSPC, "no space left")
-        if self.error_at is not None:
-            self.error_at -= 1
-            if self.error_at < 0:
-                self.error_at = None
+        if self.error_in is not None:
+            self.error_in -= 1
+            if self.error_in < 0:
+                self.error_in = None
                 raise OSError(errno.EIO, "input or output error")
-        if self.fail_at is None:
+        if self.power_loss_in is None:
             return False
-        self.fail_at -= 1
-        return self.fail_at < 0
+        self.power_loss_in -= 1
+        return self.power_loss_in < 0
 
-    def go_dark(self):
+    def lose_power_now(self):
         self.dead = True
         raise PowerLossError
 
@@ -122,16 +128,16 @@
         if name is not None and inode is None:
             if not flags & os.O_CREAT:
                 raise FileNotFoundError(name)
-            dark = self.step(room=True)
+            power_lost = self.step(needs_space=True)
             inode = self.names[name] = Inode()
-            self.changes.append(Made(name, inode))
-            if dark:
-                self.go_dark()
+            self.unsynced_changes.append(NameCreated(name, inode))
+            if power_lost:
+                self.lose_power_now()
         elif inode is not None and flags & os.O_TRUNC and inode.data:
             inode.data.clear()
             inode.writes.clear()
         self.fd += 1
-        self.files[self.fd] = File(inode, os.fspath(path) == ROOT)
+        self.files[self.fd] = OpenFile(inode, os.fspath(path) == ROOT)
         return self.fd
 
     def name(self, path):
@@ -142,22 +148,22 @@
         self.files.pop(fd, None)
 
     def read(self, fd, size):
-        f = self.files[fd]
-        part = bytes(f.inode.data[f.at : f.at + size])
-        f.at += len(part)
+        file = self.files[fd]
+        part = bytes(file.inode.data[file.offset : file.offset + size])
+        file.offset += len(part)
         return part
 
     def write(self, fd, data):
         data = bytes(data)
         try:
-            dark = self.step(room=True)
+            power_lost = self.step(needs_space=True)
         except OSError:
             self.files[fd].inode.write(data[: self.rng.randrange(len(data))])
             raise
         part = data[: self.rng.randint(1, len(data))] if self.rng.random() < 0.1 else data
         self.files[fd].inode.write(part)
-        if dark:
-            self.go_dark()
+        if power_lost:
+            self.lose_power_now()
         return len(part)
 
     def fdatasync(self, fd):
@@ -165,66 +171,66 @@
 
     def fsync(self, fd):
         if self.step():
-            self.go_dark()
-        f = self.files[fd]
-        if f.inode is not None:
-            f.inode.sync()
-        if f.folder:
-            self.safe_names, self.changes = dict(self.names), []
+            self.lose_power_now()
+        file = self.files[fd]
+        if file.inode is not None:
+            file.inode.sync()
+        if file.folder:
+            self.synced_names, self.unsynced_changes = dict(self.names), []
 
     def ftruncate(self, fd, size):
-        dark = self.step()
+        power_lost = self.step()
         inode = self.files[fd].inode
-        if dark:
-            self.go_dark()
+        if power_lost:
+            self.lose_power_now()
         del inode.data[size:]
-        inode.writes = [(at, data[: max(0, size - at)]) for at, data in inode.writes]
+        inode.writes = [(offset, data[: max(0, size - offset)]) for offset, data in inode.writes]
 
     def replace(self, path, to):
-        dark = self.step()
+        power_lost = self.step()
         name, to = self.name(path), self.name(to)
         inode = self.names.pop(name)
         self.names[to] = inode
-        self.changes.append(Renamed(name, to, inode))
-        if dark:
-            self.go_dark()
+        self.unsynced_changes.append(NameRenamed(name, to, inode))
+        if power_lost:
+            self.lose_power_now()
 
     def unlink(self, path):
         name = self.name(path)
         if name not in self.names:
             raise FileNotFoundError(name)
-        dark = self.step()
+        power_lost = self.step()
         del self.names[name]
-        self.changes.append(Removed(name))
-        if dark:
-            self.go_dark()
+        self.unsynced_changes.append(NameRemoved(name))
+        if power_lost:
+            self.lose_power_now()
 
     def listdir(self, path):
         if self.dead:
             raise PowerLossError
         return list(self.names)
 
-    def kill(self):
-        """The process is gone; the machine, and so what it wrote, is not."""
+    def kill_process(self):
+        """Ends the process; its writes remain, because the machine keeps running."""
         self.files.clear()
-        self.fail_at = self.error_at = None
+        self.power_loss_in = self.error_in = None
 
-    def lose_power(self, keeps=None):
-        """The machine is off and on again; `keeps` may say which changes of names survive, instead of a coin."""
-        self.kill()
+    def lose_power(self, survives=None):
+        """Restarts the machine; `survives` may select the name changes that survive, instead of a random choice."""
+        self.kill_process()
         self.dead = False
-        names = dict(self.safe_names)
-        for c in self.changes:
-            if not (keeps(c) if keeps is not None else self.rng.random() < 0.5):
+        names = dict(self.synced_names)
+        for change in self.unsynced_changes:
+            if not (survives(change) if survives is not None else self.rng.random() < 0.5):
                 continue
-            match c:
-                case Made():
-                    names[c.name] = c.inode
-                case Removed():
-                    names.pop(c.name, None)
-                case Renamed():
-                    names.pop(c.name, None)
-                    names[c.to] = c.inode
-        self.names, self.safe_names, self.changes = names, dict(names), []
+            match change:
+                case NameCreated():
+                    names[change.name] = change.inode
+                case NameRemoved():
+                    names.pop(change.name, None)
+                case NameRenamed():
+                    names.pop(change.name, None)
+                    names[change.to] = change.inode
+        self.names, self.synced_names, self.unsynced_changes = names, dict(names), []
         for inode in {id(i): i for i in names.values()}.values():
             inode.lose(self.rng)
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -1,4 +1,4 @@
-"""Each fault that was found in the storage, by the shortest run that shows it."""
+"""Regression tests for faults found in the storage, each with the shortest run that reproduces the fault."""
 
 import random
 from pathlib import Path
@@ -11,15 +11,15 @@
 from mallowvalve.storage.disk import Folder
 from mallowvalve.storage.log import DiskLog, encode_record
 from sim.disk import SimDisk
-from tests.power import ROOT, PowerLossError, PowerSystem, Removed
+from tests.power import ROOT, NameRemoved, PowerLossError, PowerLossFileSystem
 
 GROUP = GroupId(1, "g")
 
 
 @pytest.fixture
 def system(monkeypatch):
-    """The file system under each folder of a test."""
-    system = PowerSystem(random.Random(1))
+    """The simulated file system that replaces `os` and `fcntl` in the storage."""
+    system = PowerLossFileSystem(random.Random(1))
     monkeypatch.setattr(disk_module, "os", system)
     monkeypatch.setattr(disk_module, "fcntl", system)
     return system
@@ -38,74 +38,74 @@
 
 
 def head(first, last):
-    return store.head(HardState(GROUP, 1, ""), [entry(i) for i in range(first, last + 1)])
+    return store.head(HardState(GROUP, 1, ""), [entry(index) for index in range(first, last + 1)])
 
 
-def held(log):
-    """Up to which entry a start holds everything."""
+def last_index_after_start(log):
+    """The index up to which a start has all entries."""
     loaded = store.load(log).unwrap()
     return loaded.entries[-1].index if loaded.entries else loaded.snapshot.index
 
 
-def test_a_wiped_machine_starts_though_only_some_of_its_files_come_back(system):
+def test_a_wiped_disk_starts_empty_though_some_removed_files_reappear(system):
     log = opened().unwrap()
     store.turn(log, snapshot(10), head(11, 12))
     log.wipe("new")
-    system.lose_power(keeps=lambda c: not (isinstance(c, Removed) and c.name.startswith("log-")))
-    again = opened().unwrap()
-    assert again.identity.id == "new" and store.load(again).unwrap() == store.Loaded(None, None, [])
+    system.lose_power(survives=lambda change: not (isinstance(change, NameRemoved) and change.name.startswith("log-")))
+    reopened = opened().unwrap()
+    assert reopened.identity.id == "new" and store.load(reopened).unwrap() == store.Loaded(None, None, [])
 
 
-def test_a_wipe_that_is_broken_off_leaves_no_old_state_under_the_new_identity(system):
+def test_an_interrupted_wipe_leaves_no_old_state_under_the_new_identity(system):
     log = opened().unwrap()
     store.turn(log, snapshot(10), head(11, 12))
-    wiped = system.replace
+    original_replace = system.replace
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(system, "replace", lambda *a: (wiped(*a), setattr(system, "fail_at", 0)))
+        patch.setattr(system, "replace", lambda *a: (original_replace(*a), setattr(system, "power_loss_in", 0)))
         with pytest.raises(PowerLossError):
             log.wipe("new")
     system.dead = False
-    system.kill()
-    again = opened().unwrap()
-    assert again.identity.id == "new" and again.snapshot is None and again.batches == []
+    system.kill_process()
+    reopened = opened().unwrap()
+    assert reopened.identity.id == "new" and reopened.snapshot is None and reopened.batches == []
 
 
-def test_a_snapshot_that_the_log_has_overtaken_takes_nothing_with_it_when_the_power_goes(system):
-    """A machine stores its own snapshot while one with a higher index is installed and turned to."""
+def test_an_obsolete_stored_snapshot_loses_no_entries_after_a_power_loss(system):
+    """A process stores its own snapshot while it installs one with a higher index and starts from that one."""
     log = opened().unwrap()
     store.turn(log, snapshot(10), head(11, 900))
     store.turn(log, snapshot(1000), head(1001, 1005))
     log.store_snapshot(log.reserve_snapshot(), store.parts(snapshot(900)))
     system.lose_power()
-    assert held(opened().unwrap()) == 1005
+    assert last_index_after_start(opened().unwrap()) == 1005
 
 
-def test_a_dropped_snapshot_that_comes_back_counts_no_more(system):
+def test_a_dropped_snapshot_that_reappears_has_no_effect(system):
     log = opened().unwrap()
     store.turn(log, snapshot(1000), head(1001, 1005))
     name = log.reserve_snapshot()
     log.store_snapshot(name, store.parts(snapshot(900)))
     log.drop_snapshot(name)
     log.save([store.ENTRY + store.encode(entry(1006))])
-    system.lose_power(keeps=lambda c: not isinstance(c, Removed))
-    assert held(opened().unwrap()) == 1006
+    system.lose_power(survives=lambda change: not isinstance(change, NameRemoved))
+    assert last_index_after_start(opened().unwrap()) == 1006
 
 
-def test_a_turn_to_one_snapshot_keeps_another_that_waits_for_its_own(system):
-    """A snapshot from the leader is stored and waits for its step while the machine turns to one of its own."""
+def test_a_switch_to_one_snapshot_keeps_another_stored_snapshot(system):
+    """A snapshot from the leader is stored but not yet in use while the process switches to its own snapshot."""
     log = opened().unwrap()
     store.turn(log, snapshot(10), head(11, 12))
-    theirs = log.reserve_snapshot()
-    log.store_snapshot(theirs, store.parts(snapshot(2000)))
-    mine = log.reserve_snapshot()
-    log.store_snapshot(mine, store.parts(snapshot(12)))
-    store.turn(log, snapshot(12), head(13, 13), mine)
-    store.turn(log, snapshot(2000), head(2001, 2001), theirs)
-    system.kill()
-    assert held(opened().unwrap()) == 2001
+    leaders = log.reserve_snapshot()
+    log.store_snapshot(leaders, store.parts(snapshot(2000)))
+    own = log.reserve_snapshot()
+    log.store_snapshot(own, store.parts(snapshot(12)))
+    store.turn(log, snapshot(12), head(13, 13), own)
+    store.turn(log, snapshot(2000), head(2001, 2001), leaders)
+    system.kill_process()
+    assert last_index_after_start(opened().unwrap()) == 2001
 
 
-def test_a_head_that_found_no_room_is_no_damage_once_the_log_has_gone_on():
+def test_a_segment_header_that_failed_on_a_full_disk_does_not_count_as_damage_later():
     disk = SimDisk(random.Random(3))
     log = opened(disk).unwrap()
     store.turn(log, snapshot(10), head(11, 12))
@@ -117,59 +117,59 @@
     disk.full = False
     disk.remove = lambda name: None
     store.turn(log, snapshot(12), head(13, 13), name)
-    assert held(opened(disk).unwrap()) == 13
+    assert last_index_after_start(opened(disk).unwrap()) == 13
 
 
-def test_what_a_killed_process_wrote_is_safe_once_the_next_one_has_read_it(system):
+def test_data_of_a_killed_process_is_durable_once_the_next_process_has_read_it(system):
     log = opened().unwrap()
     log.save([b"one"])
-    system.fdatasync = lambda fd: system.go_dark()
+    system.fdatasync = lambda fd: system.lose_power_now()
     with pytest.raises(PowerLossError):
         log.save([b"two"])
     del system.fdatasync
     system.dead = False
-    system.kill()
+    system.kill_process()
     seen = opened().unwrap().batches
-    for fate in range(20):
-        system.rng = random.Random(fate)
+    for seed in range(20):
+        system.rng = random.Random(seed)
         system.lose_power()
         assert opened().unwrap().batches == seen == [[b"one"], [b"two"]]
 
 
-def test_the_name_that_a_killed_process_made_is_safe_once_the_next_one_writes_to_the_file(system):
+def test_a_name_created_by_a_killed_process_is_durable_once_the_next_process_writes_to_the_file(system):
     log = opened().unwrap()
-    synced = system.fsync
-    system.fsync = lambda fd: system.go_dark() if system.files[fd].folder else synced(fd)
+    original_fsync = system.fsync
+    system.fsync = lambda fd: system.lose_power_now() if system.files[fd].folder else original_fsync(fd)
     with pytest.raises(PowerLossError):
         log.save([b"one"])
-    system.fsync = synced
+    system.fsync = original_fsync
     system.dead = False
-    system.kill()
-    again = opened().unwrap()
-    again.save([b"two"])
-    system.lose_power(keeps=lambda c: False)
+    system.kill_process()
+    reopened = opened().unwrap()
+    reopened.save([b"two"])
+    system.lose_power(survives=lambda change: False)
     assert opened().unwrap().batches[-1] == [b"two"]
 
 
-def test_a_name_whose_sync_failed_is_synced_with_the_next_write(system):
+def test_a_name_whose_sync_failed_is_synced_by_the_next_write(system):
     log = opened().unwrap()
-    synced, failed = system.fsync, []
+    original_fsync, failed = system.fsync, []
 
     def fsync(fd):
         if system.files[fd].folder and not failed:
             failed.append(fd)
             raise OSError("input or output error")
-        synced(fd)
+        original_fsync(fd)
 
     system.fsync = fsync
     with pytest.raises(OSError):
         log.save([b"one"])
     log.save([b"two"])
-    system.lose_power(keeps=lambda c: False)
+    system.lose_power(survives=lambda change: False)
     assert opened().unwrap().batches[-1] == [b"two"]
 
 
-def test_a_torn_header_followed_by_zeros_is_a_torn_end():
+def test_a_torn_header_followed_by_zeros_counts_as_a_torn_end():
     for torn in range(1, len(encode_record(b""))):
         disk = SimDisk(random.Random(1))
         log = opened(disk).unwrap()
@@ -179,7 +179,7 @@
         assert opened(disk).unwrap().batches == [[b"one"]]
 
 
-def test_what_was_being_put_when_the_process_ended_is_gone_after_its_start(tmp_path):
+def test_a_start_removes_temporary_files(tmp_path):
     with Folder(tmp_path / "d") as folder:
         folder.put("snapshot-1", b"whole")
     (tmp_path / "d" / "snapshot-2.new").write_bytes(b"half")
@@ -188,10 +188,10 @@
     assert not (tmp_path / "d" / "snapshot-2.new").exists()
 
 
-def test_the_folders_own_name_is_safe_before_it_is_used(tmp_path, monkeypatch):
-    synced = []
-    real = disk_module._sync_folder
-    monkeypatch.setattr(disk_module, "_sync_folder", lambda path: (synced.append(path), real(path)))
+def test_the_folders_own_name_is_synced_before_use(tmp_path, monkeypatch):
+    synced_folders = []
+    original_sync = disk_module._sync_folder
+    monkeypatch.setattr(disk_module, "_sync_folder", lambda path: (synced_folders.append(path), original_sync(path)))
     with Folder(tmp_path / "a" / "b"):
         pass
-    assert synced == [tmp_path, tmp_path / "a", tmp_path / "a" / "b"]
+    assert synced_folders == [tmp_path, tmp_path / "a", tmp_path / "a" / "b"]
