--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -7,7 +7,7 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.contact import QuorumContact
 from mallowvalve.raft.follower import FollowerReplication
-from mallowvalve.raft.handover import LeaderTransfer
+from mallowvalve.raft.leader_transfer import LeaderTransfer
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import (
     COMMAND,
--- a/tests/test_storage_model.py
+++ b/tests/test_storage_model.py
@@ -20,7 +20,7 @@
 from mallowvalve.storage.disk import Folder
 from mallowvalve.storage.log import DiskLog, decode_record, encode_record
 from tests.power import ROOT, PowerLossError, PowerLossFileSystem
-from tests.storageplay import SCENARIOS, StorageProcess, install_file_system, run, save_and_switch
+from tests.storage_scenarios import SCENARIOS, StorageProcess, install_file_system, run, save_and_switch
 
 SEED_COUNT = 6
 
--- a/verification/member.py
+++ b/verification/member.py
@@ -52,7 +52,7 @@
 
 
 class Held(msgspec.Struct, frozen=True):
-    """What a member's disk holds: the base and the terms of the entries after it, and the last Hard written."""
+    """What a member's disk holds: the base and the terms of the entries after it, and the last hard state written."""
 
     base: int = 0
     base_term: int = 0
