--- a/tests/plants.py
+++ b/tests/plants.py
@@ -84,7 +84,7 @@
 
 def snapshots_lost() -> AbstractContextManager:
     """A member that lacks what the log begins with takes no snapshot."""
-    return patch.object(Raft, "_on_install", lambda self, src, m, now: None)
+    return patch.object(Raft, "_on_install_snapshot", lambda self, src, m, now: None)
 
 
 def _said_again(chosen: Callable[[pages.Page], bool]) -> AbstractContextManager:
