--- a/mallowvalve/raft/contact.py
+++ b/mallowvalve/raft/contact.py
@@ -1,9 +1,9 @@
-"""A follower's proof of contact with a majority, counted from its own question by its own clock.
+"""A follower's proof of contact with a majority, measured from its own request by its own clock.
 
-Ongaro's dissertation, 6.4, lets a leader answer reads after a round of heartbeats sent after the question. Here
-a follower's every answer to an append is such a question: it carries a stamp of the follower's steady clock, and the
-leader echoes the newest stamp that it had when it sent a round which a majority has confirmed since. No two clocks are
-compared, and how long a message was held on its way makes the proof older, never younger.
+Section 6.4 of Ongaro's dissertation lets a leader answer reads after a heartbeat round that was sent after the read
+arrived. Here every AppendEntries response of a follower acts as such a read: it carries a stamp of the follower's
+monotonic clock, and the leader echoes the newest stamp that it had received when it sent a round which a majority has
+confirmed since. The protocol compares no two clocks, and a message delay makes the proof older, never younger.
 """
 
 from __future__ import annotations
@@ -11,41 +11,44 @@
 from collections import deque
 
 NO_STAMP = -1e9
-MOST_QUESTIONS = 256
+MAX_PENDING_STAMPS = 256
 
 
-class Questions:
-    """What a leader keeps of one member's stamps (s of that member's clock)."""
+class ContactStamps:
+    """The stamps that a leader has received from one member (s of that member's clock)."""
 
-    __slots__ = ("_sure", "_waiting")
+    __slots__ = ("_confirmed", "_pending")
 
     def __init__(self) -> None:
-        """No stamp has come yet."""
-        self._sure = NO_STAMP
-        self._waiting: deque[tuple[int, float]] = deque()
+        """Starts without any stamp."""
+        self._confirmed = NO_STAMP
+        self._pending: deque[tuple[int, float]] = deque()
 
-    def ask(self, stamp: float, need: int) -> None:
-        """A stamp came; `need` is the first round that will be sent after it. With too many, it isn't kept."""
-        if len(self._waiting) < MOST_QUESTIONS:
-            self._waiting.append((need, stamp))
+    def add(self, stamp: float, need: int) -> None:
+        """Records a stamp; `need` is the next round to be sent. Drops the stamp if too many are pending."""
+        if len(self._pending) < MAX_PENDING_STAMPS:
+            self._pending.append((need, stamp))
 
-    def sure(self, confirmed: int) -> float:
-        """The newest stamp whose round, or a later one, is among the `confirmed`."""
-        while self._waiting and self._waiting[0][0] <= confirmed:
-            self._sure = self._waiting.popleft()[1]
-        return self._sure
+    def confirmed_stamp(self, confirmed: int) -> float:
+        """Returns the newest stamp whose round is at most `confirmed`, the newest confirmed round."""
+        while self._pending and self._pending[0][0] <= confirmed:
+            self._confirmed = self._pending.popleft()[1]
+        return self._confirmed
 
 
-class Contact:
-    """What a follower knows of its own stamps; one from before its present life, or from the future, is no proof."""
+class QuorumContact:
+    """A follower's latest proof of contact with a quorum.
 
-    __slots__ = ("at", "_born")
+    A stamp from before the start of this process, or from the future, is no proof.
+    """
+
+    __slots__ = ("confirmed_at", "_started_at")
 
     def __init__(self, now: float) -> None:
-        """Nothing is proved yet; `now` is when this life of the machine began (s)."""
-        self.at, self._born = NO_STAMP, now
+        """Starts without proof; `now` is the start time of this process (s)."""
+        self.confirmed_at, self._started_at = NO_STAMP, now
 
-    def hear(self, sure: float, now: float) -> None:
-        """The leader echoes a stamp, which arrives now (s of the same clock)."""
-        if self._born <= sure <= now:
-            self.at = max(self.at, sure)
+    def record_echo(self, confirmed_stamp: float, now: float) -> None:
+        """Records a stamp echoed by the leader that arrives at `now` (s of the same clock)."""
+        if self._started_at <= confirmed_stamp <= now:
+            self.confirmed_at = max(self.confirmed_at, confirmed_stamp)
--- a/mallowvalve/raft/log.py
+++ b/mallowvalve/raft/log.py
@@ -4,95 +4,103 @@
 
 from collections.abc import Iterable
 
-from mallowvalve.raft.messages import VOTERS, Entry, Snapshot, Voters, voters_of
+from mallowvalve.raft.messages import CONFIGURATION, ClusterConfiguration, Entry, RaftSnapshot, decode_configuration
 
-CHUNK = 512
-CHUNK_BYTES = 1 << 20
+MAX_ENTRIES_PER_MESSAGE = 512
+MAX_MESSAGE_BYTES = 1 << 20
+ENTRY_OVERHEAD_BYTES = 32
 
 
 class Log:
-    """Entries by index, from the one after the snapshot's. The caller stores what it appends on disk."""
+    """The entries that follow the snapshot. The caller writes appended entries to disk."""
 
-    __slots__ = ("snapshot", "entries", "_voters")
+    __slots__ = ("snapshot", "entries", "_configurations")
 
-    def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()):
-        """The entries must follow the snapshot's index without a gap."""
+    def __init__(self, snapshot: RaftSnapshot, entries: Iterable[Entry] = ()):
+        """Creates a log; the entries must follow the snapshot's index without a gap."""
         self.snapshot = snapshot
         self.entries: list[Entry] = []
-        self._voters: list[tuple[int, Voters]] = [(snapshot.index, snapshot.voters)]
-        for e in entries:
-            self.append(e)
+        self._configurations: list[tuple[int, ClusterConfiguration]] = [(snapshot.index, snapshot.configuration)]
+        for entry in entries:
+            self.append(entry)
 
     @property
-    def base(self) -> int:
-        """The index of the snapshot: entries up to it are gone."""
+    def snapshot_index(self) -> int:
+        """The index of the snapshot; the log no longer contains the entries up to it."""
         return self.snapshot.index
 
     @property
-    def last(self) -> int:
-        """The index of the newest entry, or the snapshot's if there is none."""
-        return self.entries[-1].index if self.entries else self.base
+    def last_index(self) -> int:
+        """The index of the last entry, or the snapshot's if there is none."""
+        return self.entries[-1].index if self.entries else self.snapshot_index
 
     @property
     def last_term(self) -> int:
-        """The term of the newest entry, or the snapshot's."""
+        """The term of the last entry, or the snapshot's if there is none."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
-    def voters(self) -> Voters:
-        """The newest configuration, committed or not: the one in force (Raft, section 6)."""
-        return self._voters[-1][1]
+    def configuration(self) -> ClusterConfiguration:
+        """The latest configuration, which is in force whether or not it is committed (Raft paper, section 6)."""
+        return self._configurations[-1][1]
 
     @property
-    def voters_index(self) -> int:
-        """The index of the entry that holds the newest configuration."""
-        return self._voters[-1][0]
+    def configuration_index(self) -> int:
+        """The index of the entry that contains the latest configuration."""
+        return self._configurations[-1][0]
 
-    def voters_at(self, index: int) -> Voters:
-        """The configuration as of an index, or the oldest that is known."""
-        return next((v for i, v in reversed(self._voters) if i <= index), self._voters[0][1])
+    def configuration_at(self, index: int) -> ClusterConfiguration:
+        """Returns the configuration as of an index, or the oldest known one."""
+        return next((v for i, v in reversed(self._configurations) if i <= index), self._configurations[0][1])
 
     def term(self, index: int) -> int | None:
-        """The term of the entry at an index; None outside the log."""
-        if index == self.base:
+        """Returns the term of the entry at an index, or None outside the log."""
+        if index == self.snapshot_index:
             return self.snapshot.term
-        if index < self.base or index > self.last:
+        if index < self.snapshot_index or index > self.last_index:
             return None
-        return self.entries[index - self.base - 1].term
+        return self.entries[index - self.snapshot_index - 1].term
 
     def get(self, index: int) -> Entry:
-        """The entry at an index, which must be in the log."""
-        return self.entries[index - self.base - 1]
-
-    def append(self, e: Entry) -> None:
-        """Adds the entry that follows the last."""
-        self.entries.append(e)
-        if e.kind == VOTERS:
-            self._voters.append((e.index, voters_of(e.data)))
-
-    def cut(self, index: int) -> None:
-        """Removes the entry at an index and all after it."""
-        del self.entries[index - self.base - 1 :]
-        while self._voters[-1][0] >= index:
-            self._voters.pop()
-
-    def since(self, index: int) -> list[Entry]:
-        """The entries after an index, as many as one message may carry: `CHUNK`, and about `CHUNK_BYTES`."""
-        out: list[Entry] = []
+        """Returns the entry at an index, which must be in the log."""
+        return self.entries[index - self.snapshot_index - 1]
+
+    def append(self, entry: Entry) -> None:
+        """Appends the entry that follows the last one."""
+        self.entries.append(entry)
+        if entry.kind == CONFIGURATION:
+            self._configurations.append((entry.index, decode_configuration(entry.data)))
+
+    def truncate_from(self, index: int) -> None:
+        """Removes the entry at an index and all entries after it."""
+        del self.entries[index - self.snapshot_index - 1 :]
+        while self._configurations[-1][0] >= index:
+            self._configurations.pop()
+
+    def entries_after(self, index: int) -> list[Entry]:
+        """Returns the entries after an index that fit into one message.
+
+        These are at most `MAX_ENTRIES_PER_MESSAGE` entries of about `MAX_MESSAGE_BYTES` in total, but at least one.
+        """
+        selected: list[Entry] = []
         size = 0
-        for e in self.entries[index - self.base : index - self.base + CHUNK]:
-            size += len(e.data) + 32
-            if out and size > CHUNK_BYTES:
+        start = index - self.snapshot_index
+        for entry in self.entries[start : start + MAX_ENTRIES_PER_MESSAGE]:
+            size += len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if selected and size > MAX_MESSAGE_BYTES:
                 break
-            out.append(e)
-        return out
+            selected.append(entry)
+        return selected
 
-    def compact(self, snapshot: Snapshot) -> None:
-        """Replaces the entries up to the snapshot's index by it; all of them if it is of another history."""
+    def compact(self, snapshot: RaftSnapshot) -> None:
+        """Replaces the entries up to the snapshot's index by the snapshot.
+
+        Drops all entries if the snapshot belongs to a different history.
+        """
         if self.term(snapshot.index) == snapshot.term:
-            self.entries = self.entries[snapshot.index - self.base :]
+            self.entries = self.entries[snapshot.index - self.snapshot_index :]
         else:
             self.entries = []
-        later = [(i, v) for i, v in self._voters if i > snapshot.index and self.entries]
-        self._voters = [(snapshot.index, snapshot.voters), *later]
+        later = [(i, v) for i, v in self._configurations if i > snapshot.index and self.entries]
+        self._configurations = [(snapshot.index, snapshot.configuration), *later]
         self.snapshot = snapshot
--- a/mallowvalve/raft/messages.py
+++ b/mallowvalve/raft/messages.py
@@ -1,4 +1,4 @@
-"""What members of a Raft group send each other, and what they store. Times in entries are the fleet's clock (ms)."""
+"""The messages of the Raft protocol and the records that a member stores. Entries carry fleet clock times (ms)."""
 
 from __future__ import annotations
 
@@ -9,18 +9,23 @@
 from mallowvalve.raft.contact import NO_STAMP
 from mallowvalve.types import Address
 
-NOOP, COMMAND, VOTERS = range(3)
+NOOP = 0
+COMMAND = 1
+CONFIGURATION = 2
 
 
-class Group(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """A founding of the cluster: `generation` rises with each, `nonce` tells two of one generation apart."""
+class GroupId(msgspec.Struct, array_like=True, frozen=True, order=True):
+    """Identifies one bootstrap of the cluster.
+
+    Each bootstrap increments `generation`; `nonce` distinguishes two bootstraps of the same generation.
+    """
 
     generation: int
     nonce: str
 
 
 class Entry(msgspec.Struct, array_like=True, frozen=True):
-    """One entry of the log; `kind` is NOOP, COMMAND or VOTERS, `at` the leader's fleet clock (ms)."""
+    """A log entry. `kind` is NOOP, COMMAND or CONFIGURATION; `at` is the leader's fleet clock (ms)."""
 
     index: int
     term: int
@@ -29,144 +34,154 @@
     data: bytes
 
 
-class Voters(msgspec.Struct, array_like=True, frozen=True):
-    """A configuration of the cluster. While `old` is not empty it is a joint one (Raft, section 6).
+class ClusterConfiguration(msgspec.Struct, array_like=True, frozen=True):
+    """A membership configuration; a joint configuration while `old_voters` is not empty (Raft paper, section 6).
 
-    A joint configuration decides nothing without a majority of `voters` and a majority of `old`, each by itself.
+    A joint configuration requires a majority of `voters` and, separately, a majority of `old_voters`.
     """
 
     voters: dict[str, Address]
     learners: dict[str, Address] = {}
-    old: dict[str, Address] = {}
+    old_voters: dict[str, Address] = {}
 
     def address(self, id: str) -> Address | None:
-        """The address of a member by this configuration; None if it is not part of it."""
-        return self.voters.get(id) or self.old.get(id) or self.learners.get(id)
+        """Returns the address of a member, or None if the configuration does not contain it."""
+        return self.voters.get(id) or self.old_voters.get(id) or self.learners.get(id)
 
-    def everyone(self) -> dict[str, Address]:
-        """All members by their addresses, learners among them."""
-        return {**self.learners, **self.old, **self.voters}
+    def members(self) -> dict[str, Address]:
+        """Returns the addresses of all members by id, including learners."""
+        return {**self.learners, **self.old_voters, **self.voters}
 
-    def electors(self) -> dict[str, Address]:
-        """All whose votes count, in either set."""
-        return {**self.old, **self.voters} if self.old else self.voters
+    def all_voters(self) -> dict[str, Address]:
+        """Returns the addresses of the voters of both sets by id."""
+        return {**self.old_voters, **self.voters} if self.old_voters else self.voters
 
-    def agreed(self, number: Callable[[str], int]) -> int:
-        """The highest number that a majority of each set has reached, by what `number` says of each member."""
-        return min(_reached(ids, number) for ids in (self.voters, self.old) if ids)
+    def majority_value(self, number: Callable[[str], int]) -> int:
+        """Returns the highest value that a majority of each voter set has reached; `number` maps a member to its value.
+
+        This is the commit index if `number` returns the match index.
+        """
+        return min(_majority_value(ids, number) for ids in (self.voters, self.old_voters) if ids)
 
-    def elects(self, granted: set[str]) -> bool:
-        """Whether these members are a majority of each set."""
-        return self.agreed(lambda i: i in granted) == 1
+    def has_majority(self, granted: set[str]) -> bool:
+        """Returns whether these members form a majority of each voter set."""
+        return self.majority_value(lambda i: i in granted) == 1
 
-    def toward(self, wanted: Voters) -> Voters | None:
-        """The next configuration on the way to the wanted one; None where a change under way forbids it.
+    def next_toward(self, wanted: ClusterConfiguration) -> ClusterConfiguration | None:
+        """Returns the next configuration on the way to `wanted`, or None if a change in progress prevents it.
 
-        Any other set of voters is reached through a joint configuration, other learners or addresses in one step.
+        A change of voters takes a joint configuration; a change of learners or addresses takes a single step.
         """
         if (
             not wanted.voters
-            or self.old
-            and (wanted.voters.keys(), wanted.old.keys())
+            or self.old_voters
+            and (wanted.voters.keys(), wanted.old_voters.keys())
             != (
                 self.voters.keys(),
-                self.old.keys(),
+                self.old_voters.keys(),
             )
         ):
             return None
-        if self.old or wanted.voters.keys() == self.voters.keys():
+        if self.old_voters or wanted.voters.keys() == self.voters.keys():
             return wanted
-        return Voters(wanted.voters, wanted.learners, self.voters)
+        return ClusterConfiguration(wanted.voters, wanted.learners, self.voters)
 
-    def final(self) -> Voters:
-        """What a joint configuration leads to."""
-        return Voters(self.voters, self.learners)
+    def final_configuration(self) -> ClusterConfiguration:
+        """Returns the configuration that completes a joint configuration."""
+        return ClusterConfiguration(self.voters, self.learners)
 
 
-def _reached(ids: dict[str, Address], number: Callable[[str], int]) -> int:
+def _majority_value(ids: dict[str, Address], number: Callable[[str], int]) -> int:
     return sorted(map(number, ids), reverse=True)[len(ids) // 2]
 
 
-class Snapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state up to an index, in pieces that are loaded in their order."""
+class RaftSnapshot(msgspec.Struct, array_like=True, frozen=True):
+    """The state up to and including `index`, in pieces that are loaded in order."""
 
-    group: Group
+    group: GroupId
     index: int
     term: int
-    voters: Voters
+    configuration: ClusterConfiguration
     state: list[bytes]
 
 
-class Hard(msgspec.Struct, array_like=True, frozen=True):
-    """`commit` is what was known to be committed of what is saved with it or before; never a promise to others."""
+class HardState(msgspec.Struct, array_like=True, frozen=True):
+    """The persistent term and vote.
 
-    group: Group
+    `commit_index` is the known commit index at the time of the write. It covers only entries that are saved with it
+    or before, and no other member relies on it.
+    """
+
+    group: GroupId
     term: int
     vote: str
-    commit: int = 0
+    commit_index: int = 0
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """RequestVote; `pre` for a pre-vote, `forced` where the leader itself handed over."""
+class RequestVote(msgspec.Struct, array_like=True, frozen=True, tag=1):
+    """Requests a vote, or a pre-vote if `pre_vote` is set; `leader_transfer` marks a campaign started by the leader."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     last_index: int
     last_term: int
-    forced: bool = False
+    leader_transfer: bool = False
 
 
-class Voice(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The answer to `Ask`."""
+class RequestVoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
+    """The response to `RequestVote`."""
 
     term: int
-    pre: bool
+    pre_vote: bool
     granted: bool
 
 
-class Append(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """`sure` echoes a stamp of the receiver's that a majority has confirmed this leader after (see `contact`)."""
+class AppendEntries(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """Replicates entries, and serves as the heartbeat.
+
+    `confirmed_stamp` echoes a stamp of the receiver; a majority has confirmed the leader since (see `contact`).
+    """
 
     term: int
-    prev_index: int
-    prev_term: int
+    previous_index: int
+    previous_term: int
     entries: list[Entry]
-    commit: int
-    seq: int
-    sure: float = NO_STAMP
+    commit_index: int
+    round_number: int
+    confirmed_stamp: float = NO_STAMP
 
 
-class Appended(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """`stamp` is when it was said, in seconds of the sender's own steady clock."""
+class AppendEntriesResponse(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """The response to `AppendEntries` and `InstallSnapshot`; `stamp` is the sender's monotonic time of sending (s)."""
 
     term: int
     ok: bool
-    match: int
-    seq: int
+    match_index: int
+    round_number: int
     stamp: float = NO_STAMP
 
 
-class Install(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """InstallSnapshot: on the wire it only names the snapshot, whose pieces are fetched."""
+class InstallSnapshot(msgspec.Struct, array_like=True, frozen=True, tag=5):
+    """Announces a snapshot. On the wire it only identifies the snapshot; the receiver fetches the pieces separately."""
 
     term: int
-    snapshot: Snapshot
-    seq: int
+    snapshot: RaftSnapshot
+    round_number: int
 
 
-class Elect(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """TimeoutNow: the receiver is to campaign at once."""
+class TimeoutNow(msgspec.Struct, array_like=True, frozen=True, tag=6):
+    """Instructs the receiver to start an election immediately."""
 
     term: int
 
 
-Message = Ask | Voice | Append | Appended | Install | Elect
+Message = RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | TimeoutNow
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """A message between two members; `address` is where its sender is reached."""
+    """A message between two members; `address` is the address at which the sender is reachable."""
 
-    group: Group
+    group: GroupId
     sender: str
     to: str
     address: Address
@@ -174,6 +189,6 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-envelope = msgspec.msgpack.Decoder(Envelope).decode
-voters_of = msgspec.msgpack.Decoder(Voters).decode
-snapshot_of = msgspec.msgpack.Decoder(Snapshot).decode
+decode_envelope = msgspec.msgpack.Decoder(Envelope).decode
+decode_configuration = msgspec.msgpack.Decoder(ClusterConfiguration).decode
+decode_snapshot = msgspec.msgpack.Decoder(RaftSnapshot).decode
--- a/tests/host_bench.py
+++ b/tests/host_bench.py
@@ -25,7 +25,7 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.raft.messages import Group
+from mallowvalve.raft.messages import GroupId
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
 
@@ -64,7 +64,7 @@
         checked = settings.check("proxy", SETTINGS | overrides).ok_value
         self.now = now
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = Group(1, "g"), State(1)
+        self.replica.group, self.replica.state = GroupId(1, "g"), State(1)
         state = self.state = self.replica.state
         state.items, state.registry = FakeItems(), FakeRegistry()
         state.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -51,9 +51,9 @@
     """What the leader has on its own disk counts as committed."""
 
     def advance(self) -> None:
-        n = self._saved
-        if n > self.commit and self.log.term(n) == self.term:
-            self.commit = self.told = n
+        n = self._saved_index
+        if n > self.commit_index and self.log.term(n) == self.term:
+            self.commit_index = self.known_commit_index = n
 
     return patch.object(Raft, "_advance", advance)
 
@@ -84,7 +84,7 @@
 
 def snapshots_lost() -> AbstractContextManager:
     """A member that lacks what the log begins with takes no snapshot."""
-    return patch.object(Raft, "_on_install", lambda self, src, m, now: None)
+    return patch.object(Raft, "_on_install_snapshot", lambda self, src, m, now: None)
 
 
 def _said_again(chosen: Callable[[pages.Page], bool]) -> AbstractContextManager:
