--- a/mallowvalve/control/acknowledgement.py
+++ b/mallowvalve/control/acknowledgement.py
@@ -7,33 +7,33 @@
 
 import msgspec
 
-from mallowvalve.control.replica import WINDOW
-from mallowvalve.control.state import Enrol, Seats, Settings, Strike
-from mallowvalve.control.wire import Want
+from mallowvalve.control.replica import FRESHNESS_WINDOW_S
+from mallowvalve.control.state import Enrol, ReplicatedSettings, Seats, Strike
+from mallowvalve.control.wire import ReplicationRequest
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
 
-SLACK = 0.1
-REACHED = 1.5
-COPIES = 2
-PROMPT = 0.3
-GONE = 15.0
-FORGOTTEN = 60.0
-STEPS = 256
-PRUNE = 1.0
-REVISIONS_KEPT = 256
+CLOCK_SLACK_S = 0.1
+REACHABLE_S = 1.5
+REQUIRED_COPIES = 2
+PROMPT_ANSWER_S = 0.3
+STRIKE_AFTER_S = 15.0
+FORGET_AFTER_S = 60.0
+MAX_ROSTER_STEPS = 256
+PRUNE_INTERVAL_S = 1.0
+MAX_REVISIONS_KEPT = 256
 """For how many revisions it is remembered when a majority held them."""
 
 
-class Heard(msgspec.Struct):
+class ReplicaStatus(msgspec.Struct):
     """What a replica last asked, and when (s); `asks` are the rounds that confirm its stamps."""
 
-    want: Want
+    want: ReplicationRequest
     at: float
     name: str
     asks: list[tuple[int, float]]
-    fed_at: float | None = None
-    told_at: float = -1e9
+    answered_at: float | None = None
+    news_sent_at: float = -1e9
 
     def holds(self, group: Group | None, index: int) -> bool:
         """Whether it holds the state of this group up to the index."""
@@ -41,92 +41,104 @@
 
     def counts(self, settings: bool) -> bool:
         """Whether it holds what is asked about: one that follows the settings alone holds nothing else."""
-        return settings or self.want.parts == "all"
+        return settings or self.want.scope == "all"
 
     def prompt(self, now: float) -> bool:
         """Whether it answers at once, so that an acknowledgement waits for it."""
-        return now - self.at < REACHED and (self.fed_at is None or now - self.fed_at < PROMPT)
+        return now - self.at < REACHABLE_S and (self.answered_at is None or now - self.answered_at < PROMPT_ANSWER_S)
 
 
 class Replicas:
     """All replicas that asked this leader; a new leader knows none."""
 
-    __slots__ = ("locality", "heard_of", "_settings", "_majority_at", "_calm", "_group", "_struck", "_began", "_pruned")
+    __slots__ = (
+        "locality",
+        "status_by_address",
+        "_settings",
+        "_majority_at",
+        "_prior_windows_end",
+        "_group",
+        "_struck",
+        "_began",
+        "_pruned",
+    )
 
     def __init__(self, locality: Locality):
         """`locality` is the leader's own."""
         self.locality = locality
-        self.heard_of: dict[Address, Heard] = {}
-        self._settings = Settings()
+        self.status_by_address: dict[Address, ReplicaStatus] = {}
+        self._settings = ReplicatedSettings()
         self._majority_at: dict[int, float] = {}
-        self._calm = 0.0
+        self._prior_windows_end = 0.0
         self._began = -1e9
         self._group: Group | None = None
         self._struck: dict[str, float] = {}
         self._pruned = -1e9
 
-    def begin(self, now: float) -> None:
+    def begin_leadership(self, now: float) -> None:
         """Leadership begins now (s): nothing is known of any replica."""
-        self.heard_of, self._majority_at = {}, {}
+        self.status_by_address, self._majority_at = {}, {}
         self._struck = {}
-        self._calm = now + WINDOW + SLACK
+        self._prior_windows_end = now + FRESHNESS_WINDOW_S + CLOCK_SLACK_S
         self._began = now
 
-    def heard(self, w: Want, group: Group, need: int, now: float) -> None:
+    def record_request(self, w: ReplicationRequest, group: Group, need: int, now: float) -> None:
         """A replica asked; its stamp is confirmed by the round `need` or a later one."""
         self._group = group
-        h = self.heard_of.get(w.addr)
+        h = self.status_by_address.get(w.addr)
         if h is None or h.want.boot != w.boot:
-            h = self.heard_of[w.addr] = Heard(w, now, str(w.addr), [])
-        h.want, h.at, h.fed_at = w, now, None
-        h.asks = [*h.asks[-16:], (need, w.stamp)]
+            h = self.status_by_address[w.addr] = ReplicaStatus(w, now, str(w.addr), [])
+        h.want, h.at, h.answered_at = w, now, None
+        h.asks = [*h.asks[-16:], (need, w.sent_at)]
 
-    def fed(self, a: Address, now: float, news: bool = True) -> None:
+    def record_response(self, a: Address, now: float, news: bool = True) -> None:
         """The replica was answered, with news or without."""
-        h = self.heard_of.get(a)
+        h = self.status_by_address.get(a)
         if h is not None:
-            h.fed_at = now
-            h.told_at = now if news else h.told_at
+            h.answered_at = now
+            h.news_sent_at = now if news else h.news_sent_at
 
-    def told_at(self, a: Address) -> float:
+    def news_sent_at(self, a: Address) -> float:
         """When it was last fed news (s)."""
-        h = self.heard_of.get(a)
-        return h.told_at if h is not None else -1e9
+        h = self.status_by_address.get(a)
+        return h.news_sent_at if h is not None else -1e9
 
-    def sure(self, a: Address, confirmed: int) -> float:
+    def confirmed_at(self, a: Address, confirmed: int) -> float:
         """The newest stamp of the replica whose round is confirmed; below 0 if there is none."""
-        h = self.heard_of.get(a)
+        h = self.status_by_address.get(a)
         return max((s for n, s in h.asks if n <= confirmed), default=-1.0) if h else -1.0
 
-    def held_elsewhere(self, index: int, now: float, settings: bool = False) -> bool:
+    def is_replicated(self, index: int, now: float, settings: bool = False) -> bool:
         """Whether the replicas in touch hold it; of what is not settings, only those that hold all are asked.
 
         A new leader gives the replicas time to find it: settings it took before would be held nowhere else.
         """
-        those = [h for h in self.heard_of.values() if h.counts(settings)]
+        those = [h for h in self.status_by_address.values() if h.counts(settings)]
         if any(h.prompt(now) for h in those if not h.holds(self._group, index)):
             return False
-        near = [h for h in those if now - h.at < REACHED and h.want.locality != self.locality]
+        near = [h for h in those if now - h.at < REACHABLE_S and h.want.locality != self.locality]
         copies = sum(h.holds(self._group, index) for h in near)
-        if settings and now < self._began + REACHED:
-            return copies >= COPIES
-        return copies >= min(COPIES, len(near))
+        if settings and now < self._began + REACHABLE_S:
+            return copies >= REQUIRED_COPIES
+        return copies >= min(REQUIRED_COPIES, len(near))
 
-    def watch(self, s: Settings, now: float) -> None:
+    def observe_settings(self, s: ReplicatedSettings, now: float) -> None:
         """Takes over the settings as they are now, and notes when a majority of the roster holds them."""
         if s.revision != self._settings.revision:
             for a in self._settings.roster.keys() - s.roster.keys():
-                self._struck[a] = now + WINDOW + SLACK
+                self._struck[a] = now + FRESHNESS_WINDOW_S + CLOCK_SLACK_S
             self._settings = msgspec.structs.replace(s, roster=dict(s.roster))
         self._struck = {a: t for a, t in self._struck.items() if t > now}
-        if now - self._pruned >= PRUNE:
+        if now - self._pruned >= PRUNE_INTERVAL_S:
             self._pruned = now
-            self.heard_of = {a: h for a, h in self.heard_of.items() if now - h.at < FORGOTTEN or h.name in s.roster}
+            self.status_by_address = {
+                a: h for a, h in self.status_by_address.items() if now - h.at < FORGET_AFTER_S or h.name in s.roster
+            }
         if s.revision in self._majority_at:
             return
         if not s.roster or 2 * len(self._holders(s.revision)) > len(s.roster):
             self._majority_at[s.revision] = now
-        if len(self._majority_at) > REVISIONS_KEPT:
+        if len(self._majority_at) > MAX_REVISIONS_KEPT:
             del self._majority_at[next(iter(self._majority_at))]
 
     def in_force(self, revision: int, now: float) -> bool:
@@ -137,40 +149,40 @@
         since = min((t for r, t in self._majority_at.items() if r >= revision), default=None)
         if since is None:
             return False
-        if now >= since + WINDOW + SLACK:
+        if now >= since + FRESHNESS_WINDOW_S + CLOCK_SLACK_S:
             return True
-        calm = now >= self._calm and not any(t > now for t in self._struck.values())
+        calm = now >= self._prior_windows_end and not any(t > now for t in self._struck.values())
         return calm and len(self._holders(revision)) == len(s.roster)
 
-    def roster_step(self, s: Settings, now: float) -> Enrol | Strike | None:
+    def next_roster_step(self, s: ReplicatedSettings, now: float) -> Enrol | Strike | None:
         """One seat at a time, each in force before the next: majorities of one roster and the next overlap."""
         if not self.in_force(s.revision, now):
             return None
         return next(self._steps(s, now), None)
 
-    def roster_steps(self, s: Settings, now: float) -> Seats | None:
+    def due_roster_steps(self, s: ReplicatedSettings, now: float) -> Seats | None:
         """All that is due at once, for fleets where nothing rests on majorities of the roster."""
-        steps = list(islice(self._steps(s, now), STEPS))
+        steps = list(islice(self._steps(s, now), MAX_ROSTER_STEPS))
         return Seats(steps) if steps else None
 
-    def _steps(self, s: Settings, now: float) -> Iterator[Enrol | Strike]:
-        for a, h in sorted(self.heard_of.items()):
-            if h.want.role != "proxy" or now - h.at > REACHED:
+    def _steps(self, s: ReplicatedSettings, now: float) -> Iterator[Enrol | Strike]:
+        for a, h in sorted(self.status_by_address.items()):
+            if h.want.role != "proxy" or now - h.at > REACHABLE_S:
                 continue
             seat = s.roster.get(h.name)
             if seat is None or seat.boot != h.want.boot:
                 yield Enrol(a, h.want.boot, h.want.locality)
-        if now < self._calm + GONE:
+        if now < self._prior_windows_end + STRIKE_AFTER_S:
             return
         for text in sorted(s.roster):
             address = Address.read(text).unwrap()
-            last = self.heard_of.get(address)
-            if last is None or now - last.at > GONE:
+            last = self.status_by_address.get(address)
+            if last is None or now - last.at > STRIKE_AFTER_S:
                 yield Strike(address, s.roster[text].boot)
 
     def _holders(self, revision: int) -> list[Address]:
         out = []
-        for a, h in self.heard_of.items():
+        for a, h in self.status_by_address.items():
             seat = self._settings.roster.get(h.name)
             if seat is None:
                 continue
--- a/mallowvalve/control/api.py
+++ b/mallowvalve/control/api.py
@@ -9,9 +9,9 @@
 from mallowvalve import web
 from mallowvalve.control import page_offer
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.state import Change, Evacuate, Settings, Strike, encode
+from mallowvalve.control.state import Change, Evacuate, ReplicatedSettings, Strike, encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.finding import Finding
 from mallowvalve.types import Address
 
@@ -26,7 +26,7 @@
         """Pages of one control process."""
         self.task = task
 
-    def confirm(self, req: falcon.Request, resp: falcon.Response) -> Settings | None:
+    def confirm(self, req: falcon.Request, resp: falcon.Response) -> ReplicatedSettings | None:
         """The settings, with all that was acknowledged before this call; None once the trouble was answered."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
@@ -63,7 +63,7 @@
         web.turn_away(req, resp, 400, [Finding("name", f"want 1 to {KEY_BYTES} printable characters")])
         return False
 
-    def reject(self, req: falcon.Request, resp: falcon.Response, t: Took) -> None:
+    def reject(self, req: falcon.Request, resp: falcon.Response, t: CommandResponse) -> None:
         """Answers with what became of a command that was not acknowledged."""
         match t.code:
             case Code.LEADER | Code.REPLACED:
--- a/mallowvalve/control/bootstrap.py
+++ b/mallowvalve/control/bootstrap.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from mallowvalve.control.state import State
-from mallowvalve.control.wire import Who
+from mallowvalve.control.state import ReplicatedState
+from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.messages import Voters
 from mallowvalve.types import Address
 
@@ -17,14 +17,14 @@
 
     generation: int
     voters: Voters
-    base: Who | None
-    further: Who | None = None
+    base: ProcessStatus | None
+    further: ProcessStatus | None = None
 
 
 class Start(msgspec.Struct, frozen=True):
     """Join the source's group, from its newest stored snapshot."""
 
-    source: Who
+    source: ProcessStatus
 
 
 class Wipe(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
         return v if held or isinstance(v, Start) else None
 
 
-def decide(me: Who, answers: list[Who], first_generation: int, unborn: bool) -> Decision:
+def decide(me: ProcessStatus, answers: list[ProcessStatus], first_generation: int, nothing_committed: bool) -> Decision:
     """What to do by what others answer, and by what this process holds itself: it may know more than all of them."""
     known = [w for w in [*answers, me] if w.group is not None and w.voters is not None]
     best = max(known, key=lambda w: (w.group.generation, w.index), default=None)
@@ -71,13 +71,13 @@
         return _first(me, answers, first_generation) if me.blank else Wait("alone")
     if me.group is not None and best.group.generation == me.group.generation:
         strangers = [w for w in known if w.group.generation == me.group.generation and w.group != me.group]
-        if strangers and unborn and any(w.role == "control" and w.leader for w in strangers):
+        if strangers and nothing_committed and any(w.role == "control" and w.leader for w in strangers):
             return Wipe()
         return Wait("member") if me.id in best.voters.electors() else _renew(me, answers, known, best)
     return _join(me, known, best) or (_renew(me, answers, known, best) if me.blank else Wait("behind"))
 
 
-def _first(me: Who, answers: list[Who], generation: int) -> Decision:
+def _first(me: ProcessStatus, answers: list[ProcessStatus], generation: int) -> Decision:
     if me.addr not in _circle(me):
         return Wait("not a seed")
     by = {w.addr: w for w in answers} | {me.addr: me}
@@ -95,11 +95,11 @@
     return Found(generation, Voters({w.id: w.addr for w in core}), None)
 
 
-def _circle(w: Who) -> list[Address]:
+def _circle(w: ProcessStatus) -> list[Address]:
     return sorted({*w.seeds, w.addr})
 
 
-def _join(me: Who, known: list[Who], best: Who) -> Decision | None:
+def _join(me: ProcessStatus, known: list[ProcessStatus], best: ProcessStatus) -> Decision | None:
     homes = [w for w in known if w.group == best.group and w.role == "control"]
     for w in homes:
         if w.voters.address(me.id) is not None:
@@ -109,7 +109,9 @@
     return None
 
 
-def _renew(me: Who, answers: list[Who], known: list[Who], best: Who) -> Decision:
+def _renew(
+    me: ProcessStatus, answers: list[ProcessStatus], known: list[ProcessStatus], best: ProcessStatus
+) -> Decision:
     """Founds anew if most voters of the newest configuration, and of each set of a joint one, came back empty."""
     control = [w for w in [*answers, me] if w.role == "control"]
     alive, at = {w.id for w in control}, {w.addr: w for w in control}
@@ -126,13 +128,13 @@
     return Found(best.group.generation + 1, Voters(voters), *sources(known, best))
 
 
-def sources(known: list[Who], best: Who) -> tuple[Who, Who | None]:
+def sources(known: list[ProcessStatus], best: ProcessStatus) -> tuple[ProcessStatus, ProcessStatus | None]:
     """Whose whole state to go on from, and who knows the settings part further than that."""
-    whole = max((w for w in known if w.whole and w.group == best.group), key=lambda w: w.index, default=best)
+    whole = max((w for w in known if w.holds_all and w.group == best.group), key=lambda w: w.index, default=best)
     return whole, best if best.index > whole.index else None
 
 
-def heard_enough(base: State, answers: list[Who]) -> bool:
+def heard_enough(base: ReplicatedState, answers: list[ProcessStatus]) -> bool:
     """Whether enough of the roster answered to found anew: no acknowledged settings are held by the rest alone."""
     roster = base.settings.roster
     heard = {str(w.addr) for w in answers}
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -18,7 +18,7 @@
 from mallowvalve.control.leave import Leave
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.membership.wire import ALIVE
 from mallowvalve.metrics import change
 from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
@@ -66,16 +66,16 @@
             joins = any(w.group is not None for w in answers)
             gevent.sleep(HERE if self.control.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
 
-    def _look(self, calm: bool) -> tuple[list[wire.Who], Decision]:
+    def _look(self, calm: bool) -> tuple[list[wire.ProcessStatus], Decision]:
         answers = self._ask_all(calm)
-        return answers, decide(self.control.who(), answers, first_generation(), self.control.core.unborn)
+        return answers, decide(self.control.who(), answers, first_generation(), self.control.core.nothing_committed)
 
-    def heard(self, w: wire.Want) -> None:
+    def heard(self, w: wire.ReplicationRequest) -> None:
         """Who asks for what comes after its state holds one: a blank core must not found without having asked it."""
         if w.group is not None:
             self._holders[w.addr] = clock.now()
 
-    def _ask_all(self, calm: bool = False) -> list[wire.Who]:
+    def _ask_all(self, calm: bool = False) -> list[wire.ProcessStatus]:
         """In calm times all control processes and a few others: too few to found on, enough to hear of a new group."""
         p = self.control.node.settings
         alive, self._holders = (
@@ -92,16 +92,16 @@
         known = {a for w in best if w.voters for a in w.voters.electors().values()}
         return best + self._ask(known - to - {p.transport})
 
-    def _ask(self, to: set[Address], limit: float = ASK) -> list[wire.Who]:
+    def _ask(self, to: set[Address], limit: float = ASK) -> list[wire.ProcessStatus]:
         jobs = [gevent.spawn(self.control.node.transport.call, a, "who", b"", limit) for a in sorted(to)]
         gevent.joinall(jobs)
         out = []
         for j in jobs:
             if j.value is not None and j.value.is_ok():
-                out.append(wire.who(j.value.ok_value))
+                out.append(wire.decode_process_status(j.value.ok_value))
         return out
 
-    def _act(self, v: Decision | None, answers: list[wire.Who]) -> None:
+    def _act(self, v: Decision | None, answers: list[wire.ProcessStatus]) -> None:
         if isinstance(v, Found):
             base = self._fetch_state(v)
             if v.base is not None and (base is None or not heard_enough(base, answers)):
@@ -112,7 +112,7 @@
                 generation=v.generation,
                 voters=[str(a) for a in v.voters.voters.values()],
                 base=str(v.base.addr) if v.base else None,
-                whole=v.base.whole if v.base else None,
+                whole=v.base.holds_all if v.base else None,
                 settings=str(v.further.addr) if v.further else None,
             )
             self._begin(founding(group, v.voters, base), None)
@@ -145,21 +145,21 @@
         self._begin(founding(group, v.voters, base), None)
         return Ok(v)
 
-    def _fetch_state(self, v: Found) -> State | None:
+    def _fetch_state(self, v: Found) -> ReplicatedState | None:
         base, further = self._fetch_held(v.base), self._fetch_held(v.further)
         if v.further is None or base is None or further is None:
             return base if v.further is None else None
-        base.graft(further)
+        base.replace_settings(further)
         return base
 
-    def _fetch_held(self, w: wire.Who | None) -> State | None:
+    def _fetch_held(self, w: wire.ProcessStatus | None) -> ReplicatedState | None:
         if w is None:
             return None
-        what = NOW if w.whole else SETTINGS
+        what = NOW if w.holds_all else SETTINGS
         r = self.control.puller.pull(w.addr, what, lambda offered: (offered.group, offered.index) >= (w.group, w.index))
         return r.ok_value[1] if r.is_ok() else None
 
-    def _begin(self, p: Snapshot, s: State | None) -> None:
+    def _begin(self, p: Snapshot, s: ReplicatedState | None) -> None:
         done = AsyncResult()
 
         def act(now: float) -> None:
@@ -205,6 +205,6 @@
         """Tells the leader, or whoever may know one, that this process is here."""
         body = wire.encode(msgspec.structs.replace(self.control.who(), seeds=[], voters=None))
         alive = [r.addr for r in self.control.node.membership.alive("control")]
-        for a in self.control.core.here_goes_to(alive):
+        for a in self.control.core.announcement_targets(alive):
             self.control.node.transport.cast(a, "here", body)
-        self.control.put(lambda now: self.control.core.here(self.control.who(), now))
+        self.control.put(lambda now: self.control.core.receive_announcement(self.control.who(), now))
--- a/mallowvalve/control/fleet_clock.py
+++ b/mallowvalve/control/fleet_clock.py
@@ -23,15 +23,15 @@
         """Starts from a loaded state whose newest entry carried `clock` (ms)."""
         self._heard, self._term = (clock, now), 0
 
-    def lead(self, clock: int, now: float) -> None:
+    def begin_leadership(self, clock: int, now: float) -> None:
         """Starts to count as a leader, from the state's clock or from what was heard since, whichever is later."""
-        self._base, self._began_at = max(clock, self.since(now)), now
+        self._base, self._began_at = max(clock, self.estimate(now)), now
 
     def read(self, now: float) -> int:
         """A leader's time (ms) for the entries it proposes."""
         return self._base + int((now - self._began_at) * 1000)
 
-    def since(self, now: float) -> int:
+    def estimate(self, now: float) -> int:
         """The fleet's clock by what was heard of it, 0 before that.
 
         Never ahead, since an entry is proposed before it is applied here: what rests on it ends too soon if at all.
@@ -41,7 +41,7 @@
         clock, at = self._heard
         return clock + int((now - at) * 1000)
 
-    def hear(self, e: Entry, now: float) -> None:
+    def observe(self, e: Entry, now: float) -> None:
         """Each leader's clock may run behind its predecessor's: what was heard of those says nothing of this one's."""
-        if e.kind != NOOP and (e.term != self._term or e.at > self.since(now)):
+        if e.kind != NOOP and (e.term != self._term or e.at > self.estimate(now)):
             self._heard, self._term = (e.at, now), e.term
--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -11,7 +11,7 @@
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.replica_task import ATTEMPT
 from mallowvalve.control.state import encode
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.state import Lock, Next, Put, Renew, Said, SaidCode, Unlock
 from mallowvalve.finding import Finding
 
@@ -137,7 +137,7 @@
         while True:
             st = self.task.core.state
             if st is None:
-                return self.reject(req, resp, Took(Code.LEADER))
+                return self.reject(req, resp, CommandResponse(Code.LEADER))
             events = st.coordination.since(since, prefix)
             if events is None:
                 found = [Finding("since", f"compacted up to {st.coordination.compacted}")]
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -13,9 +13,9 @@
 from mallowvalve.control import http_coordination, http_items
 from mallowvalve.control.api import Api
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.state import Change, Evacuate, Settings, Strike, encode, key_of
+from mallowvalve.control.state import Change, Evacuate, ReplicatedSettings, Strike, command_key, encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.planner.plan import Seen, plan
 from mallowvalve.types import Address
@@ -45,7 +45,7 @@
     base: int | None = None
 
 
-def patched(s: Settings, patch: list[dict]) -> Result[dict, Findings]:
+def patched(s: ReplicatedSettings, patch: list[dict]) -> Result[dict, Findings]:
     """The document with the patch on it, or what is wrong with the patch."""
     try:
         doc = jsonpatch.apply_patch(msgspec.json.decode(s.doc), patch)
@@ -80,10 +80,10 @@
             return
         digest = hashlib.blake2b(encode([d.base, msgspec.json.encode(d.patch)]), digest_size=16).hexdigest()
         c = Change(d.base, b"", key, digest)
-        if self.task.core.state.asks.look(key_of(c), digest) is not None:
+        if self.task.core.state.asks.look(command_key(c), digest) is not None:
             return self.offer(req, resp, c)
         if d.base != s.doc_revision:
-            return self.reject(req, resp, Took(Code.CONFLICT, s.doc_revision))
+            return self.reject(req, resp, CommandResponse(Code.CONFLICT, s.doc_revision))
         doc = patched(s, d.patch)
         if doc.is_err():
             return web.turn_away(req, resp, 422, doc.err_value)
@@ -113,7 +113,7 @@
         if s is None:
             return
         if d.base not in (None, s.doc_revision):
-            return self.reject(req, resp, Took(Code.CONFLICT, s.doc_revision))
+            return self.reject(req, resp, CommandResponse(Code.CONFLICT, s.doc_revision))
         doc = Ok(d.doc) if d.patch is None else patched(s, d.patch)
         new = doc.and_then(self.task.check)
         if new.is_err():
--- a/mallowvalve/control/http_plain.py
+++ b/mallowvalve/control/http_plain.py
@@ -8,11 +8,11 @@
 
 from mallowvalve import clock, web
 from mallowvalve.control import page_offer
-from mallowvalve.control.lease import BOUNDS, Answer
-from mallowvalve.control.outcome import NOT_TAKEN, Code
-from mallowvalve.control.state import State, encode
+from mallowvalve.control.lease import LEASE_BOUNDS, AnswerKind
+from mallowvalve.control.outcome import NOT_APPLIED, Code
+from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Count, Extend, Free, Plain, Put, Take, Word, WordCode, Write, group_of
 from mallowvalve.finding import Finding, Findings
 
@@ -102,10 +102,10 @@
         """The state with all that was acknowledged before this call, or None once the trouble was answered."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
-        end, t = clock.now() + LIMIT, Took(Code.LEADER)
+        end, t = clock.now() + LIMIT, CommandResponse(Code.LEADER)
         while (left := end - clock.now()) > 0:
             t = self.task.read(min(left, ATTEMPT))
-            s: State | None = self.task.core.state
+            s: ReplicatedState | None = self.task.core.state
             if t.code == Code.OK and s is not None:
                 return s.plain
             if web.client_left(req):
@@ -113,9 +113,9 @@
             gevent.sleep(min(PAUSE, max(0.0, end - clock.now())))
         return self.reject(resp, t)
 
-    def reject(self, resp, t: Took) -> None:
+    def reject(self, resp, t: CommandResponse) -> None:
         """503 only where the offer came back as never taken: whatever may still take effect is a 504."""
-        if t.code in NOT_TAKEN:
+        if t.code in NOT_APPLIED:
             return web.reject(resp, 503, web.NOT_RUN, [Finding("control", "no leader just now")], 1)
         web.reject(resp, 504, web.UNDECIDED, [Finding("control", "not confirmed in time: say it again")], 1)
 
@@ -252,7 +252,7 @@
 
     def _plain(self, req, resp, after: int) -> Plain | None:
         """What is known here, unless it may lag behind what was acknowledged: then a quorum is asked first."""
-        s: State | None = self.task.core.state
+        s: ReplicatedState | None = self.task.core.state
         if s is not None and after and self.task.core.current(clock.now()):
             return s.plain
         return self.confirm(req, resp)
@@ -263,7 +263,7 @@
         A watcher who waits is told of a machine cut off once heartbeats are refused there too.
         """
         got, now = plain.since(group, after), clock.now()
-        lags = not (self.task.core.current(now) if over else self.task.core.holds(Answer.HEARTBEAT, now))
+        lags = not (self.task.core.current(now) if over else self.task.core.may_answer(AnswerKind.HEARTBEAT, now))
         return self.confirm(req, resp) if got is not None and not got[0] and lags else plain
 
     def _watch(self, req, resp, plain: Plain, group: str, after: int, end: float) -> None:
@@ -279,12 +279,12 @@
                 if got[1] < after:
                     return web.reject(resp, 503, web.NOT_RUN, [Finding("after", f"held here up to {got[1]} only")], 0.2)
                 return web.say(resp, {"events": list(map(event, got[0])), "revision": got[1]})
-            self.bell.wait(group, after, min(BOUNDS[Answer.WATCH].seconds, end - clock.now()))
+            self.bell.wait(group, after, min(LEASE_BOUNDS[AnswerKind.WATCH].seconds, end - clock.now()))
             if web.client_left(req):
                 return web.reject(resp, 503, web.NOT_RUN, [Finding("watch", "its caller has closed the connection")])
-            s: State | None = self.task.core.state
+            s: ReplicatedState | None = self.task.core.state
             if s is None:
-                return self.reject(resp, Took(Code.LEADER))
+                return self.reject(resp, CommandResponse(Code.LEADER))
             plain = s.plain
 
 
--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -14,7 +14,7 @@
 
 from mallowvalve import clock, finding, web
 from mallowvalve.control import redirect
-from mallowvalve.control.lease import RETRY_S, Answer
+from mallowvalve.control.lease import RETRY_AFTER_S, AnswerKind
 from mallowvalve.finding import Finding, Findings, parse_json
 from mallowvalve.membership.wire import ALIVE, Record
 from mallowvalve.types import Address, Locality
@@ -150,10 +150,10 @@
 
     def _unsure(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Not acknowledged; safe to repeat, and better said to another where this process is out of touch."""
-        if not self.task.core.holds(Answer.HEARTBEAT, clock.now()):
+        if not self.task.core.may_answer(AnswerKind.HEARTBEAT, clock.now()):
             return redirect.reject_out_of_touch(self.task, req, resp)
         found = [Finding("control", "not confirmed in time; safe to repeat")]
-        web.reject(resp, 503, web.UNDECIDED, found, RETRY_S)
+        web.reject(resp, 503, web.UNDECIDED, found, RETRY_AFTER_S)
 
 
 class All:
--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -9,7 +9,7 @@
 
 import enum
 
-from mallowvalve.control.wire import Who
+from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.messages import Voters
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address
@@ -33,12 +33,12 @@
         """`me` is the id of the member that was told to stop."""
         self.me, self.why = me, Why.WAITS
 
-    def over(self, raft: Raft | None, answers: list[Who], control: list[Address]) -> bool:
+    def over(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> bool:
         """Whether to go now, by this member's log, what the leader answers, and which control processes live."""
         self.why = self._why(raft, answers, control)
         return self.why is not Why.WAITS
 
-    def _why(self, raft: Raft | None, answers: list[Who], control: list[Address]) -> Why:
+    def _why(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> Why:
         if raft is None:
             return Why.NO_SEAT
         voters, committed = raft.log.voters, raft.log.voters_index <= raft.commit
@@ -51,7 +51,7 @@
         return Why.WAITS if changing or _could_sit(answers, voters.electors()) else Why.NOBODY
 
 
-def _knows_as_much(w: Who, raft: Raft) -> bool:
+def _knows_as_much(w: ProcessStatus, raft: Raft) -> bool:
     """Whether one that answers has applied the newest configuration that is known here, or a later one."""
     return w.group == raft.group and w.index >= raft.log.voters_index
 
@@ -64,6 +64,6 @@
     )
 
 
-def _could_sit(answers: list[Who], seats: dict[str, Address]) -> bool:
+def _could_sit(answers: list[ProcessStatus], seats: dict[str, Address]) -> bool:
     """Whether one that answers has no seat: its address may have, for a member that came back empty has a new id."""
     return any(w.role == "control" and w.id not in seats and not w.leaving for w in answers)
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -13,7 +13,7 @@
 from mallowvalve.configuration.items import Items
 from mallowvalve.control import http_operators, http_plain, http_upstreams, store
 from mallowvalve.control.bootstrap_task import ID
-from mallowvalve.control.lease import Answer
+from mallowvalve.control.lease import AnswerKind
 from mallowvalve.control.registry_task import RegistryTask
 from mallowvalve.control.task import ControlTask
 from mallowvalve.directory import pages as directory
@@ -130,4 +130,8 @@
         task.hand_over()
 
     with node, task, registry, Memory(node, disk_log.disk), directory_front or contextlib.nullcontext():
-        node.run(lambda: task.core.holds(Answer.HEARTBEAT, clock.now()) and not task.stalled, leave, task.founder.leave)
+        node.run(
+            lambda: task.core.may_answer(AnswerKind.HEARTBEAT, clock.now()) and not task.stalled,
+            leave,
+            task.founder.leave,
+        )
--- a/mallowvalve/control/outcome.py
+++ b/mallowvalve/control/outcome.py
@@ -38,13 +38,13 @@
     RELEASED = "released"
 
 
-NOT_TAKEN = frozenset({Code.LEADER, Code.REPLACED})
+NOT_APPLIED = frozenset({Code.LEADER, Code.REPLACED})
 """The command had no effect, and this very offer of it never will."""
-OFFER_AGAIN = NOT_TAKEN | {Code.UNDECIDED}
+RETRYABLE = NOT_APPLIED | {Code.UNDECIDED}
 """Whoever offered the command may offer it again, under the same origin."""
 
 
-UNAPPLIED = frozenset({Code.INVALID, Code.LATE, Code.AHEAD, Code.FORGOTTEN})
+WITHOUT_EFFECT = frozenset({Code.INVALID, Code.LATE, Code.AHEAD, Code.FORGOTTEN})
 """Nothing came of these commands, so their answer waits for no copy of the state."""
 
 
--- a/mallowvalve/control/page_offer.py
+++ b/mallowvalve/control/page_offer.py
@@ -13,12 +13,12 @@
 
 from mallowvalve import clock, web
 from mallowvalve.control import redirect
-from mallowvalve.control.lease import Answer
+from mallowvalve.control.lease import AnswerKind
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 
-LEFT = Took(Code.LEADER)
+LEFT = CommandResponse(Code.LEADER)
 """What is said to a caller who has gone: nothing was offered."""
 
 
@@ -27,7 +27,7 @@
 
     Nothing was offered; but of a call with a key, an earlier try elsewhere may have run.
     """
-    if task.core.holds(Answer.CALL, clock.now()):
+    if task.core.may_answer(AnswerKind.CALL, clock.now()):
         return True
     keyed = req.get_header("Mallow-Key") is not None
     redirect.reject_out_of_touch(task, req, resp, web.UNDECIDED if keyed else web.NOT_RUN)
@@ -36,7 +36,7 @@
 
 def offer(
     task: ControlTask, req: falcon.Request, command: bytes, limit: float, attempt: float, effect: float | None = None
-) -> Took:
+) -> CommandResponse:
     """As `ControlTask.offer` (s), but nothing is offered for a caller whose connection has ended."""
     if web.client_left(req):
         return LEFT
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from mallowvalve.control.wire import Who
+from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.messages import Voters
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
@@ -76,7 +76,7 @@
         self.boot, self.leaving = 0, False
         self._commits: deque[tuple[float, int]] = deque()
 
-    def hear(self, who: Who, now: float) -> None:
+    def hear(self, who: ProcessStatus, now: float) -> None:
         """A member said that it is here, or with `leaving` that it is about to go."""
         self.seen[who.id] = Seen(who.addr, who.locality, now, who.boot, who.leaving)
         for i in [i for i, s in self.seen.items() if now - s.at >= 2 * FORGOTTEN]:
--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -10,7 +10,7 @@
 
 from mallowvalve import clock
 from mallowvalve.control import lease
-from mallowvalve.control.lease import Answer
+from mallowvalve.control.lease import AnswerKind
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import encode
 from mallowvalve.control.task import ControlTask
@@ -78,7 +78,7 @@
             return False
         row = s.registry.rows.get(u.instance)
         known = row is not None and row.state == "gone" and self.liveness.is_acked(row)
-        return known and self.task.core.holds(Answer.NOTICE, clock.now()) or self._notice(u)
+        return known and self.task.core.may_answer(AnswerKind.NOTICE, clock.now()) or self._notice(u)
 
     def _notice(self, u: Upstream) -> bool:
         if not self.offer(u):
@@ -97,8 +97,8 @@
 
     def in_touch(self, now: float) -> bool:
         """Whether a majority was asked, and a leader told whom this process heard, inside the bound of a heartbeat."""
-        told = self.task.core.leads or lease.holds(Answer.HEARTBEAT, self._touched, now)
-        return told and self.task.core.holds(Answer.HEARTBEAT, now)
+        told = self.task.core.leads or lease.is_valid(AnswerKind.HEARTBEAT, self._touched, now)
+        return told and self.task.core.may_answer(AnswerKind.HEARTBEAT, now)
 
     def _collect(self) -> None:
         while True:
@@ -170,7 +170,7 @@
     def _on_heard(self, _sender: Address, body: bytes) -> bytes:
         heard = _heard(body)
         now = clock.now()
-        if not self.task.core.leads or not self.task.core.holds(Answer.HEARTBEAT, now):
+        if not self.task.core.leads or not self.task.core.may_answer(AnswerKind.HEARTBEAT, now):
             return b""
         self.liveness.told(heard, now)
         return TAKEN
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -15,12 +15,12 @@
 from mallowvalve.configuration.build import build
 from mallowvalve.configuration.model import Tree
 from mallowvalve.control import wire
-from mallowvalve.control.outcome import OFFER_AGAIN, Code
-from mallowvalve.control.replica import HOLD, Replica
+from mallowvalve.control.outcome import RETRYABLE, Code
+from mallowvalve.control.replica import DEFAULT_MAX_WAIT_S, Replica
 from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS, Puller
 from mallowvalve.control.snapshot_transfer import Label
-from mallowvalve.control.state import Change, command
+from mallowvalve.control.state import Change, decode_command
 from mallowvalve.finding import Findings
 from mallowvalve.metrics import change, vital
 from mallowvalve.node import Node
@@ -60,18 +60,22 @@
         """For one process, whose transport it answers on."""
         self.node = node
         p = node.settings
-        hold = HOLD_ON if p.serve_on else HOLD
-        self.replica = Replica(p.transport, node.boot, p.role, p.locality, self._settings, p.holds, hold)
+        max_wait_s = HOLD_ON if p.serve_on else DEFAULT_MAX_WAIT_S
+        self.replica = Replica(p.transport, node.boot, p.role, p.locality, self._settings, p.holds, max_wait_s)
         self._rng = random.Random()
         self._fetching = False
-        self.puller = Puller(node.transport, self.replica.snapshot, settings=self.replica.settings)
+        self.puller = Puller(node.transport, self.replica.snapshot, settings=self.replica.settings_snapshot)
         self._met: Address | None = None
         self._shunned: dict[Address, float] = {}
         self._sought = -1e9
         self._session = Session(lambda: secrets.randbits(64))
         self.held = Event()
         on = node.transport.on
-        on("round", lambda s, b: wire.encode(self.replica.tell(wire.round_(b))), quick=True)
+        on(
+            "round",
+            lambda s, b: wire.encode(self.replica.answer_revision_query(wire.decode_revision_query(b))),
+            quick=True,
+        )
         on("who", lambda s, b: wire.encode(self._who()), quick=True)
         node.gauge("revision", lambda: self.replica.revision)
         node.gauge("held_index", lambda: self.replica.state.index if self.replica.state else 0)
@@ -113,7 +117,7 @@
         now = clock.now()
         return sorted([*alive, *seeds], key=lambda a: self._shunned.get(a, now) > now)
 
-    def offer(self, command: bytes, limit: float) -> wire.Took:
+    def offer(self, command: bytes, limit: float) -> wire.CommandResponse:
         """Offers a command in short attempts, for a dead leader's machine answers nothing; all limits in s."""
         end = clock.now() + limit
         call = Call(self._session, command, end)
@@ -124,18 +128,18 @@
                 continue
             left = min(left, ATTEMPT)
             data = call.data(self.replica.clock(now := clock.now()), now)
-            r = self.node.transport.call(to, "offer", wire.encode(wire.Offer(data, left)), left)
+            r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
             if r.is_err():
-                call.heard(wire.Took(Code.UNDECIDED), clock.now())
+                call.heard(wire.CommandResponse(Code.UNDECIDED), clock.now())
                 self._forget(to)
                 gevent.sleep(min(0.05, left))
                 continue
-            t = call.heard(wire.took(r.ok_value), clock.now())
-            if t.code not in OFFER_AGAIN:
-                return call.ended(t, OFFER_AGAIN)
+            t = call.heard(wire.decode_command_response(r.ok_value), clock.now())
+            if t.code not in RETRYABLE:
+                return call.ended(t, RETRYABLE)
             self.replica.leader = t.leader
             gevent.sleep(min(0.05, left))
-        return wire.Took(Code.UNDECIDED)
+        return wire.CommandResponse(Code.UNDECIDED)
 
     def _forget(self, a: Address) -> None:
         if self.replica.leader == a:
@@ -153,9 +157,9 @@
             )
         change("snapshot_not_understood", revision=self.replica.revision, findings=[str(f) for f in built.err_value])
 
-    def _who(self) -> wire.Who:
+    def _who(self) -> wire.ProcessStatus:
         p, e = self.node.settings, self.replica
-        return wire.Who(
+        return wire.ProcessStatus(
             p.role,
             "",
             p.transport,
@@ -166,7 +170,7 @@
             e.state.index if e.state else 0,
             e.voters,
             e.leader,
-            e.parts == "all",
+            e.scope == "all",
         )
 
     def _follow(self) -> None:
@@ -175,8 +179,8 @@
             if to is None:
                 self._seek()
                 continue
-            hold = self.replica.hold if to == self._met else 0.0
-            f = self._want(to, hold, hold + OVER)
+            max_wait_s = self.replica.max_wait_s if to == self._met else 0.0
+            f = self._want(to, max_wait_s, max_wait_s + OVER)
             if f is None:
                 self._forget(to)
                 continue
@@ -184,18 +188,20 @@
             if f.group is None:
                 gevent.sleep(0.05 if f.leader in (None, to) else 0.01)
 
-    def _want(self, to: Address, hold: float, limit: float) -> wire.Fed | None:
-        r = self.node.transport.call(to, "want", wire.encode(self.replica.want(clock.now(), hold)), limit)
-        return wire.fed(r.ok_value) if r.is_ok() else None
+    def _want(self, to: Address, max_wait_s: float, limit: float) -> wire.ReplicationResponse | None:
+        r = self.node.transport.call(
+            to, "want", wire.encode(self.replica.replication_request(clock.now(), max_wait_s)), limit
+        )
+        return wire.decode_replication_response(r.ok_value) if r.is_ok() else None
 
-    def _take(self, of: Address, f: wire.Fed) -> None:
+    def _take(self, of: Address, f: wire.ReplicationResponse) -> None:
         warm(large_docs(f.entries))
-        self.replica.fed(f, clock.now())
+        self.replica.receive_response(f, clock.now())
         self._note()
         if f.group is None:
             return
         self._met = of
-        if f.lacking and not self._fetch(of, SETTINGS if self.replica.parts == "settings" else BASE):
+        if f.needs_snapshot and not self._fetch(of, SETTINGS if self.replica.scope == "settings" else BASE):
             gevent.sleep(0.05)
 
     def _seek(self) -> None:
@@ -211,7 +217,7 @@
                 break
             if f is None:
                 self._forget(a)
-            elif f.group is not None and not self.replica.outgrown(f.group):
+            elif f.group is not None and not self.replica.is_older_generation(f.group):
                 return self._take(a, f)
             elif f.leader is not None and self._shunned.get(f.leader, -1e9) < clock.now():
                 self.replica.leader = f.leader
@@ -246,21 +252,21 @@
         to = [*self._controls()[: 2 * SEEK_MOST], *self._rng.sample(proxies, min(len(proxies), SEEK_MOST))]
         known = self._known(to, wait)
         for w in sorted(known, key=lambda w: (w.group.generation, w.index), reverse=True):
-            if self.replica.lacks(Label(w.group, w.index, 0, w.voters, 0)) and self._fetch(w.addr, self._now):
+            if self.replica.is_behind(Label(w.group, w.index, 0, w.voters, 0)) and self._fetch(w.addr, self._now):
                 return
 
-    def _known(self, to: list[Address], wait: float | None) -> list[wire.Who]:
+    def _known(self, to: list[Address], wait: float | None) -> list[wire.ProcessStatus]:
         box: Queue = Queue()
         for a in to:
             gevent.spawn(lambda a=a: box.put(self.node.transport.call(a, "who", b"", FIRST_LIMIT)))
-        known: list[wire.Who] = []
+        known: list[wire.ProcessStatus] = []
         end = clock.now() + FIRST_LIMIT + 0.1
         for _ in to:
             try:
                 r = box.get(timeout=max(0.001, end - clock.now()))
             except Empty:
                 break
-            w = wire.who(r.ok_value) if r.is_ok() else None
+            w = wire.decode_process_status(r.ok_value) if r.is_ok() else None
             if w is None or w.group is None or w.voters is None:
                 continue
             if not known and wait is not None:
@@ -275,15 +281,15 @@
 
     @property
     def _now(self) -> bytes:
-        return SETTINGS if self.replica.parts == "settings" else NOW
+        return SETTINGS if self.replica.scope == "settings" else NOW
 
     def _fetch(self, a: Address, what: bytes) -> bool:
-        r = self.puller.pull(a, what, self.replica.lacks)
+        r = self.puller.pull(a, what, self.replica.is_behind)
         if r.is_err():
             return False
         p, s = r.ok_value
         warm([s.settings.doc] if len(s.settings.doc) > LARGE else [])
-        self.replica.adopt(p, s)
+        self.replica.install(p, s)
         self._note()
         return True
 
@@ -291,9 +297,9 @@
         while True:
             gevent.sleep(ROUND)
             now = clock.now()
-            if not self.replica.quiet(now):
+            if not self.replica.leader_is_silent(now):
                 continue
-            m = self.replica.round(now)
+            m = self.replica.revision_query(now)
             if m is None:
                 continue
             body = wire.encode(m)
@@ -305,7 +311,7 @@
 
     def _ask(self, a: Address, body: bytes) -> None:
         r = self.node.transport.call(a, "round", body, 1.0)
-        if r.is_err() or not self.replica.told(wire.told(r.ok_value)):
+        if r.is_err() or not self.replica.receive_revision_reply(wire.decode_revision_reply(r.ok_value)):
             return
         if self._fetching:
             return
@@ -319,7 +325,7 @@
 def large_docs(entries: list[Entry]) -> list[bytes]:
     """The configuration documents among these entries that take long to parse."""
     datas = [e.data for e in entries if e.kind == COMMAND and len(e.data) > LARGE]
-    return [c.doc for c in map(command, datas) if isinstance(c, Change)]
+    return [c.doc for c in map(decode_command, datas) if isinstance(c, Change)]
 
 
 def warm(docs: list[bytes]) -> None:
--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from mallowvalve.control.outcome import Code, Outcome
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 
 GRACE_MS = 10_000
 """For how long after its `not_after` a command's outcome is kept."""
@@ -182,7 +182,7 @@
             self._sealed = seal(self._session.origin(estimate, now, self._end - now), self._command)
         return self._sealed
 
-    def heard(self, t: Took, now: float) -> Took:
+    def heard(self, t: CommandResponse, now: float) -> CommandResponse:
         """What an offer's answer says of the call: after one that may have run, an untimely one is undecided.
 
         Untimely at first, nothing ran, even if the state may have forgotten others of that time: the call goes on under
@@ -192,15 +192,15 @@
         if t.code not in (Code.LATE, Code.AHEAD, Code.FORGOTTEN):
             return t
         if self._maybe:
-            return Took(Code.FORGOTTEN)
+            return CommandResponse(Code.FORGOTTEN)
         self._session.told(_clock(t.body), now)
         self._sealed = b""
-        return Took(Code.LEADER, leader=t.leader)
+        return CommandResponse(Code.LEADER, leader=t.leader)
 
     def is_over(self, now: float) -> bool:
         """Whether it can take no effect any more, and nothing that was offered may have."""
         return now >= self._end and not self._maybe
 
-    def ended(self, t: Took, again: frozenset[Code]) -> Took:
+    def ended(self, t: CommandResponse, again: frozenset[Code]) -> CommandResponse:
         """The last word of a call: what may have run never ends as refused."""
-        return Took(Code.UNDECIDED) if t.code == Code.FORGOTTEN or self._maybe and t.code in again else t
+        return CommandResponse(Code.UNDECIDED) if t.code == Code.FORGOTTEN or self._maybe and t.code in again else t
--- a/mallowvalve/control/news.py
+++ b/mallowvalve/control/settings_log.py
@@ -8,14 +8,14 @@
 from mallowvalve.raft.messages import Entry
 
 
-class News:
+class SettingsLog:
     """Entries that changed the settings since the state was loaded, but for those a snapshot has replaced."""
 
-    __slots__ = ("dropped", "_entries")
+    __slots__ = ("compacted_index", "_entries")
 
-    def __init__(self, dropped: int) -> None:
+    def __init__(self, compacted_index: int) -> None:
         """`dropped` is the index up to which entries are no longer held."""
-        self.dropped = dropped
+        self.compacted_index = compacted_index
         self._entries: deque[Entry] = deque()
 
     def __len__(self) -> int:
@@ -29,7 +29,7 @@
     def compact(self, index: int) -> None:
         """Forgets the entries up to the index."""
         while self._entries and self._entries[0].index <= index:
-            self.dropped = self._entries.popleft().index
+            self.compacted_index = self._entries.popleft().index
 
     def since(self, index: int, applied: int) -> tuple[list[Entry], int]:
         """What changed the settings part after the index, and how far one is whole with it."""
--- a/mallowvalve/control/snapshot.py
+++ b/mallowvalve/control/snapshot.py
@@ -12,7 +12,7 @@
 from mallowvalve.configuration.items import Item
 from mallowvalve.control import sessions
 from mallowvalve.control.sessions import Kept
-from mallowvalve.control.state import Settings, State, encode
+from mallowvalve.control.state import ReplicatedSettings, ReplicatedState, encode
 from mallowvalve.coordination import plain
 from mallowvalve.coordination.state import Event, Held
 from mallowvalve.ledger.asks import Asked
@@ -30,7 +30,7 @@
     generation: int
     index: int
     clock: int
-    settings: Settings
+    settings: ReplicatedSettings
     locks: dict[str, Held]
     numbers: dict[str, int]
     compacted: int
@@ -60,7 +60,7 @@
 }
 
 
-def cut(s: State) -> Iterator[bytes]:
+def cut(s: ReplicatedState) -> Iterator[bytes]:
     """The state as it is now; pieces are made one at a time while it goes on, for only frozen rows are shared."""
     head = Head(
         s.generation,
@@ -79,14 +79,14 @@
     return chain(_begun(head, s), _rest(s), (encode((PLAIN, p)) for p in plain.parts(coordination, SLICE, PIECE)))
 
 
-def cut_settings(s: State) -> Iterator[bytes]:
+def cut_settings(s: ReplicatedState) -> Iterator[bytes]:
     """The settings part alone: settings, items and registry, and what was said to the commands that make them."""
     times = s.settings_sessions.times
     head = Head(s.generation, s.index, s.clock, s.settings, {}, {}, 0, s.items.revision, s.registry.revision, times)
     return _begun(head, s)
 
 
-def _begun(head: Head, s: State) -> Iterator[bytes]:
+def _begun(head: Head, s: ReplicatedState) -> Iterator[bytes]:
     first = encode((HEAD, head))
     parts = (
         (ITEMS, s.items.rows.copy().values()),
@@ -96,7 +96,7 @@
     return chain([first], (encode((kind, part)) for kind, rows in parts for part in slices(rows)))
 
 
-def _rest(s: State) -> Iterator[bytes]:
+def _rest(s: ReplicatedState) -> Iterator[bytes]:
     parts = (
         (ROWS, s.ledger.rows.copy().items()),
         (KEPT, s.ledger.kept.copy()),
@@ -108,19 +108,19 @@
     return (encode((kind, part)) for kind, rows in parts for part in slices(rows))
 
 
-def dump(s: State) -> list[bytes]:
+def dump(s: ReplicatedState) -> list[bytes]:
     """The whole state in pieces."""
     return list(cut(s))
 
 
-def founding(group: Group, voters: Voters, base: State | None) -> Snapshot:
+def founding(group: Group, voters: Voters, base: ReplicatedState | None) -> Snapshot:
     """The snapshot that a new group begins from: a base's state, or an empty one."""
-    state = State(group.generation) if base is None else base
+    state = ReplicatedState(group.generation) if base is None else base
     state.generation = group.generation
     return Snapshot(group, state.index, 0, voters, dump(state))
 
 
-def load(pieces: list[bytes], generation: int | None = None) -> State:
+def load(pieces: list[bytes], generation: int | None = None) -> ReplicatedState:
     """The state of these pieces; UnwrapError if they are no whole state."""
     w = Loader(generation)
     for p in pieces:
@@ -159,7 +159,7 @@
     def __init__(self, generation: int | None = None):
         """`generation` replaces the one that the pieces name, where it is given."""
         self._generation = generation
-        self._state: State | None = None
+        self._state: ReplicatedState | None = None
 
     def feed(self, piece: bytes) -> Result[None, str]:
         """Takes in the next piece, or says what is wrong with it."""
@@ -195,14 +195,14 @@
             return Err("a kept answer without its row")
         return Ok(None)
 
-    def done(self) -> Result[State, str]:
+    def done(self) -> Result[ReplicatedState, str]:
         """The state, once all pieces were taken in."""
         return Err("no head") if self._state is None else Ok(self._state)
 
     def _begin(self, h: Head) -> Result[None, str]:
         if self._state is not None:
             return Err("a second head")
-        s = self._state = State(h.generation if self._generation is None else self._generation)
+        s = self._state = ReplicatedState(h.generation if self._generation is None else self._generation)
         s.index, s.clock, s.settings = h.index, h.clock, h.settings
         s.coordination.locks, s.coordination.numbers, s.coordination.compacted = h.locks, h.numbers, h.compacted
         s.items.revision, s.registry.revision = h.items_revision, h.registry_revision
--- a/mallowvalve/control/snapshot_fetch.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -12,7 +12,7 @@
 
 from mallowvalve import clock
 from mallowvalve.control.snapshot_transfer import Gather, Label, Piece, Shelf, label, read_label, read_piece, read_want
-from mallowvalve.control.state import State, encode
+from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.raft.messages import Snapshot
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
@@ -58,7 +58,7 @@
         to: Address,
         what: bytes,
         wanted: Callable[[Label], bool] = lambda named: True,
-    ) -> Result[tuple[Snapshot, State], str]:
+    ) -> Result[tuple[Snapshot, ReplicatedState], str]:
         """A settings part is small, and whoever wants it has others to ask: a silent one is soon given up."""
         quick = what == SETTINGS
         if quick:
--- a/mallowvalve/control/snapshot_transfer.py
+++ b/mallowvalve/control/snapshot_transfer.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve.control.snapshot import Loader
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.raft.messages import Group, Snapshot, Voters
 
 KEPT = 2
@@ -193,7 +193,7 @@
         self._failed = 0
         return Ok(None)
 
-    def done(self) -> Result[tuple[Snapshot, State], Refused]:
+    def done(self) -> Result[tuple[Snapshot, ReplicatedState], Refused]:
         """The snapshot and its state, or what is wrong with them as a whole."""
         if self.want() is not None:
             return Err(Refused(Refusal.CUT_SHORT, f"{len(self.pieces)} of {self.label.count} pieces"))
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -64,41 +64,53 @@
     pass
 
 
-Ledgered = Claim | Done | Release | Forfeit | Lose
-Coordinated = Lock | Renew | Unlock | Next | Put
-Plainly = Take | Extend | Free | Count | Write
-Command = Change | Evacuate | Enrol | Strike | Seats | Tick | Ledgered | Coordinated | Plainly | Amend | Registered
-SETTINGS = (Change, Evacuate, Enrol, Strike, Seats, Amend, Registered)
-COORDINATION = (Lock, Renew, Unlock, Next, Put, Take, Extend, Free, Count, Write)
+LedgerCommand = Claim | Done | Release | Forfeit | Lose
+CoordinationCommand = Lock | Renew | Unlock | Next | Put
+PlainCommand = Take | Extend | Free | Count | Write
+Command = (
+    Change
+    | Evacuate
+    | Enrol
+    | Strike
+    | Seats
+    | Tick
+    | LedgerCommand
+    | CoordinationCommand
+    | PlainCommand
+    | Amend
+    | Registered
+)
+SETTINGS_COMMANDS = (Change, Evacuate, Enrol, Strike, Seats, Amend, Registered)
+COORDINATION_COMMANDS = (Lock, Renew, Unlock, Next, Put, Take, Extend, Free, Count, Write)
 encode = msgspec.msgpack.Encoder().encode
 _command = msgspec.msgpack.Decoder(Command).decode
 
 
-def command(data: bytes) -> Command:
+def decode_command(data: bytes) -> Command:
     """A command as it was offered, with an origin or without."""
     return _command(unseal(data)[1])
 
 
-NOT_UNDERSTOOD = encode([Finding("command", "not understood")])
+UNDECODABLE_FINDINGS = encode([Finding("command", "not understood")])
 """The findings that go with an offer of something else than a command."""
 
 
 def is_command(data: bytes) -> bool:
     """Whether the bytes are a command, with an origin or without; what is in the log must be."""
     try:
-        command(data)
+        decode_command(data)
     except msgspec.DecodeError:
         return False
     return True
 
 
-def tag_of(data: bytes) -> bytes:
+def command_tag(data: bytes) -> bytes:
     """The tag of an encoded command, read off its first bytes."""
     at = body_at(data)
     return data[at + 2 : at + 2 + (data[at + 1] & 0x1F)] if len(data) > at + 1 else b""
 
 
-def tags(kinds: tuple[type[msgspec.Struct], ...]) -> frozenset[bytes]:
+def command_tags(kinds: tuple[type[msgspec.Struct], ...]) -> frozenset[bytes]:
     """The tags by which encoded commands of these kinds are told."""
     return frozenset(str(k.__struct_config__.tag).encode() for k in kinds)
 
@@ -110,7 +122,7 @@
     locality: Locality
 
 
-class Settings(msgspec.Struct, array_like=True):
+class ReplicatedSettings(msgspec.Struct, array_like=True):
     """The configuration document, evacuations and the roster, with their revisions."""
 
     doc: bytes = b"{}"
@@ -120,7 +132,7 @@
     revision: int = 0
 
 
-def digest_of(c: Command) -> str:
+def command_digest(c: Command) -> str:
     """What tells a command from others under the same key of a caller."""
     if isinstance(c, Change) and c.digest:
         return c.digest
@@ -130,18 +142,18 @@
 _said = msgspec.msgpack.Decoder(Said).decode
 
 
-def number_of(o: Outcome) -> int:
+def outcome_number(o: Outcome) -> int:
     """The number in the outcome of a coordination command."""
     return _said(o.body).number
 
 
-def key_of(c: Command) -> str:
+def command_key(c: Command) -> str:
     """The caller's key of a command, by its kind and name; empty if it has none."""
     ask = getattr(c, "ask", "")
     return f"{type(c).__name__}:{getattr(c, 'name', '')}:{ask}" if ask else ""
 
 
-class State:
+class ReplicatedState:
     """All replicated state; only `apply` changes it."""
 
     __slots__ = (
@@ -162,7 +174,12 @@
     def __init__(self, generation: int):
         """The empty state of a generation."""
         self.generation, self.index, self.clock = generation, 0, 0
-        self.settings, self.ledger, self.coordination, self.asks = Settings(), Ledger(), Coordination(), Asks()
+        self.settings, self.ledger, self.coordination, self.asks = (
+            ReplicatedSettings(),
+            Ledger(),
+            Coordination(),
+            Asks(),
+        )
         self.items, self.registry, self.plain = Items(), Registry(), Plain()
         self.sessions, self.settings_sessions = Sessions(), Sessions()
 
@@ -176,11 +193,11 @@
         return int(Revision.make(self.generation, index))
 
     @property
-    def turned(self) -> int:
+    def settings_index(self) -> int:
         """The index of the last entry that changed the settings part: settings, items or registry."""
         return Revision(self.settings.revision).index
 
-    def graft(self, other: State) -> None:
+    def replace_settings(self, other: ReplicatedState) -> None:
         """Takes over the settings part of a state that went on further."""
         self.settings, self.items, self.registry = other.settings, other.items, other.registry
         self.settings_sessions = other.settings_sessions
@@ -196,7 +213,7 @@
         c = _command(body)
         if origin is None:
             return self._keyed(c)
-        memory = self.settings_sessions if isinstance(c, SETTINGS) else self.sessions
+        memory = self.settings_sessions if isinstance(c, SETTINGS_COMMANDS) else self.sessions
         said = memory.judge(origin, at)
         if isinstance(said, Code):
             return Outcome(said, self.settings.revision, encode_clock(memory.latest))
@@ -206,11 +223,11 @@
         return said
 
     def _keyed(self, c: Command) -> Outcome:
-        key = key_of(c)
+        key = command_key(c)
         if not key:
             return self._do(c)
         self.asks.forget(self.clock)
-        digest = digest_of(c)
+        digest = command_digest(c)
         had = self.asks.look(key, digest)
         if had is not None:
             return self._again(c, Outcome(Code(had.code), had.revision, had.body))
@@ -222,7 +239,7 @@
         if (
             said.code != Code.OK
             or not isinstance(c, Lock | Renew)
-            or self.coordination.holds(c.name, c.holder, number_of(said))
+            or self.coordination.holds(c.name, c.holder, outcome_number(said))
         ):
             return said
         return Outcome(Code.LOST, said.revision, encode(Said(SaidCode.LOST)))
@@ -310,7 +327,7 @@
         if seat is not None:
             self.ledger.apply(Lose(f"{addr}#{seat.boot}"), self.clock)
 
-    def _set(self, act: Callable[[Settings], object]) -> Outcome:
+    def _set(self, act: Callable[[ReplicatedSettings], object]) -> Outcome:
         act(self.settings)
         self.settings.revision = self.revision
         return Outcome(Code.OK, self.revision)
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -19,11 +19,11 @@
 from mallowvalve.control import store, wire
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.core import Core
-from mallowvalve.control.outcome import OFFER_AGAIN, Code
+from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
 from mallowvalve.control.snapshot_transfer import Fetching
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.finding import Findings
 from mallowvalve.membership.wire import FAILED, LEFT
 from mallowvalve.metrics import change, vital
@@ -82,7 +82,7 @@
         self.stalled = False
         self._role_said = ""
         self._tree: tuple[int, Tree] = (0, EMPTY)
-        self.puller = Puller(node.transport, self.core.snapshot, self.core.base, self.core.settings)
+        self.puller = Puller(node.transport, self.core.snapshot, self.core.base_snapshot, self.core.settings_snapshot)
         self._saving = False
         self._fetching = Fetching()
         self._stored: dict[tuple[Group, int], str] = {}
@@ -92,14 +92,18 @@
         self._hint: Address | None = None
         self._session = Session(lambda: secrets.randbits(64))
         self.founder = FoundTask(self)
-        node.transport.gone = lambda a: self.put(lambda now: self.core.gone(a, now))
+        node.transport.gone = lambda a: self.put(lambda now: self.core.peer_disconnected(a, now))
         on = node.transport.on
         on("raft", self._vote, quick=True)
-        on("want", lambda s, b: wire.encode(self._want(wire.want(b))))
-        on("offer", lambda s, b: wire.encode(self._offer(wire.offer(b))))
+        on("want", lambda s, b: wire.encode(self._want(wire.decode_replication_request(b))))
+        on("offer", lambda s, b: wire.encode(self._offer(wire.decode_command_request(b))))
         on("read", lambda s, b: wire.encode(self._read(2.0)))
         on("who", lambda s, b: wire.encode(self.who()), quick=True)
-        on("here", lambda s, b: self.put(lambda now: self.core.here(wire.who(b), now)), quick=True)
+        on(
+            "here",
+            lambda s, b: self.put(lambda now: self.core.receive_announcement(wire.decode_process_status(b), now)),
+            quick=True,
+        )
 
     def __enter__(self) -> ControlTask:
         """Begins to run."""
@@ -128,63 +132,69 @@
         """Compiles a document beside the loop; the tree, or what is wrong with it."""
         return gevent.get_hub().threadpool.apply(build, (doc,))
 
-    def offer(self, command: bytes, limit: float, attempt: float = 60.0, effect: float | None = None) -> wire.Took:
+    def offer(
+        self, command: bytes, limit: float, attempt: float = 60.0, effect: float | None = None
+    ) -> wire.CommandResponse:
         """Offers a command to whoever leads until the limit; what may have run never ends as refused.
 
         All in s. It takes effect within `effect` or never; the rest of the limit is for its acknowledgement.
         """
         begun = clock.now()
-        end, call, t = begun + limit, Call(self._session, command, begun + (effect or limit)), wire.Took(Code.LEADER)
-        while t.code in OFFER_AGAIN and (left := end - (now := clock.now())) > 0 and not self._over:
-            data = call.data(self.core.clock.since(now), now)
+        end, call, t = (
+            begun + limit,
+            Call(self._session, command, begun + (effect or limit)),
+            wire.CommandResponse(Code.LEADER),
+        )
+        while t.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._over:
+            data = call.data(self.core.clock.estimate(now), now)
             t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
-            if t.code not in OFFER_AGAIN or call.is_over(clock.now()):
+            if t.code not in RETRYABLE or call.is_over(clock.now()):
                 break
             gevent.sleep(min(0.05, max(0.0, end - clock.now())))
-        return call.ended(t, OFFER_AGAIN)
+        return call.ended(t, RETRYABLE)
 
-    def _offer_once(self, command: bytes, limit: float) -> wire.Took:
+    def _offer_once(self, command: bytes, limit: float) -> wire.CommandResponse:
         """A control process that is blank or whose disk refuses holds no command back: another one is asked."""
         other = self._other() if self.core.raft is None or self.stalled else None
         own = other is None and not self.stalled
-        t = self._offer(wire.Offer(command, limit)) if own else wire.Took(Code.LEADER, leader=other)
+        t = self._offer(wire.CommandRequest(command, limit)) if own else wire.CommandResponse(Code.LEADER, leader=other)
         if t.code != Code.LEADER or t.leader is None or t.leader == self.node.settings.transport:
             return t
         to, self._hint = t.leader, None
-        r = self.node.transport.call(to, "offer", wire.encode(wire.Offer(command, limit)), limit)
+        r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(command, limit)), limit)
         if r.is_err():
-            return wire.Took(Code.UNDECIDED)
-        t = wire.took(r.ok_value)
-        self._hint = t.leader if t.code in OFFER_AGAIN else to
+            return wire.CommandResponse(Code.UNDECIDED)
+        t = wire.decode_command_response(r.ok_value)
+        self._hint = t.leader if t.code in RETRYABLE else to
         return t
 
     def _other(self) -> Address | None:
         controls = [r.addr for r in self.node.membership.alive("control")]
         return self._hint if self._hint in controls else random.choice(controls) if controls else None
 
-    def read(self, limit: float) -> wire.Took:
+    def read(self, limit: float) -> wire.CommandResponse:
         """Asks whoever leads for a confirmed revision and waits until it is applied here, `limit` seconds at most."""
         if self.stalled:
-            return wire.Took(Code.LEADER, leader=self._other())
+            return wire.CommandResponse(Code.LEADER, leader=self._other())
         end = clock.now() + limit
         t = self._read(limit)
         if t.code != Code.LEADER or t.leader is None or t.leader == self.node.settings.transport:
             return t
         r = self.node.transport.call(t.leader, "read", b"", limit)
         if r.is_err():
-            return wire.Took(Code.UNDECIDED)
-        t = wire.took(r.ok_value)
+            return wire.CommandResponse(Code.UNDECIDED)
+        t = wire.decode_command_response(r.ok_value)
         while t.code == Code.OK and (self.core.state is None or self.core.state.revision < t.revision):
             if clock.now() > end or self._over:
-                return wire.Took(Code.UNDECIDED)
+                return wire.CommandResponse(Code.UNDECIDED)
             gevent.sleep(0.01)
         return t
 
-    def _read(self, limit: float) -> wire.Took:
+    def _read(self, limit: float) -> wire.CommandResponse:
         if self._over:
-            return wire.Took(Code.LEADER)
+            return wire.CommandResponse(Code.LEADER)
         t = self._do(lambda t, now: self.core.read(t, now + limit, now), limit + 0.5)
-        return t or wire.Took(Code.UNDECIDED)
+        return t or wire.CommandResponse(Code.UNDECIDED)
 
     def hand_over(self) -> None:
         """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
@@ -205,11 +215,11 @@
             given_away = {r.addr for r in records if r.role != "control"}
             self.put(lambda now, verdicts=(departed, given_away): self.core.members.verdicts(*verdicts))
 
-    def _offer(self, o: wire.Offer) -> wire.Took:
+    def _offer(self, o: wire.CommandRequest) -> wire.CommandResponse:
         if self._over:
-            return wire.Took(Code.LEADER)
+            return wire.CommandResponse(Code.LEADER)
         t = self._do(lambda t, now: self.core.propose(o.command, t, now + o.limit, now), o.limit + 0.5)
-        return t or wire.Took(Code.UNDECIDED)
+        return t or wire.CommandResponse(Code.UNDECIDED)
 
     def _do(self, act, limit: float):
         w = AsyncResult()
@@ -226,9 +236,11 @@
         """Has the loop call `act` with the time (s)."""
         self._box.put(act)
 
-    def _want(self, w: wire.Want) -> wire.Fed:
+    def _want(self, w: wire.ReplicationRequest) -> wire.ReplicationResponse:
         self.founder.heard(w)
-        return self._do(lambda t, now: self.core.want(w, t, now), 2.0) or wire.Fed(None)
+        return self._do(
+            lambda t, now: self.core.receive_replication_request(w, t, now), 2.0
+        ) or wire.ReplicationResponse(None)
 
     def _vote(self, sender: Address, body: bytes) -> None:
         e = envelope(body)
@@ -259,12 +271,12 @@
         finally:
             self.node.counts.add("snapshots_overtaken", self._fetching.end())
 
-    def _show(self, e: Envelope, s: State, name: str, now: float) -> None:
+    def _show(self, e: Envelope, s: ReplicatedState, name: str, now: float) -> None:
         raft = self.core.raft
         if raft is None or raft.group != e.group or e.body.snapshot.index <= raft.commit or e.body.term < raft.term:
             return self.persist(lambda: self.disk_log.drop(name))
         self._stored = {(e.group, e.body.snapshot.index): name}
-        self.core.bring(e.body.snapshot, s)
+        self.core.keep_fetched_state(e.body.snapshot, s)
         self.core.receive(e, now)
 
     def _store(self, p: Snapshot) -> str | None:
@@ -278,9 +290,9 @@
                 self.node.counts.add("snapshots_not_stored")
                 return change("snapshot_not_stored", error=str(e), bytes=sum(map(len, p.state)))
 
-    def who(self) -> wire.Who:
+    def who(self) -> wire.ProcessStatus:
         """What this process says of itself."""
-        return self.core.who("control", self.node.settings.seeds)
+        return self.core.process_status("control", self.node.settings.seeds)
 
     def _run(self) -> None:
         while True:
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -9,7 +9,7 @@
 from mallowvalve.types import Address, Locality
 
 
-class Who(msgspec.Struct, array_like=True, frozen=True):
+class ProcessStatus(msgspec.Struct, array_like=True, frozen=True):
     """`index` counts for what is held: all, or without `whole` the settings part only.
 
     `boot` tells this process from the next at its address; `leaving` is a control process's goodbye.
@@ -25,12 +25,12 @@
     index: int
     voters: Voters | None
     leader: Address | None
-    whole: bool = True
+    holds_all: bool = True
     boot: int = 0
     leaving: bool = False
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True):
+class ReplicationRequest(msgspec.Struct, array_like=True, frozen=True):
     """`parts` is all or settings; with nothing new, the leader may keep it for `hold` seconds."""
 
     addr: Address
@@ -40,12 +40,12 @@
     group: Group | None
     index: int
     revision: int
-    stamp: float
-    parts: str = "all"
-    hold: float = 0.5
+    sent_at: float
+    scope: str = "all"
+    max_wait_s: float = 0.5
 
 
-class Fed(msgspec.Struct, array_like=True, frozen=True):
+class ReplicationResponse(msgspec.Struct, array_like=True, frozen=True):
     """Entries after the want's index; with them a holder of the settings part is whole up to `index`.
 
     `clock` is the state's (ms) at `index`, `time` what the leader's clock shows as it answers.
@@ -53,42 +53,42 @@
 
     leader: Address | None
     group: Group | None = None
-    lacking: bool = False
+    needs_snapshot: bool = False
     entries: list[Entry] = []
     index: int = 0
     revision: int = 0
-    sure: float = -1.0
+    confirmed_at: float = -1.0
     voters: Voters | None = None
-    clock: int = 0
-    time: int = 0
+    state_time_ms: int = 0
+    leader_time_ms: int = 0
 
 
-class Round(msgspec.Struct, array_like=True, frozen=True):
+class RevisionQuery(msgspec.Struct, array_like=True, frozen=True):
     """Asks a replica what it holds."""
 
     sender: Address
-    stamp: float
+    sent_at: float
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
+class RevisionReply(msgspec.Struct, array_like=True, frozen=True):
     """What a replica holds, in answer to the stamp of a round."""
 
     sender: Address
     boot: int
-    stamp: float
+    sent_at: float
     group: Group | None
     revision: int
     index: int
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True):
+class CommandRequest(msgspec.Struct, array_like=True, frozen=True):
     """Offers a command; the answer is wanted within `limit` (s)."""
 
     command: bytes
     limit: float
 
 
-class Took(msgspec.Struct, array_like=True, frozen=True):
+class CommandResponse(msgspec.Struct, array_like=True, frozen=True):
     """`term` is the leader's term that the acknowledgement rests on; 0 where nothing was acknowledged."""
 
     code: Code
@@ -101,10 +101,10 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-who = msgspec.msgpack.Decoder(Who).decode
-want = msgspec.msgpack.Decoder(Want).decode
-fed = msgspec.msgpack.Decoder(Fed).decode
-round_ = msgspec.msgpack.Decoder(Round).decode
-told = msgspec.msgpack.Decoder(Told).decode
-offer = msgspec.msgpack.Decoder(Offer).decode
-took = msgspec.msgpack.Decoder(Took).decode
+decode_process_status = msgspec.msgpack.Decoder(ProcessStatus).decode
+decode_replication_request = msgspec.msgpack.Decoder(ReplicationRequest).decode
+decode_replication_response = msgspec.msgpack.Decoder(ReplicationResponse).decode
+decode_revision_query = msgspec.msgpack.Decoder(RevisionQuery).decode
+decode_revision_reply = msgspec.msgpack.Decoder(RevisionReply).decode
+decode_command_request = msgspec.msgpack.Decoder(CommandRequest).decode
+decode_command_response = msgspec.msgpack.Decoder(CommandResponse).decode
--- a/mallowvalve/directory/main.py
+++ b/mallowvalve/directory/main.py
@@ -22,7 +22,7 @@
         state = replica.replica.state
         return state.items if state else None
 
-    contact = pages.Contact(node, lambda: replica.replica.sure)
+    contact = pages.Contact(node, lambda: replica.replica.confirmed_at)
     shared = pages.Pages(node, lambda: replica.tree, items, evacuated, contact)
     pages.add_routes(node.app, shared)
     node.app.add_route("/-/named", pages.Named(shared))
--- a/mallowvalve/directory/pages.py
+++ b/mallowvalve/directory/pages.py
@@ -55,12 +55,12 @@
         """What marks the answer, or None once it was refused: past the bound nobody knows who else names proxies."""
         now = clock.now()
         since = max(self.born, self.asked())
-        if not lease.holds(lease.Answer.DIRECTORY, since, now):
+        if not lease.is_valid(lease.AnswerKind.DIRECTORY, since, now):
             self.node.counts.add("directory_out_of_touch")
             found = [Finding("control", "out of touch with a majority for too long")]
             web.reject(resp, 503, web.NOT_RUN, found, lease.retry_after(False))
             return None
-        return {"age_ms": int(1000 * (now - since)), "stale": not lease.holds(lease.Answer.WATCH, since, now)}
+        return {"age_ms": int(1000 * (now - since)), "stale": not lease.is_valid(lease.AnswerKind.WATCH, since, now)}
 
 
 class Connect:
--- a/sim/acks.py
+++ b/sim/acks.py
@@ -5,7 +5,7 @@
 
 import click
 
-from mallowvalve.control.acknowledgement import COPIES, REACHED, Replicas
+from mallowvalve.control.acknowledgement import REACHABLE_S, REQUIRED_COPIES, Replicas
 from sim.storms import play
 
 
@@ -14,8 +14,8 @@
 
 
 def copies(self, index, now):
-    near = [h for h in self.heard_of.values() if now - h.at < REACHED and h.want.locality != self.locality]
-    return sum(h.holds(self._group, index) for h in near) >= min(COPIES, len(near))
+    near = [h for h in self.status_by_address.values() if now - h.at < REACHABLE_S and h.want.locality != self.locality]
+    return sum(h.holds(self._group, index) for h in near) >= min(REQUIRED_COPIES, len(near))
 
 
 def at_once(self, revision, now):
@@ -23,12 +23,12 @@
 
 
 RULES = {
-    "committed by a quorum": {"held_elsewhere": committed, "in_force": at_once},
-    "and in force": {"held_elsewhere": committed},
-    "and two copies elsewhere": {"held_elsewhere": copies},
+    "committed by a quorum": {"is_replicated": committed, "in_force": at_once},
+    "and in force": {"is_replicated": committed},
+    "and two copies elsewhere": {"is_replicated": copies},
     "and every prompt replica (the rule)": {},
 }
-KEEP = {n: getattr(Replicas, n) for n in ("held_elsewhere", "in_force")}
+KEEP = {n: getattr(Replicas, n) for n in ("is_replicated", "in_force")}
 
 
 def one(job: tuple[str, str, int]) -> tuple[list[str], dict[str, list[float]]]:
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -21,8 +21,8 @@
 from mallowvalve.control.http_upstreams import Heartbeats
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.snapshot import Loader, cut_settings, load
-from mallowvalve.control.state import Change, Enrol, Evacuate, Seat, State, encode
-from mallowvalve.control.wire import Fed
+from mallowvalve.control.state import Change, Enrol, Evacuate, ReplicatedState, Seat, encode
+from mallowvalve.control.wire import ReplicationResponse
 from mallowvalve.coordination.state import Lock
 from mallowvalve.ledger.ledger import Claim
 from mallowvalve.membership.detector import Membership
@@ -110,7 +110,7 @@
 
 def replica_of(rows: int, routes: int) -> Replica:
     e = Replica(addr(9), BOOT, "proxy", at(9), lambda r: None)
-    s = State(GROUP.generation)
+    s = ReplicatedState(GROUP.generation)
     s.items, s.registry = items(routes), registry(rows)
     e.group, e.voters, e.state = GROUP, voters(), s
     return e
@@ -139,10 +139,12 @@
     def one() -> None:
         n[0] += 1
         i = e.state.index + 1
-        f = Fed(addr(1), GROUP, False, [Entry(i, 12, COMMAND, i, encode(make(n[0])))], i, 0, -1.0, e.voters)
+        f = ReplicationResponse(
+            addr(1), GROUP, False, [Entry(i, 12, COMMAND, i, encode(make(n[0])))], i, 0, -1.0, e.voters
+        )
         data = wire.encode(f)
         t = time.process_time()
-        e.fed(wire.fed(data), 0.0)
+        e.receive_response(wire.decode_replication_response(data), 0.0)
         took.append(time.process_time() - t)
 
     took: list[float] = []
--- a/sim/control.py
+++ b/sim/control.py
@@ -12,7 +12,7 @@
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW
 from mallowvalve.control.snapshot_transfer import Fetching, read_want
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.control.task import announced
 from mallowvalve.raft.messages import Envelope, Group, Hard, Install, Snapshot, encode, envelope
 from mallowvalve.raft.progress import Times
@@ -73,14 +73,18 @@
             case "raft":
                 self._vote(envelope(body))
             case "want":
-                self._put(lambda: self.core.want(wire.want(body), answer, self.now))
+                self._put(
+                    lambda: self.core.receive_replication_request(
+                        wire.decode_replication_request(body), answer, self.now
+                    )
+                )
             case "offer":
-                o = wire.offer(body)
+                o = wire.decode_command_request(body)
                 self._put(lambda: self.core.propose(o.command, answer, self.now + o.limit, self.now))
             case "read":
                 self._put(lambda: self.core.read(answer, self.now + 2.0, self.now))
             case "here":
-                self._put(lambda: self.core.here(wire.who(body), self.now))
+                self._put(lambda: self.core.receive_announcement(wire.decode_process_status(body), self.now))
             case "who":
                 answer(wire.encode(self._who()))
             case "label":
@@ -91,12 +95,12 @@
     def broken(self, peer: Address) -> None:
         """A peer's connections ended: the machine is told, as the daemon tells it."""
         super().broken(peer)
-        self._put(lambda: self.core.gone(peer, self.now))
+        self._put(lambda: self.core.peer_disconnected(peer, self.now))
 
     def _label(self, what: bytes):
         if what == NOW:
             return self.shelf.offer(self.core.snapshot(), self.now)
-        p = self.core.base()
+        p = self.core.base_snapshot()
         return self.shelf.put(p, self.now) if p is not None else None
 
     def _vote(self, e: Envelope) -> None:
@@ -125,11 +129,11 @@
 
     def _show(self, e: Envelope, p: Snapshot, s) -> None:
         if self.core.raft is not None and self.core.raft.group == e.group and p.index > self.core.raft.commit:
-            self.core.bring(p, s)
+            self.core.keep_fetched_state(p, s)
             self.core.receive(replace(e, body=replace(e.body, snapshot=p)), self.now)
 
-    def _who(self) -> wire.Who:
-        return self.core.who("control", self.seeds)
+    def _who(self) -> wire.ProcessStatus:
+        return self.core.process_status("control", self.seeds)
 
     def _put(self, act) -> None:
         self._box.append(act)
@@ -231,10 +235,10 @@
         if self.now >= end:
             return self._ends(leave)
         asked = sorted({*self._others(), self.core.leader()} - {None, self.addr})
-        answers: list[wire.Who | None] = []
+        answers: list[wire.ProcessStatus | None] = []
 
         def heard(data: bytes | None) -> None:
-            answers.append(wire.who(data) if data else None)
+            answers.append(wire.decode_process_status(data) if data else None)
             if len(answers) == len(asked):
                 self._judge_leave(leave, [w for w in answers if w is not None], end)
 
@@ -244,10 +248,10 @@
             self._judge_leave(leave, [], end)
         return None
 
-    def _judge_leave(self, leave: Leave, answers: list[wire.Who], end: float) -> None:
+    def _judge_leave(self, leave: Leave, answers: list[wire.ProcessStatus], end: float) -> None:
         if leave.over(self.core.raft, answers, self._others()):
             return self._ends(leave)
-        self._put(lambda: self.core.here(self._who(), self.now))
+        self._put(lambda: self.core.receive_announcement(self._who(), self.now))
         for a in self._others():
             self.cast(a, "here", wire.encode(self._who()))
         return self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
@@ -272,15 +276,15 @@
         self.wake(0.45, self._judge)
         body = wire.encode(self._who())
         control = [a for a in self.peers() if isinstance(self.world.nodes[a], ControlNode)]
-        for a in sorted(self.core.here_goes_to(control)):
+        for a in sorted(self.core.announcement_targets(control)):
             self.cast(a, "here", body)
         me = self._who()
-        self._put(lambda: self.core.here(me, self.now))
+        self._put(lambda: self.core.receive_announcement(me, self.now))
 
     def _heard(self, data: bytes | None, asked: set) -> None:
         if not data:
             return
-        w = wire.who(data)
+        w = wire.decode_process_status(data)
         self._answers.append(w)
         more = set(w.voters.electors().values()) - asked - {self.addr} if w.voters else set()
         for a in sorted(more):
@@ -288,7 +292,7 @@
             self.call(a, "who", b"", 0.14, lambda d: self._heard(d, asked))
 
     def _judge(self) -> None:
-        v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.unborn), self.now)
+        v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.nothing_committed), self.now)
         if isinstance(v, Found) and v.base is None:
             self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, None))
         elif isinstance(v, Found):
@@ -312,7 +316,7 @@
         if got is not None:
             self._begin(got[0])
 
-    def _found_anew(self, v: Found, base: State, answers: list) -> None:
+    def _found_anew(self, v: Found, base: ReplicatedState, answers: list) -> None:
         if heard_enough(base, answers):
             self._begin(founding(Group(v.generation, self._fresh_id()), v.voters, base))
 
--- a/sim/door.py
+++ b/sim/door.py
@@ -11,12 +11,12 @@
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import http_items, http_plain, lease, registry_task, wire
 from mallowvalve.control.api import ATTEMPT, LIMIT
-from mallowvalve.control.lease import Answer as Lease
-from mallowvalve.control.outcome import NOT_TAKEN, OFFER_AGAIN, Code
+from mallowvalve.control.lease import AnswerKind as Lease
+from mallowvalve.control.outcome import NOT_APPLIED, RETRYABLE, Code
 from mallowvalve.control.sessions import Call, Session
 from mallowvalve.control.state import Evacuate
 from mallowvalve.control.state import encode as encode_command
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Word
 from mallowvalve.raft.progress import Times
 from mallowvalve.settings import Acks
@@ -33,7 +33,7 @@
 AGAIN_AFTER, SLACK = 0.05, 0.5
 _word = http_plain._word
 _heard = registry_task._heard
-Then = Callable[[Took], None]
+Then = Callable[[CommandResponse], None]
 
 
 class DoorNode(ControlNode):
@@ -82,7 +82,7 @@
 
     def _may_begin(self, say: Callable[[Answer], None]) -> bool:
         """As `page_offer.may_begin`: out of touch for long, it sends its callers on."""
-        if self.core.holds(Lease.CALL, self.now):
+        if self.core.may_answer(Lease.CALL, self.now):
             return True
         others = [a for a in self.peers() if a in self.seeds and a != self.addr]
         say(Answer(REDIRECT, b"", self.rng.choice(others)) if others else Answer(UNAVAILABLE))
@@ -106,7 +106,7 @@
         if not self._may_begin(say):
             return
 
-        def took(t: Took) -> None:
+        def took(t: CommandResponse) -> None:
             if t.code == Code.OK:
                 say(Answer(OK))
             elif t.code == Code.INVALID:
@@ -127,8 +127,8 @@
 
         self.wake(http_items.STANDS, offered)
 
-    def _rejected(self, t: Took) -> Answer:
-        return Answer(UNAVAILABLE if t.code in NOT_TAKEN else UNDECIDED, b"", t.leader)
+    def _rejected(self, t: CommandResponse) -> Answer:
+        return Answer(UNAVAILABLE if t.code in NOT_APPLIED else UNDECIDED, b"", t.leader)
 
     def _settings(self) -> Answer:
         s = self.core.state
@@ -142,7 +142,7 @@
         if not self._may_begin(say):
             return
 
-        def took(t: Took) -> None:
+        def took(t: CommandResponse) -> None:
             if t.code != Code.OK:
                 return say(self._rejected(t))
             w: Word = _word(t.body)
@@ -189,12 +189,12 @@
             return say(Answer(UNAVAILABLE))
         row = s.registry.rows.get(u.instance)
         known = row is not None and row.state == "gone" and self.liveness.is_acked(row)
-        if known and self.core.holds(Lease.NOTICE, self.now):
+        if known and self.core.may_answer(Lease.NOTICE, self.now):
             return say(Answer(OK))
         self._notice(u, say, True)
 
     def _notice(self, u: Upstream, say, noted: bool) -> None:
-        def took(t: Took) -> None:
+        def took(t: CommandResponse) -> None:
             if t.code != Code.OK:
                 return say(self._unsure())
             if noted:
@@ -206,12 +206,12 @@
         )
 
     def _in_touch(self) -> bool:
-        told = self.core.leads or lease.holds(Lease.HEARTBEAT, self._touched, self.now)
-        return told and self.core.holds(Lease.HEARTBEAT, self.now)
+        told = self.core.leads or lease.is_valid(Lease.HEARTBEAT, self._touched, self.now)
+        return told and self.core.may_answer(Lease.HEARTBEAT, self.now)
 
     def _unsure(self) -> Answer:
         others = [a for a in self.peers() if a in self.seeds and a != self.addr]
-        if self.core.holds(Lease.HEARTBEAT, self.now) or not others:
+        if self.core.may_answer(Lease.HEARTBEAT, self.now) or not others:
             return Answer(UNAVAILABLE)
         return Answer(REDIRECT, b"", self.rng.choice(others))
 
@@ -235,7 +235,7 @@
             return
         self._judging = True
 
-        def took(_: Took) -> None:
+        def took(_: CommandResponse) -> None:
             self._judging = False
 
         self.offer(encode_command(c), registry_task.LIMIT, registry_task.ATTEMPT, took)
@@ -257,7 +257,7 @@
 
     def _on_heard(self, body: bytes) -> bytes:
         heard: list[Heard] = _heard(body)
-        if not self.core.leads or not self.core.holds(Lease.HEARTBEAT, self.now):
+        if not self.core.leads or not self.core.may_answer(Lease.HEARTBEAT, self.now):
             return b""
         self.liveness.told(heard, self.now)
         return registry_task.TAKEN
@@ -267,58 +267,58 @@
     def offer(self, command: bytes, limit: float, attempt: float, then: Then, effect: float | None = None) -> None:
         """As `ControlTask.offer`: to whoever leads until the limit (s); what may have run never ends as refused."""
         call = Call(self.session, command, self.now + (effect or limit))
-        self._offer_again(call, self.now + limit, attempt, Took(Code.LEADER), then)
+        self._offer_again(call, self.now + limit, attempt, CommandResponse(Code.LEADER), then)
 
-    def _offer_again(self, call: Call, end: float, attempt: float, last: Took, then: Then) -> None:
+    def _offer_again(self, call: Call, end: float, attempt: float, last: CommandResponse, then: Then) -> None:
         left = end - self.now
         if left <= 0:
-            return then(call.ended(last, OFFER_AGAIN))
+            return then(call.ended(last, RETRYABLE))
 
-        def heard(answer: Took) -> None:
+        def heard(answer: CommandResponse) -> None:
             t = call.heard(answer, self.now)
-            if t.code not in OFFER_AGAIN or call.is_over(self.now):
-                return then(call.ended(t, OFFER_AGAIN))
+            if t.code not in RETRYABLE or call.is_over(self.now):
+                return then(call.ended(t, RETRYABLE))
             self.wake(AGAIN_AFTER, lambda: self._offer_again(call, end, attempt, t, then))
 
-        self._offer_once(call.data(self.core.clock.since(self.now), self.now), min(left, attempt), heard)
+        self._offer_once(call.data(self.core.clock.estimate(self.now), self.now), min(left, attempt), heard)
 
     def _offer_once(self, command: bytes, limit: float, heard: Then) -> None:
-        body = wire.encode(wire.Offer(command, limit))
+        body = wire.encode(wire.CommandRequest(command, limit))
 
-        def local(t: Took) -> None:
+        def local(t: CommandResponse) -> None:
             if t.code != Code.LEADER or t.leader in (None, self.addr):
                 return heard(t)
             self.call(t.leader, "offer", body, limit, lambda d: heard(_took(d)))
 
         if self.core.raft is None:
             others = [a for a in self.seeds if a != self.addr]
-            return local(Took(Code.LEADER, leader=self.rng.choice(others)))
+            return local(CommandResponse(Code.LEADER, leader=self.rng.choice(others)))
         self._ask_own(lambda token: self.core.propose(command, token, self.now + limit, self.now), limit, local)
 
     def _ask_own(self, act: Callable, limit: float, then: Then) -> None:
         """Gives the own machine something to answer; nothing in time is undecided."""
         open_ = [True]
 
-        def once(t: Took) -> None:
+        def once(t: CommandResponse) -> None:
             if open_:
                 open_.clear()
                 then(t)
 
         self._put(lambda: act(lambda data: once(_took(data))))
-        self.wake(limit + SLACK, lambda: once(Took(Code.UNDECIDED)))
+        self.wake(limit + SLACK, lambda: once(CommandResponse(Code.UNDECIDED)))
 
     def _read_once(self, limit: float, then: Then) -> None:
         """As `ControlTask.read`: confirmed by whoever leads, then waited for until it is applied here."""
         end = self.now + limit
 
-        def applied(t: Took) -> None:
+        def applied(t: CommandResponse) -> None:
             if t.code != Code.OK or self.core.state is not None and self.core.state.revision >= t.revision:
                 return then(t)
             if self.now > end:
-                return then(Took(Code.UNDECIDED))
+                return then(CommandResponse(Code.UNDECIDED))
             self.wake(0.01, lambda: applied(t))
 
-        def local(t: Took) -> None:
+        def local(t: CommandResponse) -> None:
             if t.code != Code.LEADER or t.leader in (None, self.addr):
                 return then(t)
             self.call(t.leader, "read", b"", limit, lambda d: applied(_took(d)))
@@ -329,7 +329,7 @@
         if not self._may_begin(say):
             return
 
-        def took(t: Took) -> None:
+        def took(t: CommandResponse) -> None:
             a = show() if t.code == Code.OK and self.core.state is not None else self._rejected(t)
             if a is not None:
                 say(a)
@@ -342,7 +342,7 @@
             return
         left = end - self.now
 
-        def took(t: Took) -> None:
+        def took(t: CommandResponse) -> None:
             if t.code == Code.OK and self.core.state is not None:
                 return say(show())
             if end - self.now <= http_plain.PAUSE:
@@ -374,5 +374,5 @@
     return isinstance(say, PageReply) and say.left()
 
 
-def _took(data: bytes | None) -> Took:
-    return wire.took(data) if data is not None else Took(Code.UNDECIDED)
+def _took(data: bytes | None) -> CommandResponse:
+    return wire.decode_command_response(data) if data is not None else CommandResponse(Code.UNDECIDED)
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -10,7 +10,7 @@
 
 from mallowvalve.configuration.items import Amend, Item, Items
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.state import Seat, State
+from mallowvalve.control.state import ReplicatedState, Seat
 from mallowvalve.metrics import Counts
 from mallowvalve.node import STOP_SHARES
 from mallowvalve.proxy.host import Hosts
@@ -195,7 +195,7 @@
         self.world.after(SETTINGS_AFTER, lambda: self._settle(replica))
 
     def _settle(self, replica: Replica) -> None:
-        state = State(1)
+        state = ReplicatedState(1)
         state.items = self.items
         state.settings.roster = {str(self.addr): Seat(self.life, self.locality)}
         for u in self.upstreams.values():
--- a/sim/joiners.py
+++ b/sim/joiners.py
@@ -14,7 +14,7 @@
 from mallowvalve.control.snapshot import cut_settings
 from mallowvalve.control.snapshot_fetch import QUICK_TRIES, SETTINGS, Puller
 from mallowvalve.control.snapshot_transfer import Gather, read_want
-from mallowvalve.control.state import State, encode
+from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.raft.messages import Snapshot
 from sim.target import GROUP, items, registry, voters
 
@@ -26,7 +26,7 @@
 
     def __init__(self, every: float, rows: int):
         self.now, self.every, self.made = 0.0, every, 0
-        self.state = State(GROUP.generation)
+        self.state = ReplicatedState(GROUP.generation)
         self.state.items, self.state.registry = items(rows), registry(rows)
         self.puller = Puller(SimpleNamespace(on=lambda *a, **k: None), lambda: None, settings=self.settings)
 
--- a/sim/large.py
+++ b/sim/large.py
@@ -13,7 +13,7 @@
 
 from mallowvalve.control import store
 from mallowvalve.control.snapshot import dump
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.fault import FLEET
 from mallowvalve.ledger.ledger import DONE, Row
 from mallowvalve.localfleet.call import call
@@ -28,8 +28,8 @@
 ANSWER = b'{"by":"before"}'
 
 
-def state(config: dict, rows: int, body: int) -> State:
-    s = State(7)
+def state(config: dict, rows: int, body: int) -> ReplicatedState:
+    s = ReplicatedState(7)
     s.index = 10
     s.settings.doc, s.settings.doc_revision, s.settings.revision = msgspec.json.encode(config), s.revision, s.revision
     dig = digest("POST", "/runs", b"{}")
@@ -43,7 +43,7 @@
     return s
 
 
-def plant(f: Fleet, s: State) -> int:
+def plant(f: Fleet, s: ReplicatedState) -> int:
     """Gives the first core machines disks that hold this state, as if they had been stopped."""
     controls = f.of("control")[:3]
     ids = {uuid.uuid4().hex: p for p in controls}
--- a/sim/replica.py
+++ b/sim/replica.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 
 from mallowvalve.control import wire
-from mallowvalve.control.outcome import OFFER_AGAIN, Code
+from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.replica_task import ATTEMPT
 from mallowvalve.control.snapshot_fetch import BASE, NOW
@@ -33,7 +33,7 @@
     def handle(self, kind, src, body, answer) -> None:
         match kind:
             case "round":
-                answer(wire.encode(self.replica.tell(wire.round_(body))))
+                answer(wire.encode(self.replica.answer_revision_query(wire.decode_revision_query(body))))
             case "label":
                 answer(wire.encode(self.shelf.offer(self.replica.snapshot(), self.now)))
             case "piece":
@@ -42,7 +42,7 @@
                 e = self.replica
                 answer(
                     wire.encode(
-                        wire.Who(
+                        wire.ProcessStatus(
                             self.role,
                             "",
                             self.addr,
@@ -59,25 +59,25 @@
 
     def _follow(self) -> None:
         to = self.control()
-        self.call(to, "want", wire.encode(self.replica.want(self.now)), 1.5, lambda d: self._fed(to, d))
+        self.call(to, "want", wire.encode(self.replica.replication_request(self.now)), 1.5, lambda d: self._fed(to, d))
 
     def _fed(self, to: Address, data: bytes | None) -> None:
         if data is None:
             if self.replica.leader == to:
                 self.replica.leader = None
             return self.wake(0.1, self._follow)
-        f = wire.fed(data)
-        self.replica.fed(f, self.now)
-        if f.lacking:
+        f = wire.decode_replication_response(data)
+        self.replica.receive_response(f, self.now)
+        if f.needs_snapshot:
             return pull(
-                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.replica.lacks
+                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.replica.is_behind
             )
         self.wake(0.05 if f.group is None else 0.001, self._follow)
 
     def _round(self) -> None:
-        if not self.replica.quiet(self.now):
+        if not self.replica.leader_is_silent(self.now):
             return
-        m = self.replica.round(self.now)
+        m = self.replica.revision_query(self.now)
         if m is None:
             return
         for a in self.replica.roster():
@@ -85,12 +85,12 @@
                 self.call(a, "round", wire.encode(m), 1.0, lambda d, a=a: self._told(a, d))
 
     def _told(self, a: Address, data: bytes | None) -> None:
-        if data is not None and self.replica.told(wire.told(data)):
-            pull(self, a, NOW, self._fetched, self.replica.lacks)
+        if data is not None and self.replica.receive_revision_reply(wire.decode_revision_reply(data)):
+            pull(self, a, NOW, self._fetched, self.replica.is_behind)
 
     def _fetched(self, got) -> None:
         if got is not None:
-            self.replica.adopt(*got)
+            self.replica.install(*got)
 
     def offer(self, command: bytes, limit: float, then) -> None:
         offer(self, command, self.now + limit, then)
@@ -127,12 +127,12 @@
 def offer(node: Node, command: bytes, end: float, then, attempt: float = ATTEMPT) -> None:
     left = min(end - node.now, attempt)
     if left <= 0:
-        return then(wire.Took(Code.UNDECIDED))
+        return then(wire.CommandResponse(Code.UNDECIDED))
     to = node.control()
 
     def took(data: bytes | None) -> None:
-        t = wire.took(data) if data is not None else None
-        if t is not None and t.code not in OFFER_AGAIN:
+        t = wire.decode_command_response(data) if data is not None else None
+        if t is not None and t.code not in RETRYABLE:
             return then(t)
         if hasattr(node, "replica"):
             node.replica.leader = t.leader if t is not None else None
@@ -140,4 +140,4 @@
             node.leader = t.leader if t is not None else None
         node.wake(0.05, lambda: offer(node, command, end, then, attempt))
 
-    node.call(to, "offer", wire.encode(wire.Offer(command, left)), left, took)
+    node.call(to, "offer", wire.encode(wire.CommandRequest(command, left)), left, took)
--- a/sim/target.py
+++ b/sim/target.py
@@ -10,8 +10,8 @@
 from mallowvalve.control import wire
 from mallowvalve.control.core import Core
 from mallowvalve.control.snapshot import founding
-from mallowvalve.control.state import Enrol, Evacuate, Seat, State, Strike, encode
-from mallowvalve.control.wire import Fed, Want
+from mallowvalve.control.state import Enrol, Evacuate, ReplicatedState, Seat, Strike, encode
+from mallowvalve.control.wire import ReplicationRequest, ReplicationResponse
 from mallowvalve.membership.detector import Membership
 from mallowvalve.membership.wire import ALIVE, VERSION, Ack, Head, Ping, Record, Tell
 from mallowvalve.membership.wire import encode as membership_encode
@@ -113,14 +113,18 @@
     }
 
 
-def fed(entries: list[Entry], told: Voters | None = None) -> Fed:
+def fed(entries: list[Entry], told: Voters | None = None) -> ReplicationResponse:
     """An answer of the leader; the core machines are named only to a replica that may not know them."""
     n = 1_000_000
-    return Fed(addr(1), GROUP, False, entries, n, 20_000_000 << 36 | n, 123456.789, told, 86_400_000, 86_400_100)
+    return ReplicationResponse(
+        addr(1), GROUP, False, entries, n, 20_000_000 << 36 | n, 123456.789, told, 86_400_000, 86_400_100
+    )
 
 
-def want() -> Want:
-    return Want(addr(9), BOOT, "proxy", at(9), GROUP, 1_000_000, 20_000_000 << 36, 123456.789, "settings", 1.0)
+def want() -> ReplicationRequest:
+    return ReplicationRequest(
+        addr(9), BOOT, "proxy", at(9), GROUP, 1_000_000, 20_000_000 << 36, 123456.789, "settings", 1.0
+    )
 
 
 def frame(kind: str, body: bytes, answer: bool = False) -> int:
@@ -158,9 +162,11 @@
         "fed more: a seat": more(Enrol(addr(9), BOOT, at(9))),
         "fed more: a strike": more(Strike(addr(9), BOOT)),
         "fed more: an evacuation": more(Evacuate("region-00-a", True, "operator-1/000123")),
-        "round, framed": frame("round", wire.encode(wire.Round(addr(1), 123456.789))),
+        "round, framed": frame("round", wire.encode(wire.RevisionQuery(addr(1), 123456.789))),
         "told, framed": frame(
-            "round", wire.encode(wire.Told(addr(1), BOOT, 123456.789, GROUP, 20_000_000 << 36, 1_000_000)), True
+            "round",
+            wire.encode(wire.RevisionReply(addr(1), BOOT, 123456.789, GROUP, 20_000_000 << 36, 1_000_000)),
+            True,
         ),
         "tree: a route": _doc_more(routes=1000),
         "tree: a tenant": _doc_more(tenants=1000),
@@ -222,12 +228,13 @@
 
     def __init__(self, n: int, batch: int):
         self.c = Core("a", addr(1), at(1), random.Random(1))
-        s = State(GROUP.generation)
+        s = ReplicatedState(GROUP.generation)
         s.settings.roster = {str(addr(i)): Seat(BOOT + i, at(i)) for i in range(100, 100 + n)}
         self.c.start(founding(GROUP, Voters({"a": addr(1)}), s), None, [], 0.0, s)
         self.batch, self.now, self.sent, self.fed_entries = batch, 5.0, 0, 0
         self.wants = {
-            i: Want(addr(i), BOOT + i, "proxy", at(i), GROUP, 0, 0, 0.0, "settings", 1.0) for i in range(100, 100 + n)
+            i: ReplicationRequest(addr(i), BOOT + i, "proxy", at(i), GROUP, 0, 0, 0.0, "settings", 1.0)
+            for i in range(100, 100 + n)
         }
         for wait in (0.1, *[0.5] * 6):
             self.step()
@@ -245,13 +252,13 @@
         out = []
         for lo in range(0, len(who), self.batch):
             for i in who[lo : lo + self.batch]:
-                self.c.want(self.wants[i], i, self.now)
+                self.c.receive_replication_request(self.wants[i], i, self.now)
             out += self.answer(self.step())
         return out
 
     def parked(self) -> int:
         """Replicas whose question waits for news."""
-        return len(self.c.feeds)
+        return len(self.c.parked_requests)
 
     def change(self, i: int, limit: float) -> list:
         """One change proposed and fed to all whose questions wait; what else was answered."""
@@ -262,11 +269,11 @@
     def answer(self, replies: list) -> list:
         done = []
         for token, f in replies:
-            if not isinstance(f, Fed):
+            if not isinstance(f, ReplicationResponse):
                 done.append(token)
                 continue
             self.fed_entries += len(f.entries)
             self.sent += len(framed(Frame("want", 1, True, wire.encode(f))))
             w = self.wants[token]
-            self.wants[token] = msgspec.structs.replace(w, index=f.index, revision=f.revision, stamp=self.now)
+            self.wants[token] = msgspec.structs.replace(w, index=f.index, revision=f.revision, sent_at=self.now)
         return done
--- a/sim/users.py
+++ b/sim/users.py
@@ -130,7 +130,7 @@
         base = self.base if self.rng.random() < 0.7 else None
         place = self.record(Kind.KEY, CONFIGURATION, histories.Put(short(doc), base))
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             self.recorder.answered(place, self.now, outcome_of(t.code), t.revision)
             if t.code == Code.CONFLICT:
                 self.base = t.revision
@@ -147,7 +147,7 @@
     def evacuate(self, zone: str, on: bool, name: str) -> None:
         begun = self.now
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             ok = t.code == Code.OK
             self.history.zones.append(Emptied(begun, self.now, t.revision if ok else None, zone, on))
             if ok:
@@ -163,7 +163,7 @@
             node = self.world.nodes.get(to)
             if (
                 data is not None
-                and wire.took(data).code == Code.OK
+                and wire.decode_command_response(data).code == Code.OK
                 and node is not None
                 and node.core.state is not None
             ):
@@ -184,7 +184,7 @@
                     )
                 )
             else:
-                self.leader = wire.took(data).leader if data is not None else None
+                self.leader = wire.decode_command_response(data).leader if data is not None else None
             self.wake(0.3, self._change)
 
         self.call(to, "read", b"", 2.5, took)
@@ -200,7 +200,7 @@
         ttl = 2.0
         place = self.record(Kind.LOCK, "l", histories.Take(str(self.addr), begun + ttl))
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             s = _said(t.body) if t.body else None
             if s is not None:
                 self.recorder.answered(place, self.now, outcome_of(s.code), s.number)
@@ -218,7 +218,7 @@
     def _free(self, token: int) -> None:
         place = self.record(Kind.LOCK, "l", histories.Free(str(self.addr), token))
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             if t.body:
                 self.recorder.answered(place, self.now, outcome_of(_said(t.body).code))
             self.wake(0.1, self._lock)
@@ -235,7 +235,7 @@
         begun = self.now
         place = self.record(Kind.NUMBER, "n", histories.Draw())
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             if t.body:
                 self.recorder.answered(place, self.now, outcome_of(_said(t.body).code), _said(t.body).number)
                 self.history.numbers.append((begun, self.now, _said(t.body).number))
@@ -247,7 +247,7 @@
         value, begun = self.serial(), self.now
         place = self.record(Kind.KEY, "k", histories.Put(value))
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             if t.body:
                 self.recorder.answered(place, self.now, outcome_of(_said(t.body).code), _said(t.body).number)
             if t.body and _said(t.body).code == "ok":
@@ -268,7 +268,7 @@
         to, begun, name = self.control(), self.now, f"c{self.rng.randrange(2)}"
 
         def took(data: bytes | None) -> None:
-            t = wire.took(data) if data is not None else None
+            t = wire.decode_command_response(data) if data is not None else None
             node = self.world.nodes.get(to)
             if t is None or t.code != Code.OK or node is None or node.core.state is None:
                 self.leader = t.leader if t is not None else None
@@ -288,7 +288,7 @@
         op = Op("put", name, str(self.addr), begun, 1e9, "undecided", 0, value, base)
         self.history.coord.ops.append(op)
 
-        def took(t: wire.Took) -> None:
+        def took(t: wire.CommandResponse) -> None:
             said = _said(t.body) if t.body else Said("undecided")
             op.ended, op.said, op.revision = self.now, said.code, said.number
             self.wake(0.1 + self.rng.random() * 0.2, self._read)
@@ -308,7 +308,7 @@
         to = self.control()
 
         def took(data: bytes | None) -> None:
-            t = wire.took(data) if data is not None else None
+            t = wire.decode_command_response(data) if data is not None else None
             node = self.world.nodes.get(to)
             if t is None or t.code != Code.OK or node is None or node.core.state is None:
                 self.leader = t.leader if t is not None else None
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.state import Seat, State
+from mallowvalve.control.state import ReplicatedState, Seat
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.path import Path
 from mallowvalve.proxy.pool import Pool
@@ -32,7 +32,7 @@
 
     def __init__(self, now=lambda: 0.0, config=CONFIG):
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = Group(1, "g"), State(1)
+        self.replica.group, self.replica.state = Group(1, "g"), ReplicatedState(1)
         self.replica.state.settings.roster = {str(ME): Seat(7, HERE)}
         self.board, self.counts = Board(), Counts()
         self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -10,7 +10,7 @@
 from mallowvalve.control.leave import Leave
 from mallowvalve.control.member_addresses import MemberAddresses
 from mallowvalve.control.reconfiguration import Members
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Count, Take
 from mallowvalve.raft.raft import Raft
 from sim import door, pages
@@ -37,7 +37,7 @@
 
     def read(self, token, limit, now) -> None:
         ok = self.state is not None
-        self.replies.append((token, Took("ok", self.state.revision) if ok else Took("leader")))
+        self.replies.append((token, CommandResponse("ok", self.state.revision) if ok else CommandResponse("leader")))
 
     return patch.object(Core, "read", read)
 
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -10,7 +10,7 @@
 from mallowvalve import clock
 from mallowvalve.control import snapshot_fetch, store, wire
 from mallowvalve.control.core import Core
-from mallowvalve.control.lease import Answer
+from mallowvalve.control.lease import AnswerKind
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.control.snapshot import founding, load
 from mallowvalve.control.snapshot_fetch import SETTINGS, Puller
@@ -24,9 +24,9 @@
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 from sim.disk import SimDisk
-from tests.test_core import EU, A, B, G, core
-from tests.test_follow import fleet, soon  # noqa: F401
-from tests.test_parts import service
+from tests.test_core import EU, A, B, G, started_core
+from tests.test_follow import eventually, fleet  # noqa: F401
+from tests.test_parts import service_amendment
 
 AB = Voters({"a": A, "b": B})
 
@@ -55,7 +55,7 @@
 
 
 def entries(n):
-    return [Entry(i, 1, 1, i, encode(service("s", i))) for i in range(1, n + 1)]
+    return [Entry(i, 1, 1, i, encode(service_amendment("s", i))) for i in range(1, n + 1)]
 
 
 def heard(s, es, commit, now, prev=0):
@@ -70,8 +70,8 @@
     heard(s, entries(5), 3, 1.0)
     assert s.core.state.index == 3
     again = Saved(disk, AB).core
-    assert again.state.index == 3 and again.leader() is None and not again.unborn and again.decided == []
-    p, pieces = again.settings()
+    assert again.state.index == 3 and again.leader() is None and not again.nothing_committed and again.decided == []
+    p, pieces = again.settings_snapshot()
     assert p.index == 3 and load(list(pieces)).items.services["s"].version == 3
     assert again.raft.log.last == 5 and again.raft.commit == 3
 
@@ -116,7 +116,7 @@
     for c in at:
         c.start(founding(G, AB, None), None, [], 10.0)
     assert all(10 + FIRST * t <= c.raft.timer() <= 10 + t for c in at)
-    c = core(AB)
+    c = started_core(AB)
     c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
     assert 1 + t <= c.raft.timer() <= 1 + 2 * t
 
@@ -128,12 +128,12 @@
     c.role = "silent"
     with ReplicaTask(node) as t:
         assert not t.held.is_set()
-        assert soon(t.held.is_set)
+        assert eventually(t.held.is_set)
         assert t.replica.state.index == 2 and t.replica.leader is None
         c.transport.on("who", lambda s, body: wire.encode(c.who()))
-        assert soon(lambda: t.replica.state.index == 3)
-        a.state.apply(9, 9, encode(service("s", 9)))
-        assert soon(lambda: t.replica.state.index == 9)
+        assert eventually(lambda: t.replica.state.index == 3)
+        a.state.apply(9, 9, encode(service_amendment("s", 9)))
+        assert eventually(lambda: t.replica.state.index == 9)
 
 
 def test_empty_settings_are_not_held(fleet):  # noqa: F811
@@ -141,9 +141,9 @@
     for x in controls:
         x.state = type(x.state)(3)
     with ReplicaTask(node) as t:
-        assert soon(lambda: t.replica.state is not None) and not t.held.is_set()
-        controls[1].state.apply(1, 1, encode(service("s", 1)))
-        assert soon(t.held.is_set)
+        assert eventually(lambda: t.replica.state is not None) and not t.held.is_set()
+        controls[1].state.apply(1, 1, encode(service_amendment("s", 1)))
+        assert eventually(t.held.is_set)
 
 
 def test_the_door_opens_once_settings_are_held_and_stays_open():
@@ -154,7 +154,7 @@
         gevent.idle()
         assert began == []
         replica.held.set()
-        assert soon(lambda: began == [1])
+        assert eventually(lambda: began == [1])
     assert began == [1, 0]
 
 
@@ -178,27 +178,27 @@
 
 
 def test_a_follower_whose_leader_hung_up_waits_less_unless_it_speaks_again():
-    c = core(AB)
+    c = started_core(AB)
     c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1, 0.9)), 1.0)
-    c.gone(A, 1.05)
+    c.peer_disconnected(A, 1.05)
     assert c.raft.timer() >= 2.0 and loyal(c, 1.1)
-    c.gone(B, 1.1)
+    c.peer_disconnected(B, 1.1)
     assert 1.1 + DOUBT <= c.raft.timer() <= 1.1 + 2 * DOUBT and not loyal(c, 1.1)
-    assert c.holds(Answer.WATCH, 1.1) and not c.holds(Answer.WATCH, 1.5)
+    assert c.may_answer(AnswerKind.WATCH, 1.1) and not c.may_answer(AnswerKind.WATCH, 1.5)
     c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 2)), 1.2)
     assert c.raft.timer() >= 2.2 and c.raft.leader == "b"
 
 
 def test_doubt_of_one_follower_moves_nobody_while_the_others_hear_the_leader():
     three = Voters({"a": A, "b": B, "c": Address("10.0.0.3", 1)})
-    c = core(three)
+    c = started_core(three)
     c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
     c.ready(1.0)
     c.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.1)
     c.receive(Envelope(G, "c", "a", B, Ask(2, False, 5, 1)), 1.1)
     r = c.ready(1.1)
     assert [m.granted for _, m in r.late] == [False] and c.raft.term == 1
-    c.gone(B, 1.2)
+    c.peer_disconnected(B, 1.2)
     c.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.3)
     assert [m.granted for _, m in c.ready(1.3).late] == [True]
 
@@ -217,4 +217,4 @@
             assert there.call(x, "hi", b"1", 5).is_ok() and other.call(x, "hi", b"1", 5).is_ok()
             other._line(x, clock.now()).close()
             assert there.call(x, "hi", b"2", 5).is_ok() and gone == []
-        assert soon(lambda: gone == [y])
+        assert eventually(lambda: gone == [y])
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -5,9 +5,9 @@
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.sessions import Session
 from mallowvalve.control.snapshot import dump, load
-from mallowvalve.control.state import Change, Evacuate, State, encode
+from mallowvalve.control.state import Change, Evacuate, ReplicatedState, encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.state import Lock, Next, Put
 
 MINUTE = 60_000
@@ -15,7 +15,7 @@
 
 class Machine:
     def __init__(self):
-        self.s = State(3)
+        self.s = ReplicatedState(3)
 
     def do(self, c, at=0):
         return self.s.apply(self.s.index + 1, at, encode(c))
@@ -85,7 +85,7 @@
 
         class transport:
             call = staticmethod(
-                lambda to, kind, body, limit: asked.append((to, kind)) or Ok(wire.encode(Took("ok", 5)))
+                lambda to, kind, body, limit: asked.append((to, kind)) or Ok(wire.encode(CommandResponse("ok", 5)))
             )
 
     t = ControlTask.__new__(ControlTask)
@@ -97,8 +97,10 @@
 
 
 def test_an_offer_that_may_have_run_never_ends_as_no_leader(monkeypatch):
-    ends = [Took("undecided")]
-    monkeypatch.setattr(ControlTask, "_offer_once", lambda self, c, left: ends.pop() if ends else Took("leader"))
+    ends = [CommandResponse("undecided")]
+    monkeypatch.setattr(
+        ControlTask, "_offer_once", lambda self, c, left: ends.pop() if ends else CommandResponse("leader")
+    )
     t = ControlTask.__new__(ControlTask)
     t._over = False
     t.core, t._session = type("C", (), {"clock": FleetClock()}), Session(lambda: 7)
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,7 +1,7 @@
 from mallowvalve.control.bootstrap import Found, Judge, Start, Wait, decide, heard_enough
 from mallowvalve.control.bootstrap_task import FoundTask
-from mallowvalve.control.state import Seat, State
-from mallowvalve.control.wire import Want, Who
+from mallowvalve.control.state import ReplicatedState, Seat
+from mallowvalve.control.wire import ProcessStatus, ReplicationRequest
 from mallowvalve.raft.messages import Group, Voters
 from mallowvalve.types import Address, Locality
 
@@ -24,7 +24,7 @@
         voters=None if blank else OLD,
         leader=None,
     )
-    return Who(**{**base, **more})
+    return ProcessStatus(**{**base, **more})
 
 
 def replica(index=9):
@@ -77,7 +77,7 @@
 
 
 def test_founding_anew_needs_most_of_the_roster_to_answer():
-    s = State(1)
+    s = ReplicatedState(1)
     s.settings.roster = {str(p): Seat(1, Locality("eu", "x")) for p in P}
     proxy = [who("", p, role="proxy") for p in P]
     assert heard_enough(s, proxy[:2]) and not heard_enough(s, proxy[:1])
@@ -85,8 +85,8 @@
 
 def test_a_blank_core_asks_whoever_holds_a_state_before_it_founds_and_gives_it_time():
     t = FoundTask(None)
-    t.heard(Want(P[0], 1, "proxy", Locality("eu", "x"), G, 9, 0, 0.0))
-    t.heard(Want(P[1], 1, "proxy", Locality("eu", "x"), None, 0, 0, 0.0))
+    t.heard(ReplicationRequest(P[0], 1, "proxy", Locality("eu", "x"), G, 9, 0, 0.0))
+    t.heard(ReplicationRequest(P[1], 1, "proxy", Locality("eu", "x"), None, 0, 0, 0.0))
     assert list(t._holders) == [P[0]]
     j, me, others = Judge(), who("a", A), [who("b", B), who("c", C)]
     assert [j.hear(decide(me, others, 7, False), n * 0.5) for n in range(4)] == [None] * 4
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -2,8 +2,8 @@
 
 from mallowvalve.control.acknowledgement import Replicas
 from mallowvalve.control.core import Core
-from mallowvalve.control.state import Settings
-from mallowvalve.control.wire import Want, Who
+from mallowvalve.control.state import ReplicatedSettings
+from mallowvalve.control.wire import ProcessStatus, ReplicationRequest
 from mallowvalve.membership.detector import FORGET, Membership
 from mallowvalve.membership.task import MembershipTask
 from mallowvalve.membership.wire import FAILED, VERSION, Head, Tell
@@ -54,10 +54,10 @@
 def test_a_leader_forgets_core_machines_and_replicas_it_no_longer_hears():
     c = Core("a", ME, LOC, random.Random(1))
     for i, a in enumerate(MANY):
-        c.here(Who("control", f"id{i}", a, LOC, [], True, None, 0, None, None), i * 1.0)
+        c.receive_announcement(ProcessStatus("control", f"id{i}", a, LOC, [], True, None, 0, None, None), i * 1.0)
     assert len(c.seen) < 100
     e = Replicas(LOC)
     for i, a in enumerate(MANY):
-        e.heard(Want(a, 1, "directory", LOC, None, 0, 0, 0.0), Group(1, "g"), 1, i * 1.0)
-        e.watch(Settings(), i * 1.0)
-    assert len(e.heard_of) < 100
+        e.record_request(ReplicationRequest(a, 1, "directory", LOC, None, 0, 0, 0.0), Group(1, "g"), 1, i * 1.0)
+        e.observe_settings(ReplicatedSettings(), i * 1.0)
+    assert len(e.status_by_address) < 100
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -4,8 +4,8 @@
 
 from mallowvalve.control.core import Core
 from mallowvalve.control.snapshot import dump, founding
-from mallowvalve.control.state import Change, State, Tick, encode
-from mallowvalve.control.wire import Took, Want
+from mallowvalve.control.state import Change, ReplicatedState, Tick, encode
+from mallowvalve.control.wire import CommandResponse, ReplicationRequest
 from mallowvalve.coordination.plain import Count, Take
 from mallowvalve.raft.messages import (
     COMMAND,
@@ -27,7 +27,7 @@
 G = Group(3, "g")
 
 
-def core(voters):
+def started_core(voters):
     c = Core("a", A, EU, random.Random(1))
     c.start(founding(G, voters, None), None, [], 0.0)
     return c
@@ -40,8 +40,8 @@
     return out
 
 
-def alone():
-    c = core(Voters({"a": A}))
+def single_voter_leader():
+    c = started_core(Voters({"a": A}))
     step(c, 5.0)
     step(c, 5.1)
     assert c.leads
@@ -49,22 +49,22 @@
 
 
 def test_who_and_snapshot_answer_while_an_installed_snapshot_is_being_saved():
-    c = core(Voters({"a": A, "b": B}))
-    s = State(3)
+    c = started_core(Voters({"a": A, "b": B}))
+    s = ReplicatedState(3)
     s.index = 50
     p = Snapshot(G, 50, 2, Voters({"a": A, "b": B}), dump(s))
     c.receive(Envelope(G, "b", "a", B, Install(2, p, 1)), 1.0)
     r = c.ready(1.0)
     assert r.install == p and c.state.index == 0
-    assert c.who("control", []).voters == p.voters
-    assert c.base() == p
+    assert c.process_status("control", []).voters == p.voters
+    assert c.base_snapshot() == p
     c.saved(r, 1.1)
-    assert c.state.index == 50 and c.who("control", []).index == 50
+    assert c.state.index == 50 and c.process_status("control", []).index == 50
 
 
 def test_a_proposal_is_answered_once_committed_and_a_follower_names_its_leader():
-    c = alone()
-    go_on(c, 5.2, 8.0)
+    c = single_voter_leader()
+    step_until(c, 5.2, 8.0)
     c.propose(encode(Change(None, b"{}", "x")), "t1", 20.0, 8.0)
     ((t, took),) = step(c, 8.0)
     assert (t, took.code) == ("t1", "ok")
@@ -72,12 +72,12 @@
     assert step(c, 8.1)[0][1].code == "conflict"
     c.propose(encode(Change(None, b"{}", "x")), "t3", 20.0, 8.2)
     assert step(c, 8.2)[0][1] == took
-    f = core(Voters({"a": A, "b": B}))
+    f = started_core(Voters({"a": A, "b": B}))
     f.propose(encode(Tick()), "t", 9.0, 1.0)
-    assert step(f, 0.5) == [("t", Took("leader"))]
+    assert step(f, 0.5) == [("t", CommandResponse("leader"))]
 
 
-def go_on(c, now, end):
+def step_until(c, now, end):
     out = []
     while now < end:
         out += step(c, now)
@@ -86,17 +86,17 @@
 
 
 def want(group, index, revision, at, boot=7, role="proxy"):
-    return Want(B, boot, role, US, group, index, revision, at)
+    return ReplicationRequest(B, boot, role, US, group, index, revision, at)
 
 
 def test_an_acknowledgement_waits_for_a_copy_elsewhere_while_one_can_be_reached():
-    c = alone()
-    c.want(want(G, c.state.index, c.state.settings.revision, 6.0), "w", 6.0)
+    c = single_voter_leader()
+    c.receive_replication_request(want(G, c.state.index, c.state.settings.revision, 6.0), "w", 6.0)
     c.propose(msgspec.msgpack.encode(Tick()), "t", 20.0, 6.0)
     out = step(c, 6.0)
     fed = dict(out)["w"]
     assert "t" not in dict(out) and fed.entries
-    c.want(want(G, fed.index, fed.revision, 6.1), "w2", 6.1)
+    c.receive_replication_request(want(G, fed.index, fed.revision, 6.1), "w2", 6.1)
     assert dict(step(c, 6.1))["t"].code == "ok"
     c.propose(encode(Tick()), "late", 20.0, 6.2)
     assert "late" not in dict(step(c, 6.2))
@@ -104,14 +104,14 @@
 
 
 def test_an_acknowledgement_waits_for_every_replica_that_answers_promptly_and_for_no_other():
-    c = alone()
-    go_on(c, 5.2, 8.0)
+    c = single_voter_leader()
+    step_until(c, 5.2, 8.0)
     others = [Address("10.0.1.1", n + 1) for n in range(4)]
 
     def wants(who, index, now):
         for a in who:
-            w = Want(a, 7, "proxy", US, G, index, c.state.settings.revision, now)
-            c.want(w, a, now)
+            w = ReplicationRequest(a, 7, "proxy", US, G, index, c.state.settings.revision, now)
+            c.receive_replication_request(w, a, now)
 
     wants(others, c.state.index, 8.0)
     c.propose(encode(Tick()), "t", 20.0, 8.0)
@@ -122,25 +122,25 @@
 
 
 def test_a_change_is_acknowledged_once_the_roster_holds_it_or_its_window_is_over():
-    c = alone()
+    c = single_voter_leader()
     now = 8.0
-    c.want(want(G, c.state.index, c.state.settings.revision, now), "w", now)
+    c.receive_replication_request(want(G, c.state.index, c.state.settings.revision, now), "w", now)
     seated = {}
     while str(B) not in c.state.settings.roster:
         now += 0.1
         for t, f in step(c, now):
             seated = f
-            c.want(want(G, f.index, f.revision, now), "w", now)
+            c.receive_replication_request(want(G, f.index, f.revision, now), "w", now)
     for _ in range(5):
         now += 0.1
         for t, f in step(c, now):
-            c.want(want(G, f.index, f.revision, now), "w", now)
+            c.receive_replication_request(want(G, f.index, f.revision, now), "w", now)
     assert seated and c.replicas.in_force(c.state.settings.revision, now)
     c.propose(encode(Change(None, b"{}", "z")), "t", now + 30, now)
     out = dict(step(c, now))
     assert "t" not in out and out["w"].revision == c.state.settings.revision
-    assert "t" not in dict(go_on(c, now, now + 5.0))
-    c.want(want(G, out["w"].index, out["w"].revision, now + 5.0), "w", now + 5.0)
+    assert "t" not in dict(step_until(c, now, now + 5.0))
+    c.receive_replication_request(want(G, out["w"].index, out["w"].revision, now + 5.0), "w", now + 5.0)
     assert dict(step(c, now + 5.0))["t"].code == "ok"
 
 
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -91,7 +91,7 @@
     assert [p["name"] for p in c.simulate_get("/connect?locality=us/us-a").json["proxies"]] == ["n1"]
 
 
-BOUND = lease.BOUNDS[lease.Answer.DIRECTORY].seconds
+BOUND = lease.LEASE_BOUNDS[lease.AnswerKind.DIRECTORY].seconds
 PATHS = ("/proxies", "/connect?locality=eu/eu-a")
 
 
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -8,19 +8,19 @@
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.control.snapshot import cut_settings
 from mallowvalve.control.snapshot_fetch import Puller
-from mallowvalve.control.state import State, encode
-from mallowvalve.control.wire import Fed, Who
+from mallowvalve.control.state import ReplicatedState, encode
+from mallowvalve.control.wire import ProcessStatus, ReplicationResponse
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.messages import Group, Snapshot, Voters
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address, Locality
-from tests.test_parts import service
+from tests.test_parts import service_amendment
 
 G, EU = Group(3, "g"), Locality("eu", "a")
 
 
-def soon(test) -> bool:
+def eventually(test) -> bool:
     end = clock.now() + 20
     while not test() and clock.now() < end:
         Event().wait(0.02)
@@ -32,9 +32,9 @@
 
     def __init__(self, addr: Address, index: int):
         self.addr, self.transport = addr, Transport(addr, "f", Counts())
-        self.state, self.role, self.leader, self.wants = State(3), "none", None, []
+        self.state, self.role, self.leader, self.wants = ReplicatedState(3), "none", None, []
         for n in range(index):
-            self.state.apply(n + 1, n, encode(service("s", n + 1)))
+            self.state.apply(n + 1, n, encode(service_amendment("s", n + 1)))
         Puller(self.transport, lambda: None, settings=self.made)
         self.transport.on("want", self.want)
         self.transport.on("who", lambda s, b: None if self.role == "silent" else wire.encode(self.who()))
@@ -43,19 +43,21 @@
         return Snapshot(G, self.state.index, 1, Voters({}), []), cut_settings(self.state)
 
     def who(self):
-        return Who("control", "x", self.addr, EU, [], False, G, self.state.index, Voters({}), None)
+        return ProcessStatus("control", "x", self.addr, EU, [], False, G, self.state.index, Voters({}), None)
 
     def want(self, sender, body):
-        w = wire.want(body)
+        w = wire.decode_replication_request(body)
         self.wants.append(w)
         if self.role == "silent":
             return None
         if self.role != "leads":
-            return wire.encode(Fed(self.leader))
-        Event().wait(min(w.hold, 0.05))
-        lacking = w.group != G or w.index < self.state.index
+            return wire.encode(ReplicationResponse(self.leader))
+        Event().wait(min(w.max_wait_s, 0.05))
+        needs_snapshot = w.group != G or w.index < self.state.index
         return wire.encode(
-            Fed(self.addr, G, lacking, [], self.state.index, self.state.settings.revision, 0.0, Voters({}))
+            ReplicationResponse(
+                self.addr, G, needs_snapshot, [], self.state.index, self.state.settings.revision, 0.0, Voters({})
+            )
         )
 
 
@@ -89,23 +91,25 @@
     node, (a, b, c) = fleet
     a.role, b.leader, c.role = "silent", c.addr, "leads"
     with ReplicaTask(node) as t:
-        assert soon(lambda: t.replica.leader == c.addr and t.replica.state is not None and t.replica.state.index == 3)
-        assert t.replica.parts == "settings" and {w.parts for w in c.wants} == {"settings"}
+        assert eventually(
+            lambda: t.replica.leader == c.addr and t.replica.state is not None and t.replica.state.index == 3
+        )
+        assert t.replica.scope == "settings" and {w.scope for w in c.wants} == {"settings"}
         while a.state.index < 5:
-            a.state.apply(a.state.index + 1, 9, encode(service("s", a.state.index + 1)))
+            a.state.apply(a.state.index + 1, 9, encode(service_amendment("s", a.state.index + 1)))
         a.role, c.role = "leads", "silent"
-        assert soon(lambda: t.replica.leader == a.addr and t.replica.state.index == 5)
+        assert eventually(lambda: t.replica.leader == a.addr and t.replica.state.index == 5)
         assert t.replica.state.items.services["s"].version == 5
 
 
 def test_with_no_leader_the_newest_settings_of_any_control_process_serve_and_never_older_ones(fleet):
     node, controls = fleet
     with ReplicaTask(node) as t:
-        assert soon(lambda: t.replica.state is not None and t.replica.state.index == 3)
+        assert eventually(lambda: t.replica.state is not None and t.replica.state.index == 3)
         assert t.replica.leader is None
         controls[2].role = "silent"
         asked = len(controls[1].wants)
-        assert soon(lambda: len(controls[1].wants) > asked + 3)
+        assert eventually(lambda: len(controls[1].wants) > asked + 3)
         assert t.replica.state.index == 3
 
 
@@ -113,6 +117,6 @@
     node, controls = fleet
     node.settings.serve_on = False
     with ReplicaTask(node) as t:
-        assert soon(lambda: len(controls[0].wants) > 10)
+        assert eventually(lambda: len(controls[0].wants) > 10)
         assert t.replica.state is None
-    assert controls[0].wants[0].hold == 0.0
+    assert controls[0].wants[0].max_wait_s == 0.0
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -11,7 +11,7 @@
 import pytest
 
 from mallowvalve.control.bootstrap import Found, decide
-from mallowvalve.control.wire import Who
+from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.messages import Group, Voters
 from mallowvalve.types import Address, Locality
 
@@ -156,14 +156,14 @@
     def who(self, m):
         known = None if m.blank else G
         held = None if m.blank else self.at(m.index)
-        return Who("control", m.id, m.addr, EU, self.seeds, m.blank, known, max(0, m.index), held, None)
+        return ProcessStatus("control", m.id, m.addr, EU, self.seeds, m.blank, known, max(0, m.index), held, None)
 
     def answers(self, but):
         out = [self.who(m) for m in self.machines if m.up and m is not but and self.rng.random() < 0.7]
         for k, index in enumerate(self.proxies):
             if self.rng.random() < 0.7:
                 a = Address("10.0.2.1", k + 1)
-                out.append(Who("proxy", "", a, EU, [], False, G, index, self.at(index), None))
+                out.append(ProcessStatus("proxy", "", a, EU, [], False, G, index, self.at(index), None))
         return out
 
     def founds(self):
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -10,8 +10,8 @@
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.core import Core
 from mallowvalve.control.snapshot import founding
-from mallowvalve.control.state import Enrol, Evacuate, Seats, State, Strike, Tick, encode
-from mallowvalve.control.wire import Want
+from mallowvalve.control.state import Enrol, Evacuate, ReplicatedState, Seats, Strike, Tick, encode
+from mallowvalve.control.wire import ReplicationRequest
 from mallowvalve.membership.detector import fresh_record
 from mallowvalve.raft.messages import Group, Voters
 from mallowvalve.settings import Acks
@@ -45,7 +45,7 @@
 def wants(c, now, some=MANY):
     for a in some:
         held = c.state.index if now > 8 else 0
-        c.want(Want(a, 7, "proxy", LOC, G, held, 0, now, "settings", 1.0), a, now)
+        c.receive_replication_request(ReplicationRequest(a, 7, "proxy", LOC, G, held, 0, now, "settings", 1.0), a, now)
 
 
 @pytest.mark.parametrize(("settings", "seats"), [("held", 82), ("force", 1)])
@@ -69,11 +69,11 @@
 
 
 def test_seats_are_one_change_of_the_settings():
-    s = State(1)
+    s = ReplicatedState(1)
     s.apply(1, 0, encode(Seats([Enrol(a, 7, LOC) for a in MANY])))
-    assert len(s.settings.roster) == 82 and s.turned == 1
+    assert len(s.settings.roster) == 82 and s.settings_index == 1
     s.apply(2, 0, encode(Seats([Strike(MANY[0], 6), Strike(MANY[1], 7), Enrol(MANY[2], 8, LOC)])))
-    assert len(s.settings.roster) == 81 and s.settings.roster[str(MANY[2])].boot == 8 and s.turned == 2
+    assert len(s.settings.roster) == 81 and s.settings.roster[str(MANY[2])].boot == 8 and s.settings_index == 2
 
 
 def fed(c, now):
@@ -104,11 +104,11 @@
     go_on(c, 8.0, 8.3)
     wants(c, 8.4)
     step(c, 8.4)
-    looks = c.feeds.look_at
+    looks = c.parked_requests.next_check_at
     for n in range(50):
         c.propose(encode(Tick()), n, 20.0, 8.45 + n / 1000)
         step(c, 8.45 + n / 1000)
-    assert c.feeds.look_at == looks and len(c.feeds) == 82
+    assert c.parked_requests.next_check_at == looks and len(c.parked_requests) == 82
     assert set(MANY) <= fed(c, 9.41)
 
 
--- a/tests/test_http_items.py
+++ b/tests/test_http_items.py
@@ -10,8 +10,8 @@
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import http_items, http_operators
 from mallowvalve.control.snapshot import dump, load
-from mallowvalve.control.state import State, command, encode
-from mallowvalve.control.wire import Took
+from mallowvalve.control.state import ReplicatedState, decode_command, encode
+from mallowvalve.control.wire import CommandResponse
 from tests.test_items import call, route, service
 
 
@@ -22,8 +22,8 @@
         self.node = SimpleNamespace(
             membership=SimpleNamespace(view=lambda: []), settings=SimpleNamespace(zones={"z1": "eu"})
         )
-        self.leader = self.state = State(3)
-        self.core, self.says, self.confirms = self, None, Took("ok")
+        self.leader = self.state = ReplicatedState(3)
+        self.core, self.says, self.confirms = self, None, CommandResponse("ok")
         self.offered = []
 
     def read(self, limit):
@@ -31,18 +31,18 @@
             self.state = self.leader
         return self.confirms
 
-    def holds(self, kind, now):
+    def may_answer(self, kind, now):
         return True
 
     def tree(self):
         return EMPTY
 
     def offer(self, data, limit, *_):
-        self.offered.append(command(data))
+        self.offered.append(decode_command(data))
         if self.says is not None:
             return self.says
         o = self.leader.apply(self.leader.index + 1, 0, data)
-        return Took(o.code, o.revision, o.body)
+        return CommandResponse(o.code, o.revision, o.body)
 
 
 @pytest.fixture
@@ -94,10 +94,10 @@
 
 def test_a_node_that_lags_asks_before_it_refuses(control):
     t, c = control
-    t.leader = State(3)
+    t.leader = ReplicatedState(3)
     t.leader.apply(1, 0, encode(read(FIRST).unwrap()))
     assert c.simulate_patch("/items", body=call([route("n")])).status_code == 200 and t.state is t.leader
-    t.state, t.confirms = State(3), Took("leader")
+    t.state, t.confirms = ReplicatedState(3), CommandResponse("leader")
     assert c.simulate_patch("/items", body=call([route("m")])).status_code == 503
 
 
@@ -105,21 +105,21 @@
     t, c = control
     c.simulate_patch("/items", body=FIRST)
     t.state = t.leader
-    t.leader = State(3)
+    t.leader = ReplicatedState(3)
     r = c.simulate_patch("/items", body=call([route("n")]))
     assert r.status_code == 400 and r.json["findings"][0]["place"] == "routes.n.service" and not t.leader.items.rows
 
 
 def test_a_call_that_is_too_large_not_offered_or_undecided_says_so(control, monkeypatch):
     t, c = control
-    t.says = Took("leader")
+    t.says = CommandResponse("leader")
     r = c.simulate_patch("/items", body=FIRST)
     assert (r.status_code, r.headers["retry-after"]) == (503, "1")
-    t.says = Took("undecided")
+    t.says = CommandResponse("undecided")
     assert c.simulate_patch("/items", body=FIRST).status_code == 504
     monkeypatch.setattr(http_items, "CALL_BYTES", 100)
     assert c.simulate_patch("/items", body=FIRST).status_code == 413
-    t.confirms = Took("undecided")
+    t.confirms = CommandResponse("undecided")
     assert c.simulate_get("/items").status_code == 504
 
 
@@ -131,7 +131,7 @@
         } and t.state.settings.evacuated.keys() == {"z1"}
     for _ in range(2):
         assert c.simulate_delete("/evacuations/z1").status_code == 200 and not t.state.settings.evacuated
-    assert len(t.offered) == 4 and t.state.turned == 3
+    assert len(t.offered) == 4 and t.state.settings_index == 3
     r = c.simulate_post("/evacuations/z9")
     assert r.status_code == 404 and r.json["findings"][0]["place"] == "zone" and len(t.offered) == 4
 
@@ -150,7 +150,7 @@
         assert '"limit_ms": 1500' in r.json["findings"][0]["text"] and r.json["outcome"] == "not-run"
         assert t.leader.items.rows == before
     assert c.simulate_patch("/items", body=call([route("r", 6)])).status_code == 200
-    t.state = State(3)
+    t.state = ReplicatedState(3)
     assert c.simulate_patch("/items", body=other).status_code == 200, "an overtaken one is acknowledged as before"
 
 
--- a/tests/test_http_operators.py
+++ b/tests/test_http_operators.py
@@ -4,8 +4,8 @@
 from mallowvalve import web
 from mallowvalve.configuration.build import EMPTY, build
 from mallowvalve.control import http_operators
-from mallowvalve.control.state import Seat, State, encode
-from mallowvalve.control.wire import Took
+from mallowvalve.control.state import ReplicatedState, Seat, encode
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.state import Put
 from mallowvalve.types import Locality
 
@@ -24,7 +24,7 @@
 
     def __init__(self):
         self.node, self.core = self.Node(), self
-        self.state, self.says = State(3), None
+        self.state, self.says = ReplicatedState(3), None
 
     def do(self, c, at=0):
         return self.state.apply(self.state.index + 1, at, c if isinstance(c, bytes) else encode(c))
@@ -32,11 +32,11 @@
     def current(self, now):
         return False
 
-    def holds(self, kind, now):
+    def may_answer(self, kind, now):
         return True
 
     def read(self, limit):
-        return Took("ok", self.state.revision)
+        return CommandResponse("ok", self.state.revision)
 
     def tree(self):
         return EMPTY
@@ -48,7 +48,7 @@
         if self.says is not None:
             return self.says
         o = self.do(command)
-        return Took(o.code, o.revision, o.body)
+        return CommandResponse(o.code, o.revision, o.body)
 
 
 @pytest.fixture
@@ -73,7 +73,7 @@
 def test_not_run_is_never_said_about_a_key_that_was_not_looked_up(control):
     t, c = control
     k = {"Mallow-Key": "k"}
-    t.says = Took("leader")
+    t.says = CommandResponse("leader")
     for r in (
         c.simulate_put("/config", json={"doc": DOC}, headers=k),
         c.simulate_post("/numbers/n", headers=k),
@@ -100,7 +100,7 @@
 def test_a_strike_that_was_not_taken_is_no_success(control):
     t, c = control
     t.state.settings.roster = {"10.0.0.1:1": Seat(7, Locality("eu", "a"))}
-    t.says = Took("undecided")
+    t.says = CommandResponse("undecided")
     assert c.simulate_post("/strikes", json={"proxy": "10.0.0.1:1"}).status_code == 504
     t.says = None
     assert (
@@ -150,9 +150,9 @@
 def test_a_watch_tells_no_silence_past_its_bound_without_asking_a_quorum(control):
     t, c = control
     t.do(Put("mine", "0"))
-    reads = [Took("ok", 1)]
-    t.read = lambda limit: reads.pop() if reads else Took("leader")
+    reads = [CommandResponse("ok", 1)]
+    t.read = lambda limit: reads.pop() if reads else CommandResponse("leader")
     assert c.simulate_get(f"/watch?since={t.state.revision}&prefix=mine").status_code == 503
-    reads.append(Took("ok", 1))
+    reads.append(CommandResponse("ok", 1))
     t.current = lambda now: True
     assert c.simulate_get(f"/watch?since={t.state.revision}&prefix=mine").json["events"] == []
--- a/tests/test_http_plain.py
+++ b/tests/test_http_plain.py
@@ -7,8 +7,8 @@
 
 from mallowvalve import web
 from mallowvalve.control import http_plain
-from mallowvalve.control.state import State, encode
-from mallowvalve.control.wire import Took
+from mallowvalve.control.state import ReplicatedState, encode
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import HISTORY_MS, Write
 
 HELD = {"holder": "a", "hold_ms": 1000}
@@ -27,7 +27,7 @@
 
     def __init__(self):
         self.node, self.core = self.Node(), self
-        self.state, self.says, self.reads, self.at = State(3), None, [], 0
+        self.state, self.says, self.reads, self.at = ReplicatedState(3), None, [], 0
 
     def leader(self):
         return None
@@ -38,17 +38,17 @@
     def current(self, now):
         return False
 
-    def holds(self, kind, now):
+    def may_answer(self, kind, now):
         return True
 
     def read(self, limit):
-        return self.reads.pop(0) if self.reads else Took("ok", self.state.revision)
+        return self.reads.pop(0) if self.reads else CommandResponse("ok", self.state.revision)
 
     def offer(self, command, limit, attempt=60.0):
         if self.says is not None:
             return self.says
         o = self.do(command)
-        return Took(o.code, o.revision, o.body)
+        return CommandResponse(o.code, o.revision, o.body)
 
 
 @pytest.fixture
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("code, status", [("leader", 503), ("replaced", 503), ("undecided", 504), ("odd", 504)])
 def test_only_what_was_surely_not_taken_is_a_503(control, code, status):
     t, c = control
-    t.says = Took(code)
+    t.says = CommandResponse(code)
     for r in (
         c.simulate_post("/api/locks/l", json=HELD),
         c.simulate_put("/api/locks/l", json={**HELD, "token": 1}),
@@ -150,11 +150,11 @@
 def test_a_read_waits_out_a_short_want_of_a_leader_and_then_says_so(control, monkeypatch):
     t, c = control
     t.do(Write("g.a", "x"))
-    t.reads = [Took("leader"), Took("undecided")]
+    t.reads = [CommandResponse("leader"), CommandResponse("undecided")]
     assert c.simulate_get("/api/cells/g.a").status_code == 200 and t.reads == []
     monkeypatch.setattr(http_plain, "LIMIT", 0.05)
     for code, status in (("leader", 503), ("undecided", 504)):
-        t.reads = [Took(code)] * 1000
+        t.reads = [CommandResponse(code)] * 1000
         for path in ("/api/cells/g.a", "/api/watch/g.?after=1"):
             assert c.simulate_get(path).status_code == status
 
@@ -243,7 +243,7 @@
     t, c = control
     t.do(Write("g.a", "0"))
     (j,) = waiting(c, "/api/watch/g.?after=1&wait_ms=20000")
-    new = State(3)
+    new = ReplicatedState(3)
     new.plain.adopt(t.state.plain.snapshot())
     t.state = new
     t.do(Write("g.a", "1"))
@@ -258,7 +258,7 @@
     t.do(Write("g.a", "0"))
     answers = [True]
     t.current = lambda now: bool(answers and answers.pop())
-    t.read = lambda limit: Took("leader")
+    t.read = lambda limit: CommandResponse("leader")
     r = c.simulate_get("/api/watch/g.?after=1&wait_ms=1")
     assert r.status_code == 503 and r.headers["retry-after"]
 
@@ -268,6 +268,6 @@
     t.do(Write("g.a", "0"))
     (j,) = waiting(c, "/api/watch/g.?after=1&wait_ms=20000")
     assert not j.ready()
-    t.read = lambda limit: Took("leader")
-    t.holds = lambda kind, now: False
+    t.read = lambda limit: CommandResponse("leader")
+    t.may_answer = lambda kind, now: False
     assert j.get(timeout=5).status_code == 503
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -7,8 +7,8 @@
 
 from mallowvalve import web
 from mallowvalve.control import http_upstreams, lease, redirect, registry_task
-from mallowvalve.control.state import State, command
-from mallowvalve.control.wire import Took
+from mallowvalve.control.state import ReplicatedState, decode_command
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.membership.wire import FAILED, LEAVING, Record
 from mallowvalve.settings import Settings
 from mallowvalve.types import Address, Locality
@@ -47,7 +47,7 @@
     def __init__(self):
         self.node, self.core, self.transport, self.membership = self, self, self, self
         self.settings, self.counts = SETTINGS, web.Counts()
-        self.state, self.leads, self.says = State(1), True, "ok"
+        self.state, self.leads, self.says = ReplicatedState(1), True, "ok"
         self.me = control_at("10.1.0.1", EU)
         self.controls, self.offered, self.asked = [], [], None
 
@@ -60,15 +60,15 @@
     def leader(self):
         return None
 
-    def holds(self, kind, now):
+    def may_answer(self, kind, now):
         """As asked just now of a majority, or when it is said."""
-        return lease.holds(kind, now if self.asked is None else self.asked, now)
+        return lease.is_valid(kind, now if self.asked is None else self.asked, now)
 
     def offer(self, data, limit, attempt):
-        self.offered.append(command(data))
+        self.offered.append(decode_command(data))
         if self.says == "ok":
             self.state.apply(self.state.index + 1, 1000, data)
-        return Took(self.says)
+        return CommandResponse(self.says)
 
 
 class AtOnce(registry_task.RegistryTask):
@@ -133,7 +133,7 @@
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     t.leads = False
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
-    task._touched -= lease.BOUNDS[lease.Answer.HEARTBEAT].seconds
+    task._touched -= lease.LEASE_BOUNDS[lease.AnswerKind.HEARTBEAT].seconds
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3}).status_code == 503
     t.state = None
     for r in (c.simulate_put("/upstreams/i1", json=HEARTBEAT), c.simulate_delete("/upstreams/i1")):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.control import lease
 from mallowvalve.control.core import Core
-from mallowvalve.control.lease import BOUNDS, Answer
+from mallowvalve.control.lease import LEASE_BOUNDS, AnswerKind
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.state import encode
 from mallowvalve.coordination.plain import Count
@@ -18,7 +18,7 @@
 
 G = Group(1, "g")
 ADDRESSES = {i: Address("10.0.0.1", n) for n, i in enumerate("abc", 1)}
-WATCH = BOUNDS[Answer.WATCH].seconds
+WATCH = LEASE_BOUNDS[AnswerKind.WATCH].seconds
 BETWEEN_REGIONS = 0.035
 STEP = 0.005
 
@@ -168,12 +168,12 @@
 
 
 def test_one_table_names_a_bound_and_a_reason_for_each_kind_of_answer():
-    assert set(BOUNDS) == set(Answer) and all(b.reason for b in BOUNDS.values())
-    assert BOUNDS[Answer.READ].seconds == BOUNDS[Answer.ORDER].seconds == 0
-    for kind, bound in BOUNDS.items():
-        assert lease.holds(kind, 5.0, 4.999 + bound.seconds) is (bound.seconds > 0)
-        assert not lease.holds(kind, 5.0, 5.0 + bound.seconds)
-        assert not lease.holds(kind, 5.0, 4.9) and not lease.holds(kind, NO_STAMP, 5.0)
+    assert set(LEASE_BOUNDS) == set(AnswerKind) and all(b.reason for b in LEASE_BOUNDS.values())
+    assert LEASE_BOUNDS[AnswerKind.READ].seconds == LEASE_BOUNDS[AnswerKind.ORDER].seconds == 0
+    for kind, bound in LEASE_BOUNDS.items():
+        assert lease.is_valid(kind, 5.0, 4.999 + bound.seconds) is (bound.seconds > 0)
+        assert not lease.is_valid(kind, 5.0, 5.0 + bound.seconds)
+        assert not lease.is_valid(kind, 5.0, 4.9) and not lease.is_valid(kind, NO_STAMP, 5.0)
     assert lease.retry_after(False) > lease.retry_after(True) > 0
 
 
@@ -183,17 +183,17 @@
     def heard(at, sure):
         c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Append(1, 0, 0, [], 0, 1, sure)), at)
         c.saved(c.ready(at), at)
-        return [kind for kind in Answer if c.holds(kind, at)]
+        return [kind for kind in AnswerKind if c.may_answer(kind, at)]
 
     assert heard(1.0, NO_STAMP) == [] and heard(1.1, 0.9) == [
-        Answer.CALL,
-        Answer.WATCH,
-        Answer.HEARTBEAT,
-        Answer.NOTICE,
-        Answer.DIRECTORY,
+        AnswerKind.CALL,
+        AnswerKind.WATCH,
+        AnswerKind.HEARTBEAT,
+        AnswerKind.NOTICE,
+        AnswerKind.DIRECTORY,
     ]
-    assert heard(2.0, 0.9) == [Answer.CALL, Answer.HEARTBEAT, Answer.DIRECTORY]
-    assert heard(9.0, 0.9) == [Answer.DIRECTORY]
+    assert heard(2.0, 0.9) == [AnswerKind.CALL, AnswerKind.HEARTBEAT, AnswerKind.DIRECTORY]
+    assert heard(9.0, 0.9) == [AnswerKind.DIRECTORY]
 
 
 def test_an_acknowledgement_names_the_term_that_it_rests_on():
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -6,7 +6,7 @@
 import pytest
 
 from mallowvalve.control.leave import Leave, Why
-from mallowvalve.control.wire import Who
+from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import VOTERS, Entry, Group, Snapshot, Voters, encode
 from mallowvalve.raft.raft import Raft
@@ -33,7 +33,7 @@
 
 
 def answer(v, group=G):
-    return Who("control", "b", B, Locality("eu", "x"), [], False, group, 5, v, B)
+    return ProcessStatus("control", "b", B, Locality("eu", "x"), [], False, group, 5, v, B)
 
 
 def test_a_configuration_is_committed_before_one_of_its_members_goes():
@@ -62,7 +62,7 @@
 
 def came_back(id, at, leaving=False):
     """A core process that holds no state, at an address whose former id may have a seat."""
-    who = Who("control", id, at, Locality("eu", "x"), [], True, None, 0, None, None)
+    who = ProcessStatus("control", id, at, Locality("eu", "x"), [], True, None, 0, None, None)
     return msgspec.structs.replace(who, leaving=leaving)
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mallowvalve.control.snapshot import dump, load
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.ledger import ledger
 from mallowvalve.ledger.ledger import KEEP_MS, Claim, Done, Forfeit, Ledger, Lose, Release
 
@@ -16,7 +16,7 @@
 
 
 def copy(x, y):
-    s = State(1)
+    s = ReplicatedState(1)
     s.ledger = x
     s = load(dump(s))
     y.rows, y.kept, y._bytes = s.ledger.rows, s.ledger.kept, s.ledger._bytes
--- a/tests/test_out_of_touch.py
+++ b/tests/test_out_of_touch.py
@@ -7,13 +7,13 @@
 from mallowvalve import web
 from mallowvalve.admin.call import call_at
 from mallowvalve.control import http_operators, http_plain, lease
-from mallowvalve.control.lease import Answer
+from mallowvalve.control.lease import AnswerKind
 from mallowvalve.metrics import Counts
 from mallowvalve.types import Address
 from tests.test_http_items import FIRST
 from tests.test_http_upstreams import US, Control, control_at
 
-BOUND = lease.BOUNDS[Answer.CALL].seconds
+BOUND = lease.LEASE_BOUNDS[AnswerKind.CALL].seconds
 TAKE = b'{"holder":"a","hold_ms":3000}'
 CALLS = [
     ("POST", "/api/locks/l", TAKE),
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from mallowvalve.control.state import State, Tick, encode
+from mallowvalve.control.state import ReplicatedState, Tick, encode
 from mallowvalve.coordination.plain import (
     HISTORY_MS,
     SLACK_MS,
@@ -157,7 +157,7 @@
 
 
 def test_the_state_routes_commands_and_ticks():
-    s = State(1)
+    s = ReplicatedState(1)
     o = s.apply(1, 50, encode(Take("l", "a", 100)))
     assert msgspec.msgpack.decode(o.body, type=Word) == Word(OK, 1) and s.plain.restless()
     s.apply(2, 500, encode(Tick()))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,6 +1,6 @@
 import msgspec
 
-from mallowvalve.control.state import command
+from mallowvalve.control.state import decode_command
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams import registry as registries
 from mallowvalve.upstreams.liveness import Heard, Liveness
@@ -246,4 +246,4 @@
 
 def test_the_wire_form_of_a_change_holds_what_is_forgotten():
     data = msgspec.msgpack.encode(Registered([up()], "", ["x"]))
-    assert command(data) == Registered([up()], "", ["x"])
+    assert decode_command(data) == Registered([up()], "", ["x"])
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -15,16 +15,16 @@
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.control.sessions import AHEAD_MOST_MS, GRACE_MS, HEADER_BYTES, Call, Origin, Session, seal, unseal
 from mallowvalve.control.snapshot import cut_settings, dump, load
-from mallowvalve.control.state import Evacuate, State, command, encode, tag_of
+from mallowvalve.control.state import Evacuate, ReplicatedState, command_tag, decode_command, encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.waiting import turns_settings, waits_for
-from mallowvalve.control.wire import Took
+from mallowvalve.control.waiting import acknowledgement_mode, changes_settings
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Count, Take, Word, Write
 from mallowvalve.coordination.state import Lock, Next, Put
 from mallowvalve.ledger.ledger import Claim
 from mallowvalve.settings import Acks
 from mallowvalve.upstreams.registry import Registered
-from tests.test_core import alone, go_on, step
+from tests.test_core import single_voter_leader, step, step_until
 from tests.test_registry import up
 
 SERVICE = Item("services", "s", 1, b'{"name":"s","version":1}')
@@ -42,7 +42,7 @@
 ]
 
 
-def at(state: State, time: int, data: bytes):
+def at(state: ReplicatedState, time: int, data: bytes):
     return state.apply(state.index + 1, time, data)
 
 
@@ -50,7 +50,7 @@
     return seal(Origin(session, number, not_after), encode(c))
 
 
-def content(s: State):
+def content(s: ReplicatedState):
     """All of a state that commands make, without what is remembered of them."""
     return (
         msgspec.structs.replace(s.settings, revision=0),
@@ -68,15 +68,17 @@
     o = Origin((1 << 64) - 1, sessions.NUMBER_MOST, (1 << 48) - 1)
     for c in EVERY_KIND:
         data = seal(o, encode(c))
-        assert unseal(data) == (o, encode(c)) and command(data) == c and tag_of(data) == tag_of(encode(c))
-        assert turns_settings(data) == turns_settings(encode(c))
-        assert waits_for(data, Acks()) == waits_for(encode(c), Acks())
+        assert (
+            unseal(data) == (o, encode(c)) and decode_command(data) == c and command_tag(data) == command_tag(encode(c))
+        )
+        assert changes_settings(data) == changes_settings(encode(c))
+        assert acknowledgement_mode(data, Acks()) == acknowledgement_mode(encode(c), Acks())
     assert unseal(encode(Count("n"))) == (None, encode(Count("n"))) and HEADER_BYTES <= 24
 
 
 @pytest.mark.parametrize("c", EVERY_KIND, ids=lambda c: type(c).__name__)
 def test_every_kind_of_command_is_applied_once_however_often_it_is_offered(c):
-    s = State(3)
+    s = ReplicatedState(3)
     first = at(s, 100, sealed(c))
     assert first.code not in ("late", "forgotten")
     held = content(s)
@@ -87,7 +89,7 @@
 
 @pytest.mark.parametrize("c", EVERY_KIND, ids=lambda c: type(c).__name__)
 def test_a_late_command_of_any_kind_takes_no_effect_then_or_ever(c):
-    s = State(3)
+    s = ReplicatedState(3)
     held = content(s)
     late = at(s, 1001, sealed(c))
     assert late.code == "late" and msgspec.msgpack.decode(late.body) == 1001 and content(s) == held
@@ -96,7 +98,7 @@
 
 
 def test_a_not_after_absurdly_far_ahead_is_refused():
-    s = State(3)
+    s = ReplicatedState(3)
     held = content(s)
     said = at(s, 500, sealed(Count("n"), 1, 501 + AHEAD_MOST_MS))
     assert said.code == "ahead" and msgspec.msgpack.decode(said.body) == 500 and content(s) == held
@@ -104,7 +106,7 @@
 
 
 def test_an_evacuation_that_was_held_back_does_not_undo_a_later_give_back():
-    s = State(3)
+    s = ReplicatedState(3)
     held_back = sealed(Evacuate("z", True), 1, 8000)
     assert at(s, 100, sealed(Evacuate("z", True), 1, 8000, session=2)).code == "ok"
     assert at(s, 9000, sealed(Evacuate("z", False), 2, 17000, session=2)).code == "ok"
@@ -112,18 +114,18 @@
 
 
 def test_a_take_that_comes_late_holds_no_lock():
-    s = State(3)
+    s = ReplicatedState(3)
     assert at(s, 5000, sealed(Take("l", "gone", 10_000.0), 1, 850)).code == "late"
     assert at(s, 5000, sealed(Take("l", "h", 100.0), 2, 5850)).code == "ok" and s.plain.locks["l"].holder == "h"
 
 
 def test_what_was_said_is_in_the_snapshot_whole_and_of_the_settings_alone():
-    s = State(3)
+    s = ReplicatedState(3)
     said = {i: at(s, 100, sealed(c, i)) for i, c in enumerate(EVERY_KIND)}
     whole, part = load(dump(s)), load(list(cut_settings(s)))
     for i, c in enumerate(EVERY_KIND):
         assert at(whole, 900, sealed(c, i)) == said[i]
-        if turns_settings(encode(c)):
+        if changes_settings(encode(c)):
             assert at(part, 900, sealed(c, i)) == said[i]
     assert at(whole, 2000, sealed(Count("x"), 99)).code == at(load(dump(whole)), 1500, sealed(Count("x"), 99)).code
     assert content(load(dump(whole))) == content(whole)
@@ -131,7 +133,7 @@
 
 def test_memory_is_bounded_by_time_and_by_count_and_what_it_lost_is_never_called_late(monkeypatch):
     monkeypatch.setattr(sessions, "KEPT_MOST", 50)
-    s = State(3)
+    s = ReplicatedState(3)
     for i in range(200):
         assert at(s, 100, sealed(Count("n"), i, 1000 + i)).code == "ok"
     assert len(s.sessions.rows) == 50
@@ -143,15 +145,17 @@
 
 def test_memory_is_bounded_by_bytes(monkeypatch):
     monkeypatch.setattr(sessions, "KEPT_BYTES", 1000)
-    s = State(3)
+    s = ReplicatedState(3)
     for i in range(200):
         at(s, 100, sealed(Count("n"), i, 1000 + i))
     assert sum(len(k.outcome.body) for k in s.sessions.rows.values()) <= 1000
 
 
 def test_codes_cross_the_wire_and_snapshots_as_their_words():
-    assert wire.took(wire.encode(Took(Code.LATE, 7, b"x"))) == Took("late", 7, b"x")
-    s = State(3)
+    assert wire.decode_command_response(wire.encode(CommandResponse(Code.LATE, 7, b"x"))) == CommandResponse(
+        "late", 7, b"x"
+    )
+    s = ReplicatedState(3)
     at(s, 100, sealed(Amend([SERVICE]), 1))
     other = sealed(Amend([Item("services", "s", 1, b'{"name":"s","version":1,"connections":2}')]), 2)
     assert at(s, 100, other).code == "conflict" and at(load(dump(s)), 100, other) == at(s, 100, other)
@@ -169,13 +173,13 @@
     p = Session(lambda: 5)
     c = Call(p, b"x", 2.0)
     first = c.data(0, 1.0)
-    assert c.heard(Took("leader"), 1.1).code == "leader" and c.data(0, 1.2) == first
-    late = Took("late", 0, sessions.encode_clock(70_000))
+    assert c.heard(CommandResponse("leader"), 1.1).code == "leader" and c.data(0, 1.2) == first
+    late = CommandResponse("late", 0, sessions.encode_clock(70_000))
     assert c.heard(late, 1.5).code == "leader"
     assert unseal(c.data(0, 1.75))[0] == Origin(5, 2, 70_500), "by the clock that the answer told"
-    assert c.heard(Took("undecided"), 1.8).code == "undecided" and c.heard(late, 1.9).code == "forgotten"
-    assert c.ended(Took("forgotten"), ("leader",)).code == "undecided"
-    assert c.ended(Took("leader"), ("leader",)).code == "undecided"
+    assert c.heard(CommandResponse("undecided"), 1.8).code == "undecided" and c.heard(late, 1.9).code == "forgotten"
+    assert c.ended(CommandResponse("forgotten"), ("leader",)).code == "undecided"
+    assert c.ended(CommandResponse("leader"), ("leader",)).code == "undecided"
 
 
 class Lossy(ControlTask):
@@ -184,18 +188,18 @@
     __slots__ = ("leading", "lose", "now", "sealed", "late")
 
     def __init__(self, lose: int):
-        self.leading, self.lose, self.now = alone(), lose, 8.0
+        self.leading, self.lose, self.now = single_voter_leader(), lose, 8.0
         self.sealed, self.late = [], False
-        go_on(self.leading, 5.2, self.now)
+        step_until(self.leading, 5.2, self.now)
         estimate = FleetClock()
         estimate.restart(self.leading.clock.read(self.now), clock.now())
         self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
-    def _offer_once(self, command: bytes, limit: float) -> Took:
+    def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
         w = AsyncResult()
         self.sealed.append(command)
         if self.late:
-            go_on(self.leading, self.now, self.now + 5.0)
+            step_until(self.leading, self.now, self.now + 5.0)
             self.now += 5.0
         self.leading.propose(command, w, self.now + 9.0, self.now)
         told = {}
@@ -203,7 +207,7 @@
             told |= dict(step(self.leading, self.now))
             self.now += 0.1
         self.lose -= 1
-        return Took("undecided") if self.lose >= 0 else told[w]
+        return CommandResponse("undecided") if self.lose >= 0 else told[w]
 
 
 @pytest.mark.parametrize("c", [Count("n"), Take("l", "h", 60_000.0)], ids=["Count", "Take"])
@@ -237,11 +241,11 @@
 
 def test_a_process_that_has_heard_nothing_takes_its_own_clock_for_no_one_elses():
     fresh = FleetClock()
-    assert fresh.since(18.5) == 0
-    order = Call(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).data(fresh.since(18.5), 18.5)
+    assert fresh.estimate(18.5) == 0
+    order = Call(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).data(fresh.estimate(18.5), 18.5)
     assert unseal(order)[0].not_after <= 1000, "late at first, which tells it the time"
     fresh.restart(15_100, 18.5)
-    assert fresh.since(18.6) == 15_200
+    assert fresh.estimate(18.6) == 15_200
 
 
 class Leaderless(ControlTask):
@@ -254,9 +258,9 @@
         estimate.restart(0, clock.now())
         self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
-    def _offer_once(self, command: bytes, limit: float) -> Took:
+    def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
         self.sealed.append(unseal(command)[0])
-        return Took("leader")
+        return CommandResponse("leader")
 
 
 def test_an_order_without_a_version_is_not_offered_once_its_caller_may_have_called_another_process():
@@ -283,13 +287,13 @@
 
 
 def test_a_replica_offers_one_call_with_one_origin_until_it_is_known_to_have_had_no_effect():
-    lost = [Err("gone"), Took("leader"), Took("ok", 5)]
-    late = [Took(Code.LATE, 0, sessions.encode_clock(70_000)), Took("ok", 5)]
+    lost = [Err("gone"), CommandResponse("leader"), CommandResponse("ok", 5)]
+    late = [CommandResponse(Code.LATE, 0, sessions.encode_clock(70_000)), CommandResponse("ok", 5)]
     for answers, numbers in ((lost, [1, 1, 1]), (late, [1, 2])):
         offered = []
 
         def call(to, kind, body, limit, answers=answers, offered=offered):
-            offered.append(unseal(wire.offer(body).command))
+            offered.append(unseal(wire.decode_command_request(body).command))
             a = answers[len(offered) - 1]
             return a if isinstance(a, Err) else Ok(wire.encode(a))
 
@@ -303,8 +307,8 @@
 
 @pytest.mark.parametrize("data", [b"\xc1", b"\xc1" + bytes(19), b"\xc1" + bytes(20), b"x", sealed(Count("n"))[:-1]])
 def test_what_is_no_command_is_refused_before_it_is_in_the_log(data):
-    c = alone()
-    go_on(c, 5.2, 8.0)
+    c = single_voter_leader()
+    step_until(c, 5.2, 8.0)
     c.propose(data, "t", 20.0, 8.0)
     took = dict(step(c, 8.0))["t"]
     assert took.code == "invalid" and msgspec.msgpack.decode(took.body)[0]["place"] == "command"
--- a/tests/test_sessions_play.py
+++ b/tests/test_sessions_play.py
@@ -10,7 +10,7 @@
 from mallowvalve.control import sessions
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.snapshot import cut_settings, dump, load
-from mallowvalve.control.state import Evacuate, State, command
+from mallowvalve.control.state import Evacuate, ReplicatedState, decode_command
 from mallowvalve.coordination.plain import Count
 from tests.test_sessions import content, sealed
 
@@ -24,7 +24,7 @@
 
     def __init__(self):
         super().__init__()
-        self.whole, self.copy, self.part = State(3), State(3), State(3)
+        self.whole, self.copy, self.part = ReplicatedState(3), ReplicatedState(3), ReplicatedState(3)
         self.clock = self.latest = 0
         self.calls: list[tuple[bytes, int]] = []
         self.said: dict[int, set] = {}
@@ -61,7 +61,7 @@
         self.latest = max(self.latest, self.clock)
         said = self.whole.apply(index, self.clock, sealed_call)
         assert self.copy.apply(index, self.clock, sealed_call) == said
-        if self.whole.turned == index:
+        if self.whole.settings_index == index:
             self.part.apply(index, self.clock, sealed_call)
         had = self.said.setdefault(n, set())
         if said.code in ("late", "forgotten"):
@@ -74,7 +74,7 @@
         done = had - {"forgotten"}
         assert not done or (content(self.whole) == before and done == {said})
         had.add(said)
-        self.counted += not done and isinstance(command(sealed_call), Count)
+        self.counted += not done and isinstance(decode_command(sealed_call), Count)
 
     @rule()
     def load_the_copy(self):
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -9,7 +9,7 @@
 from mallowvalve.control.snapshot import dump, load
 from mallowvalve.control.snapshot_fetch import NOW, Puller
 from mallowvalve.control.snapshot_transfer import IDLE, Gather, Piece, Refusal, Shelf, Want
-from mallowvalve.control.state import State, encode
+from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.coordination.state import Lock, Next, Put
 from mallowvalve.ledger.ledger import Claim, Done
 from mallowvalve.localfleet.ports import free_ports
@@ -23,7 +23,7 @@
 
 
 def filled(n=300, body=b"x" * 100, seed=1):
-    s, rng = State(3), random.Random(seed)
+    s, rng = ReplicatedState(3), random.Random(seed)
     for i in range(n):
         k = f"k{rng.randrange(10**9)}"
         for c in (
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -109,7 +109,7 @@
 @pytest.fixture
 def control(tmp_path, monkeypatch):
     """A control process that heard a majority just now, so that calls begin; its loop does not run."""
-    monkeypatch.setattr(Core, "holds", lambda self, kind, now: True)
+    monkeypatch.setattr(Core, "may_answer", lambda self, kind, now: True)
     with Folder(tmp_path) as folder:
         disk_log = DiskLog.open(folder, "f", uuid.uuid4().hex).ok_value
         t = ControlTask(Node(settings.check("control", RAW).ok_value), disk_log, store.load(disk_log).ok_value)
--- a/tests/test_verification_explorer.py
+++ b/tests/test_verification_explorer.py
@@ -68,7 +68,7 @@
 
 
 def test_a_watch_lags_by_no_entry_that_was_acknowledged_longer_ago_than_its_bound(monkeypatch):
-    monkeypatch.setattr(lease, "LAG", 0)
+    monkeypatch.setattr(lease, "MAX_WATCH_LAG_ENTRIES", 0)
     result = walks(WATCHING, range(40), 600, ControlCluster)
     assert (result.broken, result.trace) == ("", [])
 
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -12,7 +12,7 @@
 from mallowvalve.configuration.item_request import read
 from mallowvalve.configuration.items import Items
 from mallowvalve.control.snapshot import cut_settings, dump, load
-from mallowvalve.control.state import State, encode
+from mallowvalve.control.state import ReplicatedState, encode
 
 NAMES, VERSIONS, CONTENTS = ("a", "b"), (1, 2, 3), ("x", "y", None)
 CHANGE = st.tuples(
@@ -44,7 +44,7 @@
 
     def __init__(self):
         super().__init__()
-        self.state, self.part = State(3), State(3)
+        self.state, self.part = ReplicatedState(3), ReplicatedState(3)
         self.model: dict[tuple[str, str], tuple[int, str | None]] = {}
         self.acknowledged: list[tuple[bytes, dict]] = []
 
@@ -61,7 +61,7 @@
         foreseen = self.state.items.check(call.unwrap())
         index, before = self.state.index + 1, self.state.items.rows.copy()
         said = self.state.apply(index, 0, encode(call.unwrap()))
-        if self.state.turned == index:
+        if self.state.settings_index == index:
             self.part.apply(index, 0, encode(call.unwrap()))
         if clashes:
             assert said.code == "conflict" and self.state.items.rows == before
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -7,7 +7,7 @@
 from mallowvalve import settings
 from mallowvalve.configuration.items import HostRoute, Limits, Part, ServiceItem
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.state import Seat, State
+from mallowvalve.control.state import ReplicatedState, Seat
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.host import Hosts
 from mallowvalve.proxy.reader import Reader
@@ -52,7 +52,7 @@
         p = settings.check("proxy", RAW | raw).ok_value
         self.now = now
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = Group(1, "g"), State(1)
+        self.replica.group, self.replica.state = Group(1, "g"), ReplicatedState(1)
         s = self.state = self.replica.state
         s.items, s.registry = FakeItems(), FakeRegistry()
         s.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from mallowvalve.control import lease
-from mallowvalve.control.outcome import OFFER_AGAIN, Code
+from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.sessions import Call, Session, unseal
 from mallowvalve.control.state import Put, encode
 from mallowvalve.types import Revision
@@ -20,7 +20,7 @@
 
 CALL_S = 3.0
 OPEN_MOST = 4
-WATCH_S = lease.BOUNDS[lease.Answer.WATCH].seconds
+WATCH_S = lease.LEASE_BOUNDS[lease.AnswerKind.WATCH].seconds
 
 
 class Caller(msgspec.Struct):
@@ -78,12 +78,12 @@
         return None
 
     def fresh_watches(self, touched: ControlMember) -> str | None:
-        """Who answers watches has all but `lease.LAG` entries of what was acknowledged longer ago than their bound."""
+        """Who answers watches has all but the permitted lag of what was acknowledged longer ago than their bound."""
         if not touched.current():
             return None
         before = touched.now - WATCH_S
         floor = max((index for at, index in self.acknowledged_at if at <= before), default=0)
-        if touched.applied.index + lease.LAG >= floor:
+        if touched.applied.index + lease.MAX_WATCH_LAG_ENTRIES >= floor:
             return None
         return f"stale watch: {touched.id} holds {touched.applied.index}, {floor} was acknowledged over {WATCH_S} s ago"
 
@@ -141,7 +141,7 @@
         if reply.unheard or caller.said or reply.frame != len(caller.frames) - 1:
             return None
         took = caller.call.heard(reply.took, now)
-        if took.code not in OFFER_AGAIN:
+        if took.code not in RETRYABLE:
             caller.said = took.code
         return None
 
--- a/verification/control_faults.py
+++ b/verification/control_faults.py
@@ -21,7 +21,7 @@
 WATCHING = replace(CONTROL, crashes=0, compactions=0, reads=0, repeats=0)
 CALLING = replace(CONTROL, reads=0, repeats=0)
 ONCE, NOT_AFTER, STALE_WATCH = "once", "not after", "stale watch"
-EXACT = ((lease, "LAG", 0),)
+EXACT = ((lease, "MAX_WATCH_LAG_ENTRIES", 0),)
 """With it a watch may lag by no entry, so that short logs show what long ones would."""
 
 _judge, _on_append = Sessions.judge, Raft._on_append
@@ -62,7 +62,10 @@
 
 def _current_in_any_term(machine: Core, now: float) -> bool:
     """Watches served from a state of an earlier term."""
-    return machine.holds(lease.Answer.WATCH, now) and machine.state.index + lease.LAG >= machine.raft.told
+    return (
+        machine.may_answer(lease.AnswerKind.WATCH, now)
+        and machine.state.index + lease.MAX_WATCH_LAG_ENTRIES >= machine.raft.told
+    )
 
 
 def _leads_at_once(machine: Core) -> bool:
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -11,7 +11,7 @@
 from mallowvalve.control.core import Core
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.snapshot import founding, load
-from mallowvalve.control.wire import Took, Who
+from mallowvalve.control.wire import CommandResponse, ProcessStatus
 from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, Voters
 from mallowvalve.raft.raft import Raft
 from mallowvalve.settings import Acks
@@ -33,7 +33,7 @@
     call: int
     frame: int
     unheard: bool
-    took: Took
+    took: CommandResponse
 
 
 class Frame(msgspec.Struct, frozen=True):
@@ -104,7 +104,7 @@
         """Takes in a message; the state of a snapshot is built beside the machine first, as its daemon does."""
         if isinstance(message, Install) and message.snapshot.state and message.snapshot.index > self.raft.commit:
             snapshot = message.snapshot
-            self.core.bring(snapshot, load(snapshot.state, snapshot.group.generation))
+            self.core.keep_fetched_state(snapshot, load(snapshot.state, snapshot.group.generation))
         envelope = Envelope(self.raft.group, sender, self.id, address(sender), message)
         return self.step(lambda raft: self.core.receive(envelope, self.now))
 
@@ -116,13 +116,13 @@
         """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
         return self.step(lambda raft: self.core.read(Floor(floor), float("inf"), self.now))
 
-    def here(self, who: Who) -> Sent:
+    def here(self, who: ProcessStatus) -> Sent:
         """Hears of another member."""
-        return self.step(lambda raft: self.core.here(who, self.now))
+        return self.step(lambda raft: self.core.receive_announcement(who, self.now))
 
-    def who(self, leaving: bool) -> Who:
+    def who(self, leaving: bool) -> ProcessStatus:
         """What it says of itself."""
-        return replace(self.core.who(ROLE, []), leaving=leaving)
+        return replace(self.core.process_status(ROLE, []), leaving=leaving)
 
     def compact(self) -> None:
         """Writes a snapshot of the state, and the log turns to it."""
--- a/verification/member.py
+++ b/verification/member.py
@@ -16,7 +16,7 @@
 from msgspec.structs import replace
 
 from mallowvalve.control import store
-from mallowvalve.control.waiting import Read, Reads
+from mallowvalve.control.waiting import PendingRead, PendingReads
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, Entry, Group, Hard, Message, Snapshot, Voters
 from mallowvalve.raft.progress import Ready, Times
@@ -121,7 +121,7 @@
         self.reached = 0
         self.voters: Voters | None = None
         self.unsaved: tuple[Ready, Hard] | None = None
-        self.reads, self.proposed = Reads(), {}
+        self.reads, self.proposed = PendingReads(), {}
         self.acknowledged: list[int] = []
         self.answers: list[Answered] = []
         self._key: bytes | None = None
@@ -185,7 +185,7 @@
         """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
         if not self.raft.settled:
             return []
-        return self.step(lambda raft: self.reads.add(Read(floor, raft.ask_quorum(), raft.commit, float("inf"))))
+        return self.step(lambda raft: self.reads.add(PendingRead(floor, raft.ask_quorum(), raft.commit, float("inf"))))
 
     def compact(self) -> None:
         """Writes a snapshot of the applied state, and the log turns to it."""
