--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -1,4 +1,4 @@
-"""One control process's state machine: Raft, the replicated state, and those who wait for its answers."""
+"""The state machine of a control process: Raft, the replicated state and the requests that await a response."""
 
 from __future__ import annotations
 
@@ -52,11 +52,15 @@
 from mallowvalve.types import Address, Locality
 
 LOGGED_TAGS = command_tags((Change, Evacuate, Enrol, Strike, Seats))
-TOLD_COMMIT_PACES = 3
+"""Tags of the commands whose outcomes are logged as they are applied."""
+COMMIT_NOTICE_PACES = 3
+"""How long a leader may delay the notice of a new commit index, in multiples of the pace between two rounds."""
+TIMER_INTERVAL_S = 0.1
+TICK_INTERVAL_S = 1.0
 
 
 class Core:
-    """Its user calls it with what comes, then does what `ready` says and passes on `replies`. No sockets, no clocks."""
+    """Takes events; its user stores and sends what `ready` returns and delivers `replies`. No sockets, no clocks."""
 
     __slots__ = (
         "id",
@@ -72,20 +76,20 @@
         "members",
         "seen",
         "clock",
-        "_pending",
-        "_waiting",
+        "_uncommitted",
+        "_awaiting_replicas",
         "parked_requests",
-        "_reads",
-        "_led",
-        "_brought",
-        "_ticked",
-        "_grown",
+        "_pending_reads",
+        "_leadership_begun",
+        "_fetched_state",
+        "_last_tick_at",
+        "_last_membership_check_at",
         "_base_index",
         "_acks",
         "_settings_log",
         "_times",
-        "_note",
-        "_seating",
+        "_commit_mark_timer",
+        "_roster_command_index",
         "_addresses",
     )
 
@@ -98,7 +102,7 @@
         acks: Acks = Acks(),
         times: Times = Times(),
     ):
-        """A blank process: `start` gives it a group."""
+        """Creates a blank process, which joins a Raft group by `start`."""
         self.id, self.addr, self.locality, self.rng = id, addr, locality, rng
         self.raft: Raft | None = None
         self.state: ReplicatedState | None = None
@@ -109,19 +113,19 @@
         self.seen = self.members.seen
         self._addresses = MemberAddresses()
         self.replicas = Replicas(locality)
-        self._pending: dict[int, PendingCommand] = {}
-        self._waiting: deque[tuple[int, PendingCommand]] = deque()
+        self._uncommitted: dict[int, PendingCommand] = {}
+        self._awaiting_replicas: deque[tuple[int, PendingCommand]] = deque()
         self.parked_requests = ParkedRequests(addr)
-        self._reads = PendingReads()
-        self._led = False
-        self._brought = FetchedState()
-        self._ticked = self._grown = -1e9
-        self._seating = 0
+        self._pending_reads = PendingReads()
+        self._leadership_begun = False
+        self._fetched_state = FetchedState()
+        self._last_tick_at = self._last_membership_check_at = -1e9
+        self._roster_command_index = 0
         self._base_index = 0
-        self._acks, self._times = acks, msgspec.structs.replace(times, told=TOLD_COMMIT_PACES * times.pace)
+        self._acks, self._times = acks, msgspec.structs.replace(times, told=COMMIT_NOTICE_PACES * times.pace)
         self._settings_log = SettingsLog(0)
         self.clock = FleetClock()
-        self._note = CommitMarkTimer()
+        self._commit_mark_timer = CommitMarkTimer()
 
     def start(
         self,
@@ -129,92 +133,94 @@
         hard: Hard | None,
         entries: list[Entry],
         now: float,
-        ready: ReplicatedState | None = None,
+        loaded_state: ReplicatedState | None = None,
     ) -> None:
-        """Begins from what is stored; `ready` is the snapshot's state where it was loaded already."""
+        """Starts from what is stored; `loaded_state` is the snapshot's state if it was loaded already."""
         hard = hard if hard is not None and hard.group == snapshot.group else Hard(snapshot.group, 0, "")
         self.raft = Raft(self.id, Log(snapshot, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit)
-        self.state = ready or load(snapshot.state, snapshot.group.generation)
+        self.state = loaded_state or load(snapshot.state, snapshot.group.generation)
         self.state.index = snapshot.index
         self._base_index = snapshot.index
         self._settings_log = SettingsLog(self.state.settings_index)
-        self._led, self._note = False, CommitMarkTimer()
+        self._leadership_begun, self._commit_mark_timer = False, CommitMarkTimer()
         self.clock.restart(self.state.clock, now)
         self._apply(now)
         self.decided = []
 
     def stop(self, new_id: str) -> None:
-        """Forgets its group; it goes on as a blank process under a new id."""
+        """Leaves the group and continues as a blank process under a new id; pending requests fail."""
         self.raft = self.state = None
         self.id = new_id
         self._fail_all()
 
     @property
     def leads(self) -> bool:
-        """Whether it may answer as the leader: all that former leaders acknowledged is applied here."""
+        """Whether this process may answer as the leader: it has applied all that former leaders acknowledged."""
         return self.raft is not None and self.raft.settled and self.state.index >= self.raft.term_start
 
     @property
     def nothing_committed(self) -> bool:
-        """Whether its group has committed nothing since its founding."""
+        """Whether the group has committed nothing since its founding."""
         return self.raft is not None and self.raft.commit <= self._base_index
 
     def leader(self) -> Address | None:
-        """The leader's address; None where none is known."""
+        """Returns the leader's address, or None if no leader is known."""
         if self.raft is None or not self.raft.leader:
             return None
         return self.address_of(self.raft.leader)
 
     def address_of(self, member: str) -> Address | None:
-        """Where the member is reached; None if nothing tells where it is."""
+        """Returns the address of the member, or None if it is unknown."""
         return self._addresses.of(member, self.raft.log.voters)
 
     def process_status(self, role: str, seeds: list[Address]) -> ProcessStatus:
-        """What this process says of itself to those who ask."""
-        r, m, i = self.raft, self.members, self.state.index if self.state else 0
-        held = (False, r.group, i, r.log.voters_at(i), self.leader()) if r else (True, None, 0, None, None)
-        return ProcessStatus(role, self.id, self.addr, self.locality, seeds, *held, boot=m.boot, leaving=m.leaving)
+        """Returns the status that this process reports to others."""
+        raft, boot, at = self.raft, self.members.boot, self.state.index if self.state else 0
+        held = (False, raft.group, at, raft.log.voters_at(at), self.leader()) if raft else (True, None, 0, None, None)
+        me = (role, self.id, self.addr, self.locality, seeds)
+        return ProcessStatus(*me, *held, boot=boot, leaving=self.members.leaving)
 
     def announcement_targets(self, control: list[Address]) -> list[Address]:
-        """Who is told that this process is here: the leader, or where none is known every control process."""
+        """Returns where this process announces itself: the leader, or all control processes if no leader is known."""
         leader = self.leader()
         return [a for a in ([leader] if leader is not None else control) if a != self.addr]
 
-    def receive_announcement(self, w: ProcessStatus, now: float) -> None:
-        """Another process said that it is here (s)."""
-        if w.role == "control" and (w.group is None or self.raft and w.group == self.raft.group):
-            self._addresses.hear(w.id, w.addr)
-            self.members.hear(w, now)
+    def receive_announcement(self, status: ProcessStatus, now: float) -> None:
+        """Records the announcement of a control process of this group or of none."""
+        if status.role == "control" and (status.group is None or self.raft and status.group == self.raft.group):
+            self._addresses.hear(status.id, status.addr)
+            self.members.hear(status, now)
 
     def timer(self, now: float) -> float:
-        """When `tick` is due next (s)."""
+        """Returns when `tick` is due next (s)."""
         if self.raft is None:
-            return now + 0.1
-        return min(self._note.at or now + 0.1, now + 0.1, self.raft.timer(), self.parked_requests.next_check_at)
+            return now + TIMER_INTERVAL_S
+        latest = now + TIMER_INTERVAL_S
+        return min(self._commit_mark_timer.at or latest, latest, self.raft.timer(), self.parked_requests.next_check_at)
 
     def tick(self, now: float) -> None:
-        """Time went on to `now` (s)."""
+        """Advances the time to `now` (s)."""
         if self.raft is None:
             return
         self.raft.tick(now)
-        self.raft.mark = self._note.due(self.state.settings_index, self.raft.marked, now) or self.raft.mark
-        self._settle(now)
+        self.raft.mark = self._commit_mark_timer.due(self.state.settings_index, self.raft.marked, now) or self.raft.mark
+        self._advance(now)
 
-    def receive(self, e: Envelope, now: float) -> None:
-        """A Raft message came; one of another group or for another member is dropped."""
-        if self.raft is None or e.group != self.raft.group or e.to != self.id:
+    def receive(self, envelope: Envelope, now: float) -> None:
+        """Handles a Raft message; messages of another group or for another member are counted and dropped."""
+        if self.raft is None or envelope.group != self.raft.group or envelope.to != self.id:
             self.counts.add("raft_foreign")
             return
-        self._addresses.hear(e.sender, e.address)
-        self.raft.receive(e.sender, e.body, now)
+        self._addresses.hear(envelope.sender, envelope.address)
+        self.raft.receive(envelope.sender, envelope.body, now)
 
-    def peer_disconnected(self, a: Address, now: float) -> None:
-        """A peer's last connection here ended."""
-        if self.raft is not None and a == self.leader():
+    def peer_disconnected(self, peer: Address, now: float) -> None:
+        """Handles the end of a peer's last connection: a follower then doubts that its leader is alive."""
+        if self.raft is not None and peer == self.leader():
             self.raft.doubt(now)
 
     def propose(self, data: bytes, token: Any, limit: float, now: float) -> None:
-        """Offers a command; what becomes of it is replied to the token, by `limit` (s) at the latest."""
+        """Proposes a command; its outcome is replied to the token, at `limit` (s) at the latest."""
         if not self.leads:
             self.replies.append((token, CommandResponse(Code.LEADER, leader=self.leader())))
             return
@@ -225,167 +231,169 @@
         if index is None:
             self.replies.append((token, CommandResponse(Code.LEADER)))
             return
-        self._pending[index] = PendingCommand(
+        self._uncommitted[index] = PendingCommand(
             token, self.raft.term, limit, changes_settings(data), acknowledgement_mode(data, self._acks)
         )
 
     def read(self, token: Any, limit: float, now: float) -> None:
-        """Replies to the token once a majority has confirmed this leader after the question, or at `limit` (s)."""
+        """Replies to the token once a majority has confirmed this leader since the request, or at `limit` (s)."""
         if not self.leads:
             self.replies.append((token, CommandResponse(Code.LEADER, leader=self.leader())))
             return
-        self._reads.add(PendingRead(token, self.raft.ask_quorum(), self.raft.commit, limit))
+        self._pending_reads.add(PendingRead(token, self.raft.ask_quorum(), self.raft.commit, limit))
 
     def current(self, now: float) -> bool:
-        """Whether the state here lags what was acknowledged by no more than moments."""
-        r, i = self.raft, self.state.index if self.state is not None else 0
+        """Whether the local state is recent enough to serve watches."""
+        raft, index = self.raft, self.state.index if self.state is not None else 0
         return (
             self.may_answer(lease.AnswerKind.WATCH, now)
-            and r.log.term(i) == r.term
-            and i + lease.MAX_WATCH_LAG_ENTRIES >= r.told
+            and raft.log.term(index) == raft.term
+            and index + lease.MAX_WATCH_LAG_ENTRIES >= raft.told
         )
 
     def contact(self) -> float:
-        """When (s) this process asked what a majority has confirmed since."""
+        """Returns when this process sent the newest question that a majority has confirmed since (s)."""
         return self.raft.contact() if self.raft is not None else lease.NO_CONTACT
 
     def may_answer(self, kind: lease.AnswerKind, now: float) -> bool:
-        """Whether an answer of the kind may be given by what is known here."""
+        """Whether the last contact with a majority is recent enough for an answer of this kind."""
         return lease.is_valid(kind, self.contact(), now)
 
-    def receive_replication_request(self, w: ReplicationRequest, token: Any, now: float) -> None:
-        """A replica asks for news; the reply goes to the token."""
+    def receive_replication_request(self, request: ReplicationRequest, token: Any, now: float) -> None:
+        """Handles a replica's request for new entries; the response goes to the token."""
         if not self.leads:
             self.replies.append((token, ReplicationResponse(self.leader())))
             return
-        self.replicas.record_request(w, self.raft.group, self.raft.rounds.seq + 1, now)
-        self.replies += self.parked_requests.park(w, token, now)
+        self.replicas.record_request(request, self.raft.group, self.raft.rounds.seq + 1, now)
+        self.replies += self.parked_requests.park(request, token, now)
 
     def ready(self, now: float) -> Ready | None:
-        """What is to be stored and sent now; `saved` must follow before the next call."""
+        """Returns what to store and send now; `saved` must be called before the next call of `ready`."""
         return self.raft.ready(now) if self.raft else None
 
-    def saved(self, r: Ready, now: float) -> None:
-        """What `ready` returned is on disk."""
-        if r.install is not None:
-            self.state = self._brought.take(r.install)
+    def saved(self, ready: Ready, now: float) -> None:
+        """Continues once all that `ready` returned is on disk."""
+        if ready.install is not None:
+            self.state = self._fetched_state.take(ready.install)
             self._settings_log = SettingsLog(self.state.settings_index)
             self.clock.restart(self.state.clock, now)
-        self.raft.saved(r)
+        self.raft.saved(ready)
         self._apply(now)
-        self._settle(now)
+        self._advance(now)
 
     def snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
-        """The state as it is now; its pieces are made as they are asked for."""
+        """Returns a snapshot of the current state and an iterator that encodes its pieces lazily; None if blank."""
         if self.raft is None:
             return None
         if self.state.index < self.raft.log.base:
             return self.raft.log.snapshot, iter(self.raft.log.snapshot.state)
-        return self._head(), cut(self.state)
+        return self._snapshot_header(), cut(self.state)
 
     def settings_snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
-        """The settings part of the state as it is now."""
+        """Returns a snapshot of the settings part of the current state, as `snapshot` does."""
         if self.raft is None or self.state.index < self.raft.log.base:
             return None
-        return self._head(), cut_settings(self.state)
+        return self._snapshot_header(), cut_settings(self.state)
 
-    def _head(self) -> Snapshot:
-        """A snapshot of the state as it is now, without its pieces."""
-        i = self.state.index
-        return Snapshot(self.raft.group, i, self.raft.log.term(i), self.raft.log.voters_at(i), [])
+    def _snapshot_header(self) -> Snapshot:
+        """Returns the header of a snapshot of the current state, without pieces."""
+        index = self.state.index
+        return Snapshot(self.raft.group, index, self.raft.log.term(index), self.raft.log.voters_at(index), [])
 
     def base_snapshot(self) -> Snapshot | None:
-        """The snapshot at which the log begins."""
+        """Returns the snapshot at which the log begins; None if blank."""
         return self.raft.log.snapshot if self.raft is not None else None
 
-    def keep_fetched_state(self, p: Snapshot, s: ReplicatedState) -> None:
-        """A state built beside the machine from the pieces of a snapshot that is about to be installed."""
-        self._brought.put(p, s)
+    def keep_fetched_state(self, snapshot: Snapshot, state: ReplicatedState) -> None:
+        """Keeps the state that was loaded from the pieces of a snapshot until that snapshot is installed."""
+        self._fetched_state.put(snapshot, state)
 
-    def compact(self, p: Snapshot) -> None:
-        """The log begins at this snapshot from now on."""
-        self.raft.log.compact(p)
-        self._settings_log.compact(p.index)
+    def compact(self, snapshot: Snapshot) -> None:
+        """Drops the log entries that the snapshot covers."""
+        self.raft.log.compact(snapshot)
+        self._settings_log.compact(snapshot.index)
 
     def _apply(self, now: float) -> None:
         while self.state.index < self.raft.commit:
-            e = self.raft.log.get(self.state.index + 1)
-            self.clock.observe(e, now)
-            out = self.state.apply(e.index, e.at, e.data if e.kind == COMMAND else b"")
-            if self.state.settings_index == e.index:
-                self._settings_log.add(e)
-                if command_tag(e.data) in LOGGED_TAGS:
-                    c = decode_command(e.data)
-                    self.decided += [(x, out) for x in (c.steps if isinstance(c, Seats) else [c])]
-            p = self._pending.pop(e.index, None)
-            if p is None:
+            entry = self.raft.log.get(self.state.index + 1)
+            self.clock.observe(entry, now)
+            outcome = self.state.apply(entry.index, entry.at, entry.data if entry.kind == COMMAND else b"")
+            if self.state.settings_index == entry.index:
+                self._settings_log.add(entry)
+                if command_tag(entry.data) in LOGGED_TAGS:
+                    command = decode_command(entry.data)
+                    self.decided += [(c, outcome) for c in (command.steps if isinstance(command, Seats) else [command])]
+            pending = self._uncommitted.pop(entry.index, None)
+            if pending is None:
                 continue
-            if p.term != e.term:
-                self.replies.append((p.token, CommandResponse(Code.REPLACED)))
+            if pending.term != entry.term:
+                self.replies.append((pending.token, CommandResponse(Code.REPLACED)))
                 continue
-            p.outcome, p.required_index = out, self.state.settings_index if p.changes_settings else e.index
-            self._waiting.append((e.index, p))
+            pending.outcome = outcome
+            pending.required_index = self.state.settings_index if pending.changes_settings else entry.index
+            self._awaiting_replicas.append((entry.index, pending))
 
-    def _settle(self, now: float) -> None:
+    def _advance(self, now: float) -> None:
         if not self.raft.leads:
-            if self._led:
+            if self._leadership_begun:
                 self._fail_all()
-            self._led = False
+            self._leadership_begun = False
             return
-        if self.leads and not self._led:
-            self._led, self._seating = True, 0
+        if self.leads and not self._leadership_begun:
+            self._leadership_begun, self._roster_command_index = True, 0
             self.clock.begin_leadership(self.state.clock, now)
             self.replicas.begin_leadership(now)
-        if not self._led:
+        if not self._leadership_begun:
             return
         self.replicas.observe_settings(self.state.settings, now)
-        self._answer_waiting(now)
-        self.replies += self._reads.answer(self.raft.rounds.confirmed, self.state, self.raft.term, now)
+        self._answer_commands(now)
+        self.replies += self._pending_reads.answer(self.raft.rounds.confirmed, self.state, self.raft.term, now)
         source = ReplicationSource(self.raft, self.state, self._settings_log, self.replicas, self.clock.read(now))
         self.replies += self.parked_requests.answer(source, now)
-        self._housekeep(now)
+        self._run_maintenance(now)
 
-    def _answer_waiting(self, now: float) -> None:
+    def _answer_commands(self, now: float) -> None:
         keep: deque[tuple[int, PendingCommand]] = deque()
-        for index, p in self._waiting:
-            o = p.outcome
-            if self._acknowledged(p, now):
-                self.replies.append((p.token, CommandResponse(o.code, o.revision, o.body, term=p.term)))
-            elif now >= p.limit:
-                self.replies.append((p.token, CommandResponse(Code.UNDECIDED, o.revision)))
+        for index, pending in self._awaiting_replicas:
+            outcome = pending.outcome
+            if self._is_acknowledged(pending, now):
+                response = CommandResponse(outcome.code, outcome.revision, outcome.body, term=pending.term)
+                self.replies.append((pending.token, response))
+            elif now >= pending.limit:
+                self.replies.append((pending.token, CommandResponse(Code.UNDECIDED, outcome.revision)))
             else:
-                keep.append((index, p))
-        self._waiting = keep
-        for i in [i for i, p in self._pending.items() if now >= p.limit]:
-            self.replies.append((self._pending.pop(i).token, CommandResponse(Code.UNDECIDED)))
+                keep.append((index, pending))
+        self._awaiting_replicas = keep
+        for index in [index for index, pending in self._uncommitted.items() if now >= pending.limit]:
+            self.replies.append((self._uncommitted.pop(index).token, CommandResponse(Code.UNDECIDED)))
 
-    def _acknowledged(self, p: PendingCommand, now: float) -> bool:
-        if p.acknowledgement == "commit" or p.outcome.code in WITHOUT_EFFECT:
+    def _is_acknowledged(self, pending: PendingCommand, now: float) -> bool:
+        if pending.acknowledgement == "commit" or pending.outcome.code in WITHOUT_EFFECT:
             return True
-        if not self.replicas.is_replicated(p.required_index, now, p.changes_settings):
+        if not self.replicas.is_replicated(pending.required_index, now, pending.changes_settings):
             return False
-        return p.acknowledgement == "held" or self.replicas.in_force(p.outcome.revision, now)
+        return pending.acknowledgement == "held" or self.replicas.in_force(pending.outcome.revision, now)
 
-    def _housekeep(self, now: float) -> None:
-        if now - self._ticked > 1.0 and self.state.coordination.restless():
-            self._ticked = now
+    def _run_maintenance(self, now: float) -> None:
+        if now - self._last_tick_at > TICK_INTERVAL_S and self.state.coordination.restless():
+            self._last_tick_at = now
             self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
-        if now - self._grown < reconfiguration.LOOK:
+        if now - self._last_membership_check_at < reconfiguration.LOOK:
             return
-        self._grown = now
-        v = self.members.next_voters(self.raft, now)
-        if v is not None and self.raft.change_voters(v, self.clock.read(now)) is not None:
+        self._last_membership_check_at = now
+        voters = self.members.next_voters(self.raft, now)
+        if voters is not None and self.raft.change_voters(voters, self.clock.read(now)) is not None:
             self.counts.add("raft_changes")
-        if self._seating > self.raft.commit:
+        if self._roster_command_index > self.raft.commit:
             return
         due = self.replicas.next_roster_step if self._acks.settings == "force" else self.replicas.due_roster_steps
         step = due(self.state.settings, now)
         if step is not None:
-            self._seating = self.raft.propose(COMMAND, encode(step), self.clock.read(now)) or 0
+            self._roster_command_index = self.raft.propose(COMMAND, encode(step), self.clock.read(now)) or 0
 
     def _fail_all(self) -> None:
-        for p in [*self._pending.values(), *(p for _, p in self._waiting)]:
-            self.replies.append((p.token, CommandResponse(Code.UNDECIDED)))
-        self.replies += self._reads.fail()
+        for pending in [*self._uncommitted.values(), *(waiting for _, waiting in self._awaiting_replicas)]:
+            self.replies.append((pending.token, CommandResponse(Code.UNDECIDED)))
+        self.replies += self._pending_reads.fail()
         self.replies += self.parked_requests.drop()
-        self._pending, self._waiting = {}, deque()
+        self._uncommitted, self._awaiting_replicas = {}, deque()
