--- a/mallowvalve/control/lease.py
+++ b/mallowvalve/control/lease.py
@@ -1,7 +1,8 @@
-"""How old a control process's contact with a majority may be for each kind of answer it gives.
+"""The maximum age of a control process's contact with a majority, for each kind of answer that it gives.
 
-The contact is counted from when the question was asked that a majority has confirmed since (`raft/contact.py`,
-`raft/rounds.py`), by this process's own steady clock: no wall clock, no clock of another. One table holds all bounds.
+The age counts from when this process sent the question that a majority has confirmed since (`raft/contact.py`,
+`raft/rounds.py`), on its own steady clock: neither a wall clock nor the clock of another process is used.
+`LEASE_BOUNDS` holds all bounds.
 """
 
 from __future__ import annotations
@@ -13,14 +14,16 @@
 from mallowvalve.raft.contact import NO_STAMP
 
 RETRY_AFTER_S = 1
+"""A round with a known leader takes far less."""
 RETRY_AFTER_ELECTION_S = 2
+"""An election takes up to this long."""
 MAX_WATCH_LAG_ENTRIES = 16
-"""Entries that a state which tells watches what it knows may be behind what its leader told it is committed."""
+"""How many entries a state that serves watches may lag behind the commit index last received from its leader."""
 NO_CONTACT = NO_STAMP
 
 
 class AnswerKind(enum.Enum):
-    """The kinds of answers that a control process gives."""
+    """The kinds of answers of a control process, by what they rest on."""
 
     READ = "read"
     ORDER = "order"
@@ -32,40 +35,43 @@
 
 
 class LeaseBound(msgspec.Struct, frozen=True):
-    """`seconds` from the question to the answer; zero: the round must have been sent after this very question came."""
+    """`seconds` is the maximum age of the contact when the answer is given.
+
+    Zero means that the confirming round must have been sent after the request arrived.
+    """
 
     seconds: float
     reason: str
 
 
 LEASE_BOUNDS: dict[AnswerKind, LeaseBound] = {
-    AnswerKind.READ: LeaseBound(0.0, "linearizable: a majority confirms the leader after the read was asked"),
-    AnswerKind.ORDER: LeaseBound(0.0, "acknowledged by what a majority has stored after it was offered"),
+    AnswerKind.READ: LeaseBound(0.0, "linearizable: a majority confirms the leader after the read arrived"),
+    AnswerKind.ORDER: LeaseBound(0.0, "acknowledged once a majority has stored the command after it was proposed"),
     AnswerKind.CALL: LeaseBound(
         2.5,
-        "begins to wait for a majority: bridges an election; past it the caller had better ask another process at once",
+        "starts to wait for a majority: spans an election; beyond it the caller should ask another process at once",
     ),
     AnswerKind.WATCH: LeaseBound(
-        0.5, "five heartbeats: two of them and a round trip between regions are the ordinary age"
+        0.5, "five heartbeats: the usual age is two heartbeats and a round trip between regions"
     ),
     AnswerKind.NOTICE: LeaseBound(
-        0.5, "says what is known here of an end that was acknowledged; past it a majority is asked"
+        0.5, "serves local knowledge of an acknowledged removal; beyond it a majority is asked"
     ),
     AnswerKind.HEARTBEAT: LeaseBound(
-        2.5, "bridges an election: who was heard in it is reported to the next leader, inside three silent heartbeats"
+        2.5, "spans an election: heartbeats received meanwhile reach the next leader before three of them are missed"
     ),
     AnswerKind.DIRECTORY: LeaseBound(
         60.0,
-        "names what the failure detector, which needs no majority, still finds alive: longer than a lost core takes",
+        "names what the failure detector, which needs no majority, still reports alive: outlasts the loss of the core",
     ),
 }
 
 
 def is_valid(kind: AnswerKind, asked: float, now: float) -> bool:
-    """Whether an answer of the kind may rest on a question of `asked`, which a majority confirmed (s, one clock)."""
+    """Whether a contact whose question was sent at `asked` still supports an answer of this kind (s, one clock)."""
     return asked <= now < asked + LEASE_BOUNDS[kind].seconds
 
 
 def retry_after(leader_known: bool) -> int:
-    """When to come back (s): a round with a known leader takes moments, an election up to two seconds."""
+    """Returns the value of Retry-After (s): longer where an election has to end first."""
     return RETRY_AFTER_S if leader_known else RETRY_AFTER_ELECTION_S
--- a/mallowvalve/control/waiting.py
+++ b/mallowvalve/control/waiting.py
@@ -1,4 +1,4 @@
-"""What waits at a leader: commands for their acknowledgement, reads for a quorum."""
+"""Requests pending at a leader: commands until their acknowledgement, reads until a quorum confirms the leader."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 from mallowvalve.settings import Acks
 
 COMMIT_MARK_DELAY_S = 0.03
-SETTINGS_TAGS, COORDINATION_TAGS = command_tags(SETTINGS_COMMANDS), command_tags(COORDINATION_COMMANDS)
+SETTINGS_TAGS = command_tags(SETTINGS_COMMANDS)
+COORDINATION_TAGS = command_tags(COORDINATION_COMMANDS)
 
 
 def changes_settings(data: bytes) -> bool:
@@ -28,14 +29,20 @@
 
 
 def acknowledgement_mode(data: bytes, acks: Acks) -> str:
-    """What the acknowledgement of an encoded command waits for: `commit`, `held` or `force`."""
+    """Returns what the acknowledgement of an encoded command waits for.
+
+    `commit`: its commit; `held`: its copies on the replicas; `force`: its being in force on every proxy as well.
+    """
     if changes_settings(data):
         return acks.settings
     return acks.coordination if command_tag(data) in COORDINATION_TAGS else "held"
 
 
 class PendingCommand(msgspec.Struct):
-    """A command in the log; its token is answered by `limit` (s) at the latest."""
+    """A command in the log; the response goes to its token at `limit` (s) at the latest.
+
+    `required_index` is the index that the replicas must hold before the command is acknowledged.
+    """
 
     token: Any
     term: int
@@ -47,16 +54,19 @@
 
 
 class CommitMarkTimer:
-    """Settings are noted as committed with the next batch, or with one of their own where none comes soon."""
+    """Schedules the storing of the commit index after a change of the settings.
+
+    The index is stored with the next batch, or with a batch of its own if none follows within `COMMIT_MARK_DELAY_S`.
+    """
 
     __slots__ = ("at",)
 
     def __init__(self) -> None:
-        """None is due."""
+        """Creates a timer that is not running."""
         self.at: float | None = None
 
     def due(self, settings_index: int, marked: int, now: float) -> bool:
-        """Whether a batch of its own is due: the settings turned at an index beyond the one noted last."""
+        """Whether a batch of its own is due: the settings changed beyond the stored commit index `marked`."""
         if settings_index <= marked:
             self.at = None
         elif self.at is None:
@@ -68,7 +78,7 @@
 
 
 class PendingRead(msgspec.Struct):
-    """A read that waits for the round `need`, and for the index to be applied."""
+    """A read that waits until the round `required_round` is confirmed and the index applied, by `limit` (s)."""
 
     token: Any
     required_round: int
@@ -77,35 +87,38 @@
 
 
 class PendingReads:
-    """Reads that wait until a quorum has confirmed, after they were asked, that this is still the leader."""
+    """Linearizable reads that wait until a quorum confirms this leader in a round sent after they arrived."""
 
-    __slots__ = ("_rows",)
+    __slots__ = ("_reads",)
 
     def __init__(self) -> None:
-        """Nobody waits."""
-        self._rows: list[PendingRead] = []
+        """Creates an empty set of reads."""
+        self._reads: list[PendingRead] = []
 
-    def add(self, r: PendingRead) -> None:
-        """One more waits."""
-        self._rows.append(r)
+    def add(self, read: PendingRead) -> None:
+        """Adds a read."""
+        self._reads.append(read)
 
     def answer(
         self, confirmed: int, state: ReplicatedState, term: int, now: float
     ) -> list[tuple[Any, CommandResponse]]:
-        """Answers to the reads whose round is confirmed in `term` and index applied, and to those out of time."""
-        out, keep = [], []
-        for r in self._rows:
-            if r.required_round <= confirmed and r.index <= state.index:
-                out.append((r.token, CommandResponse(Code.OK, state.revision_at(r.index), term=term)))
-            elif now >= r.limit:
-                out.append((r.token, CommandResponse(Code.UNDECIDED)))
+        """Removes the reads that are confirmed or past their limit and returns their responses.
+
+        `confirmed` is the newest round of `term` that a quorum has confirmed.
+        """
+        responses, keep = [], []
+        for read in self._reads:
+            if read.required_round <= confirmed and read.index <= state.index:
+                responses.append((read.token, CommandResponse(Code.OK, state.revision_at(read.index), term=term)))
+            elif now >= read.limit:
+                responses.append((read.token, CommandResponse(Code.UNDECIDED)))
             else:
-                keep.append(r)
-        self._rows = keep
-        return out
+                keep.append(read)
+        self._reads = keep
+        return responses
 
     def fail(self) -> list[tuple[Any, CommandResponse]]:
-        """Answers all that wait with a want of a leader."""
-        out = [(r.token, CommandResponse(Code.LEADER)) for r in self._rows]
-        self._rows = []
-        return out
+        """Removes all reads and returns their responses: this process is no longer the leader."""
+        responses = [(read.token, CommandResponse(Code.LEADER)) for read in self._reads]
+        self._reads = []
+        return responses
