--- a/mallowvalve/control/acknowledgement.py
+++ b/mallowvalve/control/acknowledgement.py
@@ -28,8 +28,8 @@
 class ReplicaStatus(msgspec.Struct):
     """What a replica last asked, and when (s); `asks` are the rounds that confirm its stamps."""
 
-    want: ReplicationRequest
-    at: float
+    request: ReplicationRequest
+    requested_at: float
     name: str
     asks: list[tuple[int, float]]
     answered_at: float | None = None
@@ -37,15 +37,17 @@
 
     def holds(self, group: Group | None, index: int) -> bool:
         """Whether it holds the state of this group up to the index."""
-        return self.want.group == group and self.want.index >= index
+        return self.request.group == group and self.request.index >= index
 
     def counts(self, settings: bool) -> bool:
         """Whether it holds what is asked about: one that follows the settings alone holds nothing else."""
-        return settings or self.want.scope == "all"
+        return settings or self.request.scope == "all"
 
     def prompt(self, now: float) -> bool:
         """Whether it answers at once, so that an acknowledgement waits for it."""
-        return now - self.at < REACHABLE_S and (self.answered_at is None or now - self.answered_at < PROMPT_ANSWER_S)
+        return now - self.requested_at < REACHABLE_S and (
+            self.answered_at is None or now - self.answered_at < PROMPT_ANSWER_S
+        )
 
 
 class Replicas:
@@ -86,9 +88,9 @@
         """A replica asked; its stamp is confirmed by the round `need` or a later one."""
         self._group = group
         h = self.status_by_address.get(w.addr)
-        if h is None or h.want.boot != w.boot:
+        if h is None or h.request.boot != w.boot:
             h = self.status_by_address[w.addr] = ReplicaStatus(w, now, str(w.addr), [])
-        h.want, h.at, h.answered_at = w, now, None
+        h.request, h.requested_at, h.answered_at = w, now, None
         h.asks = [*h.asks[-16:], (need, w.sent_at)]
 
     def record_response(self, a: Address, now: float, news: bool = True) -> None:
@@ -116,7 +118,7 @@
         those = [h for h in self.status_by_address.values() if h.counts(settings)]
         if any(h.prompt(now) for h in those if not h.holds(self._group, index)):
             return False
-        near = [h for h in those if now - h.at < REACHABLE_S and h.want.locality != self.locality]
+        near = [h for h in those if now - h.requested_at < REACHABLE_S and h.request.locality != self.locality]
         copies = sum(h.holds(self._group, index) for h in near)
         if settings and now < self._began + REACHABLE_S:
             return copies >= REQUIRED_COPIES
@@ -132,7 +134,9 @@
         if now - self._pruned >= PRUNE_INTERVAL_S:
             self._pruned = now
             self.status_by_address = {
-                a: h for a, h in self.status_by_address.items() if now - h.at < FORGET_AFTER_S or h.name in s.roster
+                a: h
+                for a, h in self.status_by_address.items()
+                if now - h.requested_at < FORGET_AFTER_S or h.name in s.roster
             }
         if s.revision in self._majority_at:
             return
@@ -167,17 +171,17 @@
 
     def _steps(self, s: ReplicatedSettings, now: float) -> Iterator[Enrol | Strike]:
         for a, h in sorted(self.status_by_address.items()):
-            if h.want.role != "proxy" or now - h.at > REACHABLE_S:
+            if h.request.role != "proxy" or now - h.requested_at > REACHABLE_S:
                 continue
             seat = s.roster.get(h.name)
-            if seat is None or seat.boot != h.want.boot:
-                yield Enrol(a, h.want.boot, h.want.locality)
+            if seat is None or seat.boot != h.request.boot:
+                yield Enrol(a, h.request.boot, h.request.locality)
         if now < self._prior_windows_end + STRIKE_AFTER_S:
             return
         for text in sorted(s.roster):
             address = Address.read(text).unwrap()
             last = self.status_by_address.get(address)
-            if last is None or now - last.at > STRIKE_AFTER_S:
+            if last is None or now - last.requested_at > STRIKE_AFTER_S:
                 yield Strike(address, s.roster[text].boot)
 
     def _holders(self, revision: int) -> list[Address]:
@@ -186,7 +190,7 @@
             seat = self._settings.roster.get(h.name)
             if seat is None:
                 continue
-            former_life_over = seat.boot != h.want.boot
-            if former_life_over or h.want.group == self._group and h.want.revision >= revision:
+            former_life_over = seat.boot != h.request.boot
+            if former_life_over or h.request.group == self._group and h.request.revision >= revision:
                 out.append(a)
         return out
--- a/sim/acks.py
+++ b/sim/acks.py
@@ -14,7 +14,11 @@
 
 
 def copies(self, index, now):
-    near = [h for h in self.status_by_address.values() if now - h.at < REACHABLE_S and h.want.locality != self.locality]
+    near = [
+        h
+        for h in self.status_by_address.values()
+        if now - h.requested_at < REACHABLE_S and h.request.locality != self.locality
+    ]
     return sum(h.holds(self._group, index) for h in near) >= min(REQUIRED_COPIES, len(near))
 
 
