--- a/mallowvalve/control/fleet_clock.py
+++ b/mallowvalve/control/fleet_clock.py
@@ -1,6 +1,6 @@
-"""The fleet's clock: milliseconds that the log carries, so that all replicas count the same time.
+"""The fleet clock: milliseconds carried by the log entries, so that all replicas count the same time.
 
-No wall clock is read. A new leader goes on from what it heard of its predecessor's entries.
+No wall clock is read. A new leader continues from the time that it observed in the entries of its predecessor.
 """
 
 from __future__ import annotations
@@ -9,39 +9,43 @@
 
 
 class FleetClock:
-    """Counts the fleet's time (ms) from this process's steady clock (s) and the times that log entries carry."""
+    """Derives the fleet time (ms) from this process's steady clock (s) and the times of log entries."""
 
-    __slots__ = ("_base", "_began_at", "_heard", "_term")
+    __slots__ = ("_base", "_leader_since", "_observed", "_term")
 
     def __init__(self) -> None:
-        """Nothing was heard of the fleet's time yet."""
-        self._base, self._began_at = 0, 0.0
-        self._heard: tuple[int, float] | None = None
+        """Creates a clock that has observed no entry."""
+        self._base, self._leader_since = 0, 0.0
+        self._observed: tuple[int, float] | None = None
         self._term = 0
 
     def restart(self, clock: int, now: float) -> None:
-        """Starts from a loaded state whose newest entry carried `clock` (ms)."""
-        self._heard, self._term = (clock, now), 0
+        """Restarts from a loaded state whose newest entry has the time `clock` (ms)."""
+        self._observed, self._term = (clock, now), 0
 
     def begin_leadership(self, clock: int, now: float) -> None:
-        """Starts to count as a leader, from the state's clock or from what was heard since, whichever is later."""
-        self._base, self._began_at = max(clock, self.estimate(now)), now
+        """Starts to count as the leader, from the later of the state's clock (ms) and the estimate."""
+        self._base, self._leader_since = max(clock, self.estimate(now)), now
 
     def read(self, now: float) -> int:
-        """A leader's time (ms) for the entries it proposes."""
-        return self._base + int((now - self._began_at) * 1000)
+        """Returns the leader's time (ms) for the entries that it proposes."""
+        return self._base + int((now - self._leader_since) * 1000)
 
     def estimate(self, now: float) -> int:
-        """The fleet's clock by what was heard of it, 0 before that.
+        """Returns the fleet time (ms) estimated from the observed entries, 0 before the first.
 
-        Never ahead, since an entry is proposed before it is applied here: what rests on it ends too soon if at all.
+        It never runs ahead, since an entry is proposed before it is applied here: a limit derived from it may end too
+        early, but never too late.
         """
-        if self._heard is None:
+        if self._observed is None:
             return 0
-        clock, at = self._heard
+        clock, at = self._observed
         return clock + int((now - at) * 1000)
 
-    def observe(self, e: Entry, now: float) -> None:
-        """Each leader's clock may run behind its predecessor's: what was heard of those says nothing of this one's."""
-        if e.kind != NOOP and (e.term != self._term or e.at > self.estimate(now)):
-            self._heard, self._term = (e.at, now), e.term
+    def observe(self, entry: Entry, now: float) -> None:
+        """Records the time of an applied entry.
+
+        The first entry of a term always counts, as the clock of a leader may run behind that of its predecessor.
+        """
+        if entry.kind != NOOP and (entry.term != self._term or entry.at > self.estimate(now)):
+            self._observed, self._term = (entry.at, now), entry.term
--- a/mallowvalve/control/outcome.py
+++ b/mallowvalve/control/outcome.py
@@ -1,4 +1,4 @@
-"""What is said to a command: by the replicated state that applied or refused it, or by who could not offer it."""
+"""Outcomes of commands: of the replicated state that applied or rejected them, or of a process that could not."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Code(enum.StrEnum):
-    """Every outcome of a command, of whatever part of the state."""
+    """All outcomes of commands, for every part of the state."""
 
     OK = "ok"
     GONE = "gone"
@@ -16,17 +16,17 @@
     INVALID = "invalid"
 
     LEADER = "leader"
-    """Nothing was taken: there is no leader here just now, or it is another process."""
+    """Not proposed: this process is not the leader."""
     REPLACED = "replaced"
-    """Nothing was taken: another leader's entry stands in its place."""
+    """Not applied: another leader's entry replaced it in the log."""
     UNDECIDED = "undecided"
-    """It may have taken effect, or may yet."""
+    """It may have taken effect, or may still do so."""
 
     LATE = "late"
     AHEAD = "ahead"
     FORGOTTEN = "forgotten"
     REUSED = "reused"
-    """The caller's key belongs to another command."""
+    """The caller's key belongs to a different command."""
 
     HELD = "held"
     LOST = "lost"
@@ -39,17 +39,17 @@
 
 
 NOT_APPLIED = frozenset({Code.LEADER, Code.REPLACED})
-"""The command had no effect, and this very offer of it never will."""
+"""The command had no effect, and this submission of it never will."""
 RETRYABLE = NOT_APPLIED | {Code.UNDECIDED}
-"""Whoever offered the command may offer it again, under the same origin."""
+"""The caller may submit the command again, with the same origin."""
 
 
 WITHOUT_EFFECT = frozenset({Code.INVALID, Code.LATE, Code.AHEAD, Code.FORGOTTEN})
-"""Nothing came of these commands, so their answer waits for no copy of the state."""
+"""These commands changed nothing, so that their response does not wait for replication."""
 
 
 class Outcome(msgspec.Struct, array_like=True, frozen=True):
-    """`revision` is the one to wait for before it is told; `body` is the answer's own, by kind of command."""
+    """The outcome is sent once `revision` is replicated; the format of `body` depends on the kind of command."""
 
     code: Code
     revision: int
--- a/mallowvalve/control/replication.py
+++ b/mallowvalve/control/replication.py
@@ -1,4 +1,4 @@
-"""What a leader hands to the replicas that ask it for news: entries, the voters, and proof that it still leads."""
+"""Replication from the leader to the replicas: entries, the voters, and the confirmation that it still leads."""
 
 from __future__ import annotations
 
@@ -15,134 +15,137 @@
 from mallowvalve.types import Address
 
 MAX_WAIT_S = 1.0
-"""The longest that a question without news is kept (s)."""
-GATHER_EACH, GATHER_MOST = 0.0015, 0.15
-"""How long news may wait for more to go with it: so much for each replica, and at most (s)."""
+"""The longest time for which a request is parked while there is no news."""
+BATCH_DELAY_PER_REPLICA_S = 0.0015
+"""How long news waits for further entries to be sent with it, for each replica of the leader."""
+MAX_BATCH_DELAY_S = 0.15
 
 Reply = tuple[Any, ReplicationResponse]
 
 
 class ReplicationSource(msgspec.Struct, frozen=True):
-    """What the leader answers from; `time` is what the fleet's clock shows now (ms)."""
+    """The leader's data for its responses; `fleet_time_ms` is the current time of the fleet clock."""
 
     raft: Raft
     state: ReplicatedState
-    news: SettingsLog
+    settings_log: SettingsLog
     replicas: Replicas
-    time: int
+    fleet_time_ms: int
 
 
-class _Parked(msgspec.Struct):
-    """A replica's question that waits for news since `at` (s); `token` is whom to answer."""
+class _ParkedRequest(msgspec.Struct):
+    """A request that waits for news since `parked_at` (s); the response goes to the token."""
 
     token: Any
-    want: ReplicationRequest
-    at: float
+    request: ReplicationRequest
+    parked_at: float
 
 
 class ParkedRequests:
-    """The replicas' questions that wait for news, one for each replica."""
+    """The requests of replicas that wait for news, one for each replica."""
 
-    __slots__ = ("_me", "_parked", "_looked", "_look_at")
+    __slots__ = ("_me", "_parked", "_checked_indexes", "_next_check_at")
 
     def __init__(self, me: Address) -> None:
-        """Nobody waits; `me` is told to replicas as the leader's address."""
+        """Creates an empty set of requests; responses name `me` as the leader's address."""
         self._me = me
-        self._parked: dict[Address, _Parked] = {}
-        self._looked, self._look_at = (0, 0), -1e9
+        self._parked: dict[Address, _ParkedRequest] = {}
+        self._checked_indexes, self._next_check_at = (0, 0), -1e9
 
     def __len__(self) -> int:
-        """How many replicas wait."""
+        """Returns how many replicas wait."""
         return len(self._parked)
 
     @property
     def next_check_at(self) -> float:
-        """When to look at those that wait next (s), unless there are news before; never, where nobody waits."""
-        return self._look_at if self._parked else float("inf")
-
-    def park(self, want: ReplicationRequest, token: Any, now: float) -> list[Reply]:
-        """Keep a question; the same replica's earlier one is answered, for it is waited for no more."""
-        old = self._parked.pop(want.addr, None)
-        self._parked[want.addr] = _Parked(token, want, now)
-        self._look_at = now
+        """Returns when a parked request is due next unless news arrives first (s); infinity if none is parked."""
+        return self._next_check_at if self._parked else float("inf")
+
+    def park(self, request: ReplicationRequest, token: Any, now: float) -> list[Reply]:
+        """Parks a request, and answers the replica's earlier one, for which it no longer waits."""
+        old = self._parked.pop(request.addr, None)
+        self._parked[request.addr] = _ParkedRequest(token, request, now)
+        self._next_check_at = now
         return [(old.token, ReplicationResponse(self._me))] if old is not None else []
 
     def drop(self) -> list[Reply]:
-        """Answer all with the want of a leader."""
-        compacted_index, self._parked = self._parked, {}
-        return [(parked.token, ReplicationResponse(None)) for parked in compacted_index.values()]
+        """Answers all requests: this process is no longer the leader."""
+        dropped, self._parked = self._parked, {}
+        return [(parked.token, ReplicationResponse(None)) for parked in dropped.values()]
 
     def answer(self, source: ReplicationSource, now: float) -> list[Reply]:
-        """Answers to those for whom there are news, or who have waited long enough.
+        """Removes the requests for which there is news, or whose time is over, and returns their responses.
 
-        One that was fed news a moment ago is fed the next with what else comes by then.
+        After recent news, a replica's next response is delayed to include the entries that arrive meanwhile.
         """
-        wants_all = any(parked.want.scope == "all" for parked in self._parked.values())
-        news = (source.state.settings_index, source.state.index if wants_all else 0)
-        if news == self._looked and now < self._look_at:
+        any_unscoped = any(parked.request.scope == "all" for parked in self._parked.values())
+        newest = (source.state.settings_index, source.state.index if any_unscoped else 0)
+        if newest == self._checked_indexes and now < self._next_check_at:
             return []
-        self._looked, self._look_at = news, now + MAX_WAIT_S
-        out: list[Reply] = []
+        self._checked_indexes, self._next_check_at = newest, now + MAX_WAIT_S
+        responses: list[Reply] = []
         for address, parked in list(self._parked.items()):
             due = self._due(source, parked)
             if now < due:
-                self._look_at = min(self._look_at, due)
+                self._next_check_at = min(self._next_check_at, due)
                 continue
             del self._parked[address]
-            out.append((parked.token, self._feed(source, parked.want, now)))
-        return out
+            responses.append((parked.token, self._respond(source, parked.request, now)))
+        return responses
 
-    def _due(self, source: ReplicationSource, parked: _Parked) -> float:
-        """When to answer (s): at once where the replica is of another group."""
-        want = parked.want
-        if want.group != source.raft.group:
+    def _due(self, source: ReplicationSource, parked: _ParkedRequest) -> float:
+        """Returns when to answer (s): at once if the replica belongs to another group."""
+        request = parked.request
+        if request.group != source.raft.group:
             return float("-inf")
-        if want.index >= _newest(source, want):
-            return parked.at + min(want.max_wait_s, MAX_WAIT_S)
+        if request.index >= _newest(source, request):
+            return parked.parked_at + min(request.max_wait_s, MAX_WAIT_S)
         replicas = source.replicas
-        return replicas.news_sent_at(want.addr) + min(GATHER_MOST, GATHER_EACH * len(replicas.status_by_address))
+        return replicas.news_sent_at(request.addr) + min(
+            MAX_BATCH_DELAY_S, BATCH_DELAY_PER_REPLICA_S * len(replicas.status_by_address)
+        )
 
-    def _feed(self, source: ReplicationSource, want: ReplicationRequest, now: float) -> ReplicationResponse:
+    def _respond(self, source: ReplicationSource, request: ReplicationRequest, now: float) -> ReplicationResponse:
         raft, state, replicas = source.raft, source.state, source.replicas
-        needs_snapshot = _lacks(source, want)
-        entries, upto = ([], state.index) if needs_snapshot else _entries(source, want)
-        confirmed_at = replicas.confirmed_at(want.addr, raft.rounds.confirmed)
-        replicas.record_response(want.addr, now, want.index < _newest(source, want) <= upto)
+        needs_snapshot = _needs_snapshot(source, request)
+        entries, complete_to = ([], state.index) if needs_snapshot else _entries(source, request)
+        confirmed_at = replicas.confirmed_at(request.addr, raft.rounds.confirmed)
+        replicas.record_response(request.addr, now, request.index < _newest(source, request) <= complete_to)
         return ReplicationResponse(
             self._me,
             raft.group,
             needs_snapshot,
             entries,
-            upto,
+            complete_to,
             state.settings.revision,
             confirmed_at,
-            _voters(source, want, needs_snapshot),
+            _voters(source, request, needs_snapshot),
             state.clock,
-            source.time,
+            source.fleet_time_ms,
         )
 
 
-def _newest(source: ReplicationSource, want: ReplicationRequest) -> int:
-    """The index of the newest entry that the replica wants."""
-    return source.state.settings_index if want.scope == "settings" else source.state.index
+def _newest(source: ReplicationSource, request: ReplicationRequest) -> int:
+    """Returns the index of the newest entry in the scope of the replica."""
+    return source.state.settings_index if request.scope == "settings" else source.state.index
 
 
-def _lacks(source: ReplicationSource, want: ReplicationRequest) -> bool:
-    """Whether entries do not reach back to what the replica holds, so that it needs a snapshot."""
-    oldest = source.news.compacted_index if want.scope == "settings" else source.raft.log.base
-    return want.group != source.raft.group or want.index < oldest
+def _needs_snapshot(source: ReplicationSource, request: ReplicationRequest) -> bool:
+    """Whether the retained entries start after the replica's index, so that it needs a snapshot."""
+    oldest = source.settings_log.compacted_index if request.scope == "settings" else source.raft.log.base
+    return request.group != source.raft.group or request.index < oldest
 
 
-def _entries(source: ReplicationSource, want: ReplicationRequest) -> tuple[list[Entry], int]:
-    """The entries after the replica's index, and how far it is whole with them."""
+def _entries(source: ReplicationSource, request: ReplicationRequest) -> tuple[list[Entry], int]:
+    """Returns the entries after the replica's index, and the index up to which it is complete with them."""
     index = source.state.index
-    if want.scope == "settings":
-        return source.news.since(want.index, index)
-    return [e for e in source.raft.log.since(want.index) if e.index <= index], index
+    if request.scope == "settings":
+        return source.settings_log.since(request.index, index)
+    return [entry for entry in source.raft.log.since(request.index) if entry.index <= index], index
 
 
-def _voters(source: ReplicationSource, want: ReplicationRequest, needs_snapshot: bool) -> Voters | None:
-    """The voters, where the replica may not know them yet."""
+def _voters(source: ReplicationSource, request: ReplicationRequest, needs_snapshot: bool) -> Voters | None:
+    """Returns the voters, or None if the replica already knows them."""
     log = source.raft.log
-    known = want.max_wait_s > 0 and not needs_snapshot and want.index >= log.voters_index
+    known = request.max_wait_s > 0 and not needs_snapshot and request.index >= log.voters_index
     return None if known else log.voters_at(source.state.index)
--- a/mallowvalve/control/settings_log.py
+++ b/mallowvalve/control/settings_log.py
@@ -9,37 +9,37 @@
 
 
 class SettingsLog:
-    """Entries that changed the settings since the state was loaded, but for those a snapshot has replaced."""
+    """The entries that changed the settings since the state was loaded, except those that a snapshot replaced."""
 
     __slots__ = ("compacted_index", "_entries")
 
     def __init__(self, compacted_index: int) -> None:
-        """`dropped` is the index up to which entries are no longer held."""
+        """Creates an empty log; entries up to `compacted_index` are not retained."""
         self.compacted_index = compacted_index
         self._entries: deque[Entry] = deque()
 
     def __len__(self) -> int:
-        """How many entries are held."""
+        """Returns the number of retained entries."""
         return len(self._entries)
 
-    def add(self, e: Entry) -> None:
-        """Adds the entry that changed the settings last."""
-        self._entries.append(e)
+    def add(self, entry: Entry) -> None:
+        """Adds the newest entry that changed the settings."""
+        self._entries.append(entry)
 
     def compact(self, index: int) -> None:
-        """Forgets the entries up to the index."""
+        """Drops the entries up to the index."""
         while self._entries and self._entries[0].index <= index:
             self.compacted_index = self._entries.popleft().index
 
     def since(self, index: int, applied: int) -> tuple[list[Entry], int]:
-        """What changed the settings part after the index, and how far one is whole with it."""
-        out: list[Entry] = []
+        """Returns the entries after the index, in chunks, and the index up to which a reader is complete with them."""
+        chunk: list[Entry] = []
         size = 0
-        for e in self._entries:
-            if e.index <= index:
+        for entry in self._entries:
+            if entry.index <= index:
                 continue
-            size += len(e.data)
-            if out and (size > CHUNK_BYTES or len(out) >= CHUNK):
-                return out, out[-1].index
-            out.append(e)
-        return out, applied
+            size += len(entry.data)
+            if chunk and (size > CHUNK_BYTES or len(chunk) >= CHUNK):
+                return chunk, chunk[-1].index
+            chunk.append(entry)
+        return chunk, applied
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -1,4 +1,7 @@
-"""What control processes and replicas tell each other beside Raft's messages. Stamps: s of their sender's clock."""
+"""Messages between control processes and replicas, apart from those of Raft.
+
+Times in `sent_at` and `confirmed_at` are seconds of the steady clock of the process that sent the request.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +13,9 @@
 
 
 class ProcessStatus(msgspec.Struct, array_like=True, frozen=True):
-    """`index` counts for what is held: all, or without `whole` the settings part only.
+    """The status of a process; `index` applies to the whole state, or to its settings part without `holds_all`.
 
-    `boot` tells this process from the next at its address; `leaving` is a control process's goodbye.
+    `boot` distinguishes successive processes at one address; `leaving` announces that a control process stops.
     """
 
     role: str
@@ -31,7 +34,10 @@
 
 
 class ReplicationRequest(msgspec.Struct, array_like=True, frozen=True):
-    """`parts` is all or settings; with nothing new, the leader may keep it for `hold` seconds."""
+    """A replica's request for the entries after `index`; `scope` is all or settings.
+
+    Without news, the leader may delay the response by `max_wait_s`.
+    """
 
     addr: Address
     boot: int
@@ -46,9 +52,10 @@
 
 
 class ReplicationResponse(msgspec.Struct, array_like=True, frozen=True):
-    """Entries after the want's index; with them a holder of the settings part is whole up to `index`.
+    """The entries after the index of the request; a replica of the settings part is complete up to `index` with them.
 
-    `clock` is the state's (ms) at `index`, `time` what the leader's clock shows as it answers.
+    `confirmed_at` is the newest `sent_at` of the replica that a majority has confirmed since, -1 if none is.
+    `state_time_ms` is the fleet time of the state at `index`, `leader_time_ms` the leader's as it responds.
     """
 
     leader: Address | None
@@ -64,14 +71,14 @@
 
 
 class RevisionQuery(msgspec.Struct, array_like=True, frozen=True):
-    """Asks a replica what it holds."""
+    """Asks a replica which revision of the settings it holds."""
 
     sender: Address
     sent_at: float
 
 
 class RevisionReply(msgspec.Struct, array_like=True, frozen=True):
-    """What a replica holds, in answer to the stamp of a round."""
+    """What a replica holds; `sent_at` is that of the query."""
 
     sender: Address
     boot: int
@@ -82,14 +89,14 @@
 
 
 class CommandRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Offers a command; the answer is wanted within `limit` (s)."""
+    """Submits a command; the caller waits for the response for `limit` (s)."""
 
     command: bytes
     limit: float
 
 
 class CommandResponse(msgspec.Struct, array_like=True, frozen=True):
-    """`term` is the leader's term that the acknowledgement rests on; 0 where nothing was acknowledged."""
+    """The outcome of a command or read; `term` is the term of the leader that acknowledged it, 0 if none did."""
 
     code: Code
     revision: int = 0
