--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -98,7 +98,7 @@
         out = []
         for j in jobs:
             if j.value is not None and j.value.is_ok():
-                out.append(wire.decode_process_status(j.value.ok_value))
+                out.append(wire.decode_status(j.value.ok_value))
         return out
 
     def _act(self, v: Decision | None, answers: list[wire.ProcessStatus]) -> None:
@@ -207,4 +207,4 @@
         alive = [r.addr for r in self.control.node.membership.alive("control")]
         for a in self.control.core.announcement_targets(alive):
             self.control.node.transport.cast(a, "here", body)
-        self.control.put(lambda now: self.control.core.receive_announcement(self.control.who(), now))
+        self.control.put(lambda now: self.control.core.announced(self.control.who(), now))
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -185,7 +185,7 @@
         leader = self.leader()
         return [a for a in ([leader] if leader is not None else control) if a != self.addr]
 
-    def receive_announcement(self, status: ProcessStatus, now: float) -> None:
+    def announced(self, status: ProcessStatus, now: float) -> None:
         """Records the announcement of a control process of this group or of none."""
         if status.role == "control" and (status.group is None or self.raft and status.group == self.raft.group):
             self._addresses.hear(status.id, status.addr)
@@ -259,7 +259,7 @@
         """Whether the last contact with a majority is recent enough for an answer of this kind."""
         return lease.is_valid(kind, self.contact(), now)
 
-    def receive_replication_request(self, request: ReplicationRequest, token: Any, now: float) -> None:
+    def replicate(self, request: ReplicationRequest, token: Any, now: float) -> None:
         """Handles a replica's request for new entries; the response goes to the token."""
         if not self.leads:
             self.replies.append((token, ReplicationResponse(self.leader())))
--- a/mallowvalve/control/replica.py
+++ b/mallowvalve/control/replica.py
@@ -191,7 +191,7 @@
         before = self.revision if self.group == p.group else -1
         self.group, self.voters, self.state = p.group, p.voters, s
         if self.revision != before:
-            self._renew()
+            self._update_tree()
 
     def snapshot(self) -> tuple[Snapshot, Iterator[bytes]] | None:
         """What is held; its pieces are made as they are asked for."""
@@ -226,9 +226,9 @@
             self.state.index = max(self.state.index, f.index)
             self.state.clock = max(self.state.clock, f.state_time_ms)
         if self.revision != before:
-            self._renew()
+            self._update_tree()
 
-    def _renew(self) -> None:
+    def _update_tree(self) -> None:
         p = self.state.settings
         new = p.doc != self._doc
         if new:
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -266,7 +266,7 @@
                 r = box.get(timeout=max(0.001, end - clock.now()))
             except Empty:
                 break
-            w = wire.decode_process_status(r.ok_value) if r.is_ok() else None
+            w = wire.decode_status(r.ok_value) if r.is_ok() else None
             if w is None or w.group is None or w.voters is None:
                 continue
             if not known and wait is not None:
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -99,11 +99,7 @@
         on("offer", lambda s, b: wire.encode(self._offer(wire.decode_command_request(b))))
         on("read", lambda s, b: wire.encode(self._read(2.0)))
         on("who", lambda s, b: wire.encode(self.who()), quick=True)
-        on(
-            "here",
-            lambda s, b: self.put(lambda now: self.core.receive_announcement(wire.decode_process_status(b), now)),
-            quick=True,
-        )
+        on("here", lambda s, b: self.put(lambda now: self.core.announced(wire.decode_status(b), now)), quick=True)
 
     def __enter__(self) -> ControlTask:
         """Begins to run."""
@@ -238,9 +234,7 @@
 
     def _want(self, w: wire.ReplicationRequest) -> wire.ReplicationResponse:
         self.founder.heard(w)
-        return self._do(
-            lambda t, now: self.core.receive_replication_request(w, t, now), 2.0
-        ) or wire.ReplicationResponse(None)
+        return self._do(lambda t, now: self.core.replicate(w, t, now), 2.0) or wire.ReplicationResponse(None)
 
     def _vote(self, sender: Address, body: bytes) -> None:
         e = envelope(body)
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -108,7 +108,7 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-decode_process_status = msgspec.msgpack.Decoder(ProcessStatus).decode
+decode_status = msgspec.msgpack.Decoder(ProcessStatus).decode
 decode_replication_request = msgspec.msgpack.Decoder(ReplicationRequest).decode
 decode_replication_response = msgspec.msgpack.Decoder(ReplicationResponse).decode
 decode_revision_query = msgspec.msgpack.Decoder(RevisionQuery).decode
--- a/sim/control.py
+++ b/sim/control.py
@@ -73,18 +73,14 @@
             case "raft":
                 self._vote(envelope(body))
             case "want":
-                self._put(
-                    lambda: self.core.receive_replication_request(
-                        wire.decode_replication_request(body), answer, self.now
-                    )
-                )
+                self._put(lambda: self.core.replicate(wire.decode_replication_request(body), answer, self.now))
             case "offer":
                 o = wire.decode_command_request(body)
                 self._put(lambda: self.core.propose(o.command, answer, self.now + o.limit, self.now))
             case "read":
                 self._put(lambda: self.core.read(answer, self.now + 2.0, self.now))
             case "here":
-                self._put(lambda: self.core.receive_announcement(wire.decode_process_status(body), self.now))
+                self._put(lambda: self.core.announced(wire.decode_status(body), self.now))
             case "who":
                 answer(wire.encode(self._who()))
             case "label":
@@ -238,7 +234,7 @@
         answers: list[wire.ProcessStatus | None] = []
 
         def heard(data: bytes | None) -> None:
-            answers.append(wire.decode_process_status(data) if data else None)
+            answers.append(wire.decode_status(data) if data else None)
             if len(answers) == len(asked):
                 self._judge_leave(leave, [w for w in answers if w is not None], end)
 
@@ -251,7 +247,7 @@
     def _judge_leave(self, leave: Leave, answers: list[wire.ProcessStatus], end: float) -> None:
         if leave.over(self.core.raft, answers, self._others()):
             return self._ends(leave)
-        self._put(lambda: self.core.receive_announcement(self._who(), self.now))
+        self._put(lambda: self.core.announced(self._who(), self.now))
         for a in self._others():
             self.cast(a, "here", wire.encode(self._who()))
         return self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
@@ -279,12 +275,12 @@
         for a in sorted(self.core.announcement_targets(control)):
             self.cast(a, "here", body)
         me = self._who()
-        self._put(lambda: self.core.receive_announcement(me, self.now))
+        self._put(lambda: self.core.announced(me, self.now))
 
     def _heard(self, data: bytes | None, asked: set) -> None:
         if not data:
             return
-        w = wire.decode_process_status(data)
+        w = wire.decode_status(data)
         self._answers.append(w)
         more = set(w.voters.electors().values()) - asked - {self.addr} if w.voters else set()
         for a in sorted(more):
--- a/sim/target.py
+++ b/sim/target.py
@@ -252,7 +252,7 @@
         out = []
         for lo in range(0, len(who), self.batch):
             for i in who[lo : lo + self.batch]:
-                self.c.receive_replication_request(self.wants[i], i, self.now)
+                self.c.replicate(self.wants[i], i, self.now)
             out += self.answer(self.step())
         return out
 
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -44,10 +44,10 @@
     def apply(self, config: dict) -> None:
         p = self.replica.state.settings
         p.doc, p.revision = msgspec.json.encode(config), p.revision + 1
-        self.replica._renew()
+        self.replica._update_tree()
 
     def fresh(self, at: float | None = None) -> None:
-        self.replica._sure = self.now() if at is None else at
+        self.replica._confirmed_at = self.now() if at is None else at
 
     def upstream(self, n=0, service="s", at=HERE, port=100, incarnation=1, state="ready", sequence=1) -> Heartbeat:
         b = Heartbeat(service, f"u{n}", incarnation, sequence, 0.0, state, at, Address("127.0.0.1", port))
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -54,7 +54,7 @@
 def test_a_leader_forgets_core_machines_and_replicas_it_no_longer_hears():
     c = Core("a", ME, LOC, random.Random(1))
     for i, a in enumerate(MANY):
-        c.receive_announcement(ProcessStatus("control", f"id{i}", a, LOC, [], True, None, 0, None, None), i * 1.0)
+        c.announced(ProcessStatus("control", f"id{i}", a, LOC, [], True, None, 0, None, None), i * 1.0)
     assert len(c.seen) < 100
     e = Replicas(LOC)
     for i, a in enumerate(MANY):
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -94,7 +94,7 @@
     for order in itertools.product(TURNS, repeat=3):
         if order[0] in LAST:
             continue
-        b.replica._sure = clock.now()
+        b.replica._confirmed_at = clock.now()
         client, before = Client(s), len(up.got)
         file = client.sock.makefile("rb")
         wires = [TURNS[name][0].replace(b"%s", b"a%d" % i) for i, name in enumerate(order)]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -91,12 +91,12 @@
 
 def test_an_acknowledgement_waits_for_a_copy_elsewhere_while_one_can_be_reached():
     c = single_voter_leader()
-    c.receive_replication_request(want(G, c.state.index, c.state.settings.revision, 6.0), "w", 6.0)
+    c.replicate(want(G, c.state.index, c.state.settings.revision, 6.0), "w", 6.0)
     c.propose(msgspec.msgpack.encode(Tick()), "t", 20.0, 6.0)
     out = step(c, 6.0)
     fed = dict(out)["w"]
     assert "t" not in dict(out) and fed.entries
-    c.receive_replication_request(want(G, fed.index, fed.revision, 6.1), "w2", 6.1)
+    c.replicate(want(G, fed.index, fed.revision, 6.1), "w2", 6.1)
     assert dict(step(c, 6.1))["t"].code == "ok"
     c.propose(encode(Tick()), "late", 20.0, 6.2)
     assert "late" not in dict(step(c, 6.2))
@@ -111,7 +111,7 @@
     def wants(who, index, now):
         for a in who:
             w = ReplicationRequest(a, 7, "proxy", US, G, index, c.state.settings.revision, now)
-            c.receive_replication_request(w, a, now)
+            c.replicate(w, a, now)
 
     wants(others, c.state.index, 8.0)
     c.propose(encode(Tick()), "t", 20.0, 8.0)
@@ -124,23 +124,23 @@
 def test_a_change_is_acknowledged_once_the_roster_holds_it_or_its_window_is_over():
     c = single_voter_leader()
     now = 8.0
-    c.receive_replication_request(want(G, c.state.index, c.state.settings.revision, now), "w", now)
+    c.replicate(want(G, c.state.index, c.state.settings.revision, now), "w", now)
     seated = {}
     while str(B) not in c.state.settings.roster:
         now += 0.1
         for t, f in step(c, now):
             seated = f
-            c.receive_replication_request(want(G, f.index, f.revision, now), "w", now)
+            c.replicate(want(G, f.index, f.revision, now), "w", now)
     for _ in range(5):
         now += 0.1
         for t, f in step(c, now):
-            c.receive_replication_request(want(G, f.index, f.revision, now), "w", now)
+            c.replicate(want(G, f.index, f.revision, now), "w", now)
     assert seated and c.replicas.in_force(c.state.settings.revision, now)
     c.propose(encode(Change(None, b"{}", "z")), "t", now + 30, now)
     out = dict(step(c, now))
     assert "t" not in out and out["w"].revision == c.state.settings.revision
     assert "t" not in dict(step_until(c, now, now + 5.0))
-    c.receive_replication_request(want(G, out["w"].index, out["w"].revision, now + 5.0), "w", now + 5.0)
+    c.replicate(want(G, out["w"].index, out["w"].revision, now + 5.0), "w", now + 5.0)
     assert dict(step(c, now + 5.0))["t"].code == "ok"
 
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -45,7 +45,7 @@
 def wants(c, now, some=MANY):
     for a in some:
         held = c.state.index if now > 8 else 0
-        c.receive_replication_request(ReplicationRequest(a, 7, "proxy", LOC, G, held, 0, now, "settings", 1.0), a, now)
+        c.replicate(ReplicationRequest(a, 7, "proxy", LOC, G, held, 0, now, "settings", 1.0), a, now)
 
 
 @pytest.mark.parametrize(("settings", "seats"), [("held", 82), ("force", 1)])
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -66,7 +66,7 @@
 
 def replicate_once(e: Replica, c: Core, now: float) -> dict:
     """One want, its answer, and a snapshot where it says so; what else was answered is given back."""
-    c.receive_replication_request(e.replication_request(now, 0.0), e, now)
+    c.replicate(e.replication_request(now, 0.0), e, now)
     out = step(c, now)
     f = out.pop(e, None)
     if f is not None:
@@ -170,17 +170,17 @@
     c, e = leading_core(settings="commit"), replica(max_wait_s=1.0)
     now = seated(c, e)
     propose(c, now, *OTHERS, service_amendment("s", 2), service_amendment("s", 1))
-    c.receive_replication_request(e.replication_request(now), "w", now)
+    c.replicate(e.replication_request(now), "w", now)
     f = step(c, now)["w"]
     assert [command_tag(x.data) for x in f.entries] == [b"amend"] and f.index == c.state.index and not f.needs_snapshot
     e.receive_response(f, now)
     assert (e.state.index, e.state.clock) == (c.state.index, c.state.clock)
     propose(c, now, *OTHERS)
-    c.receive_replication_request(e.replication_request(now), "w", now)
+    c.replicate(e.replication_request(now), "w", now)
     assert "w" not in step(c, now) and "w" not in step(c, now + 0.9)
     f = step(c, now + 1.01)["w"]
     assert f.entries == [] and f.index == c.state.index
-    c.receive_replication_request(e.replication_request(now + 1.1, max_wait_s=0.0), "w", now + 1.1)
+    c.replicate(e.replication_request(now + 1.1, max_wait_s=0.0), "w", now + 1.1)
     assert "w" in step(c, now + 1.1)
 
 
@@ -194,7 +194,7 @@
     step(c, 8.0)
     indexes = []
     for t in range(3):
-        c.receive_replication_request(e.replication_request(8.1), t, 8.1)
+        c.replicate(e.replication_request(8.1), t, 8.1)
         e.receive_response(step(c, 8.1)[t], 8.1)
         indexes.append(e.state.index)
     assert indexes[0] < indexes[1] < indexes[2] == c.state.index and settings_content(e.state) == settings_content(
@@ -208,16 +208,16 @@
     p = c.snapshot()
     c.compact(msgspec.structs.replace(p[0], state=list(p[1])))
     assert not c._settings_log
-    c.receive_replication_request(late.replication_request(8.3), "quiet", 8.3)
+    c.replicate(late.replication_request(8.3), "quiet", 8.3)
     assert "quiet" not in step(c, 8.3)
     propose(c, 8.4, service_amendment("s", 99))
     assert not step(c, 8.4)["quiet"].needs_snapshot
     step(c, 8.5)
-    c.receive_replication_request(late.replication_request(8.5), "still", 8.5)
+    c.replicate(late.replication_request(8.5), "still", 8.5)
     assert [e.index for e in step(c, 8.5)["still"].entries] == [c.state.settings_index]
     p = c.snapshot()
     c.compact(msgspec.structs.replace(p[0], state=list(p[1])))
-    c.receive_replication_request(late.replication_request(8.6), "behind", 8.6)
+    c.replicate(late.replication_request(8.6), "behind", 8.6)
     assert step(c, 8.6)["behind"].needs_snapshot
     replicate_once(late, c, 8.7)
     assert settings_content(late.state) == settings_content(c.state)
@@ -254,12 +254,12 @@
 def test_settings_wait_for_what_the_settings_say(mode):
     c, e = leading_core(settings=mode), replica()
     now = seated(c, e)
-    c.receive_replication_request(e.replication_request(now), "w", now)
+    c.replicate(e.replication_request(now), "w", now)
     propose(c, now, service_amendment("s", 1))
     out = step(c, now)
     assert ("Amend0" in out) == (mode == "commit")
     e.receive_response(out["w"], now)
-    c.receive_replication_request(e.replication_request(now + 0.1), "w", now + 0.1)
+    c.replicate(e.replication_request(now + 0.1), "w", now + 0.1)
     out = step(c, now + 0.1)
     assert ("Amend0" in out) == (mode != "commit")
 
@@ -268,7 +268,7 @@
     for mode, want in (("force", False), ("held", True)):
         c, e, f = leading_core(settings=mode), replica(1), replica(2)
         now = seated(c, e, f)
-        c.receive_replication_request(e.replication_request(now), "e", now)
+        c.replicate(e.replication_request(now), "e", now)
         propose(c, now, service_amendment("s", 1))
         e.receive_response(step(c, now)["e"], now)
         for n in range(18):
@@ -282,13 +282,13 @@
 def test_a_repeat_waits_for_the_change_that_it_repeats_and_not_for_itself():
     c, e = leading_core(settings="held"), replica()
     now = seated(c, e)
-    c.receive_replication_request(e.replication_request(now), "w", now)
+    c.replicate(e.replication_request(now), "w", now)
     propose(c, now, service_amendment("s", 1))
     f = step(c, now)["w"]
     propose(c, now, service_amendment("s", 1), Amend([]), Tick())
     assert not {"Amend0", "Amend1"} & step(c, now).keys()
     e.receive_response(f, now)
-    c.receive_replication_request(e.replication_request(now + 0.1), "w", now + 0.1)
+    c.replicate(e.replication_request(now + 0.1), "w", now + 0.1)
     out = step(c, now + 0.1)
     assert {"Amend0", "Amend1"} <= out.keys() and out["Amend1"].code == "ok"
     propose(c, now + 0.1, service_amendment("s", 1))
@@ -314,12 +314,12 @@
     out = step(c, now)
     assert {"Take0", "Put1", "Claim2"} <= out.keys()
     now = seated(c, part, whole)
-    c.receive_replication_request(whole.replication_request(now), "w", now)
+    c.replicate(whole.replication_request(now), "w", now)
     propose(c, now, Take("l", "h", 900.0), Put("k", "v", None, "y"), Claim("q", "d", "p", "n"))
     out = step(c, now)
     assert ("Take0" in out) == ("Put1" in out) == (mode == "commit") and "Claim2" not in out
     whole.receive_response(out["w"], now)
-    c.receive_replication_request(whole.replication_request(now), "w", now + 0.1)
+    c.replicate(whole.replication_request(now), "w", now + 0.1)
     assert "Claim2" in step(c, now + 0.1)
 
 
--- a/tests/tryout.py
+++ b/tests/tryout.py
@@ -56,7 +56,7 @@
         s = self.state = self.replica.state
         s.items, s.registry = FakeItems(), FakeRegistry()
         s.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
-        self.replica._sure = now()
+        self.replica._confirmed_at = now()
         self.hosts = Hosts(self.replica, p, random.Random(1), now)
         self.tries = Tries(self.replica, self.hosts, p, Counts(), now, random.Random(2))
         self.route("r", "/r/", "read", service="s", tries=2)
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -118,7 +118,7 @@
 
     def here(self, who: ProcessStatus) -> Sent:
         """Hears of another member."""
-        return self.step(lambda raft: self.core.receive_announcement(who, self.now))
+        return self.step(lambda raft: self.core.announced(who, self.now))
 
     def who(self, leaving: bool) -> ProcessStatus:
         """What it says of itself."""
