--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -1,4 +1,4 @@
-"""The replicated state, and the commands that change it: the same entries give the same state on every node."""
+"""The replicated state machine and its commands: the same entries produce the same state on every node."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True, tag="change"):
-    """Replaces the configuration document; `base` is the revision it must replace, or None for any."""
+    """Replaces the configuration document; `base` is the revision that it must replace, or None for any."""
 
     base: int | None
     doc: bytes
@@ -29,7 +29,7 @@
 
 
 class Evacuate(msgspec.Struct, frozen=True, array_like=True, tag="evacuate"):
-    """Empties a zone or region (`on`), or gives it back."""
+    """Evacuates a zone or region (`on`), or ends its evacuation."""
 
     zone: str
     on: bool
@@ -37,7 +37,7 @@
 
 
 class Enrol(msgspec.Struct, frozen=True, array_like=True, tag="enrol"):
-    """Gives a proxy's process a seat on the roster."""
+    """Adds a proxy process to the roster, in place of an earlier process at its address."""
 
     addr: Address
     boot: int
@@ -45,7 +45,7 @@
 
 
 class Strike(msgspec.Struct, frozen=True, array_like=True, tag="strike"):
-    """Takes a proxy's process off the roster."""
+    """Removes a proxy process from the roster."""
 
     addr: Address
     boot: int
@@ -53,13 +53,13 @@
 
 
 class Seats(msgspec.Struct, frozen=True, array_like=True, tag="seats"):
-    """Several changes of the roster as one."""
+    """Applies several changes of the roster as one command."""
 
     steps: list[Enrol | Strike]
 
 
 class Tick(msgspec.Struct, frozen=True, array_like=True, tag="tick"):
-    """Time went on: what has run out is forgotten."""
+    """Advances the time, so that expired locks and keys are removed."""
 
     pass
 
@@ -83,20 +83,20 @@
 SETTINGS_COMMANDS = (Change, Evacuate, Enrol, Strike, Seats, Amend, Registered)
 COORDINATION_COMMANDS = (Lock, Renew, Unlock, Next, Put, Take, Extend, Free, Count, Write)
 encode = msgspec.msgpack.Encoder().encode
-_command = msgspec.msgpack.Decoder(Command).decode
+_decode = msgspec.msgpack.Decoder(Command).decode
 
 
 def decode_command(data: bytes) -> Command:
-    """A command as it was offered, with an origin or without."""
-    return _command(unseal(data)[1])
+    """Decodes a command, with an origin or without; raises msgspec.DecodeError if it is none."""
+    return _decode(unseal(data)[1])
 
 
 UNDECODABLE_FINDINGS = encode([Finding("command", "not understood")])
-"""The findings that go with an offer of something else than a command."""
+"""The findings in the response to a request that is not a command."""
 
 
 def is_command(data: bytes) -> bool:
-    """Whether the bytes are a command, with an origin or without; what is in the log must be."""
+    """Whether the bytes are a command, with an origin or without, as every command entry in the log must be."""
     try:
         decode_command(data)
     except msgspec.DecodeError:
@@ -105,18 +105,18 @@
 
 
 def command_tag(data: bytes) -> bytes:
-    """The tag of an encoded command, read off its first bytes."""
-    at = body_at(data)
-    return data[at + 2 : at + 2 + (data[at + 1] & 0x1F)] if len(data) > at + 1 else b""
+    """Returns the tag of an encoded command without decoding it."""
+    start = body_at(data)
+    return data[start + 2 : start + 2 + (data[start + 1] & 0x1F)] if len(data) > start + 1 else b""
 
 
-def command_tags(kinds: tuple[type[msgspec.Struct], ...]) -> frozenset[bytes]:
-    """The tags by which encoded commands of these kinds are told."""
-    return frozenset(str(k.__struct_config__.tag).encode() for k in kinds)
+def command_tags(types: tuple[type[msgspec.Struct], ...]) -> frozenset[bytes]:
+    """Returns the tags of encoded commands of these types."""
+    return frozenset(str(kind.__struct_config__.tag).encode() for kind in types)
 
 
 class Seat(msgspec.Struct, array_like=True, frozen=True):
-    """A proxy's process on the roster."""
+    """A proxy process on the roster."""
 
     boot: int
     locality: Locality
@@ -132,29 +132,29 @@
     revision: int = 0
 
 
-def command_digest(c: Command) -> str:
-    """What tells a command from others under the same key of a caller."""
-    if isinstance(c, Change) and c.digest:
-        return c.digest
-    return hashlib.blake2b(encode(msgspec.structs.replace(c, ask="")), digest_size=16).hexdigest()
+def command_digest(command: Command) -> str:
+    """Returns the digest that distinguishes a command from others under the same key of a caller."""
+    if isinstance(command, Change) and command.digest:
+        return command.digest
+    return hashlib.blake2b(encode(msgspec.structs.replace(command, ask="")), digest_size=16).hexdigest()
 
 
-_said = msgspec.msgpack.Decoder(Said).decode
+_decode_said = msgspec.msgpack.Decoder(Said).decode
 
 
-def outcome_number(o: Outcome) -> int:
-    """The number in the outcome of a coordination command."""
-    return _said(o.body).number
+def outcome_number(outcome: Outcome) -> int:
+    """Returns the number in the outcome of a coordination command."""
+    return _decode_said(outcome.body).number
 
 
-def command_key(c: Command) -> str:
-    """The caller's key of a command, by its kind and name; empty if it has none."""
-    ask = getattr(c, "ask", "")
-    return f"{type(c).__name__}:{getattr(c, 'name', '')}:{ask}" if ask else ""
+def command_key(command: Command) -> str:
+    """Returns the caller's key of a command, with the command's kind and name; empty if it has no key."""
+    ask = getattr(command, "ask", "")
+    return f"{type(command).__name__}:{getattr(command, 'name', '')}:{ask}" if ask else ""
 
 
 class ReplicatedState:
-    """All replicated state; only `apply` changes it."""
+    """All replicated state; entries change it by `apply` only."""
 
     __slots__ = (
         "generation",
@@ -172,7 +172,7 @@
     )
 
     def __init__(self, generation: int):
-        """The empty state of a generation."""
+        """Creates the empty state of a generation."""
         self.generation, self.index, self.clock = generation, 0, 0
         self.settings, self.ledger, self.coordination, self.asks = (
             ReplicatedSettings(),
@@ -189,7 +189,7 @@
         return self.revision_at(self.index)
 
     def revision_at(self, index: int) -> int:
-        """The revision of an entry."""
+        """Returns the revision of the entry at an index."""
         return int(Revision.make(self.generation, index))
 
     @property
@@ -198,93 +198,94 @@
         return Revision(self.settings.revision).index
 
     def replace_settings(self, other: ReplicatedState) -> None:
-        """Takes over the settings part of a state that went on further."""
+        """Replaces the settings part by that of a state that has applied more entries."""
         self.settings, self.items, self.registry = other.settings, other.items, other.registry
         self.settings_sessions = other.settings_sessions
         self.index, self.clock = max(self.index, other.index), max(self.clock, other.clock)
 
     def apply(self, index: int, at: int, data: bytes) -> Outcome:
-        """Applies the entry at an index, with its time (ms, fleet clock); the outcome is for whoever proposed it."""
+        """Applies the entry at an index, with its time (ms, fleet clock), and returns the outcome for its proposer."""
         self.index = index
         self.clock = max(self.clock, at)
         if not data:
             return Outcome(Code.OK, self.revision)
         origin, body = unseal(data)
-        c = _command(body)
+        command = _decode(body)
         if origin is None:
-            return self._keyed(c)
-        memory = self.settings_sessions if isinstance(c, SETTINGS_COMMANDS) else self.sessions
-        said = memory.judge(origin, at)
-        if isinstance(said, Code):
-            return Outcome(said, self.settings.revision, encode_clock(memory.latest))
-        if said is None:
-            said = self._keyed(c)
-            memory.keep(origin, said)
-        return said
-
-    def _keyed(self, c: Command) -> Outcome:
-        key = command_key(c)
+            return self._apply_keyed(command)
+        sessions = self.settings_sessions if isinstance(command, SETTINGS_COMMANDS) else self.sessions
+        outcome = sessions.judge(origin, at)
+        if isinstance(outcome, Code):
+            return Outcome(outcome, self.settings.revision, encode_clock(sessions.latest))
+        if outcome is None:
+            outcome = self._apply_keyed(command)
+            sessions.keep(origin, outcome)
+        return outcome
+
+    def _apply_keyed(self, command: Command) -> Outcome:
+        key = command_key(command)
         if not key:
-            return self._do(c)
+            return self._execute(command)
         self.asks.forget(self.clock)
-        digest = command_digest(c)
-        had = self.asks.look(key, digest)
-        if had is not None:
-            return self._again(c, Outcome(Code(had.code), had.revision, had.body))
-        out = self._do(c)
-        self.asks.keep(key, Asked(self.clock, digest, out.code, out.revision, out.body))
-        return out
-
-    def _again(self, c: Command, said: Outcome) -> Outcome:
+        digest = command_digest(command)
+        previous = self.asks.look(key, digest)
+        if previous is not None:
+            return self._repeated_outcome(command, Outcome(Code(previous.code), previous.revision, previous.body))
+        outcome = self._execute(command)
+        self.asks.keep(key, Asked(self.clock, digest, outcome.code, outcome.revision, outcome.body))
+        return outcome
+
+    def _repeated_outcome(self, command: Command, previous: Outcome) -> Outcome:
+        """Returns the previous outcome of a repeated command; a lock that has been lost since is reported as lost."""
         if (
-            said.code != Code.OK
-            or not isinstance(c, Lock | Renew)
-            or self.coordination.holds(c.name, c.holder, outcome_number(said))
+            previous.code != Code.OK
+            or not isinstance(command, Lock | Renew)
+            or self.coordination.holds(command.name, command.holder, outcome_number(previous))
         ):
-            return said
-        return Outcome(Code.LOST, said.revision, encode(Said(SaidCode.LOST)))
+            return previous
+        return Outcome(Code.LOST, previous.revision, encode(Said(SaidCode.LOST)))
 
-    def _do(self, c: Command) -> Outcome:
-        match c:
+    def _execute(self, command: Command) -> Outcome:
+        match command:
             case Change():
-                return self._change(c)
+                return self._change(command)
             case Evacuate():
-                return self._evacuate(c)
+                return self._evacuate(command)
             case Enrol():
-                return self._enrol(c)
+                return self._enrol(command)
             case Strike():
-                return self._strike(c)
+                return self._strike(command)
             case Seats():
-                for step in c.steps:
-                    self._do(step)
+                for step in command.steps:
+                    self._execute(step)
                 return Outcome(Code.OK, self.settings.revision)
             case Amend():
-                return self._amend(c)
+                return self._amend(command)
             case Registered():
-                return self._registered(c)
+                return self._register(command)
             case Take() | Extend() | Free() | Count() | Write():
-                return Outcome(Code.OK, self.revision, encode(self.plain.apply(c, self.clock)))
+                return Outcome(Code.OK, self.revision, encode(self.plain.apply(command, self.clock)))
             case Tick():
                 self.coordination.lapse(self.clock)
                 self.plain.lapse(self.clock)
                 return Outcome(Code.OK, self.revision)
             case Claim() | Done() | Release() | Forfeit() | Lose():
-                v = self.ledger.apply(c, self.clock, self.revision)
-                return Outcome(Code(v.state), self.revision, encode(v))
-        said = self.coordination.apply(c, self.revision, self.clock)
-        return Outcome(Code(said.code), self.revision, encode(said))
-
-    def _change(self, c: Change) -> Outcome:
-        s = self.settings
-        if not c.doc:
-            return Outcome(Code.GONE, s.doc_revision)
-        if c.base is not None and c.base != s.doc_revision:
-            return Outcome(Code.CONFLICT, s.doc_revision)
-        s.doc, s.doc_revision, s.revision = c.doc, self.revision, self.revision
+                verdict = self.ledger.apply(command, self.clock, self.revision)
+                return Outcome(Code(verdict.state), self.revision, encode(verdict))
+        result = self.coordination.apply(command, self.revision, self.clock)
+        return Outcome(Code(result.code), self.revision, encode(result))
+
+    def _change(self, change: Change) -> Outcome:
+        settings = self.settings
+        if not change.doc:
+            return Outcome(Code.GONE, settings.doc_revision)
+        if change.base is not None and change.base != settings.doc_revision:
+            return Outcome(Code.CONFLICT, settings.doc_revision)
+        settings.doc, settings.doc_revision, settings.revision = change.doc, self.revision, self.revision
         return Outcome(Code.OK, self.revision)
 
-    def _amend(self, c: Amend) -> Outcome:
-        turn = self.items.judge(c)
+    def _amend(self, amend: Amend) -> Outcome:
+        turn = self.items.judge(amend)
         if turn.found:
             return Outcome(Code.INVALID, self.settings.revision, encode(turn.found))
         if turn.clashes:
@@ -294,40 +295,43 @@
             self.settings.revision = self.revision
         return Outcome(Code.OK, self.settings.revision)
 
-    def _registered(self, c: Registered) -> Outcome:
+    def _register(self, registered: Registered) -> Outcome:
         before = self.registry.revision
-        self.registry.apply(c, self.clock)
+        self.registry.apply(registered, self.clock)
         if self.registry.revision != before:
             self.settings.revision = self.revision
         return Outcome(Code.OK, self.settings.revision)
 
-    def _evacuate(self, c: Evacuate) -> Outcome:
-        s = self.settings
-        if c.on == (c.zone in s.evacuated):
-            return Outcome(Code.OK, s.revision)
-        if c.on:
-            return self._set(lambda s: s.evacuated.__setitem__(c.zone, self.revision))
-        return self._set(lambda s: s.evacuated.pop(c.zone))
+    def _evacuate(self, evacuate: Evacuate) -> Outcome:
+        zone, evacuated = evacuate.zone, self.settings.evacuated
+        if evacuate.on == (zone in evacuated):
+            return Outcome(Code.OK, self.settings.revision)
+        if evacuate.on:
+            return self._update(lambda settings: settings.evacuated.__setitem__(zone, self.revision))
+        return self._update(lambda settings: settings.evacuated.pop(zone))
 
-    def _enrol(self, c: Enrol) -> Outcome:
-        if self.settings.roster.get(str(c.addr)) == Seat(c.boot, c.locality):
+    def _enrol(self, enrol: Enrol) -> Outcome:
+        name, seat = str(enrol.addr), Seat(enrol.boot, enrol.locality)
+        if self.settings.roster.get(name) == seat:
             return Outcome(Code.OK, self.settings.revision)
-        self._bury(str(c.addr))
-        return self._set(lambda s: s.roster.__setitem__(str(c.addr), Seat(c.boot, c.locality)))
+        self._lose_claims(name)
+        return self._update(lambda settings: settings.roster.__setitem__(name, seat))
 
-    def _strike(self, c: Strike) -> Outcome:
-        seat = self.settings.roster.get(str(c.addr))
-        if seat is None or seat.boot != c.boot:
+    def _strike(self, strike: Strike) -> Outcome:
+        name = str(strike.addr)
+        seat = self.settings.roster.get(name)
+        if seat is None or seat.boot != strike.boot:
             return Outcome(Code.GONE, self.settings.revision)
-        self._bury(str(c.addr))
-        return self._set(lambda s: s.roster.pop(str(c.addr)))
+        self._lose_claims(name)
+        return self._update(lambda settings: settings.roster.pop(name))
 
-    def _bury(self, addr: str) -> None:
+    def _lose_claims(self, addr: str) -> None:
+        """Marks the claims of the process at an address as lost, as it leaves the roster."""
         seat = self.settings.roster.get(addr)
         if seat is not None:
             self.ledger.apply(Lose(f"{addr}#{seat.boot}"), self.clock)
 
-    def _set(self, act: Callable[[ReplicatedSettings], object]) -> Outcome:
-        act(self.settings)
+    def _update(self, change: Callable[[ReplicatedSettings], object]) -> Outcome:
+        change(self.settings)
         self.settings.revision = self.revision
         return Outcome(Code.OK, self.revision)
