--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -28,185 +28,191 @@
 
 
 def started_core(voters):
-    c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, voters, None), None, [], 0.0)
-    return c
+    core = Core("a", A, EU, random.Random(1))
+    core.start(founding(G, voters, None), None, [], 0.0)
+    return core
 
 
-def step(c, now):
-    c.tick(now)
-    c.saved(c.ready(now), now)
-    out, c.replies = c.replies, []
-    return out
+def step(core, now):
+    core.tick(now)
+    core.saved(core.ready(now), now)
+    replies, core.replies = core.replies, []
+    return replies
 
 
 def single_voter_leader():
-    c = started_core(Voters({"a": A}))
-    step(c, 5.0)
-    step(c, 5.1)
-    assert c.leads
-    return c
-
-
-def test_who_and_snapshot_answer_while_an_installed_snapshot_is_being_saved():
-    c = started_core(Voters({"a": A, "b": B}))
-    s = ReplicatedState(3)
-    s.index = 50
-    p = Snapshot(G, 50, 2, Voters({"a": A, "b": B}), dump(s))
-    c.receive(Envelope(G, "b", "a", B, Install(2, p, 1)), 1.0)
-    r = c.ready(1.0)
-    assert r.install == p and c.state.index == 0
-    assert c.process_status("control", []).voters == p.voters
-    assert c.base_snapshot() == p
-    c.saved(r, 1.1)
-    assert c.state.index == 50 and c.process_status("control", []).index == 50
+    core = started_core(Voters({"a": A}))
+    step(core, 5.0)
+    step(core, 5.1)
+    assert core.leads
+    return core
+
+
+def test_status_and_base_snapshot_are_available_while_an_installed_snapshot_is_saved():
+    core = started_core(Voters({"a": A, "b": B}))
+    state = ReplicatedState(3)
+    state.index = 50
+    snapshot = Snapshot(G, 50, 2, Voters({"a": A, "b": B}), dump(state))
+    core.receive(Envelope(G, "b", "a", B, Install(2, snapshot, 1)), 1.0)
+    ready = core.ready(1.0)
+    assert ready.install == snapshot and core.state.index == 0
+    assert core.process_status("control", []).voters == snapshot.voters
+    assert core.base_snapshot() == snapshot
+    core.saved(ready, 1.1)
+    assert core.state.index == 50 and core.process_status("control", []).index == 50
 
 
 def test_a_proposal_is_answered_once_committed_and_a_follower_names_its_leader():
-    c = single_voter_leader()
-    step_until(c, 5.2, 8.0)
-    c.propose(encode(Change(None, b"{}", "x")), "t1", 20.0, 8.0)
-    ((t, took),) = step(c, 8.0)
-    assert (t, took.code) == ("t1", "ok")
-    c.propose(encode(Change(5, b"{}", "y")), "t2", 20.0, 8.1)
-    assert step(c, 8.1)[0][1].code == "conflict"
-    c.propose(encode(Change(None, b"{}", "x")), "t3", 20.0, 8.2)
-    assert step(c, 8.2)[0][1] == took
-    f = started_core(Voters({"a": A, "b": B}))
-    f.propose(encode(Tick()), "t", 9.0, 1.0)
-    assert step(f, 0.5) == [("t", CommandResponse("leader"))]
-
-
-def step_until(c, now, end):
-    out = []
+    core = single_voter_leader()
+    step_until(core, 5.2, 8.0)
+    core.propose(encode(Change(None, b"{}", "x")), "t1", 20.0, 8.0)
+    ((token, response),) = step(core, 8.0)
+    assert (token, response.code) == ("t1", "ok")
+    core.propose(encode(Change(5, b"{}", "y")), "t2", 20.0, 8.1)
+    assert step(core, 8.1)[0][1].code == "conflict"
+    core.propose(encode(Change(None, b"{}", "x")), "t3", 20.0, 8.2)
+    assert step(core, 8.2)[0][1] == response
+    follower = started_core(Voters({"a": A, "b": B}))
+    follower.propose(encode(Tick()), "t", 9.0, 1.0)
+    assert step(follower, 0.5) == [("t", CommandResponse("leader"))]
+
+
+def step_until(core, now, end):
+    replies = []
     while now < end:
-        out += step(c, now)
+        replies += step(core, now)
         now += 0.1
-    return out
+    return replies
 
 
-def want(group, index, revision, at, boot=7, role="proxy"):
+def replication_request(group, index, revision, at, boot=7, role="proxy"):
     return ReplicationRequest(B, boot, role, US, group, index, revision, at)
 
 
-def test_an_acknowledgement_waits_for_a_copy_elsewhere_while_one_can_be_reached():
-    c = single_voter_leader()
-    c.replicate(want(G, c.state.index, c.state.settings.revision, 6.0), "w", 6.0)
-    c.propose(msgspec.msgpack.encode(Tick()), "t", 20.0, 6.0)
-    out = step(c, 6.0)
-    fed = dict(out)["w"]
-    assert "t" not in dict(out) and fed.entries
-    c.replicate(want(G, fed.index, fed.revision, 6.1), "w2", 6.1)
-    assert dict(step(c, 6.1))["t"].code == "ok"
-    c.propose(encode(Tick()), "late", 20.0, 6.2)
-    assert "late" not in dict(step(c, 6.2))
-    assert dict(step(c, 8.0))["late"].code == "ok"
-
-
-def test_an_acknowledgement_waits_for_every_replica_that_answers_promptly_and_for_no_other():
-    c = single_voter_leader()
-    step_until(c, 5.2, 8.0)
-    others = [Address("10.0.1.1", n + 1) for n in range(4)]
-
-    def wants(who, index, now):
-        for a in who:
-            w = ReplicationRequest(a, 7, "proxy", US, G, index, c.state.settings.revision, now)
-            c.replicate(w, a, now)
-
-    wants(others, c.state.index, 8.0)
-    c.propose(encode(Tick()), "t", 20.0, 8.0)
-    assert "t" not in dict(step(c, 8.0))
-    wants(others[:3], c.state.index, 8.1)
-    assert "t" not in dict(step(c, 8.1))
-    assert dict(step(c, 8.35))["t"].code == "ok"
-
-
-def test_a_change_is_acknowledged_once_the_roster_holds_it_or_its_window_is_over():
-    c = single_voter_leader()
+def test_an_acknowledgement_waits_for_a_copy_on_a_reachable_replica():
+    core = single_voter_leader()
+    core.replicate(replication_request(G, core.state.index, core.state.settings.revision, 6.0), "w", 6.0)
+    core.propose(msgspec.msgpack.encode(Tick()), "t", 20.0, 6.0)
+    replies = step(core, 6.0)
+    response = dict(replies)["w"]
+    assert "t" not in dict(replies) and response.entries
+    core.replicate(replication_request(G, response.index, response.revision, 6.1), "w2", 6.1)
+    assert dict(step(core, 6.1))["t"].code == "ok"
+    core.propose(encode(Tick()), "late", 20.0, 6.2)
+    assert "late" not in dict(step(core, 6.2))
+    assert dict(step(core, 8.0))["late"].code == "ok"
+
+
+def test_an_acknowledgement_waits_only_for_the_prompt_replicas():
+    core = single_voter_leader()
+    step_until(core, 5.2, 8.0)
+    others = [Address("10.0.1.1", number + 1) for number in range(4)]
+
+    def send_requests(replicas, index, now):
+        for address in replicas:
+            request = ReplicationRequest(address, 7, "proxy", US, G, index, core.state.settings.revision, now)
+            core.replicate(request, address, now)
+
+    send_requests(others, core.state.index, 8.0)
+    core.propose(encode(Tick()), "t", 20.0, 8.0)
+    assert "t" not in dict(step(core, 8.0))
+    send_requests(others[:3], core.state.index, 8.1)
+    assert "t" not in dict(step(core, 8.1))
+    assert dict(step(core, 8.35))["t"].code == "ok"
+
+
+def test_a_change_is_acknowledged_once_the_roster_holds_it():
+    core = single_voter_leader()
     now = 8.0
-    c.replicate(want(G, c.state.index, c.state.settings.revision, now), "w", now)
-    seated = {}
-    while str(B) not in c.state.settings.roster:
+    core.replicate(replication_request(G, core.state.index, core.state.settings.revision, now), "w", now)
+    last = {}
+    while str(B) not in core.state.settings.roster:
         now += 0.1
-        for t, f in step(c, now):
-            seated = f
-            c.replicate(want(G, f.index, f.revision, now), "w", now)
+        for token, response in step(core, now):
+            last = response
+            core.replicate(replication_request(G, response.index, response.revision, now), "w", now)
     for _ in range(5):
         now += 0.1
-        for t, f in step(c, now):
-            c.replicate(want(G, f.index, f.revision, now), "w", now)
-    assert seated and c.replicas.in_force(c.state.settings.revision, now)
-    c.propose(encode(Change(None, b"{}", "z")), "t", now + 30, now)
-    out = dict(step(c, now))
-    assert "t" not in out and out["w"].revision == c.state.settings.revision
-    assert "t" not in dict(step_until(c, now, now + 5.0))
-    c.replicate(want(G, out["w"].index, out["w"].revision, now + 5.0), "w", now + 5.0)
-    assert dict(step(c, now + 5.0))["t"].code == "ok"
-
-
-def test_a_new_leader_answers_no_read_before_what_was_committed_is_applied():
+        for token, response in step(core, now):
+            core.replicate(replication_request(G, response.index, response.revision, now), "w", now)
+    assert last and core.replicas.in_force(core.state.settings.revision, now)
+    core.propose(encode(Change(None, b"{}", "z")), "t", now + 30, now)
+    replies = dict(step(core, now))
+    assert "t" not in replies and replies["w"].revision == core.state.settings.revision
+    assert "t" not in dict(step_until(core, now, now + 5.0))
+    core.replicate(replication_request(G, replies["w"].index, replies["w"].revision, now + 5.0), "w", now + 5.0)
+    assert dict(step(core, now + 5.0))["t"].code == "ok"
+
+
+def test_a_new_leader_rejects_reads_until_it_has_applied_all_committed_entries():
     entries = [Entry(1, 1, COMMAND, 10, encode(Count("n")))]
-    c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
-    at = 5.0
-    c.tick(at)
-    c.saved(c.ready(at), at)
+    core = Core("a", A, EU, random.Random(1))
+    core.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
+    now = 5.0
+    core.tick(now)
+    core.saved(core.ready(now), now)
     for pre in (True, False):
-        c.receive(Envelope(G, "b", "a", B, Voice(c.raft.term + pre, pre, True)), at)
-        c.saved(c.ready(at), at)
-    assert c.raft.leads and not c.leads
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 2, c.raft.rounds.seq)), at)
-    c.read("r", 9.0, at)
-    c.tick(at)
-    assert c.raft.settled and c.state.index == 0 and not c.leads
-    assert [took.code for t, took in c.replies if t == "r"] == ["leader"]
-    c.saved(c.ready(at), at)
-    assert c.leads and c.state.plain.numbers == {"n": 1}
-
-
-def test_a_restarted_follower_is_not_current_before_its_leader_s_term_is_applied():
+        core.receive(Envelope(G, "b", "a", B, Voice(core.raft.term + pre, pre, True)), now)
+        core.saved(core.ready(now), now)
+    assert core.raft.leads and not core.leads
+    core.receive(Envelope(G, "b", "a", B, Appended(core.raft.term, True, 2, core.raft.rounds.seq)), now)
+    core.read("r", 9.0, now)
+    core.tick(now)
+    assert core.raft.settled and core.state.index == 0 and not core.leads
+    assert [response.code for token, response in core.replies if token == "r"] == ["leader"]
+    core.saved(core.ready(now), now)
+    assert core.leads and core.state.plain.numbers == {"n": 1}
+
+
+def test_a_restarted_follower_is_not_current_until_it_applies_an_entry_of_the_leaders_term():
     entries = [Entry(1, 1, COMMAND, 10, encode(Count("n")))]
-    c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
-
-    def heard(m):
-        c.receive(Envelope(G, "b", "a", B, msgspec.structs.replace(m, sure=0.05)), 0.1)
-        c.saved(c.ready(0.1), 0.1)
-        return c.current(0.2)
-
-    assert not c.current(0.1)
-    assert not heard(Append(2, 1, 1, [], 0, 1))
-    assert not heard(Append(2, 1, 1, [Entry(2, 2, NOOP, 20, b"")], 0, 2))
-    assert heard(Append(2, 2, 2, [], 2, 3)) and c.state.plain.numbers == {"n": 1}
-    assert not c.current(3.0)
-
-
-def test_a_lock_outlives_leaders_whose_clocks_run_one_behind_the_other():
-    """Heard at once of one leader, late of the next, whose clock so runs behind: its own leases are what must not end early."""
-    c = Core("a", A, EU, random.Random(1))
-    c.start(founding(G, Voters({"a": A, "b": B}), None), None, [], 0.0)
-
-    def heard(term, prev, prev_term, e, at):
-        c.receive(Envelope(G, "b", "a", B, Append(term, prev, prev_term, [e], e.index, e.index)), at)
-        c.saved(c.ready(at), at)
-
-    heard(2, 0, 0, Entry(1, 2, COMMAND, 5000, encode(Count("n"))), 5.0)
-    heard(3, 1, 2, Entry(2, 3, NOOP, 5000, b""), 5.5)
-    behind = 800
-    heard(3, 2, 3, Entry(3, 3, COMMAND, 6000 - behind, encode(Take("l", "x", 2000))), 6.0)
-    at = 7.5
-    c.tick(at)
-    c.saved(c.ready(at), at)
+    core = Core("a", A, EU, random.Random(1))
+    core.start(founding(G, Voters({"a": A, "b": B}), None), None, entries, 0.0)
+
+    def is_current_after(message):
+        core.receive(Envelope(G, "b", "a", B, msgspec.structs.replace(message, sure=0.05)), 0.1)
+        core.saved(core.ready(0.1), 0.1)
+        return core.current(0.2)
+
+    assert not core.current(0.1)
+    assert not is_current_after(Append(2, 1, 1, [], 0, 1))
+    assert not is_current_after(Append(2, 1, 1, [Entry(2, 2, NOOP, 20, b"")], 0, 2))
+    assert is_current_after(Append(2, 2, 2, [], 2, 3)) and core.state.plain.numbers == {"n": 1}
+    assert not core.current(3.0)
+
+
+def test_a_lock_lasts_its_full_time_under_a_leader_whose_clock_runs_behind():
+    """Guards against ending a lock early: the second leader's entries arrive late, so its clock runs behind the first's."""
+    core = Core("a", A, EU, random.Random(1))
+    core.start(founding(G, Voters({"a": A, "b": B}), None), None, [], 0.0)
+
+    def append(term, previous, previous_term, entry, now):
+        core.receive(
+            Envelope(G, "b", "a", B, Append(term, previous, previous_term, [entry], entry.index, entry.index)), now
+        )
+        core.saved(core.ready(now), now)
+
+    append(2, 0, 0, Entry(1, 2, COMMAND, 5000, encode(Count("n"))), 5.0)
+    append(3, 1, 2, Entry(2, 3, NOOP, 5000, b""), 5.5)
+    lag_ms = 800
+    append(3, 2, 3, Entry(3, 3, COMMAND, 6000 - lag_ms, encode(Take("l", "x", 2000))), 6.0)
+    now = 7.5
+    core.tick(now)
+    core.saved(core.ready(now), now)
     for pre in (True, False):
-        c.receive(Envelope(G, "b", "a", B, Voice(c.raft.term + pre, pre, True)), at)
-        c.saved(c.ready(at), at)
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 4, c.raft.rounds.seq)), at)
-    c.saved(c.ready(at), at)
-    assert c.leads
-    c.propose(encode(Take("l", "y", 2000)), "early", 20.0, 7.9)
-    c.propose(encode(Take("l", "y", 2000)), "late", 20.0, 8.1)
-    c.saved(c.ready(8.1), 8.1)
-    c.receive(Envelope(G, "b", "a", B, Appended(c.raft.term, True, 6, c.raft.rounds.seq)), 8.1)
-    c.saved(c.ready(8.1), 8.1)
-    said = {t: msgspec.msgpack.decode(took.body)[0] for t, took in step(c, 8.2) if t in ("early", "late")}
-    assert said == {"early": "held", "late": "ok"}
+        core.receive(Envelope(G, "b", "a", B, Voice(core.raft.term + pre, pre, True)), now)
+        core.saved(core.ready(now), now)
+    core.receive(Envelope(G, "b", "a", B, Appended(core.raft.term, True, 4, core.raft.rounds.seq)), now)
+    core.saved(core.ready(now), now)
+    assert core.leads
+    core.propose(encode(Take("l", "y", 2000)), "early", 20.0, 7.9)
+    core.propose(encode(Take("l", "y", 2000)), "late", 20.0, 8.1)
+    core.saved(core.ready(8.1), 8.1)
+    core.receive(Envelope(G, "b", "a", B, Appended(core.raft.term, True, 6, core.raft.rounds.seq)), 8.1)
+    core.saved(core.ready(8.1), 8.1)
+    codes = {
+        token: msgspec.msgpack.decode(response.body)[0]
+        for token, response in step(core, 8.2)
+        if token in ("early", "late")
+    }
+    assert codes == {"early": "held", "late": "ok"}
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""What a control process says rests on a majority's confirmation, counted from when it asked (Ongaro's dissertation, 6.4)."""
+"""Leases: answers rest on a majority's confirmation, timed from when the question was sent (Ongaro's dissertation, 6.4)."""
 
 import random
 
@@ -18,57 +18,65 @@
 
 G = Group(1, "g")
 ADDRESSES = {i: Address("10.0.0.1", n) for n, i in enumerate("abc", 1)}
-WATCH = LEASE_BOUNDS[AnswerKind.WATCH].seconds
-BETWEEN_REGIONS = 0.035
-STEP = 0.005
+WATCH_S = LEASE_BOUNDS[AnswerKind.WATCH].seconds
+BETWEEN_REGIONS_S = 0.035
+STEP_S = 0.005
 
 
 class Trio:
-    """Three Raft machines, whose steady clocks differ, and the messages on their way; a held pair keeps its own."""
+    """Three Raft machines with differing steady clocks, and the messages in flight between them.
 
-    def __init__(self, seed=1, delay=BETWEEN_REGIONS):
+    Messages between a pair in `held` are delayed, those in `lost` are dropped; machines in `asleep` do not run.
+    """
+
+    def __init__(self, seed=1, delay=BETWEEN_REGIONS_S):
         snapshot = Snapshot(G, 0, 0, Voters(ADDRESSES), [])
         self.now, self.delay, self.rng = 0.0, delay, random.Random(seed)
-        self.ahead = {"a": 0.0, "b": 5000.0, "c": 300.0}
+        self.clock_offsets = {"a": 0.0, "b": 5000.0, "c": 300.0}
         self.rafts = {
-            i: Raft(i, Log(snapshot, []), 0, "", random.Random(f"{seed}{i}"), self.ahead[i]) for i in ADDRESSES
+            name: Raft(name, Log(snapshot, []), 0, "", random.Random(f"{seed}{name}"), self.clock_offsets[name])
+            for name in ADDRESSES
         }
-        self.way = []
+        self.in_flight = []
         self.held, self.lost, self.asleep = set(), set(), set()
         self.run(6.0)
 
-    def clock(self, i):
-        return self.now + self.ahead[i]
+    def clock(self, name):
+        return self.now + self.clock_offsets[name]
 
     def run(self, span):
         end = self.now + span
         while self.now < end:
-            self.now += STEP
-            for i, r in self.rafts.items():
-                if i not in self.asleep:
-                    self.step(i, r)
-
-    def step(self, i, r):
-        due = [x for x in self.way if x[2] == i and x[0] <= self.now and (x[1], i) not in self.held]
-        self.way = [x for x in self.way if x not in due]
-        for _, src, _, m in due:
-            r.receive(src, m, self.clock(i))
-        r.tick(self.clock(i))
-        ready = r.ready(self.clock(i))
-        r.saved(ready)
-        for to, m in [*ready.early, *ready.late]:
-            if (i, to) not in self.lost:
-                self.way.append((self.now + self.delay, i, to, m))
+            self.now += STEP_S
+            for name, raft in self.rafts.items():
+                if name not in self.asleep:
+                    self.step(name, raft)
+
+    def step(self, name, raft):
+        due = [
+            message
+            for message in self.in_flight
+            if message[2] == name and message[0] <= self.now and (message[1], name) not in self.held
+        ]
+        self.in_flight = [message for message in self.in_flight if message not in due]
+        for _, sender, _, body in due:
+            raft.receive(sender, body, self.clock(name))
+        raft.tick(self.clock(name))
+        ready = raft.ready(self.clock(name))
+        raft.saved(ready)
+        for receiver, body in [*ready.early, *ready.late]:
+            if (name, receiver) not in self.lost:
+                self.in_flight.append((self.now + self.delay, name, receiver, body))
 
     def leader(self):
-        return next(i for i, r in self.rafts.items() if r.settled)
+        return next(name for name, raft in self.rafts.items() if raft.settled)
 
     def followers(self):
         return sorted(set(self.rafts) - {self.leader()})
 
-    def age(self, i):
-        """How long ago, by this machine's own clock, it asked what a majority has confirmed since."""
-        return self.clock(i) - self.rafts[i].contact()
+    def age(self, name):
+        """Returns the age of the machine's contact with a majority, on its own clock (s)."""
+        return self.clock(name) - self.rafts[name].contact()
 
 
 @pytest.fixture(params=range(3))
@@ -76,98 +84,103 @@
     return Trio(request.param)
 
 
-def test_in_calm_times_every_machine_s_contact_is_well_inside_the_bound_of_a_watch(trio):
+def test_without_faults_the_contact_of_every_machine_is_well_within_the_watch_bound(trio):
     worst = 0.0
     for _ in range(200):
         trio.run(0.03)
-        worst = max(worst, *(trio.age(i) for i in trio.rafts))
-    assert worst < 0.4 < WATCH
+        worst = max(worst, *(trio.age(name) for name in trio.rafts))
+    assert worst < 0.4 < WATCH_S
 
 
-def test_appends_held_back_by_a_cut_don_t_make_a_follower_look_in_touch(trio):
-    lead, (one, other) = trio.leader(), trio.followers()
-    trio.held = {(x, y) for x in (one,) for y in (lead, other)} | {(y, x) for x in (one,) for y in (lead, other)}
+def test_appends_delayed_by_a_partition_do_not_renew_a_followers_contact(trio):
+    leader, (one, other) = trio.leader(), trio.followers()
+    trio.held = {(x, y) for x in (one,) for y in (leader, other)} | {(y, x) for x in (one,) for y in (leader, other)}
     trio.asleep = {one}
     trio.run(20.0)
     trio.held, trio.asleep = set(), set()
-    trio.lost = {(one, lead), (one, other)}
-    trio.run(STEP)
-    assert trio.rafts[one].leader == lead
+    trio.lost = {(one, leader), (one, other)}
+    trio.run(STEP_S)
+    assert trio.rafts[one].leader == leader
     assert trio.age(one) > 15.0
     trio.run(0.3)
     assert trio.age(one) > 15.0
 
 
-def test_a_follower_that_hears_but_is_not_heard_has_no_contact(trio):
-    lead, (one, other) = trio.leader(), trio.followers()
-    trio.lost = {(one, lead)}
+def test_a_follower_whose_answers_are_lost_has_no_contact(trio):
+    leader, (one, other) = trio.leader(), trio.followers()
+    trio.lost = {(one, leader)}
     trio.run(0.9)
-    assert trio.age(one) > WATCH and trio.age(other) < WATCH and trio.age(lead) < WATCH
+    assert trio.age(one) > WATCH_S and trio.age(other) < WATCH_S and trio.age(leader) < WATCH_S
 
 
-def test_followers_of_a_leader_that_nobody_answers_have_no_contact(trio):
-    lead, both = trio.leader(), trio.followers()
-    trio.lost = {(i, lead) for i in both}
+def test_followers_of_a_leader_without_answers_have_no_contact(trio):
+    leader, followers = trio.leader(), trio.followers()
+    trio.lost = {(follower, leader) for follower in followers}
     trio.run(0.9)
-    assert all(trio.age(i) > WATCH for i in trio.rafts)
-    assert all(trio.rafts[i].leader == lead for i in both)
+    assert all(trio.age(follower) > WATCH_S for follower in trio.rafts)
+    assert all(trio.rafts[follower].leader == leader for follower in followers)
 
 
-def test_a_leader_cut_off_has_no_contact_though_it_still_leads(trio):
-    lead, both = trio.leader(), trio.followers()
-    trio.lost = {(lead, i) for i in both} | {(i, lead) for i in both}
+def test_a_partitioned_leader_has_no_contact(trio):
+    leader, followers = trio.leader(), trio.followers()
+    trio.lost = {(leader, follower) for follower in followers} | {(follower, leader) for follower in followers}
     trio.run(0.9)
-    assert trio.rafts[lead].leads and trio.age(lead) > WATCH
+    assert trio.rafts[leader].leads and trio.age(leader) > WATCH_S
     trio.run(6.0)
-    assert trio.leader() != lead and trio.age(lead) > 6.0
+    assert trio.leader() != leader and trio.age(leader) > 6.0
 
 
-def test_a_reset_connection_ends_no_contact_and_starts_no_election(trio):
-    lead, (one, _) = trio.leader(), trio.followers()
-    term = trio.rafts[lead].term
+def test_a_connection_reset_neither_ends_the_contact_nor_starts_an_election(trio):
+    leader, (one, _) = trio.leader(), trio.followers()
+    term = trio.rafts[leader].term
     for _ in range(30):
         trio.rafts[one].doubt(trio.clock(one))
-        assert trio.age(one) < WATCH
+        assert trio.age(one) < WATCH_S
         trio.run(0.1)
-    assert trio.leader() == lead and trio.rafts[lead].term == term
-
-
-def test_votes_held_on_their_way_are_no_contact():
-    r = Raft("a", Log(Snapshot(G, 0, 0, Voters(ADDRESSES), []), []), 0, "", random.Random(1), 0.0)
-    r.tick(5.0)
-    r.receive("b", Voice(1, True, True), 5.0)
-    r.receive("b", Voice(1, False, True), 5.9)
-    r.ready(5.9)
-    assert r.leads and r.contact() == NO_STAMP
-    r.receive("b", Appended(1, True, 0, r.rounds.seq, 5.95), 7.0)
-    assert r.contact() == 5.9
-
-
-def test_a_stamp_is_sure_once_a_round_sent_after_it_is_confirmed():
-    q = Questions()
-    assert q.sure(9) == NO_STAMP
-    q.ask(1.0, 4)
-    q.ask(2.0, 6)
-    assert [q.sure(n) for n in (3, 4, 5, 6, 7)] == [NO_STAMP, 1.0, 1.0, 2.0, 2.0]
-    for n in range(2 * MOST_QUESTIONS):
-        q.ask(3.0 + n, 7)
-    assert q.sure(7) == 3.0 + MOST_QUESTIONS - 1
-
-
-def test_stamps_of_another_life_or_of_the_future_are_no_proof():
-    c = Contact(10.0)
-    for sure, now, at in ((9.0, 11.0, NO_STAMP), (12.0, 11.0, NO_STAMP), (10.5, 11.0, 10.5), (10.2, 11.0, 10.5)):
-        c.hear(sure, now)
-        assert c.at == at
-
-
-def core(entries=()):
-    c = Core("a", ADDRESSES["a"], Locality("eu", "eu-a"), random.Random(1))
-    c.start(founding(G, Voters(ADDRESSES), None), None, list(entries), 0.0)
-    return c
-
-
-def test_one_table_names_a_bound_and_a_reason_for_each_kind_of_answer():
+    assert trio.leader() == leader and trio.rafts[leader].term == term
+
+
+def test_delayed_votes_do_not_establish_contact():
+    raft = Raft("a", Log(Snapshot(G, 0, 0, Voters(ADDRESSES), []), []), 0, "", random.Random(1), 0.0)
+    raft.tick(5.0)
+    raft.receive("b", Voice(1, True, True), 5.0)
+    raft.receive("b", Voice(1, False, True), 5.9)
+    raft.ready(5.9)
+    assert raft.leads and raft.contact() == NO_STAMP
+    raft.receive("b", Appended(1, True, 0, raft.rounds.seq, 5.95), 7.0)
+    assert raft.contact() == 5.9
+
+
+def test_a_question_is_confirmed_by_a_round_sent_after_it():
+    questions = Questions()
+    assert questions.sure(9) == NO_STAMP
+    questions.ask(1.0, 4)
+    questions.ask(2.0, 6)
+    assert [questions.sure(number) for number in (3, 4, 5, 6, 7)] == [NO_STAMP, 1.0, 1.0, 2.0, 2.0]
+    for number in range(2 * MOST_QUESTIONS):
+        questions.ask(3.0 + number, 7)
+    assert questions.sure(7) == 3.0 + MOST_QUESTIONS - 1
+
+
+def test_times_before_the_start_or_in_the_future_do_not_renew_the_contact():
+    contact = Contact(10.0)
+    for confirmed_at, now, expected in (
+        (9.0, 11.0, NO_STAMP),
+        (12.0, 11.0, NO_STAMP),
+        (10.5, 11.0, 10.5),
+        (10.2, 11.0, 10.5),
+    ):
+        contact.hear(confirmed_at, now)
+        assert contact.at == expected
+
+
+def started_core(entries=()):
+    core = Core("a", ADDRESSES["a"], Locality("eu", "eu-a"), random.Random(1))
+    core.start(founding(G, Voters(ADDRESSES), None), None, list(entries), 0.0)
+    return core
+
+
+def test_each_kind_of_answer_has_a_bound_and_a_reason():
     assert set(LEASE_BOUNDS) == set(AnswerKind) and all(b.reason for b in LEASE_BOUNDS.values())
     assert LEASE_BOUNDS[AnswerKind.READ].seconds == LEASE_BOUNDS[AnswerKind.ORDER].seconds == 0
     for kind, bound in LEASE_BOUNDS.items():
@@ -177,58 +190,65 @@
     assert lease.retry_after(False) > lease.retry_after(True) > 0
 
 
-def test_a_core_that_only_hears_its_leader_answers_no_watch_and_no_heartbeat():
-    c = core()
+def test_a_core_without_confirmed_contact_serves_no_watch_and_no_heartbeat():
+    core = started_core()
 
-    def heard(at, sure):
-        c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Append(1, 0, 0, [], 0, 1, sure)), at)
-        c.saved(c.ready(at), at)
-        return [kind for kind in AnswerKind if c.may_answer(kind, at)]
+    def answers_after(now, confirmed_at):
+        core.receive(Envelope(G, "b", "a", ADDRESSES["b"], Append(1, 0, 0, [], 0, 1, confirmed_at)), now)
+        core.saved(core.ready(now), now)
+        return [kind for kind in AnswerKind if core.may_answer(kind, now)]
 
-    assert heard(1.0, NO_STAMP) == [] and heard(1.1, 0.9) == [
+    assert answers_after(1.0, NO_STAMP) == [] and answers_after(1.1, 0.9) == [
         AnswerKind.CALL,
         AnswerKind.WATCH,
         AnswerKind.HEARTBEAT,
         AnswerKind.NOTICE,
         AnswerKind.DIRECTORY,
     ]
-    assert heard(2.0, 0.9) == [AnswerKind.CALL, AnswerKind.HEARTBEAT, AnswerKind.DIRECTORY]
-    assert heard(9.0, 0.9) == [AnswerKind.DIRECTORY]
+    assert answers_after(2.0, 0.9) == [AnswerKind.CALL, AnswerKind.HEARTBEAT, AnswerKind.DIRECTORY]
+    assert answers_after(9.0, 0.9) == [AnswerKind.DIRECTORY]
 
 
-def test_an_acknowledgement_names_the_term_that_it_rests_on():
-    c = core()
-    c.tick(5.0)
+def test_a_response_names_the_term_of_the_leader_that_acknowledged_it():
+    core = started_core()
+    core.tick(5.0)
     for pre in (True, False):
-        c.saved(c.ready(5.0), 5.0)
-        c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Voice(c.raft.term + pre, pre, True)), 5.0)
-    c.saved(c.ready(5.0), 5.0)
-    c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Appended(c.raft.term, True, 1, c.raft.rounds.seq, 5.0)), 5.0)
-    c.saved(c.ready(5.0), 5.0)
-    assert c.leads
-    c.propose(encode(Count("n")), "order", 9.0, 5.1)
-    c.read("read", 9.0, 5.1)
-    c.saved(c.ready(5.1), 5.1)
-    c.receive(Envelope(G, "b", "a", ADDRESSES["b"], Appended(c.raft.term, True, 2, c.raft.rounds.seq, 5.1)), 5.2)
-    c.saved(c.ready(5.2), 5.2)
-    assert {t: (took.code, took.term) for t, took in c.replies} == {"order": ("ok", 1), "read": ("ok", 1)}
-
-
-def test_a_vote_is_asked_for_anew_by_one_that_doubts_and_given_by_one_that_doubts_too():
-    r = Raft("a", Log(Snapshot(G, 0, 0, Voters(ADDRESSES), []), []), 1, "", random.Random(1), 0.0)
-    r.receive("b", Append(1, 0, 0, [], 0, 1), 1.0)
-
-    def vote(at):
-        r.ready(at)
-        r.receive("c", Ask(2, True, 0, 0), at)
-        return [m.granted for _, m in r.ready(at).late if isinstance(m, Voice)]
-
-    assert vote(1.1) == [False]
-    r.doubt(1.1)
-    assert vote(1.2) == [True]
-
-
-def test_a_follower_that_lacks_what_its_leader_has_decided_serves_no_watch():
+        core.saved(core.ready(5.0), 5.0)
+        core.receive(Envelope(G, "b", "a", ADDRESSES["b"], Voice(core.raft.term + pre, pre, True)), 5.0)
+    core.saved(core.ready(5.0), 5.0)
+    core.receive(
+        Envelope(G, "b", "a", ADDRESSES["b"], Appended(core.raft.term, True, 1, core.raft.rounds.seq, 5.0)), 5.0
+    )
+    core.saved(core.ready(5.0), 5.0)
+    assert core.leads
+    core.propose(encode(Count("n")), "order", 9.0, 5.1)
+    core.read("read", 9.0, 5.1)
+    core.saved(core.ready(5.1), 5.1)
+    core.receive(
+        Envelope(G, "b", "a", ADDRESSES["b"], Appended(core.raft.term, True, 2, core.raft.rounds.seq, 5.1)), 5.2
+    )
+    core.saved(core.ready(5.2), 5.2)
+    assert {token: (response.code, response.term) for token, response in core.replies} == {
+        "order": ("ok", 1),
+        "read": ("ok", 1),
+    }
+
+
+def test_a_follower_that_doubts_its_leader_grants_a_pre_vote():
+    raft = Raft("a", Log(Snapshot(G, 0, 0, Voters(ADDRESSES), []), []), 1, "", random.Random(1), 0.0)
+    raft.receive("b", Append(1, 0, 0, [], 0, 1), 1.0)
+
+    def votes_granted(now):
+        raft.ready(now)
+        raft.receive("c", Ask(2, True, 0, 0), now)
+        return [message.granted for _, message in raft.ready(now).late if isinstance(message, Voice)]
+
+    assert votes_granted(1.1) == [False]
+    raft.doubt(1.1)
+    assert votes_granted(1.2) == [True]
+
+
+def test_a_follower_far_behind_the_commit_index_serves_no_watch():
     core = Core("a", ADDRESSES["a"], Locality("r", "z"), random.Random(1))
     core.start(founding(G, Voters(ADDRESSES), None), None, [], 0.0)
 
