--- a/tests/test_parts_bootstrap.py
+++ b/tests/test_parts_bootstrap.py
@@ -1,27 +1,66 @@
 from mallowvalve.control.bootstrap import Found, decide
-from mallowvalve.control.snapshot import cut_settings, load
-from mallowvalve.control.state import encode
+from mallowvalve.control.snapshot import cut, cut_settings, dump, load
+from mallowvalve.control.snapshot_transfer import Gather, Shelf
+from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.control.wire import ProcessStatus
-from mallowvalve.raft.messages import Voters
+from mallowvalve.raft.messages import Snapshot, Voters
 from mallowvalve.types import Address
 from tests.test_parts import EU, G, populated_state, service_amendment, settings_content
 
 
-def who(id, addr, index, whole=True, role="control", group=G, blank=False):
-    voters = None if blank else Voters({i: Address("10.0.0.1", n + 1) for n, i in enumerate("abc")})
-    return ProcessStatus(role, id, addr, EU, [], blank, None if blank else group, index, voters, None, whole)
-
-
-def test_a_core_renewed_goes_on_from_a_whole_state_with_the_newest_settings():
-    a, b, c = (Address("10.0.0.1", n) for n in (1, 2, 3))
-    e = who("", Address("10.0.1.1", 1), 90, False, "proxy")
-    v = decide(who("x", a, 0, blank=True), [who("y", b, 0, blank=True), who("c", c, 70), e], 1, False)
-    assert isinstance(v, Found) and (v.base.id, v.base.index, v.further) == ("c", 70, e)
-    v = decide(who("x", a, 0, blank=True), [who("y", b, 0, blank=True), who("z", c, 0, blank=True), e], 1, False)
-    assert (v.base, v.further) == (e, None)
-    v = decide(who("x", a, 0, blank=True), [who("y", b, 0, blank=True), who("c", c, 95), e], 1, False)
-    assert (v.base.index, v.further) == (95, None)
-    s, t = populated_state(), populated_state()
-    t.apply(t.index + 1, 500, encode(service_amendment("s", 9)))
-    s.replace_settings(load(list(cut_settings(t))))
-    assert settings_content(s) == settings_content(t) and s.ledger.rows == t.ledger.rows
+def test_a_snapshot_of_the_settings_part_contains_nothing_else():
+    state = populated_state()
+    whole, part = load(dump(state)), load(list(cut_settings(state)))
+    assert settings_content(whole) == settings_content(part) == settings_content(state)
+    assert (
+        whole.plain.snapshot() == state.plain.snapshot()
+        and whole.ledger.rows == state.ledger.rows
+        and whole.asks.rows == state.asks.rows
+    )
+    assert part.plain.snapshot() == ReplicatedState(3).plain.snapshot()
+    assert not (
+        part.ledger.rows
+        or part.coordination.keys
+        or part.coordination.numbers
+        or part.asks.rows
+        or part.coordination.events
+    )
+
+
+def test_a_shelf_separates_whole_and_settings_snapshots():
+    state, shelf = populated_state(), Shelf()
+    labels = [
+        shelf.put(Snapshot(G, state.index, 1, Voters({}), list(pieces)), 0.0, part)
+        for pieces, part in ((cut(state), False), (cut_settings(state), True))
+    ]
+    assert shelf.newest(G, state.index, 0.0, True) is not shelf.newest(G, state.index, 0.0)
+    for snapshot_label, is_whole in zip(labels, (True, False)):
+        gather = Gather(snapshot_label)
+        while (request := gather.want()) is not None:
+            assert gather.take(shelf.cut(request, 0.0)).is_ok()
+        assert bool(gather.done().unwrap()[1].ledger.rows) == is_whole
+    other = Gather(labels[0])
+    assert other.take(shelf.cut(Gather(labels[1]).want(), 0.0)).is_err()
+
+
+def status(id, address, index, holds_all=True, role="control", group=G, blank=False):
+    voters = None if blank else Voters({name: Address("10.0.0.1", n + 1) for n, name in enumerate("abc")})
+    known_group = None if blank else group
+    return ProcessStatus(role, id, address, EU, [], blank, known_group, index, voters, None, holds_all)
+
+
+def test_a_refounded_core_starts_from_a_whole_state_with_the_newest_settings():
+    first, second, third = (Address("10.0.0.1", port) for port in (1, 2, 3))
+    blank_first, blank_second = status("x", first, 0, blank=True), status("y", second, 0, blank=True)
+    proxy = status("", Address("10.0.1.1", 1), 90, False, "proxy")
+    decision = decide(blank_first, [blank_second, status("c", third, 70), proxy], 1, False)
+    assert isinstance(decision, Found)
+    assert (decision.base.id, decision.base.index, decision.further) == ("c", 70, proxy)
+    decision = decide(blank_first, [blank_second, status("z", third, 0, blank=True), proxy], 1, False)
+    assert (decision.base, decision.further) == (proxy, None)
+    decision = decide(blank_first, [blank_second, status("c", third, 95), proxy], 1, False)
+    assert (decision.base.index, decision.further) == (95, None)
+    older, newer = populated_state(), populated_state()
+    newer.apply(newer.index + 1, 500, encode(service_amendment("s", 9)))
+    older.replace_settings(load(list(cut_settings(newer))))
+    assert settings_content(older) == settings_content(newer) and older.ledger.rows == newer.ledger.rows
