--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -1,4 +1,4 @@
-"""Served again soon after everything stopped: what a control process knows of itself, what a blank proxy takes, when its door opens."""
+"""Recovery after a full stop: restarted control processes, settings of blank proxies, and when a proxy starts to serve."""
 
 import random
 from types import SimpleNamespace
@@ -31,8 +31,8 @@
 AB = Voters({"a": A, "b": B})
 
 
-class Saved:
-    """A control process's machine over its disk, without sockets."""
+class StoredCore:
+    """A control process with its simulated disk, without sockets."""
 
     def __init__(self, disk, voters):
         self.disk = disk
@@ -40,181 +40,187 @@
         loaded = store.load(self.disk_log).unwrap()
         self.core = Core("a", A, EU, random.Random(1))
         if loaded.snapshot is None:
-            p = founding(G, voters, None)
-            store.turn(self.disk_log, p, store.head(Hard(G, 0, ""), []))
-            self.core.start(p, None, [], 0.0)
+            snapshot = founding(G, voters, None)
+            store.turn(self.disk_log, snapshot, store.head(Hard(G, 0, ""), []))
+            self.core.start(snapshot, None, [], 0.0)
         else:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, 0.0)
 
     def step(self, now):
         self.core.tick(now)
-        r = self.core.ready(now)
-        store.save(self.disk_log, r, self.core.raft.hard())
-        self.core.saved(r, now)
-        return r
+        ready = self.core.ready(now)
+        store.save(self.disk_log, ready, self.core.raft.hard())
+        self.core.saved(ready, now)
+        return ready
 
 
-def entries(n):
-    return [Entry(i, 1, 1, i, encode(service_amendment("s", i))) for i in range(1, n + 1)]
+def entries(count):
+    return [Entry(index, 1, 1, index, encode(service_amendment("s", index))) for index in range(1, count + 1)]
 
 
-def heard(s, es, commit, now, prev=0):
-    m = Append(1, prev, 1 if prev else 0, es, commit, 1)
-    s.core.receive(Envelope(G, "b", "a", B, m), now)
-    return s.step(now)
+def append(process, new_entries, commit, now, previous=0):
+    message = Append(1, previous, 1 if previous else 0, new_entries, commit, 1)
+    process.core.receive(Envelope(G, "b", "a", B, message), now)
+    return process.step(now)
 
 
-def test_a_restarted_control_process_holds_what_it_knew_as_committed_before_there_is_a_leader():
+def test_a_restarted_control_process_applies_the_stored_commit_index_without_a_leader():
     disk = SimDisk(random.Random(1))
-    s = Saved(disk, AB)
-    heard(s, entries(5), 3, 1.0)
-    assert s.core.state.index == 3
-    again = Saved(disk, AB).core
-    assert again.state.index == 3 and again.leader() is None and not again.nothing_committed and again.decided == []
-    p, pieces = again.settings_snapshot()
-    assert p.index == 3 and load(list(pieces)).items.services["s"].version == 3
-    assert again.raft.log.last == 5 and again.raft.commit == 3
-
-
-def test_settings_committed_with_nothing_after_them_are_noted_once():
+    process = StoredCore(disk, AB)
+    append(process, entries(5), 3, 1.0)
+    assert process.core.state.index == 3
+    restarted = StoredCore(disk, AB).core
+    assert (
+        restarted.state.index == 3
+        and restarted.leader() is None
+        and not restarted.nothing_committed
+        and restarted.decided == []
+    )
+    snapshot, pieces = restarted.settings_snapshot()
+    assert snapshot.index == 3 and load(list(pieces)).items.services["s"].version == 3
+    assert restarted.raft.log.last == 5 and restarted.raft.commit == 3
+
+
+def test_the_commit_index_is_stored_once_when_no_batch_follows_the_settings():
     disk = SimDisk(random.Random(1))
-    s = Saved(disk, AB)
-    heard(s, entries(2), 0, 1.0)
-    heard(s, [], 2, 1.01, prev=2)
-    assert Saved(disk, AB).core.state.index == 0
-    s.step(1.02)
-    assert s.core.timer(1.03) < 1.06
-    s.step(1.06)
-    batches = len(s.disk_log.batches) + len(DiskLog.open(disk, "f", "a").unwrap().batches)
-    assert Saved(disk, AB).core.state.index == 2
-    for n in range(10):
-        s.step(1.07 + n / 100)
-    assert len(s.disk_log.batches) + len(DiskLog.open(disk, "f", "a").unwrap().batches) == batches
-
-
-def test_a_note_beyond_a_torn_log_counts_only_for_what_is_there():
-    p = founding(G, AB, None)
-    c = Core("a", A, EU, random.Random(1))
-    c.start(p, Hard(G, 1, "", 9), entries(4), 0.0)
-    assert c.raft.commit == c.state.index == 4
-    c.start(p, Hard(Group(2, "other"), 1, "", 4), entries(4), 0.0)
-    assert c.state.index == 0
-
-
-def test_a_disk_written_without_the_note_is_read():
-    class Old(msgspec.Struct, array_like=True):
+    process = StoredCore(disk, AB)
+    append(process, entries(2), 0, 1.0)
+    append(process, [], 2, 1.01, previous=2)
+    assert StoredCore(disk, AB).core.state.index == 0
+    process.step(1.02)
+    assert process.core.timer(1.03) < 1.06
+    process.step(1.06)
+    batches = len(process.disk_log.batches) + len(DiskLog.open(disk, "f", "a").unwrap().batches)
+    assert StoredCore(disk, AB).core.state.index == 2
+    for number in range(10):
+        process.step(1.07 + number / 100)
+    assert len(process.disk_log.batches) + len(DiskLog.open(disk, "f", "a").unwrap().batches) == batches
+
+
+def test_a_stored_commit_index_beyond_a_torn_log_is_limited_to_the_log():
+    snapshot = founding(G, AB, None)
+    core = Core("a", A, EU, random.Random(1))
+    core.start(snapshot, Hard(G, 1, "", 9), entries(4), 0.0)
+    assert core.raft.commit == core.state.index == 4
+    core.start(snapshot, Hard(Group(2, "other"), 1, "", 4), entries(4), 0.0)
+    assert core.state.index == 0
+
+
+def test_a_hard_state_stored_without_a_commit_index_is_read():
+    class HardWithoutCommit(msgspec.Struct, array_like=True):
         group: Group
         term: int
         vote: str
 
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(Old(G, 2, "b")), type=Hard) == Hard(G, 2, "b", 0)
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(HardWithoutCommit(G, 2, "b")), type=Hard) == Hard(G, 2, "b", 0)
 
 
-def test_the_first_campaign_after_a_start_comes_within_one_time_out():
-    t = Times().election
-    at = [Core("a", A, EU, random.Random(n)) for n in range(50)]
-    for c in at:
-        c.start(founding(G, AB, None), None, [], 10.0)
-    assert all(10 + FIRST * t <= c.raft.timer() <= 10 + t for c in at)
-    c = started_core(AB)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
-    assert 1 + t <= c.raft.timer() <= 1 + 2 * t
+def test_the_first_election_after_a_start_begins_within_one_election_timeout():
+    election = Times().election
+    cores = [Core("a", A, EU, random.Random(seed)) for seed in range(50)]
+    for core in cores:
+        core.start(founding(G, AB, None), None, [], 10.0)
+    assert all(10 + FIRST * election <= core.raft.timer() <= 10 + election for core in cores)
+    core = started_core(AB)
+    core.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
+    assert 1 + election <= core.raft.timer() <= 1 + 2 * election
 
 
-def test_a_blank_proxy_takes_the_newest_settings_that_answer_and_does_not_wait_for_the_silent(fleet):  # noqa: F811
-    node, (a, b, c) = fleet
-    node.settings.seeds = [a.addr, b.addr, c.addr]
-    c.transport.on("who", lambda s, body: Event().wait(5))
-    c.role = "silent"
-    with ReplicaTask(node) as t:
-        assert not t.held.is_set()
-        assert eventually(t.held.is_set)
-        assert t.replica.state.index == 2 and t.replica.leader is None
-        c.transport.on("who", lambda s, body: wire.encode(c.who()))
-        assert eventually(lambda: t.replica.state.index == 3)
-        a.state.apply(9, 9, encode(service_amendment("s", 9)))
-        assert eventually(lambda: t.replica.state.index == 9)
+def test_a_blank_proxy_installs_the_newest_settings_without_waiting_for_silent_processes(fleet):  # noqa: F811
+    node, (first, second, third) = fleet
+    node.settings.seeds = [first.addr, second.addr, third.addr]
+    third.transport.on("who", lambda sender, body: Event().wait(5))
+    third.role = "silent"
+    with ReplicaTask(node) as task:
+        assert not task.held.is_set()
+        assert eventually(task.held.is_set)
+        assert task.replica.state.index == 2 and task.replica.leader is None
+        third.transport.on("who", lambda sender, body: wire.encode(third.process_status()))
+        assert eventually(lambda: task.replica.state.index == 3)
+        first.state.apply(9, 9, encode(service_amendment("s", 9)))
+        assert eventually(lambda: task.replica.state.index == 9)
 
 
-def test_empty_settings_are_not_held(fleet):  # noqa: F811
+def test_empty_settings_do_not_count_as_held(fleet):  # noqa: F811
     node, controls = fleet
-    for x in controls:
-        x.state = type(x.state)(3)
-    with ReplicaTask(node) as t:
-        assert eventually(lambda: t.replica.state is not None) and not t.held.is_set()
+    for control in controls:
+        control.state = type(control.state)(3)
+    with ReplicaTask(node) as task:
+        assert eventually(lambda: task.replica.state is not None) and not task.held.is_set()
         controls[1].state.apply(1, 1, encode(service_amendment("s", 1)))
-        assert eventually(t.held.is_set)
+        assert eventually(task.held.is_set)
 
 
-def test_the_door_opens_once_settings_are_held_and_stays_open():
-    began = []
-    server = SimpleNamespace(start=lambda: began.append(1), stop=lambda timeout: began.append(0))
+def test_a_proxy_starts_to_serve_once_it_holds_settings():
+    events = []
+    server = SimpleNamespace(start=lambda: events.append(1), stop=lambda timeout: events.append(0))
     node, replica = SimpleNamespace(server=server, stopping=Event()), SimpleNamespace(held=Event())
     with Doors(node, replica):
         gevent.idle()
-        assert began == []
+        assert events == []
         replica.held.set()
-        assert eventually(lambda: began == [1])
-    assert began == [1, 0]
+        assert eventually(lambda: events == [1])
+    assert events == [1, 0]
 
 
-def test_settings_come_with_one_question_and_large_ones_by_pieces(fleet, monkeypatch):  # noqa: F811
-    node, (a, b, c) = fleet
+def test_settings_are_fetched_by_one_request_and_large_ones_by_pieces(fleet, monkeypatch):  # noqa: F811
+    node, (first, second, third) = fleet
     asked = []
-    c.transport.on("piece", lambda s, body, act=c.transport._on["piece"][0]: (asked.append(1), act(s, body))[1])
-    mine = Puller(node.transport, lambda: None)
-    p, s = mine.pull(c.addr, SETTINGS).unwrap()
-    assert (p.index, s.items.services["s"].version, asked) == (3, 3, [])
+    answer_piece = third.transport._on["piece"][0]
+    third.transport.on("piece", lambda sender, body: (asked.append(1), answer_piece(sender, body))[1])
+    puller = Puller(node.transport, lambda: None)
+    snapshot, state = puller.pull(third.addr, SETTINGS).unwrap()
+    assert (snapshot.index, state.items.services["s"].version, asked) == (3, 3, [])
     monkeypatch.setattr(snapshot_fetch, "WHOLE", 10)
-    p, s = mine.pull(c.addr, SETTINGS).unwrap()
-    assert (p.index, s.items.services["s"].version) == (3, 3) and asked
-    assert mine.pull(c.addr, SETTINGS, lambda l: False).is_err()
-
-
-def loyal(c, now):
-    """Whether it refuses a pre-vote because it hears a leader."""
-    c.receive(Envelope(G, "b", "a", B, Ask(c.raft.term + 1, True, 9, 9)), now)
-    return [m.granted for _, m in c.raft.ready(now).late if isinstance(m, Voice)] == [False]
-
-
-def test_a_follower_whose_leader_hung_up_waits_less_unless_it_speaks_again():
-    c = started_core(AB)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1, 0.9)), 1.0)
-    c.peer_disconnected(A, 1.05)
-    assert c.raft.timer() >= 2.0 and loyal(c, 1.1)
-    c.peer_disconnected(B, 1.1)
-    assert 1.1 + DOUBT <= c.raft.timer() <= 1.1 + 2 * DOUBT and not loyal(c, 1.1)
-    assert c.may_answer(AnswerKind.WATCH, 1.1) and not c.may_answer(AnswerKind.WATCH, 1.5)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 2)), 1.2)
-    assert c.raft.timer() >= 2.2 and c.raft.leader == "b"
-
-
-def test_doubt_of_one_follower_moves_nobody_while_the_others_hear_the_leader():
-    three = Voters({"a": A, "b": B, "c": Address("10.0.0.3", 1)})
-    c = started_core(three)
-    c.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
-    c.ready(1.0)
-    c.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.1)
-    c.receive(Envelope(G, "c", "a", B, Ask(2, False, 5, 1)), 1.1)
-    r = c.ready(1.1)
-    assert [m.granted for _, m in r.late] == [False] and c.raft.term == 1
-    c.peer_disconnected(B, 1.2)
-    c.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.3)
-    assert [m.granted for _, m in c.ready(1.3).late] == [True]
-
-
-def test_a_peer_is_gone_with_its_last_connection():
-    x, y = (Address("127.0.0.1", p) for p in free_ports(2))
-    gone = []
-    with Transport(x, "f", Counts()) as here:
-        here.gone = gone.append
-        here.on("hi", lambda s, b: b)
+    snapshot, state = puller.pull(third.addr, SETTINGS).unwrap()
+    assert (snapshot.index, state.items.services["s"].version) == (3, 3) and asked
+    assert puller.pull(third.addr, SETTINGS, lambda offered: False).is_err()
+
+
+def rejects_pre_vote(core, now):
+    """Whether the core rejects a pre-vote request because it has contact with a leader."""
+    core.receive(Envelope(G, "b", "a", B, Ask(core.raft.term + 1, True, 9, 9)), now)
+    return [message.granted for _, message in core.raft.ready(now).late if isinstance(message, Voice)] == [False]
+
+
+def test_a_follower_shortens_its_timeout_after_a_disconnect_until_the_leader_is_heard_again():
+    core = started_core(AB)
+    core.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1, 0.9)), 1.0)
+    core.peer_disconnected(A, 1.05)
+    assert core.raft.timer() >= 2.0 and rejects_pre_vote(core, 1.1)
+    core.peer_disconnected(B, 1.1)
+    assert 1.1 + DOUBT <= core.raft.timer() <= 1.1 + 2 * DOUBT and not rejects_pre_vote(core, 1.1)
+    assert core.may_answer(AnswerKind.WATCH, 1.1) and not core.may_answer(AnswerKind.WATCH, 1.5)
+    core.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 2)), 1.2)
+    assert core.raft.timer() >= 2.2 and core.raft.leader == "b"
+
+
+def test_the_doubt_of_one_follower_starts_no_election_while_others_hear_the_leader():
+    voters = Voters({"a": A, "b": B, "c": Address("10.0.0.3", 1)})
+    core = started_core(voters)
+    core.receive(Envelope(G, "b", "a", B, Append(1, 0, 0, [], 0, 1)), 1.0)
+    core.ready(1.0)
+    core.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.1)
+    core.receive(Envelope(G, "c", "a", B, Ask(2, False, 5, 1)), 1.1)
+    ready = core.ready(1.1)
+    assert [message.granted for _, message in ready.late] == [False] and core.raft.term == 1
+    core.peer_disconnected(B, 1.2)
+    core.receive(Envelope(G, "c", "a", B, Ask(2, True, 5, 1)), 1.3)
+    assert [message.granted for _, message in core.ready(1.3).late] == [True]
+
+
+def test_a_peer_counts_as_disconnected_with_the_end_of_its_last_connection():
+    here_address, peer = (Address("127.0.0.1", port) for port in free_ports(2))
+    disconnected = []
+    with Transport(here_address, "f", Counts()) as here:
+        here.gone = disconnected.append
+        here.on("hi", lambda sender, body: body)
         with (
-            Transport(y, "f", Counts()) as there,
+            Transport(peer, "f", Counts()) as there,
             Transport(Address("127.0.0.1", free_ports(1)[0]), "f", Counts()) as other,
         ):
-            other.me = y
-            assert there.call(x, "hi", b"1", 5).is_ok() and other.call(x, "hi", b"1", 5).is_ok()
-            other._line(x, clock.now()).close()
-            assert there.call(x, "hi", b"2", 5).is_ok() and gone == []
-        assert eventually(lambda: gone == [y])
+            other.me = peer
+            assert there.call(here_address, "hi", b"1", 5).is_ok() and other.call(here_address, "hi", b"1", 5).is_ok()
+            other._line(here_address, clock.now()).close()
+            assert there.call(here_address, "hi", b"2", 5).is_ok() and disconnected == []
+        assert eventually(lambda: disconnected == [peer])
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -15,49 +15,54 @@
 from mallowvalve.upstreams.task import HeartbeatTask
 from tests.test_membership import record
 
-LOC, ME = Locality("eu", "a"), Address("127.0.0.1", 1)
-MANY = [Address("10.0.0.1", 1000 + i) for i in range(2000)]
+LOCALITY = Locality("eu", "a")
+OWN_ADDRESS = Address("127.0.0.1", 1)
+ADDRESSES = [Address("10.0.0.1", 1000 + i) for i in range(2000)]
 
 
 def detector():
-    return Membership(record(ME), "f", [], random.Random(1), 2.0, 3, 0.5)
-
-
-def test_names_of_peers_that_are_forgotten_are_forgotten_everywhere():
-    t = MembershipTask(detector())
-    for i, a in enumerate(MANY):
-        t.membership.receive(Tell(Head(VERSION, "f", a, 1, 0), [record(a, state=FAILED)]), float(i))
-        t._log()
-    t.membership.tick(10_000 + FORGET)
-    t._log()
-    assert len(t.membership.view) == 0 == len(t.membership._seen) == len(t._known)
-
-
-def test_names_of_upstreams_that_are_forgotten_are_forgotten_everywhere():
-    t = HeartbeatTask(MembershipTask(detector()), Transport(ME, "f", Counts()))
-    for i in range(2000):
-        b = Heartbeat("s", f"i{i}", 1, 1, 0.0, "ready", LOC, ME)
-        t.board.hear(b, 0.0)
-        t._log(b)
-    t.forget(TOMBSTONE + 1.0)
-    assert len(t.board.rows) == 0 == len(t._known)
-
-
-def test_lines_to_peers_long_unused_are_closed():
-    m = Transport(ME, "f", Counts())
-    for a in MANY[:400]:
-        m._line(a, 0.0)
-    m._line(MANY[500], 100.0)
-    assert len(m._lines) == 1
-
-
-def test_a_leader_forgets_core_machines_and_replicas_it_no_longer_hears():
-    c = Core("a", ME, LOC, random.Random(1))
-    for i, a in enumerate(MANY):
-        c.announced(ProcessStatus("control", f"id{i}", a, LOC, [], True, None, 0, None, None), i * 1.0)
-    assert len(c.seen) < 100
-    e = Replicas(LOC)
-    for i, a in enumerate(MANY):
-        e.record_request(ReplicationRequest(a, 1, "directory", LOC, None, 0, 0, 0.0), Group(1, "g"), 1, i * 1.0)
-        e.observe_settings(ReplicatedSettings(), i * 1.0)
-    assert len(e.status_by_address) < 100
+    return Membership(record(OWN_ADDRESS), "f", [], random.Random(1), 2.0, 3, 0.5)
+
+
+def test_a_forgotten_peer_leaves_no_entry_in_any_table():
+    task = MembershipTask(detector())
+    for index, address in enumerate(ADDRESSES):
+        task.membership.receive(Tell(Head(VERSION, "f", address, 1, 0), [record(address, state=FAILED)]), float(index))
+        task._log()
+    task.membership.tick(10_000 + FORGET)
+    task._log()
+    assert len(task.membership.view) == 0 == len(task.membership._seen) == len(task._known)
+
+
+def test_a_forgotten_upstream_leaves_no_entry_in_any_table():
+    task = HeartbeatTask(MembershipTask(detector()), Transport(OWN_ADDRESS, "f", Counts()))
+    for index in range(2000):
+        heartbeat = Heartbeat("s", f"i{index}", 1, 1, 0.0, "ready", LOCALITY, OWN_ADDRESS)
+        task.board.hear(heartbeat, 0.0)
+        task._log(heartbeat)
+    task.forget(TOMBSTONE + 1.0)
+    assert len(task.board.rows) == 0 == len(task._known)
+
+
+def test_unused_connections_to_peers_are_closed():
+    transport = Transport(OWN_ADDRESS, "f", Counts())
+    for address in ADDRESSES[:400]:
+        transport._line(address, 0.0)
+    transport._line(ADDRESSES[500], 100.0)
+    assert len(transport._lines) == 1
+
+
+def test_a_leader_forgets_silent_core_members_and_replicas():
+    core = Core("a", OWN_ADDRESS, LOCALITY, random.Random(1))
+    for index, address in enumerate(ADDRESSES):
+        core.announced(
+            ProcessStatus("control", f"id{index}", address, LOCALITY, [], True, None, 0, None, None), index * 1.0
+        )
+    assert len(core.seen) < 100
+    replicas = Replicas(LOCALITY)
+    for index, address in enumerate(ADDRESSES):
+        replicas.record_request(
+            ReplicationRequest(address, 1, "directory", LOCALITY, None, 0, 0, 0.0), Group(1, "g"), 1, index * 1.0
+        )
+        replicas.observe_settings(ReplicatedSettings(), index * 1.0)
+    assert len(replicas.status_by_address) < 100
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -20,40 +20,42 @@
 G, EU = Group(3, "g"), Locality("eu", "a")
 
 
-def eventually(test) -> bool:
+def eventually(condition) -> bool:
     end = clock.now() + 20
-    while not test() and clock.now() < end:
+    while not condition() and clock.now() < end:
         Event().wait(0.02)
-    return bool(test())
+    return bool(condition())
 
 
-class Control:
-    """Answers wants as one that leads, follows, or says nothing at all."""
+class FakeControl:
+    """A control process that answers replication requests as a leader or follower, or not at all."""
 
     def __init__(self, addr: Address, index: int):
         self.addr, self.transport = addr, Transport(addr, "f", Counts())
-        self.state, self.role, self.leader, self.wants = ReplicatedState(3), "none", None, []
-        for n in range(index):
-            self.state.apply(n + 1, n, encode(service_amendment("s", n + 1)))
-        Puller(self.transport, lambda: None, settings=self.made)
-        self.transport.on("want", self.want)
-        self.transport.on("who", lambda s, b: None if self.role == "silent" else wire.encode(self.who()))
-
-    def made(self):
+        self.state, self.role, self.leader, self.requests = ReplicatedState(3), "none", None, []
+        for number in range(index):
+            self.state.apply(number + 1, number, encode(service_amendment("s", number + 1)))
+        Puller(self.transport, lambda: None, settings=self.settings_snapshot)
+        self.transport.on("want", self.answer_request)
+        self.transport.on(
+            "who", lambda sender, body: None if self.role == "silent" else wire.encode(self.process_status())
+        )
+
+    def settings_snapshot(self):
         return Snapshot(G, self.state.index, 1, Voters({}), []), cut_settings(self.state)
 
-    def who(self):
+    def process_status(self):
         return ProcessStatus("control", "x", self.addr, EU, [], False, G, self.state.index, Voters({}), None)
 
-    def want(self, sender, body):
-        w = wire.decode_replication_request(body)
-        self.wants.append(w)
+    def answer_request(self, sender, body):
+        request = wire.decode_replication_request(body)
+        self.requests.append(request)
         if self.role == "silent":
             return None
         if self.role != "leads":
             return wire.encode(ReplicationResponse(self.leader))
-        Event().wait(min(w.max_wait_s, 0.05))
-        needs_snapshot = w.group != G or w.index < self.state.index
+        Event().wait(min(request.max_wait_s, 0.05))
+        needs_snapshot = request.group != G or request.index < self.state.index
         return wire.encode(
             ReplicationResponse(
                 self.addr, G, needs_snapshot, [], self.state.index, self.state.settings.revision, 0.0, Voters({})
@@ -63,14 +65,14 @@
 
 @pytest.fixture
 def fleet():
-    me, *others = (Address("127.0.0.1", p) for p in free_ports(5))
-    controls = [Control(a, n + 1) for n, a in enumerate(others[:3])]
+    me, *others = (Address("127.0.0.1", port) for port in free_ports(5))
+    controls = [FakeControl(address, number + 1) for number, address in enumerate(others[:3])]
     transport = Transport(me, "f", Counts())
     settings = SimpleNamespace(
         transport=me,
         role="proxy",
         locality=EU,
-        seeds=[x.addr for x in controls] + others[3:],
+        seeds=[control.addr for control in controls] + others[3:],
         holds="settings",
         serve_on=True,
     )
@@ -80,43 +82,45 @@
         counts=transport.counts,
         transport=transport,
         membership=SimpleNamespace(alive=lambda role=None: []),
-        gauge=lambda *a: None,
-        allow=lambda *a: None,
+        gauge=lambda *arguments: None,
+        allow=lambda *arguments: None,
     )
     with transport, controls[0].transport, controls[1].transport, controls[2].transport:
         yield node, controls
 
 
-def test_a_leader_is_found_among_silent_dead_and_following_ones_and_again_when_it_falls_silent(fleet):
-    node, (a, b, c) = fleet
-    a.role, b.leader, c.role = "silent", c.addr, "leads"
-    with ReplicaTask(node) as t:
+def test_a_replica_finds_the_leader_among_unresponsive_processes_and_again_once_it_is_silent(fleet):
+    node, (first, second, third) = fleet
+    first.role, second.leader, third.role = "silent", third.addr, "leads"
+    with ReplicaTask(node) as task:
         assert eventually(
-            lambda: t.replica.leader == c.addr and t.replica.state is not None and t.replica.state.index == 3
+            lambda: (
+                task.replica.leader == third.addr and task.replica.state is not None and task.replica.state.index == 3
+            )
         )
-        assert t.replica.scope == "settings" and {w.scope for w in c.wants} == {"settings"}
-        while a.state.index < 5:
-            a.state.apply(a.state.index + 1, 9, encode(service_amendment("s", a.state.index + 1)))
-        a.role, c.role = "leads", "silent"
-        assert eventually(lambda: t.replica.leader == a.addr and t.replica.state.index == 5)
-        assert t.replica.state.items.services["s"].version == 5
+        assert task.replica.scope == "settings" and {request.scope for request in third.requests} == {"settings"}
+        while first.state.index < 5:
+            first.state.apply(first.state.index + 1, 9, encode(service_amendment("s", first.state.index + 1)))
+        first.role, third.role = "leads", "silent"
+        assert eventually(lambda: task.replica.leader == first.addr and task.replica.state.index == 5)
+        assert task.replica.state.items.services["s"].version == 5
 
 
-def test_with_no_leader_the_newest_settings_of_any_control_process_serve_and_never_older_ones(fleet):
+def test_without_a_leader_a_replica_holds_the_newest_settings_of_any_control_process(fleet):
     node, controls = fleet
-    with ReplicaTask(node) as t:
-        assert eventually(lambda: t.replica.state is not None and t.replica.state.index == 3)
-        assert t.replica.leader is None
+    with ReplicaTask(node) as task:
+        assert eventually(lambda: task.replica.state is not None and task.replica.state.index == 3)
+        assert task.replica.leader is None
         controls[2].role = "silent"
-        asked = len(controls[1].wants)
-        assert eventually(lambda: len(controls[1].wants) > asked + 3)
-        assert t.replica.state.index == 3
+        asked = len(controls[1].requests)
+        assert eventually(lambda: len(controls[1].requests) > asked + 3)
+        assert task.replica.state.index == 3
 
 
-def test_a_strict_proxy_takes_no_settings_without_a_leader(fleet):
+def test_a_proxy_without_serve_on_installs_no_settings_without_a_leader(fleet):
     node, controls = fleet
     node.settings.serve_on = False
-    with ReplicaTask(node) as t:
-        assert eventually(lambda: len(controls[0].wants) > 10)
-        assert t.replica.state is None
-    assert controls[0].wants[0].max_wait_s == 0.0
+    with ReplicaTask(node) as task:
+        assert eventually(lambda: len(controls[0].requests) > 10)
+        assert task.replica.state is None
+    assert controls[0].requests[0].max_wait_s == 0.0
