--- a/mallowvalve/control/acknowledgement.py
+++ b/mallowvalve/control/acknowledgement.py
@@ -41,17 +41,17 @@
     name: str
     confirmations: list[tuple[int, float]]
     answered_at: float | None = None
-    news_sent_at: float = NEVER
+    entries_sent_at: float = NEVER
 
     def holds(self, group: Group | None, index: int) -> bool:
         """Whether the replica holds the state of this group up to the index."""
         return self.request.group == group and self.request.index >= index
 
-    def counts(self, settings: bool) -> bool:
+    def covers(self, settings: bool) -> bool:
         """Whether the replica can hold such a change: a replica of the settings part holds settings only."""
         return settings or self.request.scope == "all"
 
-    def prompt(self, now: float) -> bool:
+    def is_prompt(self, now: float) -> bool:
         """Whether the replica is reachable and requests promptly, so that an acknowledgement waits for it."""
         reachable = now - self.requested_at < REACHABLE_S
         return reachable and (self.answered_at is None or now - self.answered_at < PROMPT_ANSWER_S)
@@ -103,17 +103,17 @@
         status.request, status.requested_at, status.answered_at = request, now, None
         status.confirmations = [*status.confirmations[1 - MAX_REQUESTS_KEPT :], (confirming_round, request.sent_at)]
 
-    def record_response(self, address: Address, now: float, news: bool = True) -> None:
-        """Records a response to the replica, with news or without."""
+    def record_response(self, address: Address, now: float, has_entries: bool = True) -> None:
+        """Records a response to the replica, with new entries or without."""
         status = self.status_by_address.get(address)
         if status is not None:
             status.answered_at = now
-            status.news_sent_at = now if news else status.news_sent_at
+            status.entries_sent_at = now if has_entries else status.entries_sent_at
 
-    def news_sent_at(self, address: Address) -> float:
-        """Returns when the replica was last sent news (s)."""
+    def entries_sent_at(self, address: Address) -> float:
+        """Returns when the replica was last sent new entries (s)."""
         status = self.status_by_address.get(address)
-        return status.news_sent_at if status is not None else NEVER
+        return status.entries_sent_at if status is not None else NEVER
 
     def confirmed_at(self, address: Address, confirmed: int) -> float:
         """Returns when the replica sent its newest confirmed request (s, the replica's clock), or -1 if none is."""
@@ -125,14 +125,14 @@
         )
 
     def is_replicated(self, index: int, now: float, settings: bool = False) -> bool:
-        """Whether the replicas hold the entry; only replicas of the whole state count for what is not settings.
+        """Whether the replicas hold the entry; a replica of the settings part counts for `settings` only.
 
         All prompt replicas must hold it, and `REQUIRED_COPIES` of the reachable ones outside the leader's locality,
         or all of these if they are fewer. A new leader gives the replicas time to find it: settings acknowledged
         before that would be held nowhere else.
         """
-        candidates = [status for status in self.status_by_address.values() if status.counts(settings)]
-        if any(status.prompt(now) for status in candidates if not status.holds(self._group, index)):
+        candidates = [status for status in self.status_by_address.values() if status.covers(settings)]
+        if any(status.is_prompt(now) for status in candidates if not status.holds(self._group, index)):
             return False
         remote = [
             status
@@ -145,7 +145,7 @@
         return copies >= min(REQUIRED_COPIES, len(remote))
 
     def observe_settings(self, settings: ReplicatedSettings, now: float) -> None:
-        """Takes over the current settings, and records when a majority of the roster holds them."""
+        """Updates the settings, and records when a majority of the roster holds them."""
         if settings.revision != self._settings.revision:
             for name in self._settings.roster.keys() - settings.roster.keys():
                 self._struck_until[name] = now + FRESHNESS_WINDOW_S + CLOCK_SLACK_S
--- a/mallowvalve/control/lease.py
+++ b/mallowvalve/control/lease.py
@@ -2,7 +2,7 @@
 
 The age counts from when this process sent the question that a majority has confirmed since (`raft/contact.py`,
 `raft/rounds.py`), on its own steady clock: neither a wall clock nor the clock of another process is used.
-`LEASE_BOUNDS` holds all bounds.
+All bounds are in `LEASE_BOUNDS`.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
         0.5, "five heartbeats: the usual age is two heartbeats and a round trip between regions"
     ),
     AnswerKind.NOTICE: LeaseBound(
-        0.5, "serves local knowledge of an acknowledged removal; beyond it a majority is asked"
+        0.5, "serves local knowledge of an acknowledged removal; beyond it a majority must confirm"
     ),
     AnswerKind.HEARTBEAT: LeaseBound(
         2.5, "spans an election: heartbeats received meanwhile reach the next leader before three of them are missed"
@@ -67,9 +67,9 @@
 }
 
 
-def is_valid(kind: AnswerKind, asked: float, now: float) -> bool:
-    """Whether a contact whose question was sent at `asked` still supports an answer of this kind (s, one clock)."""
-    return asked <= now < asked + LEASE_BOUNDS[kind].seconds
+def is_valid(kind: AnswerKind, contact_at: float, now: float) -> bool:
+    """Whether a contact whose question was sent at `contact_at` still supports an answer of this kind (s, one clock)."""
+    return contact_at <= now < contact_at + LEASE_BOUNDS[kind].seconds
 
 
 def retry_after(leader_known: bool) -> int:
--- a/mallowvalve/control/replica.py
+++ b/mallowvalve/control/replica.py
@@ -63,7 +63,7 @@
         scope: str = "all",
         max_wait_s: float = DEFAULT_MAX_WAIT_S,
     ):
-        """`scope` is all or settings; `max_wait_s` is how long the leader may delay a response without news."""
+        """`scope` is all or settings; `max_wait_s` is how long the leader may delay a response without entries."""
         self.scope, self.max_wait_s = scope, max_wait_s
         self.addr, self.boot, self.role, self.locality = addr, boot, role, locality
         self.group: Group | None = None
@@ -110,7 +110,7 @@
         return now - self._leader_heard_at > LEADER_SILENCE_FACTOR * self.max_wait_s
 
     def clock(self, now: float) -> int:
-        """Returns the fleet time (ms) estimated from the leader's last response; it may lag without a leader."""
+        """Returns the fleet time (ms) estimated from the leader's last response; without a leader it stops or lags."""
         time, at = self._leader_time
         return max(self.state.clock if self.state else 0, time + int((now - at) * 1000) if time else 0)
 
--- a/mallowvalve/control/replication.py
+++ b/mallowvalve/control/replication.py
@@ -15,9 +15,9 @@
 from mallowvalve.types import Address
 
 MAX_WAIT_S = 1.0
-"""The longest time for which a request is parked while there is no news."""
+"""The longest time for which a request is parked while there are no new entries."""
 BATCH_DELAY_PER_REPLICA_S = 0.0015
-"""How long news waits for further entries to be sent with it, for each replica of the leader."""
+"""How long new entries wait for further ones to be sent with them, for each replica of the leader."""
 MAX_BATCH_DELAY_S = 0.15
 
 Reply = tuple[Any, ReplicationResponse]
@@ -34,7 +34,7 @@
 
 
 class _ParkedRequest(msgspec.Struct):
-    """A request that waits for news since `parked_at` (s); the response goes to the token."""
+    """A request that waits for new entries since `parked_at` (s); the response goes to the token."""
 
     token: Any
     request: ReplicationRequest
@@ -42,7 +42,7 @@
 
 
 class ParkedRequests:
-    """The requests of replicas that wait for news, one for each replica."""
+    """The requests of replicas that wait for new entries, one for each replica."""
 
     __slots__ = ("_me", "_parked", "_checked_indexes", "_next_check_at")
 
@@ -58,7 +58,7 @@
 
     @property
     def next_check_at(self) -> float:
-        """Returns when a parked request is due next unless news arrives first (s); infinity if none is parked."""
+        """Returns when a parked request is due next unless entries arrive first (s); infinity if none is parked."""
         return self._next_check_at if self._parked else float("inf")
 
     def park(self, request: ReplicationRequest, token: Any, now: float) -> list[Reply]:
@@ -74,9 +74,9 @@
         return [(parked.token, ReplicationResponse(None)) for parked in dropped.values()]
 
     def answer(self, source: ReplicationSource, now: float) -> list[Reply]:
-        """Removes the requests for which there is news, or whose time is over, and returns their responses.
+        """Removes the requests for which there are new entries, or whose time is over, and returns their responses.
 
-        After recent news, a replica's next response is delayed to include the entries that arrive meanwhile.
+        After a recent response with entries, a replica's next response is delayed to include the entries that arrive meanwhile.
         """
         any_unscoped = any(parked.request.scope == "all" for parked in self._parked.values())
         newest = (source.state.settings_index, source.state.index if any_unscoped else 0)
@@ -101,7 +101,7 @@
         if request.index >= _newest(source, request):
             return parked.parked_at + min(request.max_wait_s, MAX_WAIT_S)
         replicas = source.replicas
-        return replicas.news_sent_at(request.addr) + min(
+        return replicas.entries_sent_at(request.addr) + min(
             MAX_BATCH_DELAY_S, BATCH_DELAY_PER_REPLICA_S * len(replicas.status_by_address)
         )
 
--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -36,7 +36,7 @@
 class ReplicationRequest(msgspec.Struct, array_like=True, frozen=True):
     """A replica's request for the entries after `index`; `scope` is all or settings.
 
-    Without news, the leader may delay the response by `max_wait_s`.
+    Without new entries, the leader may delay the response by `max_wait_s`.
     """
 
     addr: Address
@@ -78,7 +78,7 @@
 
 
 class RevisionReply(msgspec.Struct, array_like=True, frozen=True):
-    """What a replica holds; `sent_at` is that of the query."""
+    """The revision and index that a replica holds; `sent_at` is that of the query."""
 
     sender: Address
     boot: int
