--- a/mallowvalve/control/lease.py
+++ b/mallowvalve/control/lease.py
@@ -68,7 +68,7 @@
 
 
 def is_valid(kind: AnswerKind, contact_at: float, now: float) -> bool:
-    """Whether a contact whose question was sent at `contact_at` still supports an answer of this kind (s, one clock)."""
+    """Whether a contact from a question sent at `contact_at` supports an answer of this kind (s, one clock)."""
     return contact_at <= now < contact_at + LEASE_BOUNDS[kind].seconds
 
 
--- a/mallowvalve/control/replication.py
+++ b/mallowvalve/control/replication.py
@@ -76,7 +76,7 @@
     def answer(self, source: ReplicationSource, now: float) -> list[Reply]:
         """Removes the requests for which there are new entries, or whose time is over, and returns their responses.
 
-        After a recent response with entries, a replica's next response is delayed to include the entries that arrive meanwhile.
+        After a response with entries, a replica's next one is delayed to include the entries that arrive meanwhile.
         """
         any_unscoped = any(parked.request.scope == "all" for parked in self._parked.values())
         newest = (source.state.settings_index, source.state.index if any_unscoped else 0)
