--- a/mallowvalve/control/wire.py
+++ b/mallowvalve/control/wire.py
@@ -1,4 +1,7 @@
-"""What control processes and replicas tell each other beside Raft's messages. Stamps: s of their sender's clock."""
+"""Messages between control processes and replicas, apart from those of Raft.
+
+Times in `sent_at` and `confirmed_at` are seconds of the steady clock of the process that sent the request.
+"""
 
 from __future__ import annotations
 
@@ -9,10 +12,10 @@
 from mallowvalve.types import Address, Locality
 
 
-class Who(msgspec.Struct, array_like=True, frozen=True):
-    """`index` counts for what is held: all, or without `whole` the settings part only.
+class ProcessStatus(msgspec.Struct, array_like=True, frozen=True):
+    """The status of a process; `index` applies to the whole state, or to its settings part without `holds_all`.
 
-    `boot` tells this process from the next at its address; `leaving` is a control process's goodbye.
+    `boot` distinguishes successive processes at one address; `leaving` announces that a control process stops.
     """
 
     role: str
@@ -25,13 +28,16 @@
     index: int
     voters: ClusterConfiguration | None
     leader: Address | None
-    whole: bool = True
+    holds_all: bool = True
     boot: int = 0
     leaving: bool = False
 
 
-class Want(msgspec.Struct, array_like=True, frozen=True):
-    """`parts` is all or settings; with nothing new, the leader may keep it for `hold` seconds."""
+class ReplicationRequest(msgspec.Struct, array_like=True, frozen=True):
+    """A replica's request for the entries after `index`; `scope` is all or settings.
+
+    Without new entries, the leader may delay the response by `max_wait_s`.
+    """
 
     addr: Address
     boot: int
@@ -40,56 +46,57 @@
     group: GroupId | None
     index: int
     revision: int
-    stamp: float
-    parts: str = "all"
-    hold: float = 0.5
+    sent_at: float
+    scope: str = "all"
+    max_wait_s: float = 0.5
 
 
-class Fed(msgspec.Struct, array_like=True, frozen=True):
-    """Entries after the want's index; with them a holder of the settings part is whole up to `index`.
+class ReplicationResponse(msgspec.Struct, array_like=True, frozen=True):
+    """The entries after the index of the request; a replica of the settings part is complete up to `index` with them.
 
-    `clock` is the state's (ms) at `index`, `time` what the leader's clock shows as it answers.
+    `confirmed_at` is the newest `sent_at` of the replica that a majority has confirmed since, -1 if none is.
+    `state_time_ms` is the fleet time of the state at `index`, `leader_time_ms` the leader's as it responds.
     """
 
     leader: Address | None
     group: GroupId | None = None
-    lacking: bool = False
+    needs_snapshot: bool = False
     entries: list[Entry] = []
     index: int = 0
     revision: int = 0
-    sure: float = -1.0
+    confirmed_at: float = -1.0
     voters: ClusterConfiguration | None = None
-    clock: int = 0
-    time: int = 0
+    state_time_ms: int = 0
+    leader_time_ms: int = 0
 
 
-class Round(msgspec.Struct, array_like=True, frozen=True):
-    """Asks a replica what it holds."""
+class RevisionQuery(msgspec.Struct, array_like=True, frozen=True):
+    """Asks a replica which revision of the settings it holds."""
 
     sender: Address
-    stamp: float
+    sent_at: float
 
 
-class Told(msgspec.Struct, array_like=True, frozen=True):
-    """What a replica holds, in answer to the stamp of a round."""
+class RevisionReply(msgspec.Struct, array_like=True, frozen=True):
+    """The revision and index that a replica holds; `sent_at` is that of the query."""
 
     sender: Address
     boot: int
-    stamp: float
+    sent_at: float
     group: GroupId | None
     revision: int
     index: int
 
 
-class Offer(msgspec.Struct, array_like=True, frozen=True):
-    """Offers a command; the answer is wanted within `limit` (s)."""
+class CommandRequest(msgspec.Struct, array_like=True, frozen=True):
+    """Submits a command; the caller waits for the response for `limit` (s)."""
 
     command: bytes
     limit: float
 
 
-class Took(msgspec.Struct, array_like=True, frozen=True):
-    """`term` is the leader's term that the acknowledgement rests on; 0 where nothing was acknowledged."""
+class CommandResponse(msgspec.Struct, array_like=True, frozen=True):
+    """The outcome of a command or read; `term` is the term of the leader that acknowledged it, 0 if none did."""
 
     code: Code
     revision: int = 0
@@ -101,10 +108,10 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-who = msgspec.msgpack.Decoder(Who).decode
-want = msgspec.msgpack.Decoder(Want).decode
-fed = msgspec.msgpack.Decoder(Fed).decode
-round_ = msgspec.msgpack.Decoder(Round).decode
-told = msgspec.msgpack.Decoder(Told).decode
-offer = msgspec.msgpack.Decoder(Offer).decode
-took = msgspec.msgpack.Decoder(Took).decode
+decode_status = msgspec.msgpack.Decoder(ProcessStatus).decode
+decode_replication_request = msgspec.msgpack.Decoder(ReplicationRequest).decode
+decode_replication_response = msgspec.msgpack.Decoder(ReplicationResponse).decode
+decode_revision_query = msgspec.msgpack.Decoder(RevisionQuery).decode
+decode_revision_reply = msgspec.msgpack.Decoder(RevisionReply).decode
+decode_command_request = msgspec.msgpack.Decoder(CommandRequest).decode
+decode_command_response = msgspec.msgpack.Decoder(CommandResponse).decode
--- a/tests/host_bench.py
+++ b/tests/host_bench.py
@@ -9,7 +9,7 @@
 from mallowvalve import settings
 from mallowvalve.configuration.items import HostRoute, Limits, ServiceItem, WeightedService
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.state import Seat, State
+from mallowvalve.control.state import ReplicatedState, Seat
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.host_forwarder import HostForwarder
 from mallowvalve.proxy.host_upstreams import HostUpstreams
@@ -64,11 +64,11 @@
         checked = settings.check("proxy", SETTINGS | overrides).ok_value
         self.now = now
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = GroupId(1, "g"), State(1)
+        self.replica.group, self.replica.state = GroupId(1, "g"), ReplicatedState(1)
         state = self.state = self.replica.state
         state.items, state.registry = FakeItems(), FakeRegistry()
         state.settings.roster = {str(Address("10.0.0.1", 1 + i)): Seat(7, HERE) for i in range(proxies)}
-        self.replica._sure = now()
+        self.replica._confirmed_at = now()
         self.hosts = HostUpstreams(self.replica, checked, random.Random(1), now)
         self.forwarder = HostForwarder(self.replica, self.hosts, checked, Counts(), now, random.Random(2))
         self.route("r", "/r/", "read", service="s", tries=2)
--- a/tests/tenant_bench.py
+++ b/tests/tenant_bench.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.state import Seat, State
+from mallowvalve.control.state import ReplicatedState, Seat
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.pool import Pool
 from mallowvalve.proxy.retry_detector import RetryDetector
@@ -34,7 +34,7 @@
 
     def __init__(self, now=lambda: 0.0, config=CONFIG):
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
-        self.replica.group, self.replica.state = GroupId(1, "g"), State(1)
+        self.replica.group, self.replica.state = GroupId(1, "g"), ReplicatedState(1)
         self.replica.state.settings.roster = {str(ME): Seat(7, HERE)}
         self.board, self.counts = Board(), Counts()
         self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
@@ -48,10 +48,10 @@
     def apply(self, config: dict) -> None:
         current = self.replica.state.settings
         current.doc, current.revision = msgspec.json.encode(config), current.revision + 1
-        self.replica._renew()
+        self.replica._update_tree()
 
     def confirm_settings(self, at: float | None = None) -> None:
-        self.replica._sure = self.now() if at is None else at
+        self.replica._confirmed_at = self.now() if at is None else at
 
     def upstream(self, n=0, service="s", at=HERE, port=100, incarnation=1, state="ready", sequence=1) -> Heartbeat:
         heartbeat = Heartbeat(service, f"u{n}", incarnation, sequence, 0.0, state, at, Address("127.0.0.1", port))
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -5,9 +5,9 @@
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.sessions import Session
 from mallowvalve.control.snapshot import dump, load
-from mallowvalve.control.state import Change, Evacuate, State, encode
+from mallowvalve.control.state import Change, Evacuate, ReplicatedState, encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.control.wire import Took
+from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.state import Lock, Next, Put
 
 MINUTE_MS = 60_000
@@ -17,7 +17,7 @@
     """A state that applies each command as its next log entry."""
 
     def __init__(self):
-        self.state = State(3)
+        self.state = ReplicatedState(3)
 
     def apply(self, command, now_ms=0):
         return self.state.apply(self.state.index + 1, now_ms, encode(command))
@@ -91,7 +91,9 @@
 
         class transport:
             call = staticmethod(
-                lambda address, kind, body, limit: calls.append((address, kind)) or Ok(wire.encode(Took("ok", 5)))
+                lambda address, kind, body, limit: (
+                    calls.append((address, kind)) or Ok(wire.encode(CommandResponse("ok", 5)))
+                )
             )
 
     task = ControlTask.__new__(ControlTask)
@@ -103,9 +105,9 @@
 
 
 def test_an_offer_that_may_have_been_applied_never_ends_as_no_leader(monkeypatch):
-    results = [Took("undecided")]
+    results = [CommandResponse("undecided")]
     monkeypatch.setattr(
-        ControlTask, "_offer_once", lambda self, command, left: results.pop() if results else Took("leader")
+        ControlTask, "_offer_once", lambda self, command, left: results.pop() if results else CommandResponse("leader")
     )
     task = ControlTask.__new__(ControlTask)
     task._over = False
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -3,7 +3,7 @@
 import pytest
 
 from mallowvalve.control.snapshot import dump, load
-from mallowvalve.control.state import State
+from mallowvalve.control.state import ReplicatedState
 from mallowvalve.ledger import ledger
 from mallowvalve.ledger.ledger import KEY_RETENTION_MS, Claim, Done, Forfeit, Ledger, Lose, Release
 
@@ -17,7 +17,7 @@
 
 
 def copy_by_snapshot(source, target):
-    state = State(1)
+    state = ReplicatedState(1)
     state.ledger = source
     state = load(dump(state))
     target.rows, target.body_sizes = state.ledger.rows, state.ledger.body_sizes
--- a/tests/test_plain.py
+++ b/tests/test_plain.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from mallowvalve.control.state import State, Tick, encode
+from mallowvalve.control.state import ReplicatedState, Tick, encode
 from mallowvalve.coordination.plain import (
     HISTORY_MS,
     LEASE_SLACK_MS,
@@ -165,7 +165,7 @@
 
 
 def test_the_replicated_state_applies_commands_and_ticks():
-    state = State(1)
+    state = ReplicatedState(1)
     outcome = state.apply(1, 50, encode(Take("l", "a", 100)))
     assert msgspec.msgpack.decode(outcome.body, type=PlainResult) == PlainResult(OK, 1) and state.plain.has_leases()
     state.apply(2, 500, encode(Tick()))
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -15,7 +15,7 @@
 from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import Items
 from mallowvalve.control.snapshot import cut_settings, dump, load
-from mallowvalve.control.state import State, encode
+from mallowvalve.control.state import ReplicatedState, encode
 
 NAMES = ("a", "b")
 VERSIONS = (1, 2, 3)
@@ -49,7 +49,7 @@
 
     def __init__(self):
         super().__init__()
-        self.state, self.settings_part = State(3), State(3)
+        self.state, self.settings_part = ReplicatedState(3), ReplicatedState(3)
         self.model: dict[tuple[str, str], tuple[int, str | None]] = {}
         self.acknowledged: list[tuple[bytes, dict]] = []
 
@@ -66,7 +66,7 @@
         predicted = self.state.items.check(call.unwrap())
         index, before = self.state.index + 1, self.state.items.rows.copy()
         outcome = self.state.apply(index, 0, encode(call.unwrap()))
-        if self.state.turned == index:
+        if self.state.settings_index == index:
             self.settings_part.apply(index, 0, encode(call.unwrap()))
         if conflicts:
             assert outcome.code == "conflict" and self.state.items.rows == before
--- a/verification/member.py
+++ b/verification/member.py
@@ -16,7 +16,7 @@
 from msgspec.structs import replace
 
 from mallowvalve.control import store
-from mallowvalve.control.waiting import Read, Reads
+from mallowvalve.control.waiting import PendingRead, PendingReads
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import COMMAND, ClusterConfiguration, Entry, GroupId, HardState, Message, RaftSnapshot
 from mallowvalve.raft.progress import RaftTimings, Ready
@@ -121,7 +121,7 @@
         self.reached = 0
         self.voters: ClusterConfiguration | None = None
         self.unsaved: tuple[Ready, HardState] | None = None
-        self.reads, self.proposed = Reads(), {}
+        self.reads, self.proposed = PendingReads(), {}
         self.acknowledged: list[int] = []
         self.answers: list[Answered] = []
         self._key: bytes | None = None
@@ -186,7 +186,9 @@
         if not self.raft.committed_in_term:
             return []
         return self.step(
-            lambda raft: self.reads.add(Read(floor, raft.request_confirmation_round(), raft.commit_index, float("inf")))
+            lambda raft: self.reads.add(
+                PendingRead(floor, raft.request_confirmation_round(), raft.commit_index, float("inf"))
+            )
         )
 
     def compact(self) -> None:
