--- a/mallowvalve/cli.py
+++ b/mallowvalve/cli.py
@@ -33,7 +33,7 @@
     sys.exit(BAD_SETTINGS)
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """Loads a tool only when it is named, so that a daemon pays for none of them."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -47,7 +47,7 @@
         return super().get_command(ctx, name)
 
 
-@click.group(cls=Lazy)
+@click.group(cls=LazyGroup)
 @click.version_option(__version__)
 def main() -> None:
     """A global load balancer: directories, proxies and a replicated control plane."""
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -20,7 +20,7 @@
 from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS
 from mallowvalve.control.state import State
 from mallowvalve.membership.wire import ALIVE
-from mallowvalve.metrics import change
+from mallowvalve.metrics import log_event
 from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
 from mallowvalve.types import Address
 
@@ -107,7 +107,7 @@
             if v.base is not None and (base is None or not heard_enough(base, answers)):
                 return
             group = Group(v.generation, uuid.uuid4().hex[:ID])
-            change(
+            log_event(
                 "founding",
                 generation=v.generation,
                 voters=[str(a) for a in v.voters.voters.values()],
@@ -141,7 +141,7 @@
         if base is None:
             return Err(f"{v.base.addr} did not hand over its state")
         group = Group(v.generation, uuid.uuid4().hex[:ID])
-        change("founding_by_operator", generation=v.generation, base=str(v.base.addr), index=base.index)
+        log_event("founding_by_operator", generation=v.generation, base=str(v.base.addr), index=base.index)
         self._begin(founding(group, v.voters, base), None)
         return Ok(v)
 
@@ -173,7 +173,7 @@
 
         self.control.put(act)
         if done.get():
-            change("joined", generation=p.group.generation, index=p.index)
+            log_event("joined", generation=p.group.generation, index=p.index)
 
     def _wipe(self) -> None:
         done = AsyncResult()
@@ -187,7 +187,7 @@
 
         self.control.put(act)
         done.get()
-        change("wiped_to_rejoin")
+        log_event("wiped_to_rejoin")
 
     def leave(self, limit: float) -> None:
         """Waits until this member's vote and copy are needed no more (`Leave`), for `limit` seconds at most."""
@@ -199,7 +199,7 @@
                 break
             self.say_here()
             gevent.sleep(LEAVE_AGAIN)
-        change("left_core", seconds=round(clock.now() - begun, 2), why=leave.why)
+        log_event("left_core", seconds=round(clock.now() - begun, 2), why=leave.why)
 
     def say_here(self) -> None:
         """Tells the leader, or whoever may know one, that this process is here."""
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -17,7 +17,7 @@
 from mallowvalve.control.task import ControlTask
 from mallowvalve.control.wire import Took
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.planner.plan import Seen, plan
+from mallowvalve.planner.plan import ReadyUpstream, plan
 from mallowvalve.types import Address
 
 CONFIG_BYTES = 8 << 20
@@ -118,8 +118,8 @@
         new = doc.and_then(self.task.check)
         if new.is_err():
             return web.turn_away(req, resp, 422, new.err_value)
-        board = self.task.node.heartbeats.board.all(clock.now())
-        seen = [Seen(b.service, b.instance, b.locality) for b, status, _ in board if status == "ready"]
+        board = self.task.node.heartbeats.table.entries(clock.now())
+        seen = [ReadyUpstream(b.service, b.instance, b.locality) for b, status, _ in board if status == "ready"]
         moves = plan(self.task.tree(), new.ok_value, seen, s.evacuated)
         web.say(resp, {"base": s.doc_revision, "moves": moves, "doc": doc.ok_value})
 
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -17,7 +17,7 @@
 from mallowvalve.control.registry_task import RegistryTask
 from mallowvalve.control.task import ControlTask
 from mallowvalve.directory import pages as directory
-from mallowvalve.fault import Faults, FaultyDisk
+from mallowvalve.fault import FaultyDisk, InjectedFaults
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.node import Node
 from mallowvalve.settings import Settings
@@ -31,7 +31,7 @@
 def run(settings: Settings) -> Result[None, Findings]:
     """Serves until it is told to stop; findings where the folder cannot be used."""
     try:
-        faults = Faults(settings.faults, settings.name)
+        faults = InjectedFaults(settings.faults, settings.name)
         with Folder(settings.data) as folder:
             disk = FaultyDisk(folder, faults) if settings.faults is not None else folder
             disk_log = DiskLog.open(disk, settings.fleet, uuid.uuid4().hex[:ID])
@@ -87,7 +87,7 @@
                 self.node.counts.add("disk_errors")
 
 
-def directory_pages(node: Node, task: ControlTask) -> directory.Pages:
+def directory_pages(node: Node, task: ControlTask) -> directory.DirectoryService:
     """The directory's answers by what this process holds and knows."""
 
     def evacuated() -> dict[str, int]:
@@ -96,10 +96,12 @@
     def items() -> Items | None:
         return task.core.state.items if task.core.state else None
 
-    return directory.Pages(node, task.tree, items, evacuated, directory.Contact(node, task.core.contact))
+    return directory.DirectoryService(
+        node, task.tree, items, evacuated, directory.AnswerFreshness(node, task.core.contact)
+    )
 
 
-def directory_server(node: Node, pages: directory.Pages) -> web.Server | None:
+def directory_server(node: Node, pages: directory.DirectoryService) -> web.Server | None:
     """The directory's answers, on an address of their own; None where this node gives none."""
     its = node.settings
     if its.directory is None:
@@ -109,7 +111,7 @@
     return web.Server(its.directory, app, node.counts, its.connections)
 
 
-def serve(settings: Settings, disk_log: DiskLog, loaded: store.Loaded, faults: Faults) -> None:
+def serve(settings: Settings, disk_log: DiskLog, loaded: store.Loaded, faults: InjectedFaults) -> None:
     """Puts the process together, and serves until it is told to stop."""
     node = Node(settings, remembered(disk_log.disk), faults)
     task = ControlTask(node, disk_log, loaded)
@@ -117,11 +119,11 @@
     http_operators.add_routes(node.app, task)
     http_upstreams.add_routes(node.app, task, registry)
     http_plain.add_routes(node.app, task, settings.coordination_at)
-    node.allow(lambda service: service in task.tree().doc.services)
+    node.set_service_filter(lambda service: service in task.tree().doc.services)
     node.gauge("role", lambda: task.core.raft.role if task.core.raft else "blank")
     node.gauge("votes", lambda: task.core.raft.counts.snapshot() if task.core.raft else {})
     pages = directory_pages(node, task)
-    node.app.add_route("/-/named", directory.Named(pages))
+    node.app.add_route("/-/named", directory.NamedResource(pages))
     directory_front = directory_server(node, pages)
 
     def leave() -> None:
--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -14,16 +14,16 @@
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import encode
 from mallowvalve.control.task import ControlTask
-from mallowvalve.metrics import change, vital
+from mallowvalve.metrics import exit_on_failure, log_event
 from mallowvalve.types import Address
-from mallowvalve.upstreams.liveness import Heard, Liveness
+from mallowvalve.upstreams.liveness import HeardInstance, LivenessTracker
 from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
 GATHER, BATCH = 0.02, 512
 LIMIT, ATTEMPT = 0.9, 0.45
 JUDGE, REPORT = 0.25, 1.0
 TAKEN = b"1"
-_heard = msgspec.msgpack.Decoder(list[Heard]).decode
+_heard = msgspec.msgpack.Decoder(list[HeardInstance]).decode
 
 
 class RegistryTask:
@@ -34,7 +34,7 @@
     def __init__(self, task: ControlTask) -> None:
         """For one control process."""
         self.task = task
-        self.liveness = Liveness(task.node.settings.heartbeat_ms / 1000)
+        self.liveness = LivenessTracker(task.node.settings.heartbeat_ms / 1000)
         self._box: Queue = Queue()
         self._judging: gevent.Greenlet | None = None
         self._touched = clock.now()
@@ -45,7 +45,7 @@
     def __enter__(self) -> RegistryTask:
         """Begins to gather changes and to judge silence."""
         self._touched = clock.now()
-        self._jobs = [vital(gevent.spawn(self._collect)), vital(gevent.spawn(self._run))]
+        self._jobs = [exit_on_failure(gevent.spawn(self._collect)), exit_on_failure(gevent.spawn(self._run))]
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -63,7 +63,7 @@
         now, s = clock.now(), self.task.core.state
         if s is None:
             return False
-        c = self.liveness.heartbeat(u, s.registry, self.liveness.clock(s.clock, now), now)
+        c = self.liveness.observe(u, s.registry, self.liveness.fleet_time_ms(s.clock, now), now)
         if c is None:
             return self.in_touch(now)
         if c.instance not in s.registry.rows and s.registry.full(c.service):
@@ -77,13 +77,13 @@
         if s is None:
             return False
         row = s.registry.rows.get(u.instance)
-        known = row is not None and row.state == "gone" and self.liveness.is_acked(row)
+        known = row is not None and row.state == "gone" and self.liveness.is_acknowledged(row)
         return known and self.task.core.holds(Answer.NOTICE, clock.now()) or self._notice(u)
 
     def _notice(self, u: Upstream) -> bool:
         if not self.offer(u):
             return False
-        self.liveness.acked(u)
+        self.liveness.mark_acknowledged(u)
         return True
 
     def offer(self, u: Upstream) -> bool:
@@ -124,7 +124,7 @@
         if t.code != Code.OK:
             return False
         for u in c.changes:
-            change(
+            log_event(
                 f"upstream_{u.state}",
                 upstream=u.instance,
                 service=u.service,
@@ -139,18 +139,18 @@
             now, s = clock.now(), self.task.core.state
             if s is None:
                 continue
-            self.liveness.clock(s.clock, now)
+            self.liveness.fleet_time_ms(s.clock, now)
             if self.task.core.leads:
                 self._touched = now
                 self._judge(s.registry, now)
                 continue
-            self.liveness.follow()
+            self.liveness.stop_judging()
             if now - self._reported >= REPORT:
                 self._report(s.registry, now)
 
     def _judge(self, registry: Registry, now: float) -> None:
         self.liveness.prune(registry, now)
-        c = self.liveness.judge(registry, now)
+        c = self.liveness.detect_silent(registry, now)
         if c is not None and (self._judging is None or self._judging.ready()):
             self._judging = gevent.spawn(self._registered, c, LIMIT)
 
@@ -159,7 +159,7 @@
         to = self.task.core.leader()
         if to is None:
             return
-        since = self._reported if to == self._told else now - self.liveness.silent
+        since = self._reported if to == self._told else now - self.liveness.silence_timeout_s
         body = encode(self.liveness.report(since, now))
         r = self.task.node.transport.call(to, "heard", body, REPORT)
         if isinstance(r, Ok) and r.ok_value == TAKEN:
@@ -172,5 +172,5 @@
         now = clock.now()
         if not self.task.core.leads or not self.task.core.holds(Answer.HEARTBEAT, now):
             return b""
-        self.liveness.told(heard, now)
+        self.liveness.merge_report(heard, now)
         return TAKEN
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -22,7 +22,7 @@
 from mallowvalve.control.snapshot_transfer import Label
 from mallowvalve.control.state import Change, command
 from mallowvalve.finding import Findings
-from mallowvalve.metrics import change, vital
+from mallowvalve.metrics import exit_on_failure, log_event
 from mallowvalve.node import Node
 from mallowvalve.raft.messages import COMMAND, Entry
 from mallowvalve.types import Address
@@ -76,13 +76,13 @@
         node.gauge("revision", lambda: self.replica.revision)
         node.gauge("held_index", lambda: self.replica.state.index if self.replica.state else 0)
         node.gauge("fresh", lambda: self.replica.fresh(clock.now()))
-        node.allow(lambda service: service in self.tree.doc.services)
+        node.set_service_filter(lambda service: service in self.tree.doc.services)
 
     def __enter__(self) -> ReplicaTask:
         """Begins to follow."""
-        self._jobs = [vital(gevent.spawn(self._follow)), vital(gevent.spawn(self._rounds))]
+        self._jobs = [exit_on_failure(gevent.spawn(self._follow)), exit_on_failure(gevent.spawn(self._rounds))]
         if self.node.settings.serve_on:
-            self._jobs.append(vital(gevent.spawn(self._begin)))
+            self._jobs.append(exit_on_failure(gevent.spawn(self._begin)))
         return self
 
     def __exit__(self, *_) -> None:
@@ -146,12 +146,12 @@
     def _settings(self, built: Result[Tree, Findings]) -> None:
         if built.is_ok():
             self.node.counts.add("snapshots")
-            return change(
+            return log_event(
                 "settings_in_use",
                 revision=self.replica.revision,
                 evacuated=sorted(self.replica.state.settings.evacuated),
             )
-        change("snapshot_not_understood", revision=self.replica.revision, findings=[str(f) for f in built.err_value])
+        log_event("snapshot_not_understood", revision=self.replica.revision, findings=[str(f) for f in built.err_value])
 
     def _who(self) -> wire.Who:
         p, e = self.node.settings, self.replica
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -26,7 +26,7 @@
 from mallowvalve.control.state import State
 from mallowvalve.finding import Findings
 from mallowvalve.membership.wire import FAILED, LEFT
-from mallowvalve.metrics import change, vital
+from mallowvalve.metrics import exit_on_failure, log_event
 from mallowvalve.node import Node
 from mallowvalve.raft.messages import Envelope, Group, Install, Message, Snapshot, encode, envelope
 from mallowvalve.raft.progress import Times
@@ -104,7 +104,7 @@
     def __enter__(self) -> ControlTask:
         """Begins to run."""
         jobs = (self._run, self.founder.run, self._watch)
-        self._jobs = [vital(gevent.spawn(job)) for job in jobs]
+        self._jobs = [exit_on_failure(gevent.spawn(job)) for job in jobs]
         return self
 
     def __exit__(self, *_) -> None:
@@ -276,7 +276,7 @@
                 return name
             except OSError as e:
                 self.node.counts.add("snapshots_not_stored")
-                return change("snapshot_not_stored", error=str(e), bytes=sum(map(len, p.state)))
+                return log_event("snapshot_not_stored", error=str(e), bytes=sum(map(len, p.state)))
 
     def who(self) -> wire.Who:
         """What this process says of itself."""
@@ -331,12 +331,12 @@
                 if clock.now() - t > 1.0:
                     self.node.counts.add("disk_slow")
                 if self.stalled:
-                    change("disk_well")
+                    log_event("disk_well")
                 self.stalled = False
                 return
             except OSError as e:
                 if not self.stalled:
-                    change("disk_refuses", error=str(e))
+                    log_event("disk_refuses", error=str(e))
                 self.stalled = True
                 self.node.counts.add("disk_errors")
                 gevent.sleep(0.5)
@@ -376,12 +376,12 @@
         term = r.term if r else 0
         for c, o in decided:
             fields = {f: str(getattr(c, f)) for f in c.__struct_fields__ if f not in ("doc", "digest")}
-            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, term=term, **fields)
+            log_event(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, term=term, **fields)
         role = r.role if r else "blank"
         if role in (self._role_said, "pre"):
             return
         self._role_said = role
-        change("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
+        log_event("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
 
 
 def announced(m: Message) -> Message:
--- a/mallowvalve/directory/answer.py
+++ b/mallowvalve/directory/answer.py
@@ -16,11 +16,11 @@
 from mallowvalve.membership.wire import ALIVE, FAILED, LEAVING, MemberRecord
 from mallowvalve.types import Locality
 
-ROLE = "proxy"
+PROXY_ROLE = "proxy"
 MOST, ENOUGH = 64, 2
 """Proxies in an answer at most, and so many in a region that the loss of one is borne there."""
 
-FAILED_S = 30.0
+RECENT_FAILURE_S = 30.0
 """Seconds for which a failure in a region counts as one that another may follow."""
 
 UNKNOWN_HOMES: frozenset[str] = frozenset()
@@ -41,22 +41,22 @@
     NOBODY = "nobody"
 
 
-STEADY = (Reason.OWN_REGION,)
+STABLE_REASONS = (Reason.OWN_REGION,)
 """Reasons that hold for long; what is named for another one is told for a shorter time."""
 
 
 class Choice(msgspec.Struct, frozen=True):
     """The proxies of an answer, the nearest first, and why they were chosen; without any the answer is a refusal."""
 
-    named: list[MemberRecord]
+    proxies: list[MemberRecord]
     reason: Reason
 
     def regions(self) -> list[str]:
         """The regions of the proxies that are named."""
-        return sorted({record.locality.region for record in self.named})
+        return sorted({record.locality.region for record in self.proxies})
 
 
-class Known(msgspec.Struct, frozen=True):
+class ProxyView(msgspec.Struct, frozen=True):
     """The proxies as a directory knows them: those that run, those that are gone, and whom it suspects.
 
     Who is gone is asked only where a region is short of proxies.
@@ -67,8 +67,8 @@
     suspects: Callable[[MemberRecord], bool] = lambda record: False
 
 
-def choose(
-    known: Known, near: Locality, homes: frozenset[str] | None = None, most: int = MOST, patient: bool = True
+def choose_proxies(
+    known: ProxyView, near: Locality, homes: frozenset[str] | None = None, most: int = MOST, patient: bool = True
 ) -> Choice:
     """Where a client at this place may go for a host or tenant with these homes (None: any region is as good).
 
@@ -82,14 +82,14 @@
 
 
 def _choose(
-    known: Known, near: Locality, homes: frozenset[str] | None, patient: bool
+    known: ProxyView, near: Locality, homes: frozenset[str] | None, patient: bool
 ) -> tuple[list[MemberRecord], Reason]:
     """What serves nearest and may serve, by the order of `docs/design/directory.md`."""
-    here = [record for record in known.alive if record.locality.region == near.region and record.role == ROLE]
+    here = [record for record in known.alive if record.locality.region == near.region and record.role == PROXY_ROLE]
     own = _ready(known, here)
     if len(own) >= ENOUGH:
         return own, Reason.OWN_REGION
-    proxies = [record for record in known.alive if record.role == ROLE]
+    proxies = [record for record in known.alive if record.role == PROXY_ROLE]
     if own:
         return _with_help(known, proxies, own, near.region, homes)
     home = _of(_ready(known, proxies), homes or ())
@@ -107,7 +107,7 @@
 
 
 def _with_help(
-    known: Known, proxies: list[MemberRecord], own: list[MemberRecord], region: str, homes: frozenset[str] | None
+    known: ProxyView, proxies: list[MemberRecord], own: list[MemberRecord], region: str, homes: frozenset[str] | None
 ) -> tuple[list[MemberRecord], Reason]:
     """A region's one ready proxy; those that may serve help it where another one there has just failed."""
     if not _failed(known.gone(), region):
@@ -117,7 +117,7 @@
     return (others, Reason.REST_FAILED) if len(others) > len(own) else (own, Reason.LONE)
 
 
-def _ready(known: Known, records: Iterable[MemberRecord]) -> list[MemberRecord]:
+def _ready(known: ProxyView, records: Iterable[MemberRecord]) -> list[MemberRecord]:
     return [record for record in records if record.ready and record.state == ALIVE and not known.suspects(record)]
 
 
@@ -129,10 +129,12 @@
 def _failed(gone: Iterable[DepartedMember], region: str) -> bool:
     """Whether a proxy of the region failed so lately that another one may follow."""
     here = [one for one in gone if one.record.locality.region == region]
-    return any(one.record.state == FAILED and one.departed_for_s < FAILED_S for one in here)
+    return any(one.record.state == FAILED and one.departed_for_s < RECENT_FAILURE_S for one in here)
 
 
-def _worth_waiting(known: Known, proxies: Iterable[MemberRecord], region: str, homes: frozenset[str] | None) -> bool:
+def _worth_waiting(
+    known: ProxyView, proxies: Iterable[MemberRecord], region: str, homes: frozenset[str] | None
+) -> bool:
     """Whether one that may serve is on its way back: it has left just now, or runs and does not accept yet.
 
     Without homes other regions are as good, but for a moment: of those that close at once one takes back its word.
--- a/mallowvalve/directory/main.py
+++ b/mallowvalve/directory/main.py
@@ -22,9 +22,9 @@
         state = replica.replica.state
         return state.items if state else None
 
-    contact = pages.Contact(node, lambda: replica.replica.sure)
-    shared = pages.Pages(node, lambda: replica.tree, items, evacuated, contact)
+    contact = pages.AnswerFreshness(node, lambda: replica.replica.sure)
+    shared = pages.DirectoryService(node, lambda: replica.tree, items, evacuated, contact)
     pages.add_routes(node.app, shared)
-    node.app.add_route("/-/named", pages.Named(shared))
+    node.app.add_route("/-/named", pages.NamedResource(shared))
     with node, replica:
         node.run(lambda: replica.replica.state is not None)
--- a/mallowvalve/directory/pages.py
+++ b/mallowvalve/directory/pages.py
@@ -12,14 +12,14 @@
 from mallowvalve.configuration.model import Tree
 from mallowvalve.control import lease
 from mallowvalve.directory import answer
-from mallowvalve.directory.answer import ROLE, Choice, Reason
-from mallowvalve.directory.look_up import LIFE_S, Directory, life
-from mallowvalve.directory.sight import Answers
+from mallowvalve.directory.answer import PROXY_ROLE, Choice, Reason
+from mallowvalve.directory.look_up import ANSWER_TTL_S, Directory, answer_ttl_s
+from mallowvalve.directory.sight import AnswerMetrics
 from mallowvalve.finding import Finding
 from mallowvalve.membership.task import STATE_NAMES
 from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.node import Node
-from mallowvalve.types import Address, Locality, emptied
+from mallowvalve.types import Address, Locality, is_evacuated
 
 LIFE_MS = 3000
 """How long a client may go by an answer at `/connect` (ms), where one at `/proxies` holds for `look_up.LIFE_S`."""
@@ -38,7 +38,7 @@
 """What a look-up that names nobody says."""
 
 
-class Contact:
+class AnswerFreshness:
     """How old an answer of the directory is, and whether it may still be given (bounds in `control/lease.py`).
 
     `asked` is when (s) this process asked what a majority has confirmed since. What is named comes from the membership,
@@ -63,10 +63,10 @@
         return {"age_ms": int(1000 * (now - since)), "stale": not lease.holds(lease.Answer.WATCH, since, now)}
 
 
-class Connect:
+class ConnectResource:
     """`GET /connect`: where clients of a tenant may go, those nearest to `locality` first, those of `avoid` last."""
 
-    def __init__(self, pages: Pages) -> None:
+    def __init__(self, pages: DirectoryService) -> None:
         """Answer by the configuration and the evacuations of now."""
         self.pages = pages
         self.node = pages.node
@@ -88,14 +88,14 @@
         avoid = {result.ok_value for result in read if isinstance(result, Ok)}
 
         def usable(record: MemberRecord) -> bool:
-            return not emptied(record.locality, evacuated)
+            return not is_evacuated(record.locality, evacuated)
 
         choice = self.pages.directory.look_up(near.ok_value, homes, avoid, usable)
         marks = self.pages.give(resp, near.ok_value.region, homes, choice)
         if marks is None:
             return
         rows = [self._row(record) for record in self._in_order(req, near.ok_value, choice, avoid)]
-        life_ms = int(LIFE_MS * life(choice) / LIFE_S)
+        life_ms = int(LIFE_MS * answer_ttl_s(choice) / ANSWER_TTL_S)
         web.say(resp, {"life_ms": life_ms, "proxies": rows[:MOST], **marks})
 
     def _in_order(
@@ -108,20 +108,20 @@
             drawn = hash((record.addr, self.node.boot, caller))
             return record.web in avoid, record.locality.distance(near), drawn
 
-        return sorted(choice.named, key=place)
+        return sorted(choice.proxies, key=place)
 
     def _row(self, record: MemberRecord) -> dict[str, str]:
         return {"web": str(record.web), "locality": str(record.locality), "name": record.name}
 
 
-class Proxies:
+class ProxiesResource:
     """`GET /proxies`: where the clients of a host may go.
 
     It is answered from the membership, and by the homes of the host's routes; a node without settings takes no other
     region than the client's for a home.
     """
 
-    def __init__(self, pages: Pages) -> None:
+    def __init__(self, pages: DirectoryService) -> None:
         """Answer by the membership of now."""
         self.pages = pages
 
@@ -132,10 +132,10 @@
         choice = self.pages.directory.look_up(near, homes)
         marks = self.pages.give(resp, near.region, homes, choice)
         if marks is not None:
-            web.say(resp, {"proxies": [str(r.web) for r in choice.named], "life_s": life(choice), **marks})
+            web.say(resp, {"proxies": [str(r.web) for r in choice.proxies], "life_s": answer_ttl_s(choice), **marks})
 
 
-class Pages:
+class DirectoryService:
     """What the pages share: whom they ask, and how an answer or a refusal is given and counted.
 
     `tree` and `items` give the settings of now, `items` None where none are known; `evacuated` the zones evacuated.
@@ -147,7 +147,7 @@
         tree: Callable[[], Tree],
         items: Callable[[], Items | None],
         evacuated: Callable[[], dict[str, int]],
-        contact: Contact,
+        contact: AnswerFreshness,
     ) -> None:
         """Answer by the membership and the settings of now."""
         self.node = node
@@ -156,7 +156,7 @@
         self.evacuated = evacuated
         self.contact = contact
         self.directory = Directory(node.membership, clock.now)
-        self.answers = Answers(node.counts)
+        self.answers = AnswerMetrics(node.counts)
         node.gauge("directory_by_region", self.answers.by_region)
 
     def homes(self, host: str) -> frozenset[str] | None:
@@ -171,19 +171,19 @@
         marks = self.contact.marks(resp)
         if marks is None:
             return None
-        self.directory.watch(region, choice)
-        self.answers.gave(region, homes, choice, self.node.membership.alive(ROLE))
-        if not choice.named:
+        self.directory.probe_proxies(region, choice)
+        self.answers.record(region, homes, choice, self.node.membership.alive(PROXY_ROLE))
+        if not choice.proxies:
             web.reject(resp, 503, web.NOT_RUN, [Finding("proxies", REFUSALS[choice.reason])], NOBODY_S)
             return None
         self.node.counts.add("directory_answers")
         return marks
 
 
-class Named:
+class NamedResource:
     """`GET /-/named`: for operators, who would be named to a client of a place now, and why."""
 
-    def __init__(self, pages: Pages) -> None:
+    def __init__(self, pages: DirectoryService) -> None:
         """Answer by the membership and the settings of now."""
         self.pages = pages
 
@@ -198,7 +198,7 @@
                 "locality": str(record.locality),
                 "status": STATE_NAMES[record.state],
             }
-            for record in choice.named
+            for record in choice.proxies
         ]
         web.say(resp, {"region": near.region, "reason": choice.reason.value, "named": rows})
 
@@ -210,7 +210,7 @@
     return Locality(region, zone) if region else node.settings.locality
 
 
-def add_routes(app: falcon.App | web.Later, pages: Pages) -> None:
+def add_routes(app: falcon.App | web.Later, pages: DirectoryService) -> None:
     """Add the directory's pages."""
-    app.add_route("/connect", Connect(pages))
-    app.add_route("/proxies", Proxies(pages))
+    app.add_route("/connect", ConnectResource(pages))
+    app.add_route("/proxies", ProxiesResource(pages))
--- a/mallowvalve/directory/sight.py
+++ b/mallowvalve/directory/sight.py
@@ -7,9 +7,9 @@
 
 from mallowvalve.directory.answer import Choice, Reason
 from mallowvalve.membership.wire import ALIVE, LEAVING, MemberRecord
-from mallowvalve.metrics import Counts, change
+from mallowvalve.metrics import Counts, log_event
 
-MOST_PLACES = 256
+MAX_CLIENT_GROUPS = 256
 """Regions, with the homes of what is asked for, that are counted by name; clients may write any."""
 
 Place = tuple[str, frozenset[str] | None]
@@ -18,7 +18,7 @@
 OTHER_REGIONS = "other"
 
 
-class Answers:
+class AnswerMetrics:
     """Counts the answers given here and notes each change of how clients of a region with the same homes are answered.
 
     The event `directory_answers` says the region, the homes, the reason, the regions that are named, and how many of
@@ -27,19 +27,19 @@
 
     __slots__ = ("_counts", "_by_region", "_last", "_note")
 
-    def __init__(self, counts: Counts, note: Callable[..., None] = change) -> None:
+    def __init__(self, counts: Counts, note: Callable[..., None] = log_event) -> None:
         """Add to `counts`; `note` writes the events."""
         self._counts = counts
         self._by_region: Counter[str] = Counter()
         self._last: dict[Place, Reason] = {}
         self._note = note
 
-    def gave(self, region: str, homes: frozenset[str] | None, choice: Choice, known: Sequence[MemberRecord]) -> None:
+    def record(self, region: str, homes: frozenset[str] | None, choice: Choice, known: Sequence[MemberRecord]) -> None:
         """An answer was given to a client of `region` out of the `known` proxies."""
         self._counts.add(f"directory_{choice.reason.value}")
         if choice.regions() not in ([], [region]):
             self._counts.add("directory_named_elsewhere")
-        if (region, homes) not in self._last and len(self._last) >= MOST_PLACES:
+        if (region, homes) not in self._last and len(self._last) >= MAX_CLIENT_GROUPS:
             region, homes = OTHER_REGIONS, None
         self._by_region[f"{region} {choice.reason.value}"] += 1
         if self._last.get((region, homes), Reason.OWN_REGION) is not choice.reason:
--- a/mallowvalve/exposition.py
+++ b/mallowvalve/exposition.py
@@ -21,7 +21,7 @@
 """A number as it is; a text or a table of numbers becomes one line for each of them, with a label; None is left out."""
 
 
-class Snapshot(Collector):
+class MetricsCollector(Collector):
     """One moment's counters and gauges."""
 
     def __init__(self, counts: Mapping[str, int], gauges: Mapping[str, Gauge]) -> None:
@@ -55,8 +55,8 @@
     return family
 
 
-def exposition(counts: Mapping[str, int], gauges: Mapping[str, Gauge]) -> bytes:
+def render_metrics(counts: Mapping[str, int], gauges: Mapping[str, Gauge]) -> bytes:
     """The page, in the format that CONTENT_TYPE names."""
     registry = CollectorRegistry()
-    registry.register(Snapshot(counts, gauges))
+    registry.register(MetricsCollector(counts, gauges))
     return generate_latest(registry)
--- a/mallowvalve/fault.py
+++ b/mallowvalve/fault.py
@@ -11,17 +11,17 @@
 import gevent
 import msgspec
 
-from mallowvalve.metrics import change
+from mallowvalve.metrics import log_event
 from mallowvalve.types import Address
 
-FLEET = "localfleet"
+TRIAL_FLEET = "localfleet"
 """The name of fleets on one machine, the only ones that may have faults put in."""
 
-LOOK = 0.05
+CHECK_INTERVAL_S = 0.05
 """Seconds between two looks at the file of faults."""
 
 
-class Wish(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class FaultSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The file of faults.
 
     `cuts` are pairs of transport addresses (from, to), `full` the names of processes whose disk refuses to grow,
@@ -33,7 +33,7 @@
     stalls: dict[str, float] = {}
 
 
-class Faults:
+class InjectedFaults:
     """Nothing is ever wrong unless a settings file says so and the fleet is one that `localfleet` runs."""
 
     __slots__ = ("path", "name", "_wish", "_seen", "_job", "_cuts")
@@ -42,15 +42,15 @@
         """Faults of the process `name` by the file at `path`; none at all without one."""
         self.path = Path(path) if path else None
         self.name = name
-        self._wish = Wish()
+        self._wish = FaultSpec()
         self._seen = -1
         self._job: gevent.Greenlet | None = None
         self._cuts: set[tuple[str, str]] = set()
 
-    def __enter__(self) -> Faults:
+    def __enter__(self) -> InjectedFaults:
         """Begin to look at the file, if there is one."""
         if self.path is not None:
-            change("faults_possible", file=str(self.path))
+            log_event("faults_possible", file=str(self.path))
             self._job = gevent.spawn(self._run)
         return self
 
@@ -59,13 +59,13 @@
         if self._job is not None:
             self._job.kill()
 
-    def silent(self, src: Address, dst: Address) -> bool:
+    def drops_datagram(self, src: Address, dst: Address) -> bool:
         """A datagram is lost where its way is cut."""
         return bool(self._cuts) and (str(src), str(dst)) in self._cuts
 
-    def apart(self, a: Address, b: Address) -> bool:
+    def cuts_stream(self, a: Address, b: Address) -> bool:
         """A stream needs both ways."""
-        return bool(self._cuts) and (self.silent(a, b) or self.silent(b, a))
+        return bool(self._cuts) and (self.drops_datagram(a, b) or self.drops_datagram(b, a))
 
     @property
     def full(self) -> bool:
@@ -85,19 +85,19 @@
             changed_at = os.stat(self.path).st_mtime_ns
             if changed_at == self._seen:
                 return
-            self._wish = msgspec.json.decode(self.path.read_bytes(), type=Wish)
+            self._wish = msgspec.json.decode(self.path.read_bytes(), type=FaultSpec)
             self._seen = changed_at
         except FileNotFoundError:
-            self._wish = Wish()
+            self._wish = FaultSpec()
         except msgspec.DecodeError as e:
-            change("faults_not_understood", error=str(e))
+            log_event("faults_not_understood", error=str(e))
             return
         self._cuts = set(self._wish.cuts)
 
     def _run(self) -> None:
         while True:
             self.look()
-            gevent.sleep(LOOK)
+            gevent.sleep(CHECK_INTERVAL_S)
 
 
 class FaultyDisk:
@@ -105,7 +105,7 @@
 
     __slots__ = ("disk", "faults")
 
-    def __init__(self, disk: Any, faults: Faults) -> None:
+    def __init__(self, disk: Any, faults: InjectedFaults) -> None:
         """Pass all on to `disk` but what `faults` refuse or stall."""
         self.disk = disk
         self.faults = faults
--- a/mallowvalve/localfleet/fleet.py
+++ b/mallowvalve/localfleet/fleet.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from mallowvalve.fault import FLEET
+from mallowvalve.fault import TRIAL_FLEET
 from mallowvalve.localfleet.ports import HOST, free_ports
 
 
@@ -104,7 +104,7 @@
         args = [
             n.role,
             "--fleet",
-            FLEET,
+            TRIAL_FLEET,
             "--faults",
             str(self.folder / "faults.json"),
             "--name",
--- a/mallowvalve/membership/task.py
+++ b/mallowvalve/membership/task.py
@@ -7,12 +7,12 @@
 from gevent import socket
 
 from mallowvalve import clock
-from mallowvalve.fault import Faults
+from mallowvalve.fault import InjectedFaults
 from mallowvalve.membership.detector import Membership
 from mallowvalve.membership.dissemination import DIRECT_SEND_MEMBERS_MAX, OutgoingDatagrams
 from mallowvalve.membership.members import DepartedMember
 from mallowvalve.membership.wire import ALIVE, MemberRecord, MemberState, decode, encode
-from mallowvalve.metrics import change, vital
+from mallowvalve.metrics import exit_on_failure, log_event
 from mallowvalve.types import Address
 
 STATE_NAMES = {state: state.name.lower() for state in MemberState}
@@ -35,10 +35,10 @@
 
     __slots__ = ("membership", "faults", "_socket", "_greenlet", "_logged_states")
 
-    def __init__(self, membership: Membership, faults: Faults | None = None) -> None:
+    def __init__(self, membership: Membership, faults: InjectedFaults | None = None) -> None:
         """Sends and receives for `membership`, except where `faults` cuts the path."""
         self.membership = membership
-        self.faults = faults or Faults()
+        self.faults = faults or InjectedFaults()
         self._logged_states: dict[Address, tuple[int, MemberState]] = {}
 
     def __enter__(self) -> MembershipTask:
@@ -46,7 +46,7 @@
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind(self.membership.me.addr.pair)
         self._socket.setblocking(False)
-        self._greenlet = vital(gevent.spawn(self._run))
+        self._greenlet = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -96,7 +96,7 @@
 
     def _send(self, datagrams: OutgoingDatagrams) -> None:
         for to, message in datagrams:
-            if self.faults.silent(self.membership.me.addr, to):
+            if self.faults.drops_datagram(self.membership.me.addr, to):
                 continue
             try:
                 self._socket.sendto(encode(message), to.pair)
@@ -150,7 +150,7 @@
             self._logged_states[address] = (record.boot, record.state)
             if new and record.state == ALIVE and len(view) > DIRECT_SEND_MEMBERS_MAX:
                 continue
-            change(
+            log_event(
                 f"peer_{STATE_NAMES[record.state]}",
                 peer=str(address),
                 name=record.name,
--- a/mallowvalve/metrics.py
+++ b/mallowvalve/metrics.py
@@ -40,7 +40,7 @@
         return dict(sorted(self._counts.items()))
 
 
-class Recent:
+class RecentEvents:
     """The last changes of state, for whoever asks a node what it did."""
 
     __slots__ = ("_rows",)
@@ -63,23 +63,23 @@
         ]
 
 
-recent = Recent()
+recent_events = RecentEvents()
 
 
-def change(what: str, **fields: Any) -> None:
+def log_event(what: str, **fields: Any) -> None:
     """Note a change of state and write it to the log."""
-    recent.add(what, fields)
+    recent_events.add(what, fields)
     eliot.log_message(message_type=what, **fields)
 
 
-def vital(job: Greenlet) -> Greenlet:
+def exit_on_failure(job: Greenlet) -> Greenlet:
     """The same job; if it ends by an exception, the process ends with code 70."""
     job.link_exception(_died)
     return job
 
 
 def _died(job: Greenlet) -> None:
-    change("task_died", task=str(job), error=repr(job.exception))
+    log_event("task_died", task=str(job), error=repr(job.exception))
     os._exit(DIED)
 
 
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
-from mallowvalve.fault import Faults
+from mallowvalve.fault import InjectedFaults
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.membership import formula
 from mallowvalve.membership.detector import Membership, initial_record
@@ -23,8 +23,8 @@
 from mallowvalve.membership.members import drain_conditions
 from mallowvalve.membership.task import STATE_NAMES, MembershipTask
 from mallowvalve.membership.wire import MemberRecord
-from mallowvalve.metrics import Counts, change, recent
-from mallowvalve.reload import Reload
+from mallowvalve.metrics import Counts, log_event, recent_events
+from mallowvalve.reload import SettingsReloader
 from mallowvalve.settings import Settings
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address, Locality
@@ -41,7 +41,7 @@
 MARGIN = 0.15
 """The part of the grace of a stop that is left unused."""
 
-STOP_SHARES, OTHERS_STOP_SHARES = {"proxy": (0.5, 0.4)}, (0.1, 0.2)
+DRAIN_GRACE_RATIOS, OTHERS_STOP_SHARES = {"proxy": (0.5, 0.4)}, (0.1, 0.2)
 """The parts of the grace in which a stopping process still takes connections, and after it lets answers finish."""
 
 COUNT_LIMIT = 1 << 62
@@ -50,7 +50,7 @@
 UNAVAILABLE = 503
 
 
-class HeartbeatDoc(msgspec.Struct):
+class GossipHeartbeatDoc(msgspec.Struct):
     """A heartbeat as an upstream posts it; see `upstreams.board.Heartbeat`."""
 
     service: str
@@ -63,7 +63,7 @@
     usage: float = 0.0
 
 
-def read_heartbeat(doc: HeartbeatDoc) -> Result[Heartbeat, Findings]:
+def read_heartbeat(doc: GossipHeartbeatDoc) -> Result[Heartbeat, Findings]:
     """The heartbeat, or every finding."""
     found: Findings = []
     locality = Locality.read(doc.locality)
@@ -114,7 +114,7 @@
         "_stack",
         "_gauges",
         "_allowed",
-        "late",
+        "defers_web_server",
         "_told_at",
     )
 
@@ -122,13 +122,13 @@
         self,
         settings: Settings,
         remembered: Sequence[Address] = (),
-        faults: Faults | None = None,
+        faults: InjectedFaults | None = None,
     ) -> None:
         """A process by its settings; `remembered` peers are asked as seeds are."""
         self.settings = settings
         self.boot = random.SystemRandom().getrandbits(BOOT_BITS)
         self.counts = Counts()
-        self.faults = faults or Faults(settings.faults, settings.name)
+        self.faults = faults or InjectedFaults(settings.faults, settings.name)
         self.membership = MembershipTask(self._membership(remembered), self.faults)
         self.transport = Transport(settings.transport, settings.fleet, self.counts, self.faults)
         self.heartbeats = HeartbeatTask(self.membership, self.transport)
@@ -140,7 +140,7 @@
         self.stopping = Event()
         self._gauges: dict[str, Callable[[], Any]] = {}
         self._allowed: Callable[[str], bool] = lambda service: True
-        self.late = False
+        self.defers_web_server = False
         self._told_at = clock.now()
 
     def _membership(self, remembered: Sequence[Address]) -> Membership:
@@ -160,20 +160,20 @@
         """Start every part; where one fails, those before it are stopped again."""
         self._stack = contextlib.ExitStack()
         self.app.plain["/-/ready"] = self._said_ready
-        self.app.add_route("/-/counts", CountsView(self))
-        self.app.add_route("/-/metrics", Metrics(self))
-        self.app.add_route("/-/nodes", Nodes(self))
-        self.app.add_route("/-/upstreams", Upstreams(self))
-        self.app.add_route("/-/heartbeats", Heartbeats(self))
-        self.app.add_route("/-/changes", Changes(self))
+        self.app.add_route("/-/counts", CountersResource(self))
+        self.app.add_route("/-/metrics", MetricsResource(self))
+        self.app.add_route("/-/nodes", MembersResource(self))
+        self.app.add_route("/-/upstreams", GossipUpstreamsResource(self))
+        self.app.add_route("/-/heartbeats", GossipHeartbeatResource(self))
+        self.app.add_route("/-/changes", StateChangesResource(self))
         parts = [
             self.faults,
             self.transport,
             self.membership,
             *([self.heartbeats] if self.settings.heartbeats == "told" else []),
             self.pages,
-            *([] if self.late else [self.server]),
-            Reload(self.settings, self.renew, self.counts),
+            *([] if self.defers_web_server else [self.server]),
+            SettingsReloader(self.settings, self.apply_settings, self.counts),
         ]
         with self._stack as stack:
             for part in parts:
@@ -181,15 +181,15 @@
             for signum in (signal.SIGTERM, signal.SIGINT):
                 gevent.signal_handler(signum, self._told_to_stop)
             self._stack = stack.pop_all()
-        change("started", role=self.settings.role, name=self.settings.name, pid=os.getpid())
+        log_event("started", role=self.settings.role, name=self.settings.name, pid=os.getpid())
         return self
 
     def __exit__(self, *raised: Any) -> None:
         """Stop every part, the last started first."""
-        change("stopped", role=self.settings.role, name=self.settings.name)
+        log_event("stopped", role=self.settings.role, name=self.settings.name)
         self._stack.__exit__(*raised)
 
-    def renew(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Takes in new seeds; remembered peers stay asked."""
         old = self.settings
         self.settings = settings
@@ -197,12 +197,12 @@
         self.membership.membership.seeds = [s for s in [*settings.seeds, *kept] if s != settings.transport]
 
     @property
-    def front(self) -> Any:
+    def web_application(self) -> Any:
         """The WSGI callable that answers at the web address."""
         return self.server.application
 
-    @front.setter
-    def front(self, answer: Any) -> None:
+    @web_application.setter
+    def web_application(self, answer: Any) -> None:
         """A callable in place of the pages, which then have an address of their own."""
         self.server.application = answer
 
@@ -217,9 +217,9 @@
     def counted(self) -> dict[str, int]:
         """All counters of this process, by name."""
         machine = self.membership.membership.counts.snapshot()
-        return self.counts.snapshot() | machine | self.heartbeats.board.counts.snapshot()
+        return self.counts.snapshot() | machine | self.heartbeats.table.counts.snapshot()
 
-    def allow(self, test: Callable[[str], bool]) -> None:
+    def set_service_filter(self, test: Callable[[str], bool]) -> None:
         """Heartbeats of a service are taken only where `test` says so."""
         self._allowed = test
 
@@ -238,15 +238,15 @@
         while not self.stopping.wait(timeout=0.2 if before else 0.05):
             now = bool(ready())
             if now != before:
-                change("ready" if now else "unready", name=self.settings.name)
+                log_event("ready" if now else "unready", name=self.settings.name)
                 before = now
             self.membership.ready(now)
         end = self._told_at + self.settings.polite * (1 - MARGIN)
         self.membership.leave(final=False)
         leaving()
-        linger, last = STOP_SHARES.get(self.settings.role, OTHERS_STOP_SHARES)
+        linger, last = DRAIN_GRACE_RATIOS.get(self.settings.role, OTHERS_STOP_SHARES)
         polite = self.settings.polite
-        wait = self._accept_while_needed if self.settings.role in STOP_SHARES else None
+        wait = self._accept_while_needed if self.settings.role in DRAIN_GRACE_RATIOS else None
         self.server.drain(polite * linger, polite * last, self._told_at, wait)
         finish(max(0.0, end - clock.now()))
         self.membership.leave(final=True)
@@ -276,7 +276,7 @@
         return OK if ready else UNAVAILABLE, {"ready": ready, "role": self.settings.role, "name": self.settings.name}
 
 
-class View:
+class NodeResource:
     """A page of a node."""
 
     def __init__(self, node: Node) -> None:
@@ -284,7 +284,7 @@
         self.node = node
 
 
-class CountsView(View):
+class CountersResource(NodeResource):
     """`/-/counts`: counters and gauges as JSON."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
@@ -292,18 +292,18 @@
         web.say(resp, {"counts": self.node.counted(), "gauges": self.node.gauges()})
 
 
-class Metrics(View):
+class MetricsResource(NodeResource):
     """`/-/metrics`: the same in the text format of Prometheus; its library is loaded with the first look."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """All of them, by name."""
-        from mallowvalve.exposition import CONTENT_TYPE, exposition
+        from mallowvalve.exposition import CONTENT_TYPE, render_metrics
 
         resp.content_type = CONTENT_TYPE
-        resp.data = exposition(self.node.counted(), self.node.gauges())
+        resp.data = render_metrics(self.node.counted(), self.node.gauges())
 
 
-class Nodes(View):
+class MembersResource(NodeResource):
     """`/-/nodes`: the members of the fleet as this node sees them."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
@@ -324,20 +324,20 @@
         }
 
 
-class Changes(View):
+class StateChangesResource(NodeResource):
     """`/-/changes`: the last changes of state of this process."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Those with the word `about`, or all."""
-        web.say(resp, {"name": self.node.settings.name, "changes": recent.about(req.get_param("about") or "")})
+        web.say(resp, {"name": self.node.settings.name, "changes": recent_events.about(req.get_param("about") or "")})
 
 
-class Upstreams(View):
+class GossipUpstreamsResource(NodeResource):
     """`/-/upstreams`: the upstreams that this node heard of."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Upstreams by name."""
-        web.say(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.board.all(clock.now())]})
+        web.say(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.table.entries(clock.now())]})
 
     def _row(self, heartbeat: Heartbeat, status: str, age: float) -> dict[str, object]:
         return {
@@ -352,12 +352,12 @@
         }
 
 
-class Heartbeats(View):
+class GossipHeartbeatResource(NodeResource):
     """`/-/heartbeats`: where upstreams post their heartbeats."""
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Take one in; 400 with findings, 403 where no configuration allows its service."""
-        doc = web.read_as(HeartbeatDoc, req, resp)
+        doc = web.read_as(GossipHeartbeatDoc, req, resp)
         if doc is None:
             return
         read = read_heartbeat(doc)
@@ -370,4 +370,4 @@
             self.node.counts.add("heartbeat_unallowed")
             web.turn_away(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
             return
-        web.say(resp, {"news": self.node.heartbeats.hear(heartbeat)})
+        web.say(resp, {"news": self.node.heartbeats.receive(heartbeat)})
--- a/mallowvalve/planner/plan.py
+++ b/mallowvalve/planner/plan.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from mallowvalve.configuration.model import Plan, Tree
-from mallowvalve.types import Locality, reachable
+from mallowvalve.types import Locality, is_reachable
 
 
 class Move(msgspec.Struct, frozen=True, order=True):
@@ -19,7 +19,7 @@
     after: object = None
 
 
-class Seen(msgspec.Struct, frozen=True):
+class ReadyUpstream(msgspec.Struct, frozen=True):
     """An upstream that is ready just now."""
 
     service: str
@@ -27,7 +27,7 @@
     locality: Locality
 
 
-def plan(old: Tree, new: Tree, upstreams: list[Seen], evacuated: Mapping[str, int]) -> list[Move]:
+def plan(old: Tree, new: Tree, upstreams: list[ReadyUpstream], evacuated: Mapping[str, int]) -> list[Move]:
     """All differences between two trees, given the upstreams and evacuations of now."""
     return [
         *_services(old, new, upstreams),
@@ -37,7 +37,7 @@
     ]
 
 
-def _services(old: Tree, new: Tree, upstreams: list[Seen]) -> list[Move]:
+def _services(old: Tree, new: Tree, upstreams: list[ReadyUpstream]) -> list[Move]:
     out = []
     for name in sorted(old.doc.services.keys() | new.doc.services.keys()):
         before = old.doc.services.get(name)
@@ -113,7 +113,7 @@
     return [Move(place, f"policy {field} changes", x, y) for field, x, y in values if x != y]
 
 
-def _reach(old: Tree, new: Tree, upstreams: list[Seen], evacuated: Mapping[str, int]) -> list[Move]:
+def _reach(old: Tree, new: Tree, upstreams: list[ReadyUpstream], evacuated: Mapping[str, int]) -> list[Move]:
     out = []
     for tenant in sorted(old.cell_of.keys() | new.cell_of.keys()):
         place = f"tenants.{tenant}"
@@ -130,7 +130,9 @@
     return out
 
 
-def _of(tree: Tree, tenant: str, upstreams: list[Seen], evacuated: Mapping[str, int]) -> dict[str, frozenset[str]]:
+def _of(
+    tree: Tree, tenant: str, upstreams: list[ReadyUpstream], evacuated: Mapping[str, int]
+) -> dict[str, frozenset[str]]:
     """The instances that a tenant's work may reach, by service."""
     if tenant not in tree.cell_of:
         return {}
@@ -140,7 +142,7 @@
         service: frozenset(
             upstream.instance
             for upstream in upstreams
-            if upstream.service == service and reachable(upstream.locality, homes, evacuated)
+            if upstream.service == service and is_reachable(upstream.locality, homes, evacuated)
         )
         for service in services
     }
--- a/mallowvalve/proxy/admission.py
+++ b/mallowvalve/proxy/admission.py
@@ -11,7 +11,7 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.steps import NOT_RUN, Ask, Reply, Room, Step
 from mallowvalve.proxy.trip import Trip, bare, own
-from mallowvalve.settings import Settings, Terms
+from mallowvalve.settings import HeaderNames, Settings
 
 LIMIT_DIGITS = 12
 EARLY_S, PATIENT_SHARE = 2.0, 0.45
@@ -33,7 +33,7 @@
     def __init__(self, replica: Replica, settings: Settings, now: Callable[[], float], rng: random.Random):
         self.replica, self.settings, self.now, self.rng = replica, settings, now, rng
         self.serves_until: Callable[[], float | None] = lambda: None
-        terms: Terms = settings.terms
+        terms: HeaderNames = settings.terms
         self._id_header, self._limit_header = terms.ask.lower(), terms.limit.lower()
 
     def admit(self, a: Ask, now: float) -> Result[Trip, Reply]:
--- a/mallowvalve/proxy/choose.py
+++ b/mallowvalve/proxy/choose.py
@@ -7,20 +7,20 @@
 
 from mallowvalve.routing.compiler import Policy
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import Row
+from mallowvalve.upstreams.board import HeartbeatRow
 
 BROKEN = 2.0
 COLD = 0.05
 
 
-def warmth(r: Row, ramp_ms: int, now: float) -> float:
+def warmth(r: HeartbeatRow, ramp_ms: int, now: float) -> float:
     """The share of its full load that an upstream bears so soon after its start, at least `COLD`."""
     if ramp_ms <= 0:
         return 1.0
     return max(COLD, min(1.0, (now - r.since) * 1000 / ramp_ms))
 
 
-def cap(r: Row, policy: Policy, proxies: int, now: float) -> int:
+def cap(r: HeartbeatRow, policy: Policy, proxies: int, now: float) -> int:
     """How many requests one of so many proxies may have at an upstream at once."""
     return max(1, math.ceil(policy.width * warmth(r, policy.ramp_ms, now) / max(1, proxies)))
 
@@ -34,9 +34,11 @@
         self.near, self.rng = near, rng
         self.busy: dict[Address, int] = {}
 
-    def pick(self, rows: list[Row], policy: Policy, proxies: int, tried: set[Address], now: float) -> Row | None:
+    def pick(
+        self, rows: list[HeartbeatRow], policy: Policy, proxies: int, tried: set[Address], now: float
+    ) -> HeartbeatRow | None:
         rows = [r for r in rows if r.heartbeat.address not in tried]
-        rows = [r for r in rows if now - r.broken > BROKEN] or rows
+        rows = [r for r in rows if now - r.failed_at_s > BROKEN] or rows
         rows = [r for r in rows if self.busy.get(r.heartbeat.address, 0) < cap(r, policy, proxies, now)]
         if not rows:
             return None
@@ -49,9 +51,9 @@
         a, b = self.rng.choices(ring, w, k=2)
         return min((a, b), key=self._usage)
 
-    def _rings(self, rows: list[Row]) -> list[list[Row]]:
+    def _rings(self, rows: list[HeartbeatRow]) -> list[list[HeartbeatRow]]:
         """By distance; where only cold ones are near, the warmer farther ones bear their share."""
-        by: dict[int, list[Row]] = {}
+        by: dict[int, list[HeartbeatRow]] = {}
         for r in rows:
             by.setdefault(self.near.distance(r.heartbeat.locality), []).append(r)
         return [by[d] for d in sorted(by)]
@@ -66,5 +68,5 @@
         else:
             self.busy.pop(a, None)
 
-    def _usage(self, r: Row) -> float:
+    def _usage(self, r: HeartbeatRow) -> float:
         return self.busy.get(r.heartbeat.address, 0) + r.heartbeat.usage
--- a/mallowvalve/proxy/host.py
+++ b/mallowvalve/proxy/host.py
@@ -13,7 +13,7 @@
 from mallowvalve.proxy.spot import BREAK, BREAK_MOST, NEVER, Spot, Zone
 from mallowvalve.proxy.steps import GATEWAY_TIMEOUT, MISDIRECTED, SERVER_ERROR, Answer
 from mallowvalve.settings import Settings
-from mallowvalve.types import Locality, emptied
+from mallowvalve.types import Locality, is_evacuated
 
 FILL, FAR = 0.85, (0.0, 0.1, 0.5)
 FULL = 0.2
@@ -265,7 +265,7 @@
         before, self._out = self._out, out
         for zone in before.keys() - out.keys():
             for s in self.spots.values():
-                if emptied(s.up.locality, {zone: 0}):
+                if is_evacuated(s.up.locality, {zone: 0}):
                     self._chill(s, now + 1.4 * self.settings.heartbeat_ms / 1000, now)
 
     def _chill(self, s: Spot, end: float, now: float) -> None:
@@ -303,7 +303,7 @@
 
     def _may(self, s: Spot, homes: list[str], out: dict[str, int], now: float) -> bool:
         at: Locality = s.up.locality
-        return now >= s.wrong_until and (not homes or at.region in homes) and not (out and emptied(at, out))
+        return now >= s.wrong_until and (not homes or at.region in homes) and not (out and is_evacuated(at, out))
 
     def _two(self, good: list[Spot], now: float, share: int) -> Spot:
         if len(good) == 1:
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -10,7 +10,7 @@
 
 from mallowvalve import clock, web
 from mallowvalve.control.replica_task import ReplicaTask
-from mallowvalve.metrics import vital
+from mallowvalve.metrics import exit_on_failure
 from mallowvalve.node import Node
 from mallowvalve.proxy.front import Front
 from mallowvalve.proxy.host import Hosts
@@ -20,7 +20,7 @@
 from mallowvalve.proxy.serve import Rejections, Serve
 from mallowvalve.proxy.tries import Tries
 from mallowvalve.settings import Settings
-from mallowvalve.types import emptied
+from mallowvalve.types import is_evacuated
 
 
 class Doors:
@@ -33,7 +33,7 @@
 
     def __enter__(self) -> Doors:
         """Watch for the settings."""
-        self._job = vital(gevent.spawn(self._run))
+        self._job = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
@@ -57,7 +57,7 @@
 
     def __enter__(self) -> Tidy:
         """Begin."""
-        self._job = vital(gevent.spawn(self._run))
+        self._job = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
@@ -77,7 +77,7 @@
     """Run a proxy until it is told to stop."""
     node = Node(settings)
     replica = ReplicaTask(node)
-    pool = Pool(node.heartbeats.board, replica.replica, settings.locality, random.Random(), clock.now)
+    pool = Pool(node.heartbeats.table, replica.replica, settings.locality, random.Random(), clock.now)
     repeats = RepeatTask(node.transport, replica.replica.roster)
     path = Path(
         replica.replica,
@@ -96,8 +96,14 @@
     tries = Tries(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
     _mount(node, serve, hosts, tries)
     node.gauge("busy", lambda: sum(pool.chooser.busy.values()) + sum(s.busy for s in hosts.spots.values()))
-    node.late = settings.serve_on and settings.pages is not None
-    with node, replica, Tidy(pool, hosts), repeats, Doors(node, replica) if node.late else contextlib.nullcontext():
+    node.defers_web_server = settings.serve_on and settings.pages is not None
+    with (
+        node,
+        replica,
+        Tidy(pool, hosts),
+        repeats,
+        Doors(node, replica) if node.defers_web_server else contextlib.nullcontext(),
+    ):
         node.run(lambda: _ready(settings, replica))
 
 
@@ -109,7 +115,7 @@
     front = Front(tries, app, only=apart)
     hosts.on_free = front.rooms.freed
     if apart:
-        node.front = front
+        node.web_application = front
     else:
         node.server.application = front
     node.server.lean = True
@@ -126,4 +132,4 @@
     s = replica.replica.state
     if settings.serve_on and s is not None and s.items.revision > 0:
         return True
-    return replica.admits() and not emptied(settings.locality, s.settings.evacuated)
+    return replica.admits() and not is_evacuated(settings.locality, s.settings.evacuated)
--- a/mallowvalve/proxy/path.py
+++ b/mallowvalve/proxy/path.py
@@ -35,7 +35,7 @@
     Room,
     Step,
 )
-from mallowvalve.types import Locality, emptied
+from mallowvalve.types import Locality, is_evacuated
 
 UNDECIDED = "undecided"
 CLAIM_LIMIT = 3.0
@@ -175,7 +175,7 @@
             r = yield Open(row.heartbeat, self.replica.tree.doc.services[c.plan.service].status, c.end)
             if r.is_err():
                 self.counts.add("upstream_open_failed")
-                row.broken = self.now()
+                row.failed_at_s = self.now()
                 lease.back(keep=False)
                 return None
             lease.connection = r.ok_value
@@ -200,7 +200,7 @@
             return Sent(lease, r.ok_value)
         self.counts.add("upstream_" + r.err_value.partition(":")[0])
         if r.err_value != "limit":
-            row.broken = self.now()
+            row.failed_at_s = self.now()
         return Sent(lease, None)
 
     def _client_left(self, c: Call) -> Reply:
@@ -265,7 +265,7 @@
     def _admits(self) -> tuple[int, str, str] | None:
         if not self.replica.admits(self.now()):
             return 503, "proxy", "its settings may be out of date"
-        if not emptied(self.locality, self.replica.state.settings.evacuated):
+        if not is_evacuated(self.locality, self.replica.state.settings.evacuated):
             self._emptied = None
             return None
         self._emptied = self._emptied if self._emptied is not None else self.now()
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/pool.py
@@ -10,8 +10,8 @@
 from mallowvalve.proxy.budget import Budget
 from mallowvalve.proxy.choose import Chooser
 from mallowvalve.proxy.connections import Connections
-from mallowvalve.types import Address, Locality, reachable
-from mallowvalve.upstreams.board import Board, Row
+from mallowvalve.types import Address, Locality, is_reachable
+from mallowvalve.upstreams.board import HeartbeatRow, HeartbeatTable
 
 
 class Lease:
@@ -19,7 +19,7 @@
 
     __slots__ = ("connection", "pool", "row", "streams", "_left")
 
-    def __init__(self, pool: Pool, row: Row):
+    def __init__(self, pool: Pool, row: HeartbeatRow):
         self.connection, self.pool, self.row = None, pool, row
         self.streams = self._left = False
         pool.chooser.enter(row.heartbeat.address)
@@ -51,7 +51,7 @@
 
     def __init__(
         self,
-        board: Board,
+        board: HeartbeatTable,
         replica: Replica,
         near: Locality,
         rng: random.Random,
@@ -67,15 +67,15 @@
     def budget(self, service: str) -> Budget:
         return self._budgets.setdefault(service, Budget())
 
-    def usable(self, plan: Plan, tenant: str, tried: set[Address]) -> list[Row]:
+    def usable(self, plan: Plan, tenant: str, tried: set[Address]) -> list[HeartbeatRow]:
         homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
         rows = self.board.usable(plan.service, self.now())
-        return [r for r in rows if r.heartbeat.address not in tried and reachable(r.heartbeat.locality, homes, out)]
+        return [r for r in rows if r.heartbeat.address not in tried and is_reachable(r.heartbeat.locality, homes, out)]
 
-    def pick(self, rows: list[Row], plan: Plan, tried: set[Address]) -> Row | None:
+    def pick(self, rows: list[HeartbeatRow], plan: Plan, tried: set[Address]) -> HeartbeatRow | None:
         return self.chooser.pick(rows, plan.policy, len(self.replica.roster()), tried, self.now())
 
-    def fits(self, row: Row, plan: Plan, tenant: str) -> bool:
+    def fits(self, row: HeartbeatRow, plan: Plan, tenant: str) -> bool:
         b = row.heartbeat
         r = self.board.rows.get(b.name)
         if (
@@ -85,9 +85,9 @@
         ):
             return False
         homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
-        return b.service == plan.service and reachable(b.locality, homes, out)
+        return b.service == plan.service and is_reachable(b.locality, homes, out)
 
-    def leave(self, row: Row) -> None:
+    def leave(self, row: HeartbeatRow) -> None:
         self.chooser.leave(row.heartbeat.address)
         self.on_free(row.heartbeat.service)
 
--- a/mallowvalve/proxy/repeats.py
+++ b/mallowvalve/proxy/repeats.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from mallowvalve import clock
-from mallowvalve.metrics import vital
+from mallowvalve.metrics import exit_on_failure
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
@@ -59,7 +59,7 @@
 
     def __enter__(self) -> RepeatTask:
         """Begin to tell the other proxies."""
-        self._job = vital(gevent.spawn(self._run))
+        self._job = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
--- a/mallowvalve/proxy/request_writer.py
+++ b/mallowvalve/proxy/request_writer.py
@@ -4,7 +4,7 @@
 
 from mallowvalve.proxy.steps import Ask
 from mallowvalve.proxy.trip import HOP, Trip
-from mallowvalve.settings import Terms
+from mallowvalve.settings import HeaderNames
 
 
 class RequestWriter:
@@ -12,7 +12,7 @@
 
     __slots__ = ("_terms", "_id_header", "_dropped")
 
-    def __init__(self, terms: Terms):
+    def __init__(self, terms: HeaderNames):
         """`terms` name the headers of a request's id, its limit and the upstream it is for."""
         self._terms = terms
         self._id_header = terms.ask.lower()
--- a/mallowvalve/proxy/tries.py
+++ b/mallowvalve/proxy/tries.py
@@ -34,7 +34,7 @@
     Step,
 )
 from mallowvalve.proxy.trip import Trip, bare, own
-from mallowvalve.settings import Settings, Terms
+from mallowvalve.settings import HeaderNames, Settings
 
 PROMISE = frozenset((408, 421, 429, 503))
 OPEN, TRIAL = 0.4, 0.2
@@ -81,7 +81,7 @@
         self.counts = counts
         self.now = now
         self.admission = Admission(replica, settings, now, rng)
-        terms: Terms = settings.terms
+        terms: HeaderNames = settings.terms
         self._not_run = terms.not_run.lower()
         self._seal = terms.seal.lower()
         self.writer = RequestWriter(terms)
--- a/mallowvalve/reload.py
+++ b/mallowvalve/reload.py
@@ -13,10 +13,10 @@
 
 from mallowvalve import settings
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.metrics import Counts, change, vital
+from mallowvalve.metrics import Counts, exit_on_failure, log_event
 from mallowvalve.settings import Settings
 
-LOOK = 2.0
+CHECK_INTERVAL_S = 2.0
 """Seconds between two looks at the file's date."""
 
 LIVE = ("seeds",)
@@ -29,23 +29,23 @@
 """What tells one state of a file from another: its date (ns), size and inode."""
 
 
-class Changes(msgspec.Struct, frozen=True):
+class SettingsDiff(msgspec.Struct, frozen=True):
     """What of new settings is taken in while running, and what has to wait for the next start."""
 
     taken: dict[str, object]
     left: Findings
 
 
-def changes(old: Settings, new: Settings) -> Changes:
+def compare_settings(old: Settings, new: Settings) -> SettingsDiff:
     """What differs in new settings, by whether it can be taken in now."""
     other = [f for f in old.__struct_fields__ if f not in OWN and getattr(old, f) != getattr(new, f)]
-    return Changes(
+    return SettingsDiff(
         {f: getattr(new, f) for f in other if f in LIVE},
         [Finding(f, "changes only at the next start") for f in other if f not in LIVE],
     )
 
 
-class Reload:
+class SettingsReloader:
     """Hands each new settings to `take(Settings)`, with only what may change in flight changed.
 
     Without a file it does nothing.
@@ -64,11 +64,11 @@
         self._said: tuple[str, ...] = ()
         self._jobs: list[gevent.Greenlet] = []
 
-    def __enter__(self) -> Reload:
+    def __enter__(self) -> SettingsReloader:
         """Begin to look, and to listen to SIGHUP."""
         if self.settings.path is not None:
             gevent.signal_handler(signal.SIGHUP, self._told.set)
-            self._jobs = [vital(gevent.spawn(self._run))]
+            self._jobs = [exit_on_failure(gevent.spawn(self._run))]
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -92,19 +92,19 @@
             self.counts.add("settings_refused")
             self._say("settings_refused", loaded.err_value)
             return
-        new = changes(old, loaded.ok_value)
+        new = compare_settings(old, loaded.ok_value)
         self._say("settings_left", new.left)
         if not new.taken:
             return
         self.settings = msgspec.structs.replace(old, **new.taken)
         self.counts.add("settings_taken")
-        change("settings_taken", fields=sorted(new.taken))
+        log_event("settings_taken", fields=sorted(new.taken))
         self.take(self.settings)
 
     def _say(self, what: str, found: Findings) -> None:
         said = (what, *map(str, found)) if found else ()
         if found and said != self._said:
-            change(what, findings=[str(one) for one in found])
+            log_event(what, findings=[str(one) for one in found])
         self._said = said
 
     def _mark(self) -> Mark | None:
@@ -116,6 +116,6 @@
 
     def _run(self) -> None:
         while True:
-            told = self._told.wait(timeout=LOOK)
+            told = self._told.wait(timeout=CHECK_INTERVAL_S)
             self._told.clear()
             self.look(bool(told))
--- a/mallowvalve/settings.py
+++ b/mallowvalve/settings.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve import finding
-from mallowvalve.fault import FLEET
+from mallowvalve.fault import TRIAL_FLEET
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.types import PORT_LIMIT, Address, Locality
 
@@ -22,7 +22,7 @@
 Place = TypeVar("Place", Address, Locality)
 
 
-class Detector(msgspec.Struct, frozen=True, kw_only=True):
+class DetectorSettings(msgspec.Struct, frozen=True, kw_only=True):
     """What the failure detector promises and expects; its period and helpers follow (`membership.formula`).
 
     `detect` is the expected time until a failure is noticed (s), `mistake` the accepted probability that a member is
@@ -39,7 +39,7 @@
     helpers: int | None = None
 
 
-class BudgetBounds(msgspec.Struct, frozen=True, kw_only=True):
+class RetryBudgetBounds(msgspec.Struct, frozen=True, kw_only=True):
     """Repeats a service takes: `ratio` of its first tries within any `span` seconds, and `slack` more, fleet-wide."""
 
     ratio: float = 0.2
@@ -47,7 +47,7 @@
     slack: float = 0.0
 
 
-class ColdBounds(msgspec.Struct, frozen=True, kw_only=True):
+class ColdStartBounds(msgspec.Struct, frozen=True, kw_only=True):
     """Requests a second a cold upstream takes, fleet-wide: its own rate times `over`, and `slack` more."""
 
     over: float = 1.0
@@ -64,7 +64,7 @@
     coordination: Literal["held", "commit"] = "held"
 
 
-class Terms(msgspec.Struct, frozen=True, kw_only=True):
+class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
     """Names of the headers that clients, proxies and upstreams say these things with; an empty one is not said.
 
     `ask` names one try of a client and comes back with its answer, `limit` is what time is left (ms), `seal` marks
@@ -82,7 +82,7 @@
     cold: str = "Mallow-Cold"
 
 
-class Common(msgspec.Struct, frozen=True, kw_only=True):
+class CommonSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Settings that a process uses as they are written, with their defaults.
 
     `fleet` is the name that processes of one fleet share, `log` a file (standard error if None), `polite` the seconds a
@@ -97,7 +97,7 @@
     name: str
     fleet: str = "mallowvalve"
     log: str | None = None
-    detector: Detector = Detector()
+    detector: DetectorSettings = DetectorSettings()
     polite: float = 4.0
     connections: int = 2048
     body_bytes: int = 1 << 20
@@ -110,13 +110,13 @@
     pace: float = 0.0
     election: float = 1.0
     heartbeat_ms: float = 1500.0
-    budget: BudgetBounds = BudgetBounds()
-    cold: ColdBounds = ColdBounds()
+    budget: RetryBudgetBounds = RetryBudgetBounds()
+    cold: ColdStartBounds = ColdStartBounds()
     acks: Acks = Acks()
-    terms: Terms = Terms()
+    terms: HeaderNames = HeaderNames()
 
 
-class Written(Common, frozen=True, kw_only=True):
+class RawSettings(CommonSettings, frozen=True, kw_only=True):
     """Settings as the file and the command line say them: localities and addresses are texts.
 
     `transport` and `web` are this process's own addresses, `seeds` the transport of others; with `seed_port` all seeds
@@ -134,7 +134,7 @@
     seed_port: int | None = None
 
 
-class Settings(Common, frozen=True, kw_only=True):
+class Settings(CommonSettings, frozen=True, kw_only=True):
     """The settings of a running process; the fields that `Written` has too mean the same there, as texts.
 
     `path` and `flags` are the file and the options that they were read from, for reading them again.
@@ -184,7 +184,7 @@
 def check(role: str, data: Mapping[str, Any]) -> Result[Settings, Findings]:
     """Settings from JSON-like data; the error holds every finding."""
     found: Findings = []
-    written = finding.read_into(found, Written, data)
+    written = finding.read_into(found, RawSettings, data)
     if written is None:
         return Err(found)
     values: dict[str, Any] = {
@@ -198,11 +198,11 @@
     found += _out_of_bounds(written) + _contradictions(role, written)
     if found:
         return Err(found)
-    common = {field: getattr(written, field) for field in Common.__struct_fields__}
+    common = {field: getattr(written, field) for field in CommonSettings.__struct_fields__}
     return Ok(Settings(role=role, data=Path(written.data) if written.data else None, **common, **values))
 
 
-def _seeds(written: Written, found: Findings) -> list[Address]:
+def _seeds(written: RawSettings, found: Findings) -> list[Address]:
     read = [_text(Address, text, f"seeds[{i}]", found) for i, text in enumerate(written.seeds)]
     seeds = [seed for seed in read if seed is not None]
     if len(read) > MOST_SEEDS:
@@ -214,7 +214,7 @@
     return [Address(seed.host, written.seed_port) for seed in seeds]
 
 
-def _out_of_bounds(written: Written) -> Findings:
+def _out_of_bounds(written: RawSettings) -> Findings:
     found = []
     for place in NOT_NEGATIVE:
         if attrgetter(place)(written) < 0:
@@ -230,14 +230,14 @@
     return found
 
 
-def _contradictions(role: str, written: Written) -> Findings:
+def _contradictions(role: str, written: RawSettings) -> Findings:
     found = []
     if written.transport == written.web:
         found.append(Finding("web", "must differ from transport"))
     if role == "control" and written.data is None:
         found.append(Finding("data", "missing: control process keeps its state in a folder"))
-    if written.faults is not None and written.fleet != FLEET:
-        text = f"only for trials: a fleet named {FLEET!r} may have them, this one is {written.fleet!r}"
+    if written.faults is not None and written.fleet != TRIAL_FLEET:
+        text = f"only for trials: a fleet named {TRIAL_FLEET!r} may have them, this one is {written.fleet!r}"
         found.append(Finding("faults", text))
     return found
 
--- a/mallowvalve/transport/channel.py
+++ b/mallowvalve/transport/channel.py
@@ -7,7 +7,7 @@
 from gevent.event import AsyncResult, Event
 from result import Err, Ok, Result
 
-from mallowvalve.fault import Faults
+from mallowvalve.fault import InjectedFaults
 from mallowvalve.metrics import Counts
 from mallowvalve.transport.calls import CallFailure, PendingCalls
 from mallowvalve.transport.frame import FrameDecoder, FrameEncoder, Hello, TransportFrame, encode_hello
@@ -49,7 +49,7 @@
         "_encoder",
     )
 
-    def __init__(self, to: Address, hello: Hello, counts: Counts, faults: Faults):
+    def __init__(self, to: Address, hello: Hello, counts: Counts, faults: InjectedFaults):
         """Creates a channel that connects with the first frame."""
         self.to = to
         self.hello = hello
@@ -96,7 +96,7 @@
                 self._send_batch()
 
     def _send_batch(self) -> None:
-        if self.faults.apart(self.hello.sender, self.to):
+        if self.faults.cuts_stream(self.hello.sender, self.to):
             self._pending.dequeue(WRITE_FRAMES_MAX)
             return
         if self._socket is None and not self._connect():
@@ -150,7 +150,7 @@
         waiter = self._pending.match_response(connection, frame)
         if waiter is None:
             self.counts.add("transport_late")
-        elif not self.faults.apart(self.hello.sender, self.to):
+        elif not self.faults.cuts_stream(self.hello.sender, self.to):
             waiter.set(Ok(frame.body))
 
     def _connection_lost(self, connection: int) -> None:
--- a/mallowvalve/transport/task.py
+++ b/mallowvalve/transport/task.py
@@ -21,7 +21,7 @@
 from result import Err, Result
 
 from mallowvalve import clock
-from mallowvalve.fault import Faults
+from mallowvalve.fault import InjectedFaults
 from mallowvalve.metrics import Counts
 from mallowvalve.transport.calls import CallFailure
 from mallowvalve.transport.channel import QUEUED_FRAMES_MAX, READ_BYTES, Channel, set_tcp_options
@@ -50,12 +50,12 @@
         "_connection_counts",
     )
 
-    def __init__(self, me: Address, fleet: str, counts: Counts, faults: Faults | None = None):
+    def __init__(self, me: Address, fleet: str, counts: Counts, faults: InjectedFaults | None = None):
         """`on_peer_disconnected` is called with a peer when the last connection from it has ended."""
         self.me = me
         self.fleet = fleet
         self.counts = counts
-        self.faults = faults if faults is not None else Faults()
+        self.faults = faults if faults is not None else InjectedFaults()
         self._handlers: dict[str, tuple[Handler, bool]] = {}
         self._channels: dict[Address, Channel] = {}
         self._pool = Pool(CONCURRENT_HANDLERS_MAX)
@@ -154,7 +154,7 @@
                     sender = frame.sender
                     peers.add(sender)
                     self._connection_counts[sender] += 1
-                elif self._is_new_call(frame, last_id) and not self.faults.apart(sender, self.me):
+                elif self._is_new_call(frame, last_id) and not self.faults.cuts_stream(sender, self.me):
                     self._handle(sender, frame, responses)
                     last_id = frame.id
 
--- a/mallowvalve/types.py
+++ b/mallowvalve/types.py
@@ -90,11 +90,11 @@
         return SAME_REGION if self.region == other.region else ELSEWHERE
 
 
-def emptied(at: Locality, evacuated: Mapping[str, int]) -> bool:
+def is_evacuated(at: Locality, evacuated: Mapping[str, int]) -> bool:
     """Whether an evacuation covers `at`; `evacuated` is keyed by region, by zone or by REGION/ZONE."""
     return any(name in evacuated for name in (at.region, at.zone, str(at)))
 
 
-def reachable(at: Locality, homes: frozenset[str] | None, evacuated: Mapping[str, int]) -> bool:
+def is_reachable(at: Locality, homes: frozenset[str] | None, evacuated: Mapping[str, int]) -> bool:
     """Whether work of a tenant may go to `at`: in one of its home regions (None: any) and not evacuated."""
-    return (homes is None or at.region in homes) and not emptied(at, evacuated)
+    return (homes is None or at.region in homes) and not is_evacuated(at, evacuated)
--- a/mallowvalve/upstreams/liveness.py
+++ b/mallowvalve/upstreams/liveness.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.registry import Registered, Registry, State, Upstream
+from mallowvalve.upstreams.registry import Registered, Registry, Upstream, UpstreamState
 
 COLD_MOVED_MS = 200
 """A cold upstream that says it stays so for longer is news from so many ms on."""
@@ -28,14 +28,14 @@
 NOT_SEEN = -1
 
 
-class Heard(msgspec.Struct, array_like=True, frozen=True):
+class HeardInstance(msgspec.Struct, array_like=True, frozen=True):
     """One line of a node's report to the leader: who was heard how long ago."""
 
     instance: str
     age_ms: int
 
 
-class Last:
+class LastHeartbeat:
     """When an upstream was last heard here (s), and the number of that heartbeat."""
 
     __slots__ = ("at", "sequence")
@@ -46,34 +46,34 @@
         self.sequence = sequence
 
 
-class Liveness:
+class LivenessTracker:
     """One at each control process. All times are seconds of this node's own clock but for the fleet's, which is ms.
 
     `heartbeat` is how often upstreams are heard; three without a word are a silence, and six where most of a service
     fall silent at once, for then the fault is more likely ours.
     """
 
-    __slots__ = ("heartbeat_every", "silent", "_last", "_acked", "_led", "_judged", "_clock", "_clock_at")
+    __slots__ = ("heartbeat_every", "silence_timeout_s", "_last", "_acked", "_led", "_judged", "_clock", "_clock_at")
 
     def __init__(self, heartbeat: float = 1.5) -> None:
         """Nobody heard yet; upstreams are expected every `heartbeat` seconds."""
         self.heartbeat_every = heartbeat
-        self.silent = MISSED * heartbeat
-        self._last: dict[str, Last] = {}
-        self._acked: set[tuple[str, State]] = set()
+        self.silence_timeout_s = MISSED * heartbeat
+        self._last: dict[str, LastHeartbeat] = {}
+        self._acked: set[tuple[str, UpstreamState]] = set()
         self._led: float | None = None
         self._judged = 0.0
         self._clock = 0
         self._clock_at = 0.0
 
-    def clock(self, seen: int, now: float) -> int:
+    def fleet_time_ms(self, seen: int, now: float) -> int:
         """The fleet's clock (ms), by the newest command seen and the time since; it may be behind, not ahead."""
         if seen != self._clock:
             self._clock = seen
             self._clock_at = now
         return self._clock + int((now - self._clock_at) * 1000)
 
-    def heartbeat(self, upstream: Upstream, registry: Registry, clock: int, now: float) -> Upstream | None:
+    def observe(self, upstream: Upstream, registry: Registry, clock: int, now: float) -> Upstream | None:
         """Note a heartbeat; what is to be offered for it, or None for a plain one.
 
         `cold_until` of the upstream says how much longer it stays cold (ms).
@@ -89,26 +89,26 @@
             return None
         self._note(upstream.instance, now, upstream.sequence)
         if row.state == "leaving":
-            return upstream if upstream.state == "leaving" and not self.is_acked(upstream) else None
+            return upstream if upstream.state == "leaving" and not self.is_acknowledged(upstream) else None
         if _said(upstream) != _said(row):
             return upstream
         if upstream.cold_until > 0 and clock + upstream.cold_until > row.cold_until + COLD_MOVED_MS:
             return upstream
         return None
 
-    def acked(self, upstream: Upstream) -> None:
+    def mark_acknowledged(self, upstream: Upstream) -> None:
         """A notice that it leaves or is gone was acknowledged by this node: what repeats it is plain."""
         self._acked.add((upstream.instance, upstream.state))
 
-    def is_acked(self, upstream: Upstream) -> bool:
+    def is_acknowledged(self, upstream: Upstream) -> bool:
         """Whether this node acknowledged such a notice of it."""
         return (upstream.instance, upstream.state) in self._acked
 
-    def report(self, since: float, now: float) -> list[Heard]:
+    def report(self, since: float, now: float) -> list[HeardInstance]:
         """Who was heard here after `since`, for the leader."""
-        return [Heard(i, int((now - last.at) * 1000)) for i, last in self._last.items() if last.at > since]
+        return [HeardInstance(i, int((now - last.at) * 1000)) for i, last in self._last.items() if last.at > since]
 
-    def told(self, heard: list[Heard], now: float) -> None:
+    def merge_report(self, heard: list[HeardInstance], now: float) -> None:
         """The leader takes in another node's report."""
         for line in heard:
             at = now - max(0, line.age_ms) / 1000
@@ -118,16 +118,16 @@
             elif at > last.at:
                 last.at = at
 
-    def follow(self) -> None:
+    def stop_judging(self) -> None:
         """This node does not lead: it judges nobody, and listens anew when it does."""
         self._led = None
 
-    def judge(self, registry: Registry, now: float) -> Registered | None:
+    def detect_silent(self, registry: Registry, now: float) -> Registered | None:
         """The leader's: what has become silent, and what is forgotten. One that just began to lead waits first."""
         if self._led is None or now - self._judged > PAUSE:
             self._led = now
         self._judged = now
-        if now - self._led < self.silent:
+        if now - self._led < self.silence_timeout_s:
             return None
         ages = self._ages(registry, self._led, now)
         held = self._mass(registry, ages)
@@ -135,7 +135,7 @@
         forget = []
         for instance, row in registry.rows.items():
             age = ages[instance]
-            if row.state == "ready" and age >= self.silent * (2 if row.service in held else 1):
+            if row.state == "ready" and age >= self.silence_timeout_s * (2 if row.service in held else 1):
                 silent.append(replace(row, state="silent", cold_until=0))
             elif row.state in ("silent", "leaving") and age >= FORGET:
                 forget.append(instance)
@@ -164,7 +164,7 @@
         for instance, row in registry.rows.items():
             if row.state in ("ready", "silent"):
                 every[row.service] += 1
-            if row.state == "ready" and ages[instance] >= self.silent - self.heartbeat_every:
+            if row.state == "ready" and ages[instance] >= self.silence_timeout_s - self.heartbeat_every:
                 late[row.service] += 1
         return {service for service, count in late.items() if 2 * count > every[service] and count > 1}
 
@@ -174,9 +174,9 @@
             last.at = max(last.at, at)
             last.sequence = max(last.sequence, sequence)
         elif len(self._last) < MOST:
-            self._last[instance] = Last(at, sequence)
+            self._last[instance] = LastHeartbeat(at, sequence)
 
 
-def _said(upstream: Upstream) -> tuple[State, str, Address, Locality, int]:
+def _said(upstream: Upstream) -> tuple[UpstreamState, str, Address, Locality, int]:
     """What a heartbeat says that is news if it differs."""
     return upstream.state, upstream.service, upstream.address, upstream.locality, upstream.slots
--- a/mallowvalve/upstreams/registry.py
+++ b/mallowvalve/upstreams/registry.py
@@ -12,10 +12,10 @@
 TOMBSTONE_MS = 60_000
 """How long one that is gone stays known, so that a late heartbeat does not bring it back."""
 
-MOST, MOST_SERVICES, MOST_GONE = 100_000, 4096, 10_000
+MAX_UPSTREAMS, MAX_SERVICES, MAX_GONE = 100_000, 4096, 10_000
 """Upstreams, services and upstreams that are gone, at most."""
 
-State = Literal["ready", "silent", "leaving", "gone"]
+UpstreamState = Literal["ready", "silent", "leaving", "gone"]
 
 
 class Upstream(msgspec.Struct, frozen=True, array_like=True):
@@ -30,7 +30,7 @@
     address: Address
     locality: Locality
     slots: int
-    state: State
+    state: UpstreamState
     sequence: int = 0
     since: int = 0
     cold_until: int = 0
@@ -77,10 +77,10 @@
 
     def full(self, service: str) -> bool:
         """Whether there is no room for one more upstream of this service."""
-        if len(self.rows) < MOST_SERVICES:
+        if len(self.rows) < MAX_SERVICES:
             return False
         services = {row.service for row in self.rows.values()}
-        return len(self.rows) >= MOST or service not in services and len(services) >= MOST_SERVICES
+        return len(self.rows) >= MAX_UPSTREAMS or service not in services and len(services) >= MAX_SERVICES
 
     def _change(self, upstream: Upstream, clock: int) -> bool:
         """One change; whether it changed anything."""
@@ -129,7 +129,7 @@
         """Forget those that are gone for long, and the earliest of too many."""
         gone = [row for row in self.rows.values() if row.state == "gone"]
         old = [row for row in gone if clock - row.since > TOMBSTONE_MS]
-        if len(gone) - len(old) > MOST_GONE:
-            old = sorted(gone, key=lambda row: (row.since, row.instance))[: len(gone) - MOST_GONE]
+        if len(gone) - len(old) > MAX_GONE:
+            old = sorted(gone, key=lambda row: (row.since, row.instance))[: len(gone) - MAX_GONE]
         for row in old:
             del self.rows[row.instance]
--- a/mallowvalve/upstreams/task.py
+++ b/mallowvalve/upstreams/task.py
@@ -10,89 +10,91 @@
 
 from mallowvalve import clock
 from mallowvalve.membership.task import MembershipTask
-from mallowvalve.metrics import change, vital
+from mallowvalve.metrics import exit_on_failure, log_event
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
-from mallowvalve.upstreams.board import Aged, Board, Heartbeat, Row
+from mallowvalve.upstreams.board import AgedHeartbeat, Heartbeat, HeartbeatRow, HeartbeatTable
 
 ROUND = 1.0
 """Seconds between two exchanges with another node, on average; each wait is 0.8 to 1.2 of it."""
 
 encode = msgspec.msgpack.Encoder().encode
-_aged = msgspec.msgpack.Decoder(list[Aged]).decode
+_aged = msgspec.msgpack.Decoder(list[AgedHeartbeat]).decode
 _digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
 
 
 class HeartbeatTask:
     """Owns the board and the greenlet that keeps it alike on all nodes; `board` is not to be changed by others."""
 
-    __slots__ = ("board", "membership", "transport", "_lock", "_job", "_rng", "_known")
+    __slots__ = ("table", "membership", "transport", "_lock", "_job", "_rng", "_logged_status")
 
     def __init__(self, membership: MembershipTask, transport: Transport) -> None:
         """Exchange with the members of `membership` over `transport`."""
-        self.board = Board()
+        self.table = HeartbeatTable()
         self.membership = membership
         self.transport = transport
         self._lock = RLock()
         self._rng = random.Random()
-        self._known: dict[str, tuple[int, str]] = {}
+        self._logged_status: dict[str, tuple[int, str]] = {}
         transport.on("heartbeats", self._heartbeats, inline=True)
         transport.on("digest", self._on_digest, inline=True)
 
     def __enter__(self) -> HeartbeatTask:
         """Begin to exchange."""
-        self._job = vital(gevent.spawn(self._run))
+        self._job = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_: object) -> None:
         """Exchange no more."""
         self._job.kill()
 
-    def hear(self, heartbeat: Heartbeat) -> bool:
+    def receive(self, heartbeat: Heartbeat) -> bool:
         """Take in an upstream's own heartbeat and tell it to all nodes; false if it says nothing new."""
         with self._lock:
-            fresh = self.board.hear(heartbeat, clock.now())
+            fresh = self.table.record(heartbeat, clock.now())
         if fresh:
-            body = encode([Aged(heartbeat, 0.0)])
+            body = encode([AgedHeartbeat(heartbeat, 0.0)])
             for record in self.membership.alive():
                 self.transport.cast(record.addr, "heartbeats", body)
             self._log(heartbeat)
         return fresh
 
-    def usable(self, service: str) -> list[Row]:
+    def usable(self, service: str) -> list[HeartbeatRow]:
         """Upstreams of a service that are ready and not silent."""
         with self._lock:
-            return self.board.usable(service, clock.now())
+            return self.table.usable(service, clock.now())
 
-    def forget(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop those that were silent for long, and log what became silent."""
         with self._lock:
-            self.board.forget(now)
-            self._known = {name: known for name, known in self._known.items() if name in self.board.rows}
-            for row in self.board.rows.values():
-                self._log(row.heartbeat, self.board.status(row, now))
+            self.table.drop_expired(now)
+            self._logged_status = {
+                name: known for name, known in self._logged_status.items() if name in self.table.rows
+            }
+            for row in self.table.rows.values():
+                self._log(row.heartbeat, self.table.status(row, now))
 
     def _heartbeats(self, _sender: Address, body: bytes) -> None:
         self._merge(_aged(body))
 
-    def _merge(self, aged: list[Aged]) -> None:
+    def _merge(self, aged: list[AgedHeartbeat]) -> None:
         now = clock.now()
         for one in aged:
             with self._lock:
-                fresh = self.board.hear(one.heartbeat, now, one.age)
+                fresh = self.table.record(one.heartbeat, now, one.age_s)
             if fresh:
                 self._log(one.heartbeat)
 
     def _on_digest(self, _sender: Address, body: bytes) -> bytes:
         with self._lock:
-            return encode(self.board.newer_than(_digest(body), clock.now()))
+            return encode(self.table.newer_than(_digest(body), clock.now()))
 
     def _run(self) -> None:
         while True:
             gevent.sleep(ROUND * (0.8 + 0.4 * self._rng.random()))
-            self.forget(clock.now())
+            self.drop_expired(clock.now())
             with self._lock:
-                body = encode(self.board.digest())
+                body = encode(self.table.digest())
             peers = self.membership.alive()
             if peers:
                 self._exchange(self._rng.choice(peers).addr, body)
@@ -110,10 +112,10 @@
     def _log(self, heartbeat: Heartbeat, status: str = "") -> None:
         """Write what became of an upstream to the log, once."""
         now = (heartbeat.incarnation, status or heartbeat.state)
-        if self._known.get(heartbeat.name) == now:
+        if self._logged_status.get(heartbeat.name) == now:
             return
-        self._known[heartbeat.name] = now
-        change(
+        self._logged_status[heartbeat.name] = now
+        log_event(
             f"upstream_{now[1]}",
             upstream=heartbeat.name,
             service=heartbeat.service,
--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -18,7 +18,7 @@
 from mallowvalve.finding import Finding, Findings, parse_json
 from mallowvalve.http_connection import NOT_RUN, OUTCOME, UNDECIDED, UNKNOWN, Handler, encode
 from mallowvalve.http_head import peek
-from mallowvalve.metrics import Counts, change
+from mallowvalve.metrics import Counts, log_event
 from mallowvalve.types import Address
 
 if TYPE_CHECKING:
@@ -204,5 +204,5 @@
     if isinstance(ex, HTTPError):
         turn_away(req, resp, ex.status_code, [Finding(req.path, ex.description or ex.title)])
         return
-    change("crash", where=req.path, error=repr(ex))
+    log_event("crash", where=req.path, error=repr(ex))
     reject(resp, 500, UNKNOWN, [Finding(req.path, "internal error")])
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -35,7 +35,7 @@
 from mallowvalve.proxy.tries import Tries
 from mallowvalve.raft.messages import COMMAND, Entry
 from mallowvalve.settings import check
-from mallowvalve.upstreams.liveness import Heard, Liveness
+from mallowvalve.upstreams.liveness import HeardInstance, LivenessTracker
 from mallowvalve.upstreams.registry import Registered, Registry
 from sim.measure import kept, spent
 from sim.queueing import queue
@@ -254,14 +254,14 @@
 def liveness(part: float) -> None:
     """Heartbeats at a core machine: one call up to the socket, one machine's report, and what the leader does with them."""
     for n in (int(UPSTREAMS * part / 100), int(UPSTREAMS * part / 10), int(UPSTREAMS * part)):
-        r, lead, mine = registry(n), Liveness(), Liveness()
+        r, lead, mine = registry(n), LivenessTracker(), LivenessTracker()
         call = _call(mine, r, membership(int(NODES * part)))
         one = spent(call, 0.1)
         for i in range(0, n, 13):
-            mine.heartbeat(upstream(i), r, 86_400_000, 1.0)
+            mine.observe(upstream(i), r, 86_400_000, 1.0)
         heard = mine.report(0.0, 1.5)
-        told = spent(lambda: lead.told(heard, 1.5), 0.05)
-        lead.told([Heard(i, 0) for i in r.rows], 9.0)
+        told = spent(lambda: lead.merge_report(heard, 1.5), 0.05)
+        lead.merge_report([HeardInstance(i, 0) for i in r.rows], 9.0)
         judged = spent(lambda: _judge(lead, r), 0.05)
         click.echo(
             f"hear    {n:6} upstreams: {one * 1e6:5.0f} us a heartbeat; a report of {len(heard)} is {len(encode(heard)) / 1e3:.1f} KB, "
@@ -269,18 +269,18 @@
         )
 
 
-def _judge(h: Liveness, r: Registry) -> None:
+def _judge(h: LivenessTracker, r: Registry) -> None:
     h._led, h._judged = 0.0, 9.0
-    h.judge(r, 10.0)
+    h.detect_silent(r, 10.0)
 
 
-def _call(h: Liveness, r: Registry, b: Membership) -> Callable[[], object]:
+def _call(h: LivenessTracker, r: Registry, b: Membership) -> Callable[[], object]:
     """A heartbeat as it comes from the HTTP server to the product's page, of an upstream that is known."""
     node = SimpleNamespace(
         settings=SimpleNamespace(zones={}), counts=Counts(), membership=SimpleNamespace(alive=b.alive, membership=b)
     )
     page = Heartbeats(
-        SimpleNamespace(node=node), SimpleNamespace(heartbeat=lambda u: h.heartbeat(u, r, 86_400_000, 1.0) is None)
+        SimpleNamespace(node=node), SimpleNamespace(heartbeat=lambda u: h.observe(u, r, 86_400_000, 1.0) is None)
     )
     app = web.make_app()
     app.add_route("/upstreams/{instance}", page)
--- a/sim/directory_fleet.py
+++ b/sim/directory_fleet.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from mallowvalve.directory.look_up import Directory, life
+from mallowvalve.directory.look_up import Directory, answer_ttl_s
 from mallowvalve.membership.drain import DrainSequence
 from mallowvalve.membership.members import DepartedMember, drain_conditions
 from mallowvalve.membership.wire import MemberRecord
-from mallowvalve.node import STOP_SHARES
+from mallowvalve.node import DRAIN_GRACE_RATIOS
 from mallowvalve.types import Address, Locality
 from mallowvalve.web import LAST_CALL_S
 from sim.members import Member
@@ -58,11 +58,13 @@
         if self.member is None:
             return None
         choice = self.directory.look_up(near, homes)
-        self.directory.watch(near.region, choice)
+        self.directory.probe_proxies(near.region, choice)
         self.reasons[choice.reason.value] += 1
-        if not choice.named:
+        if not choice.proxies:
             return None
-        return Answer([record.web for record in choice.named], self.world.now, life(choice), choice.reason.value)
+        return Answer(
+            [record.web for record in choice.proxies], self.world.now, answer_ttl_s(choice), choice.reason.value
+        )
 
 
 class View:
@@ -143,7 +145,7 @@
             return
         self.told_at = self.world.now
         self.member.emit(self.member.membership.leave(final=False))
-        linger, last = STOP_SHARES["proxy"]
+        linger, last = DRAIN_GRACE_RATIOS["proxy"]
         end = self.world.now + GRACE * (linger + last) - LAST_CALL_S
         closing = DrainSequence(self.world.now + GRACE * linger, end, self.member.rng)
         self._step(self.life, closing)
--- a/sim/door.py
+++ b/sim/door.py
@@ -21,7 +21,7 @@
 from mallowvalve.raft.progress import Times
 from mallowvalve.settings import Acks
 from mallowvalve.types import Address
-from mallowvalve.upstreams.liveness import Heard, Liveness
+from mallowvalve.upstreams.liveness import HeardInstance, LivenessTracker
 from mallowvalve.upstreams.registry import Registered, Upstream
 from sim import pages
 from sim.control import ControlNode
@@ -43,7 +43,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.liveness = Liveness(HEARTBEAT)
+        self.liveness = LivenessTracker(HEARTBEAT)
         self._touched = self.now
         self._reported, self._told = 0.0, None
         self._judging = self._reporting = False
@@ -176,7 +176,7 @@
         s = self.core.state
         if s is None:
             return say(Answer(UNAVAILABLE))
-        c = self.liveness.heartbeat(u, s.registry, self.liveness.clock(s.clock, self.now), self.now)
+        c = self.liveness.observe(u, s.registry, self.liveness.fleet_time_ms(s.clock, self.now), self.now)
         if c is None:
             return say(Answer(OK) if self._in_touch() else self._unsure())
         if c.instance not in s.registry.rows and s.registry.full(c.service):
@@ -188,7 +188,7 @@
         if s is None:
             return say(Answer(UNAVAILABLE))
         row = s.registry.rows.get(u.instance)
-        known = row is not None and row.state == "gone" and self.liveness.is_acked(row)
+        known = row is not None and row.state == "gone" and self.liveness.is_acknowledged(row)
         if known and self.core.holds(Lease.NOTICE, self.now):
             return say(Answer(OK))
         self._notice(u, say, True)
@@ -198,7 +198,7 @@
             if t.code != Code.OK:
                 return say(self._unsure())
             if noted:
-                self.liveness.acked(u)
+                self.liveness.mark_acknowledged(u)
             say(Answer(OK))
 
         self.offer(
@@ -219,18 +219,18 @@
         s = self.core.state
         if s is None:
             return None
-        self.liveness.clock(s.clock, self.now)
+        self.liveness.fleet_time_ms(s.clock, self.now)
         self.liveness.prune(s.registry, self.now)
         if self.core.leads:
             self._touched = self.now
             return self._judge_upstreams(s.registry)
-        self.liveness.follow()
+        self.liveness.stop_judging()
         due = self.now - self._reported >= registry_task.REPORT
         if due and not self._reporting and self.core.leader() is not None:
             self._report(self.core.leader())
 
     def _judge_upstreams(self, registry) -> None:
-        c = self.liveness.judge(registry, self.now)
+        c = self.liveness.detect_silent(registry, self.now)
         if c is None or self._judging:
             return
         self._judging = True
@@ -242,7 +242,7 @@
 
     def _report(self, to: Address) -> None:
         now = self.now
-        since = self._reported if to == self._told else now - self.liveness.silent
+        since = self._reported if to == self._told else now - self.liveness.silence_timeout_s
         self._reporting = True
 
         def heard(data: bytes | None) -> None:
@@ -256,10 +256,10 @@
         self.call(to, "heard", body, registry_task.REPORT, heard)
 
     def _on_heard(self, body: bytes) -> bytes:
-        heard: list[Heard] = _heard(body)
+        heard: list[HeardInstance] = _heard(body)
         if not self.core.leads or not self.core.holds(Lease.HEARTBEAT, self.now):
             return b""
-        self.liveness.told(heard, self.now)
+        self.liveness.merge_report(heard, self.now)
         return registry_task.TAKEN
 
     # What the daemon's task does for all pages.
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -12,7 +12,7 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
-from mallowvalve.node import STOP_SHARES
+from mallowvalve.node import DRAIN_GRACE_RATIOS
 from mallowvalve.proxy.host import Hosts
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
@@ -205,7 +205,7 @@
         self.listens = self.told_at is None
 
     def serves_until(self) -> float | None:
-        linger, limit = STOP_SHARES["proxy"]
+        linger, limit = DRAIN_GRACE_RATIOS["proxy"]
         return None if self.told_at is None else self.told_at + GRACE * (linger + limit)
 
     def stop(self) -> None:
@@ -219,7 +219,7 @@
         if life != self.life:
             return
         self.told_at = self.now
-        self.world.after(GRACE * STOP_SHARES["proxy"][0], lambda: self._close(life))
+        self.world.after(GRACE * DRAIN_GRACE_RATIOS["proxy"][0], lambda: self._close(life))
 
     def _close(self, life: int) -> None:
         if life == self.life:
--- a/sim/large.py
+++ b/sim/large.py
@@ -14,7 +14,7 @@
 from mallowvalve.control import store
 from mallowvalve.control.snapshot import dump
 from mallowvalve.control.state import State
-from mallowvalve.fault import FLEET
+from mallowvalve.fault import TRIAL_FLEET
 from mallowvalve.ledger.ledger import DONE, ClaimRecord
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import Fleet, Proc, until
@@ -51,7 +51,7 @@
     pic = Snapshot(Group(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
     for i, p in ids.items():
         with Folder(p.data) as d:
-            store.turn(DiskLog.open(d, FLEET, i).unwrap(), pic, store.head(Hard(pic.group, 1, ""), []))
+            store.turn(DiskLog.open(d, TRIAL_FLEET, i).unwrap(), pic, store.head(Hard(pic.group, 1, ""), []))
     return sum(map(len, pic.state))
 
 
--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -23,13 +23,13 @@
     Reply,
     Room,
 )
-from mallowvalve.upstreams.board import Aged, Board, Heartbeat
+from mallowvalve.upstreams.board import AgedHeartbeat, Heartbeat, HeartbeatTable
 from sim.history import History
 from sim.replica import ReplicaNode
 
 _verdict = msgspec.msgpack.Decoder(LedgerResult).decode
 _heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
-_aged = msgspec.msgpack.Decoder(list[Aged]).decode
+_aged = msgspec.msgpack.Decoder(list[AgedHeartbeat]).decode
 _digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
 _names = msgspec.msgpack.Decoder(list[bytes]).decode
 decode = msgspec.msgpack.decode
@@ -83,7 +83,7 @@
     def __init__(self, world, addr, locality, controls, history: History, proxies):
         super().__init__(world, addr, "proxy", locality, controls)
         self.history, self.proxies = history, proxies
-        self.board, self.repeats = Board(), Telling()
+        self.board, self.repeats = HeartbeatTable(), Telling()
         self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
         self.pool = Pool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
         self.path = Path(
@@ -197,17 +197,17 @@
     def _heartbeat(self, b: Heartbeat, answer) -> None:
         if b.service not in self.replica.tree.doc.services:
             return
-        if self.board.hear(b, self.now):
-            self._tell_others("heartbeats", encode([Aged(b, 0.0)]))
+        if self.board.record(b, self.now):
+            self._tell_others("heartbeats", encode([AgedHeartbeat(b, 0.0)]))
         answer(b"ok")
 
-    def _merge(self, aged: list[Aged]) -> None:
+    def _merge(self, aged: list[AgedHeartbeat]) -> None:
         for a in aged:
-            self.board.hear(a.heartbeat, self.now, a.age)
+            self.board.record(a.heartbeat, self.now, a.age_s)
 
     def _digests(self) -> None:
         self.pool.tidy()
-        self.board.forget(self.now)
+        self.board.drop_expired(self.now)
         others = [a for a in self.proxies() if a != self.addr]
         if others:
             self.call(
--- a/sim/target.py
+++ b/sim/target.py
@@ -18,7 +18,7 @@
 from mallowvalve.raft.messages import COMMAND, Entry, Group, Voters
 from mallowvalve.transport.frame import TransportFrame, length_prefixed
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import Aged, Board, Heartbeat
+from mallowvalve.upstreams.board import AgedHeartbeat, Heartbeat, HeartbeatTable
 from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
 REGIONS, ZONES = 16, 34
@@ -151,7 +151,7 @@
         "ack": len(membership_encode(Ack(head, addr(1), addr(2), 9999))),
         "tell of one": len(membership_encode(Tell(head, [record(5400)]))),
         "tell of twelve": len(membership_encode(Tell(head, [record(5400 + i) for i in range(12)]))),
-        "heartbeat noted, framed": frame("heartbeats", encode([Aged(heartbeat(65_000), 0.0)])),
+        "heartbeat noted, framed": frame("heartbeats", encode([AgedHeartbeat(heartbeat(65_000), 0.0)])),
         "heartbeat digest entry": len(encode({heartbeat(65_000).name: heartbeat(65_000).rank})) - 1,
         "want, framed": frame("want", wire.encode(want())),
         "fed idle, framed": idle,
@@ -213,10 +213,10 @@
     return b
 
 
-def board(n: int) -> Board:
-    b = Board()
+def board(n: int) -> HeartbeatTable:
+    b = HeartbeatTable()
     for i in range(n):
-        b.hear(decoded(Heartbeat, heartbeat(i)), 0.0)
+        b.record(decoded(Heartbeat, heartbeat(i)), 0.0)
     return b
 
 
--- a/tests/directory_records.py
+++ b/tests/directory_records.py
@@ -1,6 +1,6 @@
 """Records of proxies at three places, as the tests of the directory take them."""
 
-from mallowvalve.directory.answer import UNKNOWN_HOMES, Known, choose
+from mallowvalve.directory.answer import UNKNOWN_HOMES, ProxyView, choose_proxies
 from mallowvalve.membership.members import DepartedMember
 from mallowvalve.membership.wire import ALIVE, MemberRecord
 from mallowvalve.types import Address, Locality
@@ -13,15 +13,15 @@
 
 
 def known(rows, gone=(), suspects=lambda record: False):
-    return Known(rows, lambda: gone, suspects)
+    return ProxyView(rows, lambda: gone, suspects)
 
 
 def proxies(rows, near, homes=None, **how):
-    return [record.web for record in choose(known(rows, **how), near, homes).named]
+    return [record.web for record in choose_proxies(known(rows, **how), near, homes).proxies]
 
 
 def reason(rows, near, homes=None, **how):
-    return choose(known(rows, **how), near, homes).reason
+    return choose_proxies(known(rows, **how), near, homes).reason
 
 
 def gone(record, ago=1.0):
--- a/tests/paths.py
+++ b/tests/paths.py
@@ -12,7 +12,7 @@
 from mallowvalve.proxy.repeats import Repeats
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import Board, Heartbeat
+from mallowvalve.upstreams.board import Heartbeat, HeartbeatTable
 
 HERE = Locality("eu", "eu-a")
 ME = Address("10.0.0.1", 1)
@@ -34,7 +34,7 @@
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
         self.replica.group, self.replica.state = Group(1, "g"), State(1)
         self.replica.state.settings.roster = {str(ME): Seat(7, HERE)}
-        self.board, self.counts = Board(), Counts()
+        self.board, self.counts = HeartbeatTable(), Counts()
         self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
         self.now = now
         self.path = Path(self.replica, self.pool, Repeats(), self.counts, now, HERE, "me#7", lambda: "n1")
@@ -51,5 +51,5 @@
 
     def upstream(self, n=0, service="s", at=HERE, port=100, incarnation=1, state="ready", sequence=1) -> Heartbeat:
         b = Heartbeat(service, f"u{n}", incarnation, sequence, 0.0, state, at, Address("127.0.0.1", port))
-        self.board.hear(b, self.now())
+        self.board.record(b, self.now())
         return b
--- a/tests/test_answer.py
+++ b/tests/test_answer.py
@@ -1,6 +1,6 @@
 """Which proxies a client is told of, and why."""
 
-from mallowvalve.directory.answer import FAILED_S, UNKNOWN_HOMES, Known, Reason, choose
+from mallowvalve.directory.answer import RECENT_FAILURE_S, UNKNOWN_HOMES, ProxyView, Reason, choose_proxies
 from mallowvalve.membership.members import RETURN_WINDOW_S
 from mallowvalve.membership.wire import FAILED, LEAVING, LEFT
 from mallowvalve.types import Locality
@@ -30,7 +30,7 @@
     assert sorted(numbers(proxies(rows, C, HOME_BOTH, gone=failed))) == [1, 2, 3]
     assert numbers(proxies(rows, C, HOME_US, gone=failed)) == [1]
     assert numbers(proxies(rows, C, UNKNOWN_HOMES, gone=failed)) == [1]
-    assert numbers(proxies(rows, C, gone=[gone(at(9, C, FAILED), FAILED_S)])) == [1]
+    assert numbers(proxies(rows, C, gone=[gone(at(9, C, FAILED), RECENT_FAILURE_S)])) == [1]
     assert reason(rows, C, gone=failed) is Reason.REST_FAILED
 
 
@@ -90,7 +90,7 @@
     assert sorted(numbers(proxies(rows[:2], C))) == [1, 2]
     closed = [at(1, A, LEAVING, ready=False), at(3, C)]
     assert reason(closed, A) is Reason.RETURNING
-    assert [r.name for r in choose(Known(closed), A, patient=False).named] == ["n3"]
+    assert [r.name for r in choose_proxies(ProxyView(closed), A, patient=False).proxies] == ["n3"]
 
 
 def test_a_long_answer_is_cut_to_the_nearest_and_zones_leave_out_different_ones():
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -11,7 +11,7 @@
 from mallowvalve.raft.messages import Group
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import TOMBSTONE, Heartbeat
+from mallowvalve.upstreams.board import TOMBSTONE_S, Heartbeat
 from mallowvalve.upstreams.task import HeartbeatTask
 from tests.test_membership import record
 
@@ -37,10 +37,10 @@
     t = HeartbeatTask(MembershipTask(detector()), Transport(ME, "f", Counts()))
     for i in range(2000):
         b = Heartbeat("s", f"i{i}", 1, 1, 0.0, "ready", LOC, ME)
-        t.board.hear(b, 0.0)
+        t.table.record(b, 0.0)
         t._log(b)
-    t.forget(TOMBSTONE + 1.0)
-    assert len(t.board.rows) == 0 == len(t._known)
+    t.drop_expired(TOMBSTONE_S + 1.0)
+    assert len(t.table.rows) == 0 == len(t._logged_status)
 
 
 def test_lines_to_peers_long_unused_are_closed():
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -8,9 +8,15 @@
 from mallowvalve.configuration.items import Amend, Item, Items
 from mallowvalve.control import lease
 from mallowvalve.directory import pages
-from mallowvalve.directory.answer import Known, Reason, choose
-from mallowvalve.directory.look_up import AVOIDED_S, LIFE_S, SHORT_LIFE_S, WAIT_WITHOUT_HOMES_S, Directory
-from mallowvalve.directory.sight import MOST_PLACES, Answers
+from mallowvalve.directory.answer import ProxyView, Reason, choose_proxies
+from mallowvalve.directory.look_up import (
+    ANSWER_TTL_S,
+    REFUSAL_MAX_AGE_S,
+    SHORT_ANSWER_TTL_S,
+    WAIT_WITHOUT_HOMES_S,
+    Directory,
+)
+from mallowvalve.directory.sight import MAX_CLIENT_GROUPS, AnswerMetrics
 from mallowvalve.membership.detector import Membership
 from mallowvalve.membership.members import RETURN_WINDOW_S
 from mallowvalve.membership.wire import FAILED, LEAVING, LEFT
@@ -58,10 +64,10 @@
 def directory():
     n = Node()
     app = web.make_app()
-    contact = pages.Contact(n, lambda: n.asked)
-    shared = pages.Pages(n, lambda: n.tree, lambda: n.items, lambda: n.evacuated, contact)
+    contact = pages.AnswerFreshness(n, lambda: n.asked)
+    shared = pages.DirectoryService(n, lambda: n.tree, lambda: n.items, lambda: n.evacuated, contact)
     pages.add_routes(app, shared)
-    app.add_route("/-/named", pages.Named(shared))
+    app.add_route("/-/named", pages.NamedResource(shared))
     return n, testing.TestClient(app)
 
 
@@ -69,7 +75,7 @@
     n, c = directory
     assert c.simulate_get("/proxies?name=h").status_code == 503
     n.rows = [at(1, A), at(2, A), at(3, C), at(4, C)]
-    assert c.simulate_get("/proxies?name=h&region=us&zone=us-a").json["life_s"] == LIFE_S == 2
+    assert c.simulate_get("/proxies?name=h&region=us&zone=us-a").json["life_s"] == ANSWER_TTL_S == 2
     for query, want in (
         ("region=us&zone=us-a", [3, 4]),
         ("zone=us-a", [3, 4]),
@@ -80,7 +86,7 @@
         assert sorted(got) == [f"10.0.0.{k}:80" for k in want], query
     n.rows[2] = at(3, C, LEAVING)
     told = c.simulate_get("/proxies?region=us&zone=us-a").json
-    assert told["proxies"] == ["10.0.0.4:80"] and told["life_s"] == SHORT_LIFE_S < LIFE_S
+    assert told["proxies"] == ["10.0.0.4:80"] and told["life_s"] == SHORT_ANSWER_TTL_S < ANSWER_TTL_S
     assert n.checked == ["n4"]
 
 
@@ -154,10 +160,10 @@
 
 def test_an_event_says_when_a_region_is_answered_otherwise_and_why():
     events = []
-    answers = Answers(web.Counts(), lambda what, **fields: events.append((what, fields)))
+    answers = AnswerMetrics(web.Counts(), lambda what, **fields: events.append((what, fields)))
     two, one, none = [at(1, A), at(2, A), at(3, C)], [at(1, A, LEAVING), at(2, A), at(3, C)], [at(3, C)]
     for rows in (two, two, one, one, none, two):
-        answers.gave("eu", None, choose(Known(rows), A), rows)
+        answers.record("eu", None, choose_proxies(ProxyView(rows), A), rows)
     assert [what for what, _ in events] == ["directory_answers"] * 3
     assert [fields["reason"] for _, fields in events] == ["lone", "none_accepts", "own_region"]
     assert events[1][1]["named_regions"] == ["us"]
@@ -173,18 +179,18 @@
 
 def test_hosts_that_are_answered_differently_write_no_event_each_time():
     events = []
-    answers = Answers(web.Counts(), lambda what, **fields: events.append((fields["homes"], fields["reason"])))
+    answers = AnswerMetrics(web.Counts(), lambda what, **fields: events.append((fields["homes"], fields["reason"])))
     rows = [at(1, A, LEAVING), at(3, C)]
     for homes in (None, HOME_US) * 5:
-        answers.gave("eu", homes, choose(Known(rows), A, homes), rows)
+        answers.record("eu", homes, choose_proxies(ProxyView(rows), A, homes), rows)
     assert events == [([], "leaving"), (["us"], "home_region")]
 
 
 def test_regions_that_clients_make_up_do_not_fill_the_counters():
-    answers = Answers(web.Counts(), lambda what, **fields: None)
-    for n in range(2 * MOST_PLACES):
-        answers.gave(f"r{n}", None, choose(Known([]), Locality(f"r{n}", "")), [])
-    assert len(answers.by_region()) == MOST_PLACES + 1
+    answers = AnswerMetrics(web.Counts(), lambda what, **fields: None)
+    for n in range(2 * MAX_CLIENT_GROUPS):
+        answers.record(f"r{n}", None, choose_proxies(ProxyView([]), Locality(f"r{n}", "")), [])
+    assert len(answers.by_region()) == MAX_CLIENT_GROUPS + 1
 
 
 def test_operators_see_who_is_named_now(directory):
@@ -277,10 +283,10 @@
 
 def test_a_proxy_that_has_started_since_it_refused_the_client_is_named(directory):
     n, c = directory
-    n.rows, n.ages = [at(1, A), at(2, Locality("ap", "ap-a"))], {"n1": AVOIDED_S - 0.1}
+    n.rows, n.ages = [at(1, A), at(2, Locality("ap", "ap-a"))], {"n1": REFUSAL_MAX_AGE_S - 0.1}
     asked = "/connect?locality=eu/eu-a&avoid=10.0.0.1:80"
     assert [p["name"] for p in c.simulate_get(asked).json["proxies"]] == ["n1"]
-    n.ages["n1"] = AVOIDED_S
+    n.ages["n1"] = REFUSAL_MAX_AGE_S
     assert [p["name"] for p in c.simulate_get(asked).json["proxies"]] == ["n2"]
 
 
--- a/tests/test_directory_days.py
+++ b/tests/test_directory_days.py
@@ -36,7 +36,7 @@
 
 
 def the_old_rule():
-    return patch.object(look_up, "choose", names_all_regions_below_two)
+    return patch.object(look_up, "choose_proxies", names_all_regions_below_two)
 
 
 def doors_close_whoever_else_accepts():
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -3,7 +3,7 @@
 
 import pytest
 
-from mallowvalve.fault import Faults, FaultyDisk
+from mallowvalve.fault import FaultyDisk, InjectedFaults
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
 from mallowvalve.storage.log import DiskLog
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def faults(tmp_path):
-    f = Faults(str(tmp_path / "faults.json"), "control0")
+    f = InjectedFaults(str(tmp_path / "faults.json"), "control0")
 
     def wish(**w):
         f.path.write_text(json.dumps(w))
@@ -29,8 +29,8 @@
 
 def test_a_datagram_is_lost_one_way_and_a_stream_both(faults):
     f = faults(cuts=[[str(A), str(B)]])
-    assert f.silent(A, B) and not f.silent(B, A) and f.apart(A, B) and f.apart(B, A)
-    assert not faults().apart(A, B) and not Faults().apart(A, B)
+    assert f.drops_datagram(A, B) and not f.drops_datagram(B, A) and f.cuts_stream(A, B) and f.cuts_stream(B, A)
+    assert not faults().cuts_stream(A, B) and not InjectedFaults().cuts_stream(A, B)
 
 
 def test_a_file_that_is_not_understood_changes_nothing(faults):
--- a/tests/test_headers.py
+++ b/tests/test_headers.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.proxy.request_writer import RequestWriter
 from mallowvalve.proxy.steps import Ask
-from mallowvalve.settings import Terms
+from mallowvalve.settings import HeaderNames
 from tests.front_players import ANSWER, Client, req, served
 
 OF_ONE_CONNECTION = [
@@ -38,7 +38,7 @@
 def test_a_requests_headers():
     pairs = [*KEPT, *OF_ONE_CONNECTION]
     said = {k.lower(): v for k, v in pairs}
-    lines = RequestWriter(Terms()).lines(Ask("GET", "/r/1?a=%20b", said, "c", None, pairs), b"")
+    lines = RequestWriter(HeaderNames()).lines(Ask("GET", "/r/1?a=%20b", said, "c", None, pairs), b"")
     assert lines == "GET /r/1?a=%20b HTTP/1.1\r\n" + "".join(f"{k}: {v}\r\n" for k, v in KEPT)
 
 
@@ -46,7 +46,7 @@
 def test_what_a_request_needs_is_not_dropped_because_connection_names_it(named):
     pairs = [("Host", "h.example"), ("Mallow-Ask", "a1"), ("Connection", named)]
     said = {k.lower(): v for k, v in pairs}
-    lines = RequestWriter(Terms()).lines(Ask("GET", "/", said, "c", None, pairs), b"")
+    lines = RequestWriter(HeaderNames()).lines(Ask("GET", "/", said, "c", None, pairs), b"")
     assert "Host: h.example\r\n" in lines and "Mallow-Ask: a1\r\n" in lines
 
 
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -13,7 +13,7 @@
 from mallowvalve.settings import Settings
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams import registry as registries
-from mallowvalve.upstreams.liveness import Heard
+from mallowvalve.upstreams.liveness import HeardInstance
 from mallowvalve.upstreams.registry import Registered
 from tests.test_registry import EU, states, up
 
@@ -164,8 +164,8 @@
 
 def test_a_full_registry_takes_no_more(control, monkeypatch):
     t, c, _ = control
-    monkeypatch.setattr(registries, "MOST", 1)
-    monkeypatch.setattr(registries, "MOST_SERVICES", 1)
+    monkeypatch.setattr(registries, "MAX_UPSTREAMS", 1)
+    monkeypatch.setattr(registries, "MAX_SERVICES", 1)
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     assert c.simulate_put("/upstreams/i2", json=HEARTBEAT | {"address": "10.0.0.2:80"}).status_code == 503
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
@@ -235,10 +235,10 @@
 
     for i in ("i1", "i2"):
         assert task.heartbeat(up(i, at=f"10.0.0.{i[1]}:80"))
-    assert report(100.5) and led.liveness.report(0.0, 101.0) == [Heard("i1", 1000), Heard("i2", 1000)]
+    assert report(100.5) and led.liveness.report(0.0, 101.0) == [HeardInstance("i1", 1000), HeardInstance("i2", 1000)]
     now[0] = 101.0
     assert task.heartbeat(up("i2", seq=2, at="10.0.0.2:80"))
-    assert report(101.5) and led.liveness.report(100.0, 101.5) == [Heard("i2", 500)]
+    assert report(101.5) and led.liveness.report(100.0, 101.5) == [HeardInstance("i2", 500)]
     assert report(103.0, cut=True) and not report(104.0)
     assert not report(104.2, cut=False, leads=False)
     assert report(104.4, leads=True)
@@ -282,7 +282,7 @@
 def test_a_leader_that_nobody_confirms_acknowledges_nothing_and_takes_no_report(control):
     t, c, task = control
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    report = msgspec.msgpack.encode([Heard("i1", 5)])
+    report = msgspec.msgpack.encode([HeardInstance("i1", 5)])
     assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.TAKEN
     t.asked = LONG_AGO
     assert t.leads and task._on_heard(Address("10.1.0.2", 1), report) == b""
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -5,7 +5,7 @@
 from falcon.testing import TestClient
 
 from mallowvalve.cli import TOOLS, main
-from mallowvalve.node import View
+from mallowvalve.node import NodeResource
 from mallowvalve.web import Later, say
 
 LOOK = """
@@ -49,7 +49,7 @@
 
 
 def test_an_app_made_later_has_every_route_whenever_it_was_added():
-    app, view = Later(), View(None)
+    app, view = Later(), NodeResource(None)
     view.on_get = lambda req, resp: say(resp, {"at": req.path})
     app.add_route("/before", view)
     client = TestClient(app.made())
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -4,9 +4,9 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from mallowvalve import settings
-from mallowvalve.exposition import CONTENT_TYPE, exposition
+from mallowvalve.exposition import CONTENT_TYPE, render_metrics
 from mallowvalve.metrics import Counts
-from mallowvalve.node import Metrics, Node
+from mallowvalve.node import MetricsResource, Node
 
 
 def samples(page: bytes) -> dict[str, float]:
@@ -22,7 +22,7 @@
     counts.add("requests", 3)
     counts.add("rejected_not-run")
     gauges = {"fresh": True, "busy": 4, "role": "leader", "votes": {"raft_won": 2}, "revision": None}
-    assert samples(exposition(counts.snapshot(), gauges)) == {
+    assert samples(render_metrics(counts.snapshot(), gauges)) == {
         "mallowvalve_requests_total": 3.0,
         "mallowvalve_rejected_not_run_total": 1.0,
         "mallowvalve_fresh": 1.0,
@@ -33,11 +33,11 @@
 
 
 def test_names_that_become_one_are_counted_together():
-    assert samples(exposition({"a-b": 1, "a_b": 2}, {})) == {"mallowvalve_a_b_total": 3.0}
+    assert samples(render_metrics({"a-b": 1, "a_b": 2}, {})) == {"mallowvalve_a_b_total": 3.0}
 
 
 def test_nothing_counted_is_an_empty_page():
-    assert samples(exposition({}, {})) == {}
+    assert samples(render_metrics({}, {})) == {}
 
 
 def test_a_node_shows_all_it_counts():
@@ -45,9 +45,9 @@
     node = Node(settings.check("proxy", raw).unwrap())
     node.counts.add("requests", 2)
     node.membership.membership.counts.add("membership_declared")
-    node.heartbeats.board.counts.add("heartbeat_new")
+    node.heartbeats.table.counts.add("heartbeat_new")
     node.gauge("busy", lambda: 7)
-    node.app.add_route("/-/metrics", Metrics(node))
+    node.app.add_route("/-/metrics", MetricsResource(node))
     answer = TestClient(node.app.made()).simulate_get("/-/metrics")
     assert answer.status_code == 200 and answer.headers["content-type"] == CONTENT_TYPE
     assert samples(answer.content) == {
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,11 +1,11 @@
 import copy
 
 from mallowvalve.configuration.build import build
-from mallowvalve.planner.plan import Seen, plan
+from mallowvalve.planner.plan import ReadyUpstream, plan
 from mallowvalve.types import Locality
 from tests.shapes import CONFIG
 
-UP = [Seen("boards", "b-eu", Locality("eu", "eu-a")), Seen("boards", "b-us", Locality("us", "us-a"))]
+UP = [ReadyUpstream("boards", "b-eu", Locality("eu", "eu-a")), ReadyUpstream("boards", "b-us", Locality("us", "us-a"))]
 
 
 def moves(change, upstreams=UP, evacuated=None):
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -9,8 +9,8 @@
 from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.repeats import Repeats
 from mallowvalve.routing.compiler import DEFAULT_POLICY
-from mallowvalve.types import Address, Locality, reachable
-from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
+from mallowvalve.types import Address, Locality, is_reachable
+from mallowvalve.upstreams.board import SILENCE_TIMEOUT_S, Heartbeat, HeartbeatTable
 
 EU, EU2, US = Locality("eu", "a"), Locality("eu", "b"), Locality("us", "c")
 
@@ -20,42 +20,42 @@
 
 
 def test_heartbeats_are_ordered_by_incarnation_then_sequence():
-    b = Board()
-    assert b.hear(heartbeat(seq=5), 0.0) and not b.hear(heartbeat(seq=4), 1.0)
-    assert b.hear(heartbeat(inc=2, seq=1), 2.0) and not b.hear(heartbeat(inc=1, seq=9), 3.0)
+    b = HeartbeatTable()
+    assert b.record(heartbeat(seq=5), 0.0) and not b.record(heartbeat(seq=4), 1.0)
+    assert b.record(heartbeat(inc=2, seq=1), 2.0) and not b.record(heartbeat(inc=1, seq=9), 3.0)
     assert b.rows["s/i0"].since == 2.0
 
 
 def test_leaving_is_final_for_that_incarnation():
-    b = Board()
-    b.hear(heartbeat(seq=1), 0.0)
-    b.hear(heartbeat(seq=2, state="leaving"), 1.0)
-    assert not b.hear(heartbeat(seq=3), 2.0) and b.usable("s", 2.0) == []
-    b.hear(heartbeat(seq=4, state="gone"), 3.0)
-    assert not b.hear(heartbeat(seq=5, state="leaving"), 4.0)
-    assert b.hear(heartbeat(inc=2, seq=1), 5.0) and len(b.usable("s", 5.0)) == 1
+    b = HeartbeatTable()
+    b.record(heartbeat(seq=1), 0.0)
+    b.record(heartbeat(seq=2, state="leaving"), 1.0)
+    assert not b.record(heartbeat(seq=3), 2.0) and b.usable("s", 2.0) == []
+    b.record(heartbeat(seq=4, state="gone"), 3.0)
+    assert not b.record(heartbeat(seq=5, state="leaving"), 4.0)
+    assert b.record(heartbeat(inc=2, seq=1), 5.0) and len(b.usable("s", 5.0)) == 1
 
 
 def test_a_silent_upstream_is_out_and_cold_when_it_comes_back():
-    b = Board()
-    b.hear(heartbeat(seq=1), 0.0)
-    assert b.usable("s", SILENT - 0.1) and not b.usable("s", SILENT)
-    b.hear(heartbeat(seq=2), 20.0)
+    b = HeartbeatTable()
+    b.record(heartbeat(seq=1), 0.0)
+    assert b.usable("s", SILENCE_TIMEOUT_S - 0.1) and not b.usable("s", SILENCE_TIMEOUT_S)
+    b.record(heartbeat(seq=2), 20.0)
     assert b.usable("s", 20.0)[0].since == 20.0
 
 
 def test_old_news_handed_on_does_not_refresh():
-    b, late = Board(), Board()
-    b.hear(heartbeat(), 0.0)
+    b, late = HeartbeatTable(), HeartbeatTable()
+    b.record(heartbeat(), 0.0)
     for a in b.newer_than(late.digest(), 6.0):
-        late.hear(a.heartbeat, 106.0, a.age)
+        late.record(a.heartbeat, 106.0, a.age_s)
     assert late.usable("s", 107.0) and not late.usable("s", 108.1)
 
 
 def rows(*heartbeats, since=-100.0):
-    b = Board()
+    b = HeartbeatTable()
     for x in heartbeats:
-        b.hear(x, 0.0)
+        b.record(x, 0.0)
     out = b.usable(heartbeats[0].service, 0.0)
     for r in out:
         r.since = since
@@ -63,9 +63,9 @@
 
 
 def test_homes_and_evacuations_bound_the_choice():
-    assert reachable(US, None, {}) and not reachable(US, frozenset({"eu"}), {})
+    assert is_reachable(US, None, {}) and not is_reachable(US, frozenset({"eu"}), {})
     for z in ("c", "us", "us/c"):
-        assert not reachable(US, None, {z: 1})
+        assert not is_reachable(US, None, {z: 1})
 
 
 def test_near_first_then_the_lesser_load_of_two():
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -3,7 +3,7 @@
 from mallowvalve.control.state import command
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams import registry as registries
-from mallowvalve.upstreams.liveness import Heard, Liveness
+from mallowvalve.upstreams.liveness import HeardInstance, LivenessTracker
 from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
 EU = Locality("eu", "eu-a")
@@ -98,9 +98,9 @@
 
 
 def test_there_is_a_bound_on_rows_services_and_traces(monkeypatch):
-    monkeypatch.setattr(registries, "MOST", 4)
-    monkeypatch.setattr(registries, "MOST_SERVICES", 2)
-    monkeypatch.setattr(registries, "MOST_GONE", 1)
+    monkeypatch.setattr(registries, "MAX_UPSTREAMS", 4)
+    monkeypatch.setattr(registries, "MAX_SERVICES", 2)
+    monkeypatch.setattr(registries, "MAX_GONE", 1)
     r = Registry()
     for n, s in enumerate("aabcaa"):
         r.apply(Registered([up(f"i{n}", service=s, at=f"10.0.0.{n + 1}:1")]), n)
@@ -121,11 +121,11 @@
 
 
 def heartbeat(h, r, u, now, clock=0):
-    return h.heartbeat(u, r, clock, now)
+    return h.observe(u, r, clock, now)
 
 
 def test_what_a_heartbeat_changes():
-    h, r = Liveness(), registered((1000, up(cold=3000)))
+    h, r = LivenessTracker(), registered((1000, up(cold=3000)))
     assert heartbeat(h, r, up("new"), 0.0) == up("new")
     assert heartbeat(h, r, up(seq=2), 0.1) is None
     for u in (up(seq=3, slots=5), up(seq=3, at="10.0.0.9:80"), up(seq=3, service="t"), up(seq=3, state="leaving")):
@@ -138,16 +138,16 @@
 
 
 def test_a_late_heartbeat_is_neither_a_change_nor_a_sign_of_life():
-    h, r = Liveness(), registered((0, up(seq=5)))
+    h, r = LivenessTracker(), registered((0, up(seq=5)))
     assert heartbeat(h, r, up(seq=4, slots=9), 1.0) is None and h.report(0.0, 1.0) == []
     assert heartbeat(h, r, up(seq=9), 1.0) is None and heartbeat(h, r, up(seq=8, state="leaving"), 2.0) is None
-    assert h.report(0.0, 2.0) == [Heard("i1", 1000)]
+    assert h.report(0.0, 2.0) == [HeardInstance("i1", 1000)]
 
 
 def test_a_notice_of_leaving_is_offered_until_it_was_acknowledged_here():
-    h, r = Liveness(), registered((0, up()), (1, up(seq=2, state="leaving")))
+    h, r = LivenessTracker(), registered((0, up()), (1, up(seq=2, state="leaving")))
     assert heartbeat(h, r, up(seq=3, state="leaving"), 0.0) is not None
-    h.acked(up(seq=3, state="leaving"))
+    h.mark_acknowledged(up(seq=3, state="leaving"))
     assert heartbeat(h, r, up(seq=4, state="leaving"), 0.0) is None
     assert heartbeat(h, r, up(seq=5), 0.0) is None
     r.apply(Registered([up(state="gone")]), 5)
@@ -155,9 +155,9 @@
 
 
 def test_the_fleets_clock_goes_on_between_commands():
-    h = Liveness()
-    assert h.clock(5000, 10.0) == 5000 and h.clock(5000, 10.5) == 5500
-    assert h.clock(5400, 10.6) == 5400 and h.clock(5400, 11.6) == 6400
+    h = LivenessTracker()
+    assert h.fleet_time_ms(5000, 10.0) == 5000 and h.fleet_time_ms(5000, 10.5) == 5500
+    assert h.fleet_time_ms(5400, 10.6) == 5400 and h.fleet_time_ms(5400, 11.6) == 6400
 
 
 def eight():
@@ -168,8 +168,8 @@
     """Judges from start to end while those named heartbeat; what was said, with when."""
     out, now = [], start
     while now < end:
-        h.told([Heard(i, 0) for i in heard], now)
-        c = h.judge(r, now)
+        h.merge_report([HeardInstance(i, 0) for i in heard], now)
+        c = h.detect_silent(r, now)
         if c is not None:
             out.append((now, sorted(u.instance for u in c.changes), c.forget))
             r.apply(c, int(now * 1000))
@@ -178,7 +178,7 @@
 
 
 def test_the_leader_judges_who_was_heard_by_no_control_process_for_three_heartbeats():
-    h, r = Liveness(1.5), eight()
+    h, r = LivenessTracker(1.5), eight()
     others = [f"i{n}" for n in range(1, 8)]
     assert lead(h, r, 100.0, 104.0, [*others, "i0"]) == []
     said = lead(h, r, 104.0, 112.0, others)
@@ -187,43 +187,43 @@
 
 
 def test_a_new_leader_waits_a_whole_silence_and_one_that_stood_still_waits_again():
-    h, r = Liveness(1.5), eight()
+    h, r = LivenessTracker(1.5), eight()
     heard = [f"i{n}" for n in range(1, 8)]
     assert lead(h, r, 50.0, 54.5, heard) == []
-    h.follow()
+    h.stop_judging()
     assert lead(h, r, 90.0, 94.5, heard) == []
     assert lead(h, r, 97.5, 102.0, heard) == []
     assert lead(h, r, 102.0, 103.0, heard) == [(102.0, ["i0"], [])]
 
 
 def test_a_mass_silence_is_judged_one_step_slower():
-    h, r = Liveness(1.5), eight()
+    h, r = LivenessTracker(1.5), eight()
     all_, few = [f"i{n}" for n in range(8)], [f"i{n}" for n in range(3)]
     lead(h, r, 0.0, 10.0, all_)
     said = lead(h, r, 10.0, 22.0, few)
     assert said == [(18.75, ["i3", "i4", "i5", "i6", "i7"], [])]
-    h, r = Liveness(1.5), eight()
+    h, r = LivenessTracker(1.5), eight()
     lead(h, r, 0.0, 10.0, all_)
     assert lead(h, r, 10.0, 22.0, all_[4:]) == [(14.25, ["i0", "i1", "i2", "i3"], [])]
 
 
 def test_those_of_a_mass_that_fall_silent_one_after_the_other_within_a_heartbeat_are_one_mass():
-    h, r = Liveness(1.5), eight()
+    h, r = LivenessTracker(1.5), eight()
     lead(h, r, 0.0, 8.0, [f"i{n}" for n in range(8)])
     for n in range(8):
-        h.told([Heard(f"i{n}", 0)], 8.0 + n * 0.18)
+        h.merge_report([HeardInstance(f"i{n}", 0)], 8.0 + n * 0.18)
     said = lead(h, r, 9.5, 30.0, [])
     assert said[0][0] >= 17.0 and sum((n for _, n, _ in said), []) == [f"i{n}" for n in range(8)]
 
 
 def test_one_alone_in_its_service_is_no_mass():
-    h, r = Liveness(1.5), registered((0, up()))
+    h, r = LivenessTracker(1.5), registered((0, up()))
     lead(h, r, 0.0, 10.0, ["i1"])
     assert lead(h, r, 10.0, 15.0, []) == [(14.25, ["i1"], [])]
 
 
 def test_the_silent_and_those_that_left_without_a_word_are_forgotten_after_a_minute():
-    h, r = Liveness(1.5), eight()
+    h, r = LivenessTracker(1.5), eight()
     r.apply(Registered([up("i7", seq=2, state="leaving", at="10.0.0.8:80")]), 1)
     heard = [f"i{n}" for n in range(1, 7)]
     said = lead(h, r, 0.0, 70.0, heard)
@@ -233,15 +233,15 @@
 
 
 def test_a_report_says_only_who_was_heard_since_the_last():
-    h, r = Liveness(), eight()
+    h, r = LivenessTracker(), eight()
     heartbeat(h, r, up("i0", seq=2), 1.0)
     heartbeat(h, r, up("i1", seq=2, at="10.0.0.2:80"), 2.0)
-    assert h.report(1.0, 2.5) == [Heard("i1", 500)]
-    leader = Liveness()
-    leader.told(h.report(0.0, 2.5), 12.5)
-    assert leader.report(0.0, 12.5) == [Heard("i0", 1500), Heard("i1", 500)]
-    leader.told([Heard("i1", 9000)], 12.5)
-    assert leader.report(0.0, 12.5)[1] == Heard("i1", 500)
+    assert h.report(1.0, 2.5) == [HeardInstance("i1", 500)]
+    leader = LivenessTracker()
+    leader.merge_report(h.report(0.0, 2.5), 12.5)
+    assert leader.report(0.0, 12.5) == [HeardInstance("i0", 1500), HeardInstance("i1", 500)]
+    leader.merge_report([HeardInstance("i1", 9000)], 12.5)
+    assert leader.report(0.0, 12.5)[1] == HeardInstance("i1", 500)
 
 
 def test_the_wire_form_of_a_change_holds_what_is_forgotten():
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -9,7 +9,7 @@
 from mallowvalve import metrics, reload, settings
 from mallowvalve.metrics import Counts
 from mallowvalve.node import Node
-from mallowvalve.reload import Reload, changes
+from mallowvalve.reload import SettingsReloader, compare_settings
 from mallowvalve.types import Address
 
 TEXT = 'name = "a"\nlocality = "eu/a"\ntransport = "127.0.0.1:4001"\nweb = "127.0.0.1:4002"\nseeds = ["127.0.0.1:%d"]\npolite = %s\n'
@@ -22,7 +22,7 @@
         p = settings.load("proxy", str(path), {"fleet": "f"}).unwrap()
         self.first = msgspec.structs.replace(p, path=str(path), flags={"fleet": "f"})
         self.counts = Counts()
-        self.reload = Reload(self.first, self.take, self.counts)
+        self.reload = SettingsReloader(self.first, self.take, self.counts)
 
     def take(self, p):
         self.got.append(p)
@@ -40,7 +40,7 @@
 
 
 def said(what):
-    return [r["findings"] for r in metrics.recent.about(what) if r["what"] == what]
+    return [r["findings"] for r in metrics.recent_events.about(what) if r["what"] == what]
 
 
 def test_equal_settings_change_nothing_and_seeds_alone_are_taken():
@@ -48,9 +48,11 @@
         "proxy",
         {"name": "a", "locality": "eu/a", "transport": "127.0.0.1:1", "web": "127.0.0.1:2", "seeds": ["127.0.0.1:3"]},
     ).unwrap()
-    assert changes(p, msgspec.structs.replace(p, path="x", flags={"fleet": "f"})) == reload.Changes({}, [])
+    assert compare_settings(p, msgspec.structs.replace(p, path="x", flags={"fleet": "f"})) == reload.SettingsDiff(
+        {}, []
+    )
     new = msgspec.structs.replace(p, seeds=[Address("127.0.0.1", 4)], polite=9.0, serve_on=True)
-    c = changes(p, new)
+    c = compare_settings(p, new)
     assert c.taken == {"seeds": [Address("127.0.0.1", 4)]} and {f.place for f in c.left} == {"polite", "serve_on"}
 
 
@@ -87,7 +89,7 @@
 
 
 def test_sighup_has_the_file_read(seen, monkeypatch):
-    monkeypatch.setattr(reload, "LOOK", 60.0)
+    monkeypatch.setattr(reload, "CHECK_INTERVAL_S", 60.0)
     with seen.reload, gevent.Timeout(10):
         gevent.idle()
         seen.write(4004)
@@ -97,7 +99,7 @@
 
 
 def test_the_file_is_looked_at_without_a_signal(seen, monkeypatch):
-    monkeypatch.setattr(reload, "LOOK", 0.01)
+    monkeypatch.setattr(reload, "CHECK_INTERVAL_S", 0.01)
     with seen.reload, gevent.Timeout(10):
         seen.write(4004)
         seen.came.wait()
@@ -107,7 +109,7 @@
     p = settings.check(
         "proxy", {"name": "a", "locality": "eu/a", "transport": "127.0.0.1:1", "web": "127.0.0.1:2"}
     ).unwrap()
-    with Reload(p, None, Counts()) as r:
+    with SettingsReloader(p, None, Counts()) as r:
         r.look()
         assert r.settings is p
 
@@ -116,5 +118,5 @@
     kept = Address("127.0.0.1", 4009)
     n = Node(seen.first, [kept])
     new = [Address("127.0.0.1", 4004), seen.first.transport]
-    n.renew(msgspec.structs.replace(seen.first, seeds=new))
+    n.apply_settings(msgspec.structs.replace(seen.first, seeds=new))
     assert n.settings.seeds == new and n.membership.membership.seeds == [new[0], kept]
