--- a/mallowvalve/directory/__init__.py
+++ b/mallowvalve/directory/__init__.py
@@ -1,1 +1,1 @@
-"""Where clients are told which proxies to use."""
+"""The directory: tells clients which proxies to use."""
--- a/mallowvalve/directory/answer.py
+++ b/mallowvalve/directory/answer.py
@@ -1,7 +1,8 @@
-"""Which proxies a client is told of, and why these.
+"""Selection of the proxies that a directory answer names.
 
-A client takes any one of the proxies that it is told of, by chance, so none is named that is not wanted. The region
-comes first: planned work leads nobody out of it while one proxy there accepts connections (docs/design/directory.md).
+A client picks one of the named proxies at random, so an answer names only proxies that are meant to take its work.
+Region affinity has priority: planned work sends no client out of its region while a proxy there accepts connections
+(docs/design/directory.md).
 """
 
 from __future__ import annotations
@@ -17,18 +18,21 @@
 from mallowvalve.types import Locality
 
 PROXY_ROLE = "proxy"
-MOST, ENOUGH = 64, 2
-"""Proxies in an answer at most, and so many in a region that the loss of one is borne there."""
+
+MAX_NAMED_PROXIES = 64
+
+MIN_READY_PROXIES = 2
+"""Ready proxies with which a region tolerates the loss of one."""
 
 RECENT_FAILURE_S = 30.0
-"""Seconds for which a failure in a region counts as one that another may follow."""
+"""Time after a proxy's failure during which another failure in its region counts as likely."""
 
 UNKNOWN_HOMES: frozenset[str] = frozenset()
-"""Stands for homes that are not known yet: only the client's own region is sure to be allowed."""
+"""Home regions that are not known yet: only the client's own region is certainly allowed."""
 
 
 class Reason(enum.Enum):
-    """Why an answer names the proxies that it names."""
+    """Reason for the selection of an answer's proxies."""
 
     OWN_REGION = "own_region"
     LONE = "lone"
@@ -42,105 +46,117 @@
 
 
 STABLE_REASONS = (Reason.OWN_REGION,)
-"""Reasons that hold for long; what is named for another one is told for a shorter time."""
+"""Reasons that last; answers with any other reason get a shorter time to live."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The proxies of an answer, the nearest first, and why they were chosen; without any the answer is a refusal."""
+    """The selected proxies, the nearest first, and the reason. Without proxies the answer is a refusal."""
 
     proxies: list[MemberRecord]
     reason: Reason
 
     def regions(self) -> list[str]:
-        """The regions of the proxies that are named."""
+        """Returns the sorted regions of the selected proxies."""
         return sorted({record.locality.region for record in self.proxies})
 
 
 class ProxyView(msgspec.Struct, frozen=True):
-    """The proxies as a directory knows them: those that run, those that are gone, and whom it suspects.
+    """A directory's view of the members: the running ones, the departed ones, and which of them are suspected.
 
-    Who is gone is asked only where a region is short of proxies.
+    `departed` is called only if a region is short of proxies.
     """
 
     alive: Sequence[MemberRecord]
-    gone: Callable[[], Sequence[DepartedMember]] = tuple
-    suspects: Callable[[MemberRecord], bool] = lambda record: False
+    departed: Callable[[], Sequence[DepartedMember]] = tuple
+    is_suspected: Callable[[MemberRecord], bool] = lambda record: False
 
 
 def choose_proxies(
-    known: ProxyView, near: Locality, homes: frozenset[str] | None = None, most: int = MOST, patient: bool = True
+    view: ProxyView,
+    near: Locality,
+    homes: frozenset[str] | None = None,
+    max_proxies: int = MAX_NAMED_PROXIES,
+    wait_for_return: bool = True,
 ) -> Choice:
-    """Where a client at this place may go for a host or tenant with these homes (None: any region is as good).
+    """Selects the proxies for a client at `near` and a host or tenant with these home regions (None: any region).
 
-    An evacuation empties upstreams, not proxies. Of more than `most`, those in the client's zone come first, and each
-    zone leaves others out. With `patient` nobody is named while one that may serve
-    is on its way back.
+    An evacuation drains upstreams, not proxies. Of more than `max_proxies`, those in the client's zone come first;
+    each zone drops a different subset of the others. With `wait_for_return` the result is a refusal while an
+    allowed proxy is expected back.
     """
-    rows, reason = _choose(known, near, homes, patient)
-    rows = sorted(rows, key=lambda r: (r.locality.distance(near), crc32(f"{near} {r.web}".encode()), r.web))
-    return Choice(rows[:most], reason)
+    records, reason = _select(view, near, homes, wait_for_return)
+    records = sorted(
+        records,
+        key=lambda record: (record.locality.distance(near), crc32(f"{near} {record.web}".encode()), record.web),
+    )
+    return Choice(records[:max_proxies], reason)
 
 
-def _choose(
-    known: ProxyView, near: Locality, homes: frozenset[str] | None, patient: bool
+def _select(
+    view: ProxyView, near: Locality, homes: frozenset[str] | None, wait_for_return: bool
 ) -> tuple[list[MemberRecord], Reason]:
-    """What serves nearest and may serve, by the order of `docs/design/directory.md`."""
-    here = [record for record in known.alive if record.locality.region == near.region and record.role == PROXY_ROLE]
-    own = _ready(known, here)
-    if len(own) >= ENOUGH:
-        return own, Reason.OWN_REGION
-    proxies = [record for record in known.alive if record.role == PROXY_ROLE]
-    if own:
-        return _with_help(known, proxies, own, near.region, homes)
-    home = _of(_ready(known, proxies), homes or ())
-    if home:
-        return home, Reason.HOME_REGION
-    open_ = [record for record in proxies if accepts(record)]
-    leaving = [record for record in open_ if not known.suspects(record)]
+    """Returns the nearest allowed proxies, in the order of preference of `docs/design/directory.md`."""
+    local = [record for record in view.alive if record.locality.region == near.region and record.role == PROXY_ROLE]
+    local_ready = _ready(view, local)
+    if len(local_ready) >= MIN_READY_PROXIES:
+        return local_ready, Reason.OWN_REGION
+    proxies = [record for record in view.alive if record.role == PROXY_ROLE]
+    if local_ready:
+        return _single_ready_with_backup(view, proxies, local_ready, near.region, homes)
+    in_home_regions = _in_regions(_ready(view, proxies), homes or ())
+    if in_home_regions:
+        return in_home_regions, Reason.HOME_REGION
+    accepting = [record for record in proxies if accepts(record)]
+    unsuspected = [record for record in accepting if not view.is_suspected(record)]
     for regions in ({near.region}, homes or ()):
-        if found := _of(leaving, regions):
+        if found := _in_regions(unsuspected, regions):
             return found, Reason.LEAVING
-    if patient and _worth_waiting(known, proxies, near.region, homes):
+    if wait_for_return and _is_return_expected(view, proxies, near.region, homes):
         return [], Reason.RETURNING
-    anywhere = _ready(known, proxies) or leaving or open_
+    anywhere = _ready(view, proxies) or unsuspected or accepting
     return (anywhere, Reason.NONE_ACCEPTS) if anywhere else ([], Reason.NOBODY)
 
 
-def _with_help(
-    known: ProxyView, proxies: list[MemberRecord], own: list[MemberRecord], region: str, homes: frozenset[str] | None
+def _single_ready_with_backup(
+    view: ProxyView,
+    proxies: list[MemberRecord],
+    local_ready: list[MemberRecord],
+    region: str,
+    homes: frozenset[str] | None,
 ) -> tuple[list[MemberRecord], Reason]:
-    """A region's one ready proxy; those that may serve help it where another one there has just failed."""
-    if not _failed(known.gone(), region):
-        return own, Reason.LONE
-    ready = _ready(known, proxies)
-    others = ready if homes is None else own + _of(ready, homes - {region})
-    return (others, Reason.REST_FAILED) if len(others) > len(own) else (own, Reason.LONE)
+    """Returns a region's only ready proxy, with other allowed ones added if another proxy of the region just failed."""
+    if not _has_recent_failure(view.departed(), region):
+        return local_ready, Reason.LONE
+    ready = _ready(view, proxies)
+    allowed = ready if homes is None else local_ready + _in_regions(ready, homes - {region})
+    return (allowed, Reason.REST_FAILED) if len(allowed) > len(local_ready) else (local_ready, Reason.LONE)
 
 
-def _ready(known: ProxyView, records: Iterable[MemberRecord]) -> list[MemberRecord]:
-    return [record for record in records if record.ready and record.state == ALIVE and not known.suspects(record)]
+def _ready(view: ProxyView, records: Iterable[MemberRecord]) -> list[MemberRecord]:
+    return [record for record in records if record.ready and record.state == ALIVE and not view.is_suspected(record)]
 
 
-def _of(records: Iterable[MemberRecord], regions: Iterable[str]) -> list[MemberRecord]:
+def _in_regions(records: Iterable[MemberRecord], regions: Iterable[str]) -> list[MemberRecord]:
     wanted = set(regions)
     return [record for record in records if record.locality.region in wanted]
 
 
-def _failed(gone: Iterable[DepartedMember], region: str) -> bool:
-    """Whether a proxy of the region failed so lately that another one may follow."""
-    here = [one for one in gone if one.record.locality.region == region]
-    return any(one.record.state == FAILED and one.departed_for_s < RECENT_FAILURE_S for one in here)
+def _has_recent_failure(departed: Iterable[DepartedMember], region: str) -> bool:
+    """Returns whether a proxy of the region failed so recently that another failure is likely."""
+    local = [member for member in departed if member.record.locality.region == region]
+    return any(member.record.state == FAILED and member.departed_for_s < RECENT_FAILURE_S for member in local)
 
 
-def _worth_waiting(
-    known: ProxyView, proxies: Iterable[MemberRecord], region: str, homes: frozenset[str] | None
+def _is_return_expected(
+    view: ProxyView, proxies: Iterable[MemberRecord], region: str, homes: frozenset[str] | None
 ) -> bool:
-    """Whether one that may serve is on its way back: it has left just now, or runs and does not accept yet.
+    """Returns whether an allowed proxy has just left for a restart, or runs and does not accept connections yet.
 
-    Without homes other regions are as good, but for a moment: of those that close at once one takes back its word.
+    Without home regions any region will do, so only proxies of the own region that are leaving count: the wait covers
+    the moment in which several proxies stop accepting at once and one of them reverts to accepting.
     """
-    silent = [record for record in proxies if not accepts(record) and not known.suspects(record)]
+    not_accepting = [record for record in proxies if not accepts(record) and not view.is_suspected(record)]
     if homes is None:
-        return any(record.state == LEAVING for record in _of(silent, {region}))
-    left = [one.record for one in known.gone() if one.is_expected_back()]
-    return bool(_of([*left, *silent], {region, *homes}))
+        return any(record.state == LEAVING for record in _in_regions(not_accepting, {region}))
+    left = [member.record for member in view.departed() if member.is_expected_back()]
+    return bool(_in_regions([*left, *not_accepting], {region, *homes}))
--- a/mallowvalve/directory/look_up.py
+++ b/mallowvalve/directory/look_up.py
@@ -1,4 +1,4 @@
-"""A look-up, without sockets: the choice by the membership of now, and for how long the client may go by it."""
+"""Look-ups without sockets: the selection from the current membership, and the time to live of an answer."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.types import Address, Locality
 
-ANSWER_TTL_S, SHORT_ANSWER_TTL_S = 2.0, 1.0
-"""How long a client may go by an answer, and by one whose reason soon passes (s)."""
+ANSWER_TTL_S = 2.0
+
+SHORT_ANSWER_TTL_S = 1.0
+"""Time to live of an answer whose reason is expected to change soon."""
 
 WAIT_WITHOUT_HOMES_S = 0.3
-"""For how long nobody is named to clients for whom another region is as good (s); with homes it is a restart's time."""
+"""How long clients without home regions are refused; clients with home regions are refused for a restart's time."""
 
 REFUSAL_MAX_AGE_S = 10.0
-"""For how long a client may name a proxy that refused it; one that started later than that may be meant no more (s)."""
+"""How long clients report a proxy that refused them; a proxy known for less than this has started since."""
 
-MOST_WAITS = 1024
-"""Places and homes for which it is remembered since when they are refused."""
+MAX_TRACKED_WAITS = 1024
+"""Client groups for which the start of the refusals is stored, at most."""
 
-Wait = tuple[str, frozenset[str] | None]
-"""A client's region and the homes of what it asks for."""
+ClientGroup = tuple[str, frozenset[str] | None]
+"""A client's region and the home regions of the requested host or tenant."""
 
 
 class Directory:
-    """Answers look-ups by what one member knows; `now` gives seconds of its steady clock."""
+    """Answers look-ups from one member's view of the membership; `now` returns the monotonic time in seconds."""
 
-    __slots__ = ("members", "now", "_waits")
+    __slots__ = ("members", "now", "_refused_since")
 
     def __init__(self, members: ClusterMembership, now: Callable[[], float]) -> None:
-        """Nobody was refused yet."""
+        """Creates a directory that has refused nobody yet."""
         self.members = members
         self.now = now
-        self._waits: dict[Wait, float] = {}
+        self._refused_since: dict[ClientGroup, float] = {}
 
     def look_up(
         self,
@@ -43,31 +45,32 @@
         avoid: Collection[Address] = (),
         usable: Callable[[MemberRecord], bool] | None = None,
     ) -> Choice:
-        """Who is named to a client at this place, for a host or tenant with these homes; nobody is a refusal.
+        """Returns the proxies for a client at `near` and a host or tenant with these home regions.
 
-        `avoid` are proxies that refused the client, by their web address; they are doubted as silent ones are, but
-        for those that have started since: it was an earlier life that refused. A process that has just started refuses
-        what would lead a client away, as it may not know who else is there.
+        A choice without proxies is a refusal. `avoid` are the web addresses of proxies that refused the client; they
+        are treated as suspected, unless they have started since, as the refusal came from the previous process.
+        Shortly after its own start the directory refuses instead of naming proxies of another region, because its
+        membership may be incomplete.
         """
         alive = self.members.alive(PROXY_ROLE)
-        known = ProxyView(
+        view = ProxyView(
             alive if usable is None else [record for record in alive if usable(record)],
             lambda: self.members.departed(PROXY_ROLE),
-            lambda record: self._refused(record, avoid) or self.members.suspects(record),
+            lambda record: self._has_refused_client(record, avoid) or self.members.suspects(record),
         )
-        choice = choose_proxies(known, near, homes)
+        choice = choose_proxies(view, near, homes)
         if choice.reason is Reason.RETURNING and self._has_waited((near.region, homes)):
-            choice = choose_proxies(known, near, homes, patient=False)
+            choice = choose_proxies(view, near, homes, wait_for_return=False)
         elif choice.reason is not Reason.RETURNING:
-            self._waits.pop((near.region, homes), None)
+            self._refused_since.pop((near.region, homes), None)
         if choice.regions() not in ([], [near.region]) and not self.members.settled():
             return Choice([], Reason.NOT_SETTLED)
         return choice
 
     def probe_proxies(self, region: str, choice: Choice) -> None:
-        """Where an answer rests on one proxy alone, see that it lives: a ping now and then, by whoever names it.
+        """Probes the proxy of an answer that names only one, so that its failure is noticed early.
 
-        Those of the region that are doubted are pinged on, so that the first ack ends the doubt.
+        Suspected proxies of the region are probed too, so that the first ack ends the suspicion.
         """
         if len(choice.proxies) == 1:
             self.members.probe(choice.proxies[0])
@@ -77,18 +80,18 @@
             if record.locality.region == region and self.members.suspects(record):
                 self.members.probe(record)
 
-    def _refused(self, record: MemberRecord, avoid: Collection[Address]) -> bool:
+    def _has_refused_client(self, record: MemberRecord, avoid: Collection[Address]) -> bool:
         return record.web in avoid and self.members.known_for(record) >= REFUSAL_MAX_AGE_S
 
-    def _has_waited(self, wait: Wait) -> bool:
-        """Whether these clients have been refused for as long as it is worth to them."""
+    def _has_waited(self, group: ClientGroup) -> bool:
+        """Returns whether these clients have been refused for as long as a wait is useful to them."""
         now = self.now()
-        patience = WAIT_WITHOUT_HOMES_S if wait[1] is None else RETURN_WINDOW_S
-        if wait not in self._waits and len(self._waits) >= MOST_WAITS:
-            self._waits.clear()
-        return now - self._waits.setdefault(wait, now) >= patience
+        max_wait_s = WAIT_WITHOUT_HOMES_S if group[1] is None else RETURN_WINDOW_S
+        if group not in self._refused_since and len(self._refused_since) >= MAX_TRACKED_WAITS:
+            self._refused_since.clear()
+        return now - self._refused_since.setdefault(group, now) >= max_wait_s
 
 
 def answer_ttl_s(choice: Choice) -> float:
-    """How long a client may go by an answer (s)."""
+    """Returns how long a client may use an answer (s)."""
     return ANSWER_TTL_S if choice.reason in STABLE_REASONS else SHORT_ANSWER_TTL_S
--- a/mallowvalve/directory/main.py
+++ b/mallowvalve/directory/main.py
@@ -1,4 +1,4 @@
-"""The directory's daemon: a replica of the state, and the pages for clients."""
+"""The directory daemon: a replica of the control state, and the HTTP resources for clients."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def run(settings: Settings) -> None:
-    """Run until the process is told to stop; it is ready once it has a state."""
+    """Runs until the process is asked to stop; the process is ready once its replica has a state."""
     node = Node(settings)
     replica = ReplicaTask(node)
 
@@ -22,9 +22,9 @@
         state = replica.replica.state
         return state.items if state else None
 
-    contact = pages.AnswerFreshness(node, lambda: replica.replica.sure)
-    shared = pages.DirectoryService(node, lambda: replica.tree, items, evacuated, contact)
-    pages.add_routes(node.app, shared)
-    node.app.add_route("/-/named", pages.NamedResource(shared))
+    freshness = pages.AnswerFreshness(node, lambda: replica.replica.sure)
+    service = pages.DirectoryService(node, lambda: replica.tree, items, evacuated, freshness)
+    pages.add_routes(node.app, service)
+    node.app.add_route("/-/named", pages.NamedResource(service))
     with node, replica:
         node.run(lambda: replica.replica.state is not None)
--- a/mallowvalve/directory/pages.py
+++ b/mallowvalve/directory/pages.py
@@ -1,4 +1,4 @@
-"""The directory's HTTP: answers to clients that ask where to go, at a directory or at a control process."""
+"""The directory's HTTP resources, served by directories and by control processes."""
 
 from __future__ import annotations
 
@@ -21,40 +21,41 @@
 from mallowvalve.node import Node
 from mallowvalve.types import Address, Locality, is_evacuated
 
-LIFE_MS = 3000
-"""How long a client may go by an answer at `/connect` (ms), where one at `/proxies` holds for `look_up.LIFE_S`."""
+CONNECT_TTL_MS = 3000
+"""Time to live of an answer of `/connect` where an answer of `/proxies` has `look_up.ANSWER_TTL_S`."""
 
-NOBODY_S = 1
-"""Seconds after which to ask again where there is no proxy."""
+NO_PROXY_RETRY_S = 1
 
-MOST = 6
-"""Proxies in an answer at `/connect`."""
+MAX_CONNECT_PROXIES = 6
 
-REFUSALS = {
+REFUSAL_TEXTS = {
     Reason.NOBODY: "none is ready",
     Reason.RETURNING: "those that may serve are being restarted",
     Reason.NOT_SETTLED: "this process has just started and may not know those that may serve",
 }
-"""What a look-up that names nobody says."""
 
 
 class AnswerFreshness:
-    """How old an answer of the directory is, and whether it may still be given (bounds in `control/lease.py`).
+    """Computes the age of a directory answer and enforces its upper bound (`control/lease.py`).
 
-    `asked` is when (s) this process asked what a majority has confirmed since. What is named comes from the membership,
-    of which nothing survives a process: so nothing is older than this one, and without a majority its start counts.
+    `confirmed_at` returns when (s) this process sent the last request that a majority has confirmed. The selection uses
+    the membership, which is not persistent, so an answer is never older than the process; without a confirmation the
+    age counts from the start of the process.
     """
 
-    def __init__(self, node: Node, asked: Callable[[], float]) -> None:
-        """The process starts now."""
+    def __init__(self, node: Node, confirmed_at: Callable[[], float]) -> None:
+        """Takes the current time as the start of the process."""
         self.node = node
-        self.asked = asked
-        self.born = clock.now()
+        self.confirmed_at = confirmed_at
+        self.started_at_s = clock.now()
 
-    def marks(self, resp: falcon.Response) -> dict[str, int | bool] | None:
-        """What marks the answer, or None once it was refused: past the bound nobody knows who else names proxies."""
+    def fields(self, resp: falcon.Response) -> dict[str, int | bool] | None:
+        """Returns the answer's age and staleness, or None after refusing it because its age is past the bound.
+
+        Past the bound this process cannot know which other processes still name proxies.
+        """
         now = clock.now()
-        since = max(self.born, self.asked())
+        since = max(self.started_at_s, self.confirmed_at())
         if not lease.holds(lease.Answer.DIRECTORY, since, now):
             self.node.counts.add("directory_out_of_touch")
             found = [Finding("control", "out of touch with a majority for too long")]
@@ -64,81 +65,89 @@
 
 
 class ConnectResource:
-    """`GET /connect`: where clients of a tenant may go, those nearest to `locality` first, those of `avoid` last."""
+    """`GET /connect`: the proxies for a tenant's clients, the nearest to `locality` first, those of `avoid` last."""
 
-    def __init__(self, pages: DirectoryService) -> None:
-        """Answer by the configuration and the evacuations of now."""
-        self.pages = pages
-        self.node = pages.node
+    def __init__(self, service: DirectoryService) -> None:
+        """Answers from the current configuration and evacuations."""
+        self.service = service
+        self.node = service.node
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Proxies that serve, and how long the answer holds."""
+        """Returns usable proxies and the answer's time to live (ms)."""
         near = Locality.read(req.get_param("locality") or str(self.node.settings.locality))
         if isinstance(near, Err):
             web.reject(resp, 400, web.NOT_RUN, [Finding("locality", near.err_value)])
             return
         tenant = req.get_param("tenant")
-        tree = self.pages.tree()
+        tree = self.service.tree()
         if tenant is not None and tenant not in tree.cell_of:
             web.reject(resp, 404, web.NOT_RUN, [Finding("tenant", f"no tenant {tenant!r}")])
             return
         homes = tree.homes(tenant) if tenant is not None else None
-        evacuated = self.pages.evacuated()
-        read = map(Address.read, req.get_param_as_list("avoid") or [])
-        avoid = {result.ok_value for result in read if isinstance(result, Ok)}
+        evacuated = self.service.evacuated()
+        addresses = map(Address.read, req.get_param_as_list("avoid") or [])
+        avoid = {result.ok_value for result in addresses if isinstance(result, Ok)}
 
         def usable(record: MemberRecord) -> bool:
             return not is_evacuated(record.locality, evacuated)
 
-        choice = self.pages.directory.look_up(near.ok_value, homes, avoid, usable)
-        marks = self.pages.give(resp, near.ok_value.region, homes, choice)
-        if marks is None:
+        choice = self.service.directory.look_up(near.ok_value, homes, avoid, usable)
+        freshness = self.service.check_answer(resp, near.ok_value.region, homes, choice)
+        if freshness is None:
             return
-        rows = [self._row(record) for record in self._in_order(req, near.ok_value, choice, avoid)]
-        life_ms = int(LIFE_MS * answer_ttl_s(choice) / ANSWER_TTL_S)
-        web.say(resp, {"life_ms": life_ms, "proxies": rows[:MOST], **marks})
+        rows = [self._row(record) for record in self._sorted(req, near.ok_value, choice, avoid)]
+        ttl_ms = int(CONNECT_TTL_MS * answer_ttl_s(choice) / ANSWER_TTL_S)
+        web.say(resp, {"life_ms": ttl_ms, "proxies": rows[:MAX_CONNECT_PROXIES], **freshness})
 
-    def _in_order(
+    def _sorted(
         self, req: falcon.Request, near: Locality, choice: Choice, avoid: Collection[Address]
     ) -> list[MemberRecord]:
-        """The nearest first; of those equally near another one first for each caller."""
+        """Sorts avoided proxies last, then by distance; the order among equally near proxies varies by caller."""
         caller = req.env.get("REMOTE_PORT")
 
-        def place(record: MemberRecord) -> tuple[bool, int, int]:
-            drawn = hash((record.addr, self.node.boot, caller))
-            return record.web in avoid, record.locality.distance(near), drawn
+        def sort_key(record: MemberRecord) -> tuple[bool, int, int]:
+            tie_breaker = hash((record.addr, self.node.boot, caller))
+            return record.web in avoid, record.locality.distance(near), tie_breaker
 
-        return sorted(choice.proxies, key=place)
+        return sorted(choice.proxies, key=sort_key)
 
     def _row(self, record: MemberRecord) -> dict[str, str]:
         return {"web": str(record.web), "locality": str(record.locality), "name": record.name}
 
 
 class ProxiesResource:
-    """`GET /proxies`: where the clients of a host may go.
+    """`GET /proxies`: the proxies for the clients of a host.
 
-    It is answered from the membership, and by the homes of the host's routes; a node without settings takes no other
-    region than the client's for a home.
+    The answer depends on the membership and on the home regions of the host's routes. A node without settings takes
+    only the client's own region for a home region.
     """
 
-    def __init__(self, pages: DirectoryService) -> None:
-        """Answer by the membership of now."""
-        self.pages = pages
+    def __init__(self, service: DirectoryService) -> None:
+        """Answers from the current membership."""
+        self.service = service
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Addresses of proxies for a host `name` and a `zone`, of a `region` or of the settings' region for it."""
-        near = place(req, self.pages.node)
-        homes = self.pages.homes(req.get_param("name") or "")
-        choice = self.pages.directory.look_up(near, homes)
-        marks = self.pages.give(resp, near.region, homes, choice)
-        if marks is not None:
-            web.say(resp, {"proxies": [str(r.web) for r in choice.proxies], "life_s": answer_ttl_s(choice), **marks})
+        """Returns proxy addresses for the host `name`; the client is located by `zone` and `region`."""
+        near = client_locality(req, self.service.node)
+        homes = self.service.homes(req.get_param("name") or "")
+        choice = self.service.directory.look_up(near, homes)
+        freshness = self.service.check_answer(resp, near.region, homes, choice)
+        if freshness is not None:
+            web.say(
+                resp,
+                {
+                    "proxies": [str(record.web) for record in choice.proxies],
+                    "life_s": answer_ttl_s(choice),
+                    **freshness,
+                },
+            )
 
 
 class DirectoryService:
-    """What the pages share: whom they ask, and how an answer or a refusal is given and counted.
+    """State shared by the resources: the sources of an answer, its checks and its counters.
 
-    `tree` and `items` give the settings of now, `items` None where none are known; `evacuated` the zones evacuated.
+    `tree` and `items` return the current settings, `items` None if none are known; `evacuated` returns the evacuated
+    zones.
     """
 
     def __init__(
@@ -147,50 +156,50 @@
         tree: Callable[[], Tree],
         items: Callable[[], Items | None],
         evacuated: Callable[[], dict[str, int]],
-        contact: AnswerFreshness,
+        freshness: AnswerFreshness,
     ) -> None:
-        """Answer by the membership and the settings of now."""
+        """Answers from the current membership and settings."""
         self.node = node
         self.tree = tree
         self.items = items
         self.evacuated = evacuated
-        self.contact = contact
+        self.freshness = freshness
         self.directory = Directory(node.membership, clock.now)
-        self.answers = AnswerMetrics(node.counts)
-        node.gauge("directory_by_region", self.answers.by_region)
+        self.metrics = AnswerMetrics(node.counts)
+        node.gauge("directory_by_region", self.metrics.by_region)
 
     def homes(self, host: str) -> frozenset[str] | None:
-        """The homes of a host's routes: None where any region is as good, nothing while no settings are known."""
+        """Returns the home regions of a host's routes: None for any region, empty while no settings are known."""
         items = self.items()
         return answer.UNKNOWN_HOMES if items is None else items.homes(host)
 
-    def give(
+    def check_answer(
         self, resp: falcon.Response, region: str, homes: frozenset[str] | None, choice: Choice
     ) -> dict[str, int | bool] | None:
-        """What marks an answer, or None once it was refused."""
-        marks = self.contact.marks(resp)
-        if marks is None:
+        """Counts the answer and returns its age and staleness, or None after writing a refusal to `resp`."""
+        freshness = self.freshness.fields(resp)
+        if freshness is None:
             return None
         self.directory.probe_proxies(region, choice)
-        self.answers.record(region, homes, choice, self.node.membership.alive(PROXY_ROLE))
+        self.metrics.record(region, homes, choice, self.node.membership.alive(PROXY_ROLE))
         if not choice.proxies:
-            web.reject(resp, 503, web.NOT_RUN, [Finding("proxies", REFUSALS[choice.reason])], NOBODY_S)
+            web.reject(resp, 503, web.NOT_RUN, [Finding("proxies", REFUSAL_TEXTS[choice.reason])], NO_PROXY_RETRY_S)
             return None
         self.node.counts.add("directory_answers")
-        return marks
+        return freshness
 
 
 class NamedResource:
-    """`GET /-/named`: for operators, who would be named to a client of a place now, and why."""
+    """`GET /-/named`: for operators, the proxies that a client would get now, and the reason."""
 
-    def __init__(self, pages: DirectoryService) -> None:
-        """Answer by the membership and the settings of now."""
-        self.pages = pages
+    def __init__(self, service: DirectoryService) -> None:
+        """Answers from the current membership and settings."""
+        self.service = service
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """The proxies of an answer for a host `name`, a `zone` or `region`, with their state, and the reason."""
-        near = place(req, self.pages.node)
-        choice = self.pages.directory.look_up(near, self.pages.homes(req.get_param("name") or ""))
+        """Returns the proxies for the host `name` and the client's `zone` and `region`, and the reason."""
+        near = client_locality(req, self.service.node)
+        choice = self.service.directory.look_up(near, self.service.homes(req.get_param("name") or ""))
         rows = [
             {
                 "name": record.name,
@@ -203,14 +212,17 @@
         web.say(resp, {"region": near.region, "reason": choice.reason.value, "named": rows})
 
 
-def place(req: falcon.Request, node: Node) -> Locality:
-    """Where a client is, by its `zone` and `region`, or the settings' region for the zone; else this node's place."""
+def client_locality(req: falcon.Request, node: Node) -> Locality:
+    """Returns the client's locality by the parameters `zone` and `region`, or this node's locality without a region.
+
+    A missing `region` is taken from the settings' region of the zone.
+    """
     zone = req.get_param("zone") or ""
     region = req.get_param("region") or node.settings.zones.get(zone)
     return Locality(region, zone) if region else node.settings.locality
 
 
-def add_routes(app: falcon.App | web.Later, pages: DirectoryService) -> None:
-    """Add the directory's pages."""
-    app.add_route("/connect", ConnectResource(pages))
-    app.add_route("/proxies", ProxiesResource(pages))
+def add_routes(app: falcon.App | web.Later, service: DirectoryService) -> None:
+    """Adds the directory's routes to `app`."""
+    app.add_route("/connect", ConnectResource(service))
+    app.add_route("/proxies", ProxiesResource(service))
--- a/tests/test_answer.py
+++ b/tests/test_answer.py
@@ -90,7 +90,7 @@
     assert sorted(numbers(proxies(rows[:2], C))) == [1, 2]
     closed = [at(1, A, LEAVING, ready=False), at(3, C)]
     assert reason(closed, A) is Reason.RETURNING
-    assert [r.name for r in choose_proxies(ProxyView(closed), A, patient=False).proxies] == ["n3"]
+    assert [r.name for r in choose_proxies(ProxyView(closed), A, wait_for_return=False).proxies] == ["n3"]
 
 
 def test_a_long_answer_is_cut_to_the_nearest_and_zones_leave_out_different_ones():
