--- a/mallowvalve/upstreams/__init__.py
+++ b/mallowvalve/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The upstreams: who they are, who was heard when, and whose silence has lasted too long."""
+"""The upstreams: their registry, their heartbeats and the detection of silent ones."""
--- a/mallowvalve/upstreams/board.py
+++ b/mallowvalve/upstreams/board.py
@@ -1,4 +1,4 @@
-"""The upstreams where nodes tell each other of them: the newest heartbeat of each, and when it was heard."""
+"""Table of the upstreams that nodes gossip about: the newest heartbeat of each, and when it was received."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 from mallowvalve.types import Address, Locality
 
 SILENCE_TIMEOUT_S = 8.0
-"""Seconds without a heartbeat after which an upstream takes no work."""
+"""Time without a heartbeat after which an upstream gets no requests."""
 
 TOMBSTONE_S = 600.0
-"""Seconds without a heartbeat after which an upstream is forgotten, so that no late one brings it back."""
+"""Time without a heartbeat after which an upstream is forgotten; a late heartbeat must not bring it back before."""
 
-NEVER = -1e9
-UNKNOWN = (-1, -1)
+NEVER_S = -1e9
+UNKNOWN_RANK = (-1, -1)
 
 HeartbeatState = Literal["ready", "leaving", "gone"]
 Status = Literal["ready", "leaving", "gone", "silent"]
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """What an upstream says of itself.
+    """An upstream's report about itself.
 
-    `incarnation` tells its starts apart, `sequence` counts its heartbeats since, `usage` is its own measure of load.
+    `incarnation` identifies the start of the process, `sequence` counts its heartbeats since, `usage` is the upstream's
+    own measure of load.
     """
 
     service: str
@@ -44,99 +45,99 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Of two heartbeats of an upstream the one of the higher rank is newer."""
+        """The order of an upstream's heartbeats: the newer one has the higher rank."""
         return self.incarnation, self.sequence
 
 
 class AgedHeartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A heartbeat as nodes pass it on, and how long ago it was heard (s)."""
+    """A heartbeat as nodes forward it, with the time since an upstream sent it to a node (s)."""
 
     heartbeat: Heartbeat
     age_s: float
 
 
 class HeartbeatRow:
-    """An upstream: its newest heartbeat, when it was heard, since when it is there, and when it last broke off (s)."""
+    """An upstream's newest heartbeat, its arrival, the begin of its presence and its last broken connection (s)."""
 
-    __slots__ = ("heartbeat", "heard", "since", "failed_at_s")
+    __slots__ = ("heartbeat", "heard_at_s", "since", "failed_at_s")
 
-    def __init__(self, heartbeat: Heartbeat, heard: float, since: float) -> None:
-        """One that has not broken off yet."""
+    def __init__(self, heartbeat: Heartbeat, heard_at_s: float, since: float) -> None:
+        """Creates a row without a broken connection."""
         self.heartbeat = heartbeat
-        self.heard = heard
+        self.heard_at_s = heard_at_s
         self.since = since
-        self.failed_at_s = NEVER
+        self.failed_at_s = NEVER_S
 
 
 class HeartbeatTable:
-    """All upstreams that this node has heard of; `now` is seconds of this node's clock everywhere."""
+    """All upstreams known to this node; `now` is always the time of this node's clock (s)."""
 
     __slots__ = ("rows", "counts")
 
     def __init__(self) -> None:
-        """Nobody at first; `rows` is by SERVICE/INSTANCE."""
+        """Creates an empty table; the keys of `rows` are SERVICE/INSTANCE."""
         self.rows: dict[str, HeartbeatRow] = {}
         self.counts = Counts()
 
-    def record(self, heartbeat: Heartbeat, now: float, age: float = 0.0) -> bool:
-        """Take in a heartbeat that was heard `age` seconds ago; false if it says nothing new.
+    def record(self, heartbeat: Heartbeat, now: float, age_s: float = 0.0) -> bool:
+        """Stores a heartbeat that is `age_s` seconds old; returns whether it is new.
 
-        Leaving is final for an incarnation, and gone more so.
+        Within an incarnation, a leaving upstream never becomes ready again, and a gone one never changes.
         """
         row = self.rows.get(heartbeat.name)
-        heard = now - age
+        heard_at_s = now - age_s
         if row is None:
-            self.rows[heartbeat.name] = HeartbeatRow(heartbeat, heard, heard)
+            self.rows[heartbeat.name] = HeartbeatRow(heartbeat, heard_at_s, heard_at_s)
             self.counts.add("heartbeat_new")
             return True
         if heartbeat.rank <= row.heartbeat.rank:
             return False
         if heartbeat.incarnation > row.heartbeat.incarnation:
-            self.rows[heartbeat.name] = HeartbeatRow(heartbeat, heard, heard)
+            self.rows[heartbeat.name] = HeartbeatRow(heartbeat, heard_at_s, heard_at_s)
             self.counts.add("heartbeat_reborn")
             return True
         if row.heartbeat.state != "ready" and heartbeat.state == "ready" or row.heartbeat.state == "gone":
             self.counts.add("heartbeat_after_leaving")
             return False
-        if heard - row.heard > SILENCE_TIMEOUT_S:
-            row.since = heard
+        if heard_at_s - row.heard_at_s > SILENCE_TIMEOUT_S:
+            row.since = heard_at_s
         row.heartbeat = heartbeat
-        row.heard = max(row.heard, heard)
+        row.heard_at_s = max(row.heard_at_s, heard_at_s)
         return True
 
     def usable(self, service: str, now: float) -> list[HeartbeatRow]:
-        """Upstreams of a service that are ready and not silent."""
+        """Returns the upstreams of a service that are ready and not silent."""
         return [
             row
             for row in self.rows.values()
             if row.heartbeat.service == service
             and row.heartbeat.state == "ready"
-            and now - row.heard < SILENCE_TIMEOUT_S
+            and now - row.heard_at_s < SILENCE_TIMEOUT_S
         ]
 
     def entries(self, now: float) -> list[tuple[Heartbeat, Status, float]]:
-        """Every upstream by name: its heartbeat, its status, and how long ago it was heard (s)."""
-        return [(row.heartbeat, self.status(row, now), now - row.heard) for _, row in sorted(self.rows.items())]
+        """Returns every upstream in the order of names: its heartbeat, its status and the heartbeat's age (s)."""
+        return [(row.heartbeat, self.status(row, now), now - row.heard_at_s) for _, row in sorted(self.rows.items())]
 
     def status(self, row: HeartbeatRow, now: float) -> Status:
-        """The upstream's own state, or silent."""
+        """Returns the upstream's reported state, or `silent` for a ready one whose heartbeats stopped."""
         if row.heartbeat.state != "ready":
             return row.heartbeat.state
-        return "silent" if now - row.heard >= SILENCE_TIMEOUT_S else "ready"
+        return "silent" if now - row.heard_at_s >= SILENCE_TIMEOUT_S else "ready"
 
     def digest(self) -> dict[str, tuple[int, int]]:
-        """The rank of each upstream's heartbeat, for `newer_than` of another node."""
+        """Returns the rank of each upstream's heartbeat, as input to `newer_than` on another node."""
         return {name: row.heartbeat.rank for name, row in self.rows.items()}
 
     def newer_than(self, digest: dict[str, tuple[int, int]], now: float) -> list[AgedHeartbeat]:
-        """What another node lacks."""
+        """Returns the heartbeats that are newer than those in another node's digest."""
         return [
-            AgedHeartbeat(row.heartbeat, max(0.0, now - row.heard))
+            AgedHeartbeat(row.heartbeat, max(0.0, now - row.heard_at_s))
             for name, row in self.rows.items()
-            if row.heartbeat.rank > digest.get(name, UNKNOWN)
+            if row.heartbeat.rank > digest.get(name, UNKNOWN_RANK)
         ]
 
     def drop_expired(self, now: float) -> None:
-        """Drop those that were silent for long."""
-        for name in [name for name, row in self.rows.items() if now - row.heard > TOMBSTONE_S]:
+        """Removes the upstreams that have been silent for longer than `TOMBSTONE_S`."""
+        for name in [name for name, row in self.rows.items() if now - row.heard_at_s > TOMBSTONE_S]:
             del self.rows[name]
--- a/mallowvalve/upstreams/task.py
+++ b/mallowvalve/upstreams/task.py
@@ -1,4 +1,4 @@
-"""Heartbeats told from node to node: each at once, and by a digest with one other node a round."""
+"""Gossip of heartbeats between nodes: each is sent to all at once, and digests are exchanged with one node a round."""
 
 from __future__ import annotations
 
@@ -15,83 +15,83 @@
 from mallowvalve.types import Address
 from mallowvalve.upstreams.board import AgedHeartbeat, Heartbeat, HeartbeatRow, HeartbeatTable
 
-ROUND = 1.0
-"""Seconds between two exchanges with another node, on average; each wait is 0.8 to 1.2 of it."""
+EXCHANGE_INTERVAL_S = 1.0
+"""Mean time between two digest exchanges; each wait is 0.8 to 1.2 times as long."""
 
 encode = msgspec.msgpack.Encoder().encode
-_aged = msgspec.msgpack.Decoder(list[AgedHeartbeat]).decode
-_digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
+_decode_heartbeats = msgspec.msgpack.Decoder(list[AgedHeartbeat]).decode
+_decode_digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
 
 
 class HeartbeatTask:
-    """Owns the board and the greenlet that keeps it alike on all nodes; `board` is not to be changed by others."""
+    """Owns the heartbeat table and the greenlet that synchronizes it between nodes; only the task changes `table`."""
 
     __slots__ = ("table", "membership", "transport", "_lock", "_job", "_rng", "_logged_status")
 
     def __init__(self, membership: MembershipTask, transport: Transport) -> None:
-        """Exchange with the members of `membership` over `transport`."""
+        """Exchanges heartbeats with the members of `membership` over `transport`."""
         self.table = HeartbeatTable()
         self.membership = membership
         self.transport = transport
         self._lock = RLock()
         self._rng = random.Random()
         self._logged_status: dict[str, tuple[int, str]] = {}
-        transport.on("heartbeats", self._heartbeats, inline=True)
+        transport.on("heartbeats", self._on_heartbeats, inline=True)
         transport.on("digest", self._on_digest, inline=True)
 
     def __enter__(self) -> HeartbeatTask:
-        """Begin to exchange."""
+        """Starts the exchange."""
         self._job = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Exchange no more."""
+        """Stops the exchange."""
         self._job.kill()
 
     def receive(self, heartbeat: Heartbeat) -> bool:
-        """Take in an upstream's own heartbeat and tell it to all nodes; false if it says nothing new."""
+        """Stores a heartbeat received from its upstream and sends it to all nodes; returns whether it is new."""
         with self._lock:
-            fresh = self.table.record(heartbeat, clock.now())
-        if fresh:
+            is_new = self.table.record(heartbeat, clock.now())
+        if is_new:
             body = encode([AgedHeartbeat(heartbeat, 0.0)])
             for record in self.membership.alive():
                 self.transport.cast(record.addr, "heartbeats", body)
             self._log(heartbeat)
-        return fresh
+        return is_new
 
     def usable(self, service: str) -> list[HeartbeatRow]:
-        """Upstreams of a service that are ready and not silent."""
+        """Returns the upstreams of a service that are ready and not silent."""
         with self._lock:
             return self.table.usable(service, clock.now())
 
     def drop_expired(self, now: float) -> None:
-        """Drop those that were silent for long, and log what became silent."""
+        """Removes the upstreams that were silent for too long, and logs those that became silent."""
         with self._lock:
             self.table.drop_expired(now)
             self._logged_status = {
-                name: known for name, known in self._logged_status.items() if name in self.table.rows
+                name: status for name, status in self._logged_status.items() if name in self.table.rows
             }
             for row in self.table.rows.values():
                 self._log(row.heartbeat, self.table.status(row, now))
 
-    def _heartbeats(self, _sender: Address, body: bytes) -> None:
-        self._merge(_aged(body))
+    def _on_heartbeats(self, _sender: Address, body: bytes) -> None:
+        self._merge(_decode_heartbeats(body))
 
-    def _merge(self, aged: list[AgedHeartbeat]) -> None:
+    def _merge(self, heartbeats: list[AgedHeartbeat]) -> None:
         now = clock.now()
-        for one in aged:
+        for aged in heartbeats:
             with self._lock:
-                fresh = self.table.record(one.heartbeat, now, one.age_s)
-            if fresh:
-                self._log(one.heartbeat)
+                is_new = self.table.record(aged.heartbeat, now, aged.age_s)
+            if is_new:
+                self._log(aged.heartbeat)
 
     def _on_digest(self, _sender: Address, body: bytes) -> bytes:
         with self._lock:
-            return encode(self.table.newer_than(_digest(body), clock.now()))
+            return encode(self.table.newer_than(_decode_digest(body), clock.now()))
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(ROUND * (0.8 + 0.4 * self._rng.random()))
+            gevent.sleep(EXCHANGE_INTERVAL_S * (0.8 + 0.4 * self._rng.random()))
             self.drop_expired(clock.now())
             with self._lock:
                 body = encode(self.table.digest())
@@ -100,17 +100,17 @@
                 self._exchange(self._rng.choice(peers).addr, body)
 
     def _exchange(self, peer: Address, digest: bytes) -> None:
-        """Take in what a peer knows better."""
-        answer = self.transport.call(peer, "digest", digest, ROUND)
+        """Fetches and stores the heartbeats that are newer at a peer."""
+        answer = self.transport.call(peer, "digest", digest, EXCHANGE_INTERVAL_S)
         if answer.is_err():
             return
         try:
-            self._merge(_aged(answer.unwrap()))
+            self._merge(_decode_heartbeats(answer.unwrap()))
         except msgspec.DecodeError:
             self.transport.counts.add("heartbeat_garbage")
 
     def _log(self, heartbeat: Heartbeat, status: str = "") -> None:
-        """Write what became of an upstream to the log, once."""
+        """Logs an upstream's status, once for each change."""
         now = (heartbeat.incarnation, status or heartbeat.state)
         if self._logged_status.get(heartbeat.name) == now:
             return
