--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -1,4 +1,4 @@
-"""What every daemon has: one process of the fleet with its membership, transport, upstreams and pages."""
+"""The common part of all daemons: membership, transport, upstreams' heartbeats and HTTP resources."""
 
 from __future__ import annotations
 
@@ -35,23 +35,24 @@
     import falcon
 
 
-PAGES = 64
-"""Connections that the server of the pages holds."""
+MAX_PAGES_CONNECTIONS = 64
 
-MARGIN = 0.15
-"""The part of the grace of a stop that is left unused."""
+UNUSED_GRACE_RATIO = 0.15
+"""Part of a stop's grace period that is left unused."""
 
-DRAIN_GRACE_RATIOS, OTHERS_STOP_SHARES = {"proxy": (0.5, 0.4)}, (0.1, 0.2)
-"""The parts of the grace in which a stopping process still takes connections, and after it lets answers finish."""
+DRAIN_GRACE_RATIOS = {"proxy": (0.5, 0.4)}
+"""Parts of the grace period in which a stopping process still accepts connections, and then finishes answers."""
 
-COUNT_LIMIT = 1 << 62
+DEFAULT_DRAIN_GRACE_RATIOS = (0.1, 0.2)
+
+COUNTER_LIMIT = 1 << 62
 BOOT_BITS = 62
-OK = 200
-UNAVAILABLE = 503
+HTTP_OK = 200
+HTTP_UNAVAILABLE = 503
 
 
 class GossipHeartbeatDoc(msgspec.Struct):
-    """A heartbeat as an upstream posts it; see `upstreams.board.Heartbeat`."""
+    """Body of a heartbeat that an upstream posts; see `upstreams.board.Heartbeat`."""
 
     service: str
     instance: str
@@ -64,7 +65,7 @@
 
 
 def read_heartbeat(doc: GossipHeartbeatDoc) -> Result[Heartbeat, Findings]:
-    """The heartbeat, or every finding."""
+    """Returns the heartbeat; the error holds every finding."""
     found: Findings = []
     locality = Locality.read(doc.locality)
     address = Address.read(doc.address)
@@ -74,9 +75,9 @@
         found.append(Finding("address", address.err_value))
     if doc.state not in ("ready", "leaving", "gone"):
         found.append(Finding("state", "want ready, leaving or gone"))
-    for place in ("incarnation", "sequence"):
-        if not 0 <= getattr(doc, place) < COUNT_LIMIT:
-            found.append(Finding(place, "out of range"))
+    for field in ("incarnation", "sequence"):
+        if not 0 <= getattr(doc, field) < COUNTER_LIMIT:
+            found.append(Finding(field, "out of range"))
     if found:
         return Err(found)
     return Ok(
@@ -94,9 +95,10 @@
 
 
 class Node:
-    """What every daemon has: membership, transport, upstreams' heartbeats, and its pages.
+    """A process of the fleet: its membership, transport, upstreams' heartbeats and HTTP servers.
 
-    `front` answers beside the pages. `late` keeps the server of the web address for the daemon to start.
+    `boot` is a random identity of the process. `web_application` may replace the resources at the web address. With
+    `defers_web_server` the daemon itself starts the server of the web address.
     """
 
     __slots__ = (
@@ -113,9 +115,9 @@
         "stopping",
         "_stack",
         "_gauges",
-        "_allowed",
+        "_service_filter",
         "defers_web_server",
-        "_told_at",
+        "_stop_requested_at",
     )
 
     def __init__(
@@ -124,7 +126,7 @@
         remembered: Sequence[Address] = (),
         faults: InjectedFaults | None = None,
     ) -> None:
-        """A process by its settings; `remembered` peers are asked as seeds are."""
+        """Creates the parts by the settings; `remembered` peers are contacted like seeds."""
         self.settings = settings
         self.boot = random.SystemRandom().getrandbits(BOOT_BITS)
         self.counts = Counts()
@@ -135,21 +137,25 @@
         self.app = web.Later()
         self.server = web.Server(settings.web, self.app, self.counts, settings.connections)
         self.pages = (
-            web.Server(settings.pages, self.app, self.counts, PAGES) if settings.pages else contextlib.nullcontext()
+            web.Server(settings.pages, self.app, self.counts, MAX_PAGES_CONNECTIONS)
+            if settings.pages
+            else contextlib.nullcontext()
         )
         self.stopping = Event()
         self._gauges: dict[str, Callable[[], Any]] = {}
-        self._allowed: Callable[[str], bool] = lambda service: True
+        self._service_filter: Callable[[str], bool] = lambda service: True
         self.defers_web_server = False
-        self._told_at = clock.now()
+        self._stop_requested_at = clock.now()
 
     def _membership(self, remembered: Sequence[Address]) -> Membership:
-        its = self.settings
-        detector = its.detector
+        settings = self.settings
+        detector = settings.detector
         return Membership(
-            initial_record(its.transport, self.boot, its.role, its.name, its.locality, its.web),
-            its.fleet,
-            [*its.seeds, *remembered],
+            initial_record(
+                settings.transport, self.boot, settings.role, settings.name, settings.locality, settings.web
+            ),
+            settings.fleet,
+            [*settings.seeds, *remembered],
             random.Random(self.boot),
             detector.period or formula.period(detector.detect, detector.fail),
             detector.helpers or formula.helpers(detector.mistake, detector.fail, detector.loss),
@@ -157,9 +163,9 @@
         )
 
     def __enter__(self) -> Node:
-        """Start every part; where one fails, those before it are stopped again."""
+        """Starts all parts in order; if one fails, stops those that were started."""
         self._stack = contextlib.ExitStack()
-        self.app.plain["/-/ready"] = self._said_ready
+        self.app.plain["/-/ready"] = self._readiness
         self.app.add_route("/-/counts", CountersResource(self))
         self.app.add_route("/-/metrics", MetricsResource(self))
         self.app.add_route("/-/nodes", MembersResource(self))
@@ -179,53 +185,53 @@
             for part in parts:
                 stack.enter_context(part)
             for signum in (signal.SIGTERM, signal.SIGINT):
-                gevent.signal_handler(signum, self._told_to_stop)
+                gevent.signal_handler(signum, self._request_stop)
             self._stack = stack.pop_all()
         log_event("started", role=self.settings.role, name=self.settings.name, pid=os.getpid())
         return self
 
     def __exit__(self, *raised: Any) -> None:
-        """Stop every part, the last started first."""
+        """Stops all parts in reverse order."""
         log_event("stopped", role=self.settings.role, name=self.settings.name)
         self._stack.__exit__(*raised)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Takes in new seeds; remembered peers stay asked."""
+        """Applies changed seeds to the membership; remembered peers stay among its seeds."""
         old = self.settings
         self.settings = settings
-        kept = [s for s in self.membership.membership.seeds if s not in old.seeds]
-        self.membership.membership.seeds = [s for s in [*settings.seeds, *kept] if s != settings.transport]
+        kept = [seed for seed in self.membership.membership.seeds if seed not in old.seeds]
+        self.membership.membership.seeds = [seed for seed in [*settings.seeds, *kept] if seed != settings.transport]
 
     @property
     def web_application(self) -> Any:
-        """The WSGI callable that answers at the web address."""
+        """The WSGI application that answers at the web address."""
         return self.server.application
 
     @web_application.setter
-    def web_application(self, answer: Any) -> None:
-        """A callable in place of the pages, which then have an address of their own."""
-        self.server.application = answer
+    def web_application(self, application: Any) -> None:
+        """Replaces the resources at the web address; they are then served only at the address `pages`."""
+        self.server.application = application
 
     def gauge(self, name: str, read: Callable[[], Any]) -> None:
-        """`read` is asked each time somebody looks at the counters: a number, a text, or a table of numbers."""
+        """Registers a gauge; `read` is called for each exposition: a number, a text, or a table of numbers."""
         self._gauges[name] = read
 
     def gauges(self) -> dict[str, Any]:
-        """What the gauges show now."""
+        """Returns the current values of all gauges by name."""
         return {name: read() for name, read in self._gauges.items()}
 
-    def counted(self) -> dict[str, int]:
-        """All counters of this process, by name."""
-        machine = self.membership.membership.counts.snapshot()
-        return self.counts.snapshot() | machine | self.heartbeats.table.counts.snapshot()
+    def counters(self) -> dict[str, int]:
+        """Returns all counters of this process by name."""
+        membership = self.membership.membership.counts.snapshot()
+        return self.counts.snapshot() | membership | self.heartbeats.table.counts.snapshot()
 
-    def set_service_filter(self, test: Callable[[str], bool]) -> None:
-        """Heartbeats of a service are taken only where `test` says so."""
-        self._allowed = test
+    def set_service_filter(self, accepts: Callable[[str], bool]) -> None:
+        """Accepts heartbeats only of services for which `accepts` returns true."""
+        self._service_filter = accepts
 
-    def allowed(self, service: str) -> bool:
-        """Whether the configuration allows heartbeats of a service."""
-        return self._allowed(service)
+    def allows_service(self, service: str) -> bool:
+        """Returns whether the configuration allows heartbeats of a service."""
+        return self._service_filter(service)
 
     def run(
         self,
@@ -233,54 +239,62 @@
         leaving: Callable[[], object] = lambda: None,
         finish: Callable[[float], object] = lambda limit: None,
     ) -> None:
-        """Runs until the process is told to stop; then drains, and lets `finish` take what is left of the grace (s)."""
-        before = None
-        while not self.stopping.wait(timeout=0.2 if before else 0.05):
-            now = bool(ready())
-            if now != before:
-                log_event("ready" if now else "unready", name=self.settings.name)
-                before = now
-            self.membership.ready(now)
-        end = self._told_at + self.settings.polite * (1 - MARGIN)
+        """Runs until the process is asked to stop, then drains it.
+
+        `ready` is polled for the readiness that the membership announces, `leaving` is called when the drain begins,
+        and `finish` gets what is left of the grace period (s).
+        """
+        was_ready = None
+        while not self.stopping.wait(timeout=0.2 if was_ready else 0.05):
+            is_ready = bool(ready())
+            if is_ready != was_ready:
+                log_event("ready" if is_ready else "unready", name=self.settings.name)
+                was_ready = is_ready
+            self.membership.ready(is_ready)
+        end = self._stop_requested_at + self.settings.polite * (1 - UNUSED_GRACE_RATIO)
         self.membership.leave(final=False)
         leaving()
-        linger, last = DRAIN_GRACE_RATIOS.get(self.settings.role, OTHERS_STOP_SHARES)
-        polite = self.settings.polite
+        accept_ratio, finish_ratio = DRAIN_GRACE_RATIOS.get(self.settings.role, DEFAULT_DRAIN_GRACE_RATIOS)
+        grace_s = self.settings.polite
         wait = self._accept_while_needed if self.settings.role in DRAIN_GRACE_RATIOS else None
-        self.server.drain(polite * linger, polite * last, self._told_at, wait)
+        self.server.drain(grace_s * accept_ratio, grace_s * finish_ratio, self._stop_requested_at, wait)
         finish(max(0.0, end - clock.now()))
         self.membership.leave(final=True)
 
     def _accept_while_needed(self, earliest: float, latest: float) -> None:
-        """Returns when the door may close; the others hear of it before."""
-        closing = DrainSequence(earliest, latest, random.Random())
-        me = self.membership.membership.me
+        """Returns once the listener may close; the membership announces that before."""
+        drain = DrainSequence(earliest, latest, random.Random())
+        own_record = self.membership.membership.me
         while True:
-            step = closing.step(clock.now(), drain_conditions(me, self.membership))
-            self.membership.accept(step.accepts and me.ready)
+            step = drain.step(clock.now(), drain_conditions(own_record, self.membership))
+            self.membership.accept(step.accepts and own_record.ready)
             if step.closed:
                 return
             gevent.sleep(step.wait)
 
-    def _told_to_stop(self) -> None:
+    def _request_stop(self) -> None:
         if not self.stopping.is_set():
-            self._told_at = clock.now()
+            self._stop_requested_at = clock.now()
             self.stopping.set()
 
     def is_ready(self) -> bool:
-        """Whether this process takes work."""
+        """Returns whether this process accepts work."""
         return self.membership.membership.me.ready and not self.stopping.is_set()
 
-    def _said_ready(self) -> tuple[int, object]:
+    def _readiness(self) -> tuple[int, object]:
         ready = self.is_ready()
-        return OK if ready else UNAVAILABLE, {"ready": ready, "role": self.settings.role, "name": self.settings.name}
+        return HTTP_OK if ready else HTTP_UNAVAILABLE, {
+            "ready": ready,
+            "role": self.settings.role,
+            "name": self.settings.name,
+        }
 
 
 class NodeResource:
-    """A page of a node."""
+    """Base class of a node's HTTP resources."""
 
     def __init__(self, node: Node) -> None:
-        """Show `node`."""
+        """Answers from the state of `node`."""
         self.node = node
 
 
@@ -288,26 +302,26 @@
     """`/-/counts`: counters and gauges as JSON."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """All of them, by name."""
-        web.say(resp, {"counts": self.node.counted(), "gauges": self.node.gauges()})
+        """Returns all counters and gauges by name."""
+        web.say(resp, {"counts": self.node.counters(), "gauges": self.node.gauges()})
 
 
 class MetricsResource(NodeResource):
-    """`/-/metrics`: the same in the text format of Prometheus; its library is loaded with the first look."""
+    """`/-/metrics`: counters and gauges in Prometheus's text format; the first request imports the library."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """All of them, by name."""
+        """Returns all counters and gauges by name."""
         from mallowvalve.exposition import CONTENT_TYPE, render_metrics
 
         resp.content_type = CONTENT_TYPE
-        resp.data = render_metrics(self.node.counted(), self.node.gauges())
+        resp.data = render_metrics(self.node.counters(), self.node.gauges())
 
 
 class MembersResource(NodeResource):
-    """`/-/nodes`: the members of the fleet as this node sees them."""
+    """`/-/nodes`: this node's view of the fleet's members."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Members by transport address."""
+        """Returns the members in the order of their transport addresses."""
         members = sorted(self.node.membership.view(), key=lambda record: record.addr)
         web.say(resp, {"nodes": [self._row(record) for record in members]})
 
@@ -325,21 +339,21 @@
 
 
 class StateChangesResource(NodeResource):
-    """`/-/changes`: the last changes of state of this process."""
+    """`/-/changes`: the most recent log events of this process."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Those with the word `about`, or all."""
+        """Returns the events named `about` or with that value in a field; all events without the parameter."""
         web.say(resp, {"name": self.node.settings.name, "changes": recent_events.about(req.get_param("about") or "")})
 
 
 class GossipUpstreamsResource(NodeResource):
-    """`/-/upstreams`: the upstreams that this node heard of."""
+    """`/-/upstreams`: the upstreams in this node's heartbeat table."""
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Upstreams by name."""
+        """Returns the upstreams in the order of their names."""
         web.say(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.table.entries(clock.now())]})
 
-    def _row(self, heartbeat: Heartbeat, status: str, age: float) -> dict[str, object]:
+    def _row(self, heartbeat: Heartbeat, status: str, age_s: float) -> dict[str, object]:
         return {
             "service": heartbeat.service,
             "instance": heartbeat.instance,
@@ -348,25 +362,25 @@
             "usage": heartbeat.usage,
             "locality": str(heartbeat.locality),
             "address": str(heartbeat.address),
-            "silent_ms": int(age * 1000),
+            "silent_ms": int(age_s * 1000),
         }
 
 
 class GossipHeartbeatResource(NodeResource):
-    """`/-/heartbeats`: where upstreams post their heartbeats."""
+    """`/-/heartbeats`: receives the upstreams' heartbeats."""
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Take one in; 400 with findings, 403 where no configuration allows its service."""
+        """Stores a heartbeat; answers 400 with findings, or 403 for a service that no configuration allows."""
         doc = web.read_as(GossipHeartbeatDoc, req, resp)
         if doc is None:
             return
-        read = read_heartbeat(doc)
-        if isinstance(read, Err):
+        result = read_heartbeat(doc)
+        if isinstance(result, Err):
             self.node.counts.add("heartbeat_refused")
-            web.turn_away(req, resp, 400, read.err_value)
+            web.turn_away(req, resp, 400, result.err_value)
             return
-        heartbeat = read.ok_value
-        if not self.node.allowed(heartbeat.service):
+        heartbeat = result.ok_value
+        if not self.node.allows_service(heartbeat.service):
             self.node.counts.add("heartbeat_unallowed")
             web.turn_away(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
             return
