--- a/mallowvalve/__main__.py
+++ b/mallowvalve/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mallowvalve`; a daemon ignores SIGHUP until it knows its settings file, so that none ends it."""
+"""`python -m mallowvalve`; a daemon ignores SIGHUP until its settings are loaded, as the signal would end it."""
 
 import signal
 import sys
--- a/mallowvalve/cli.py
+++ b/mallowvalve/cli.py
@@ -1,4 +1,4 @@
-"""The command `mallowvalve`: a daemon for each role, and tools that are loaded only when they are named."""
+"""The command `mallowvalve`: a daemon for each role, and tools that are imported on demand."""
 
 from __future__ import annotations
 
@@ -20,28 +20,28 @@
     "soak": "mallowvalve.localfleet.soak_main",
     "admin": "mallowvalve.admin.main",
 }
-"""The module of each tool's command."""
+"""The module that defines each tool's command."""
 
-BAD_SETTINGS = 2
-"""The exit code where settings have findings or the process cannot start."""
+START_FAILURE_EXIT_CODE = 2
+"""Exit code for invalid settings and for a process that cannot start."""
 
 
 def fail(found: Findings) -> NoReturn:
-    """Print findings and end the process."""
+    """Prints findings and exits."""
     for one in found:
         click.echo(f"mallowvalve: {one}", err=True)
-    sys.exit(BAD_SETTINGS)
+    sys.exit(START_FAILURE_EXIT_CODE)
 
 
 class LazyGroup(click.Group):
-    """Loads a tool only when it is named, so that a daemon pays for none of them."""
+    """Imports a tool only when its command is used, so that daemons do not pay for it."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Daemons and tools, by name."""
+        """Returns the sorted names of daemons and tools."""
         return sorted({*super().list_commands(ctx), *TOOLS})
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """The daemon or tool of that name, loaded if it was not yet."""
+        """Returns the command of a daemon or tool; imports a tool on first use."""
         if name in TOOLS and name not in self.commands:
             self.add_command(getattr(import_module(TOOLS[name]), name))
         return super().get_command(ctx, name)
@@ -53,21 +53,21 @@
     """A global load balancer: directories, proxies and a replicated control plane."""
 
 
-def daemon(role: str, about: str) -> None:
-    """Add the command of a role, which runs `mallowvalve.ROLE.main.run(Settings)`."""
+def add_daemon(role: str, help_text: str) -> None:
+    """Adds the command of a role, which runs `mallowvalve.ROLE.main.run(Settings)`."""
 
     @click.option("--settings", "path", help="settings file (TOML)")
-    @click.option("--name", help="this process's name")
-    @click.option("--fleet", help="the fleet it belongs to")
+    @click.option("--name", help="name of this process")
+    @click.option("--fleet", help="name of the fleet")
     @click.option("--locality", help="REGION/ZONE")
-    @click.option("--transport", help="HOST:PORT towards its peers, TCP and UDP")
-    @click.option("--web", help="HOST:PORT towards callers and operators, HTTP")
-    @click.option("--seeds", multiple=True, help="HOST:PORT of another process's transport; three at most")
-    @click.option("--data", help="folder for files that must last")
+    @click.option("--transport", help="HOST:PORT for the fleet's other processes, TCP and UDP")
+    @click.option("--web", help="HOST:PORT for callers and operators, HTTP")
+    @click.option("--seeds", multiple=True, help="HOST:PORT of another process's transport, three at most")
+    @click.option("--data", help="folder of persistent files")
     @click.option("--log", help="log file; standard error if not given")
-    @click.option("--polite", type=float, help="seconds a polite stop may take")
-    @click.option("--faults", help="file of faults to put in; refused outside trials")
-    @click.option("--check", is_flag=True, help="check the settings and stop")
+    @click.option("--polite", type=float, help="grace period of a stop in seconds")
+    @click.option("--faults", help="file of faults to inject; only for trials")
+    @click.option("--check", is_flag=True, help="validate the settings and exit")
     def command(path: str | None, check: bool, **flags: Any) -> None:
         flags["seeds"] = list(flags["seeds"])
         given = {key: value for key, value in flags.items() if value not in (None, [])}
@@ -75,29 +75,29 @@
         if loaded.is_err():
             fail(loaded.unwrap_err())
         if check:
-            click.echo("settings are well")
+            click.echo("settings are valid")
             return
         _start(role, msgspec.structs.replace(loaded.unwrap(), path=path, flags=given))
 
-    main.command(role, help=about)(command)
+    main.command(role, help=help_text)(command)
 
 
-def _start(role: str, its: settings.Settings) -> None:
-    """Run a daemon until it stops; a failure to start is a finding."""
+def _start(role: str, daemon_settings: settings.Settings) -> None:
+    """Runs a daemon until it stops; prints a failure to start as a finding and exits."""
     try:
-        metrics.log_to(its.log)
+        metrics.log_to(daemon_settings.log)
         run = import_module(f"mallowvalve.{role}.main").run
         gc.freeze()
-        out = run(its)
-    except OSError as e:
-        fail([Finding("start", str(e))])
-    if out is not None and out.is_err():
-        fail(out.err_value)
+        result = run(daemon_settings)
+    except OSError as error:
+        fail([Finding("start", str(error))])
+    if result is not None and result.is_err():
+        fail(result.err_value)
 
 
-daemon("directory", "Directory: tells clients which proxies to use.")
-daemon("proxy", "Proxy: carries connections to upstreams.")
-daemon("control", "Control plane: replicated settings, ledger and coordination.")
+add_daemon("directory", "Directory: tells clients which proxies to use.")
+add_daemon("proxy", "Proxy: forwards requests to upstreams.")
+add_daemon("control", "Control plane: replicated settings, ledger and coordination.")
 
 if __name__ == "__main__":
     main()
--- a/mallowvalve/clock.py
+++ b/mallowvalve/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the daemons; everything that counts time takes `now` from here."""
+"""The daemons' only source of time."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def now() -> float:
-    """Seconds that go on while the machine sleeps, so that a suspended proxy knows its window is over."""
+    """Returns monotonic seconds that include suspend time, so that a resumed proxy notices that its window is over."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/mallowvalve/finding.py
+++ b/mallowvalve/finding.py
@@ -1,4 +1,4 @@
-"""What is wrong with something that was read, place by place, and reading into structs with all findings at once."""
+"""Validation findings with their places, and conversion of JSON-like data into structs that reports all of them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Finding(msgspec.Struct, frozen=True, order=True):
-    """One thing that is wrong: where (`routes.a.policy`, `seeds[0]`), and what."""
+    """A validation error: its place (`routes.a.policy`, `seeds[0]`) and its text."""
 
     place: str
     text: str
@@ -29,48 +29,48 @@
 
 
 def join(place: str, key: str) -> str:
-    """The place of a field within a place."""
+    """Returns the place of the field `key` within `place`."""
     return f"{place}.{key}" if place else key
 
 
 def read(kind: type[Value], data: object, place: str = "") -> Result[Value, Findings]:
-    """Convert JSON-like data into `kind`, strictly; the error holds every finding, not only the first."""
+    """Converts JSON-like data strictly into `kind`; the error holds every finding, not only the first."""
     found: Findings = []
     value = read_into(found, kind, data, place)
     return Err(found) if found else Ok(typing.cast(Value, value))
 
 
 def read_into(found: Findings, kind: type[Value], data: object, place: str = "") -> Value | None:
-    """Like `read`; findings are added to `found`, and what could not be read is None."""
-    value: Value | None = _read(kind, data, place, found)
+    """Does the same as `read`, but appends the findings to `found` and returns None for unreadable data."""
+    value: Value | None = _convert(kind, data, place, found)
     return value
 
 
 def parse_json(body: bytes, place: str = "body") -> Result[Any, Findings]:
-    """JSON decoded, or the one finding that says what is wrong with it."""
+    """Decodes JSON; the error holds one finding."""
     try:
         return Ok(msgspec.json.decode(body))
-    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as e:
-        return Err([Finding(place, f"not JSON: {e}")])
+    except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
+        return Err([Finding(place, f"not JSON: {error}")])
 
 
-def _read(kind: Any, data: Any, place: str, found: Findings) -> Any:
+def _convert(kind: Any, data: Any, place: str, found: Findings) -> Any:
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return _struct(kind, data, place, found)
+        return _convert_struct(kind, data, place, found)
     origin = typing.get_origin(kind)
     parameters = typing.get_args(kind)
     if origin is dict and parameters[0] is str:
-        return _dict(parameters[1], data, place, found)
+        return _convert_dict(parameters[1], data, place, found)
     if origin is list:
-        return _list(parameters[0], data, place, found)
+        return _convert_list(parameters[0], data, place, found)
     if origin in (typing.Union, types.UnionType) and data is not None:
         others = [parameter for parameter in parameters if parameter is not type(None)]
         if len(others) == 1:
-            return _read(others[0], data, place, found)
+            return _convert(others[0], data, place, found)
     try:
         return msgspec.convert(data, kind, strict=True)
-    except msgspec.ValidationError as e:
-        found.append(Finding(place, str(e)))
+    except msgspec.ValidationError as error:
+        found.append(Finding(place, str(error)))
         return None
 
 
@@ -79,7 +79,7 @@
     return {field.encode_name: field for field in msgspec.structs.fields(kind)}
 
 
-def _struct(kind: type[msgspec.Struct], data: Any, place: str, found: Findings) -> msgspec.Struct | None:
+def _convert_struct(kind: type[msgspec.Struct], data: Any, place: str, found: Findings) -> msgspec.Struct | None:
     if not isinstance(data, dict):
         found.append(Finding(place, f"expected an object, got {type(data).__name__}"))
         return None
@@ -89,27 +89,27 @@
     values = {}
     for name, field in fields.items():
         if name in data:
-            values[field.name] = _read(field.type, data[name], join(place, name), found)
+            values[field.name] = _convert(field.type, data[name], join(place, name), found)
         elif field.required:
             found.append(Finding(join(place, name), "missing"))
     if len(found) > before:
         return None
     try:
         return kind(**values)
-    except ValueError as e:
-        found.append(Finding(place, str(e)))
+    except ValueError as error:
+        found.append(Finding(place, str(error)))
         return None
 
 
-def _dict(kind: Any, data: Any, place: str, found: Findings) -> dict[str, Any]:
+def _convert_dict(kind: Any, data: Any, place: str, found: Findings) -> dict[str, Any]:
     if not isinstance(data, dict):
         found.append(Finding(place, f"expected an object, got {type(data).__name__}"))
         return {}
-    return {key: _read(kind, value, join(place, str(key)), found) for key, value in data.items()}
+    return {key: _convert(kind, value, join(place, str(key)), found) for key, value in data.items()}
 
 
-def _list(kind: Any, data: Any, place: str, found: Findings) -> list[Any]:
+def _convert_list(kind: Any, data: Any, place: str, found: Findings) -> list[Any]:
     if not isinstance(data, list):
         found.append(Finding(place, f"expected an array, got {type(data).__name__}"))
         return []
-    return [_read(kind, value, f"{place}[{i}]", found) for i, value in enumerate(data)]
+    return [_convert(kind, value, f"{place}[{i}]", found) for i, value in enumerate(data)]
--- a/mallowvalve/planner/__init__.py
+++ b/mallowvalve/planner/__init__.py
@@ -1,1 +1,1 @@
-"""What a change of the settings tree would move, before it is applied."""
+"""Plans: the effects of a change of the settings tree, computed before it is applied."""
--- a/mallowvalve/reload.py
+++ b/mallowvalve/reload.py
@@ -1,4 +1,4 @@
-"""Settings read anew while the process runs: at SIGHUP, and when their file was changed."""
+"""Reload of the settings in a running process: on SIGHUP, and when the file changes."""
 
 from __future__ import annotations
 
@@ -17,97 +17,100 @@
 from mallowvalve.settings import Settings
 
 CHECK_INTERVAL_S = 2.0
-"""Seconds between two looks at the file's date."""
+"""Time between two checks of the file's modification time."""
 
-LIVE = ("seeds",)
-"""Fields that are taken in while the process runs."""
+LIVE_FIELDS = ("seeds",)
+"""Fields that a running process applies."""
 
-OWN = ("path", "flags")
-"""Fields that say where the settings come from."""
+SOURCE_FIELDS = ("path", "flags")
+"""Fields that name the source of the settings."""
 
-Mark = tuple[int, int, int]
-"""What tells one state of a file from another: its date (ns), size and inode."""
+FileVersion = tuple[int, int, int]
+"""Identifies a state of a file: its modification time (ns), size and inode."""
 
 
 class SettingsDiff(msgspec.Struct, frozen=True):
-    """What of new settings is taken in while running, and what has to wait for the next start."""
+    """The changes between two settings: those applied to a running process, and those deferred to its next start."""
 
-    taken: dict[str, object]
-    left: Findings
+    applied: dict[str, object]
+    deferred: Findings
 
 
 def compare_settings(old: Settings, new: Settings) -> SettingsDiff:
-    """What differs in new settings, by whether it can be taken in now."""
-    other = [f for f in old.__struct_fields__ if f not in OWN and getattr(old, f) != getattr(new, f)]
+    """Returns the differences between settings, by whether a running process can apply them."""
+    changed = [
+        field
+        for field in old.__struct_fields__
+        if field not in SOURCE_FIELDS and getattr(old, field) != getattr(new, field)
+    ]
     return SettingsDiff(
-        {f: getattr(new, f) for f in other if f in LIVE},
-        [Finding(f, "changes only at the next start") for f in other if f not in LIVE],
+        {field: getattr(new, field) for field in changed if field in LIVE_FIELDS},
+        [Finding(field, "changes only at the next start") for field in changed if field not in LIVE_FIELDS],
     )
 
 
 class SettingsReloader:
-    """Hands each new settings to `take(Settings)`, with only what may change in flight changed.
+    """Calls `on_change(Settings)` with each new version of the settings, in which only live fields differ.
 
-    Without a file it does nothing.
-    A file that cannot be read or has findings changes nothing and is logged once.
+    Without a file it does nothing. A file that is unreadable or has findings changes nothing and is logged once.
     """
 
-    __slots__ = ("settings", "take", "counts", "_told", "_seen", "_jobs", "_said")
+    __slots__ = ("settings", "on_change", "counts", "_reload_requested", "_file_version", "_jobs", "_last_logged")
 
-    def __init__(self, first: Settings, take: Callable[[Settings], None], counts: Counts) -> None:
-        """Compare with `first`, which names the file and the options."""
+    def __init__(self, first: Settings, on_change: Callable[[Settings], None], counts: Counts) -> None:
+        """Compares with `first`, which names the file and the command-line options."""
         self.settings = first
-        self.take = take
+        self.on_change = on_change
         self.counts = counts
-        self._told = Event()
-        self._seen: Mark | None = None
-        self._said: tuple[str, ...] = ()
+        self._reload_requested = Event()
+        self._file_version: FileVersion | None = None
+        self._last_logged: tuple[str, ...] = ()
         self._jobs: list[gevent.Greenlet] = []
 
     def __enter__(self) -> SettingsReloader:
-        """Begin to look, and to listen to SIGHUP."""
+        """Starts to check the file and to handle SIGHUP."""
         if self.settings.path is not None:
-            gevent.signal_handler(signal.SIGHUP, self._told.set)
+            gevent.signal_handler(signal.SIGHUP, self._reload_requested.set)
             self._jobs = [exit_on_failure(gevent.spawn(self._run))]
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Look no more."""
+        """Stops checking the file."""
         gevent.killall(self._jobs)
 
-    def look(self, told: bool = False) -> None:
-        """Reads the file if it was changed since the last look, or if told to."""
+    def check_file(self, force: bool = False) -> None:
+        """Reads the file if it has changed since the last check, or with `force`."""
         if self.settings.path is None:
             return
-        seen = self._mark()
-        if seen == self._seen and not told:
+        file_version = self._stat_file()
+        if file_version == self._file_version and not force:
             return
-        self._seen = seen
-        self._read()
+        self._file_version = file_version
+        self._reload()
 
-    def _read(self) -> None:
+    def _reload(self) -> None:
         old = self.settings
         loaded = settings.load(old.role, old.path, old.flags)
         if isinstance(loaded, Err):
             self.counts.add("settings_refused")
-            self._say("settings_refused", loaded.err_value)
+            self._log_findings("settings_refused", loaded.err_value)
             return
-        new = compare_settings(old, loaded.ok_value)
-        self._say("settings_left", new.left)
-        if not new.taken:
+        diff = compare_settings(old, loaded.ok_value)
+        self._log_findings("settings_left", diff.deferred)
+        if not diff.applied:
             return
-        self.settings = msgspec.structs.replace(old, **new.taken)
+        self.settings = msgspec.structs.replace(old, **diff.applied)
         self.counts.add("settings_taken")
-        log_event("settings_taken", fields=sorted(new.taken))
-        self.take(self.settings)
+        log_event("settings_taken", fields=sorted(diff.applied))
+        self.on_change(self.settings)
 
-    def _say(self, what: str, found: Findings) -> None:
-        said = (what, *map(str, found)) if found else ()
-        if found and said != self._said:
-            log_event(what, findings=[str(one) for one in found])
-        self._said = said
+    def _log_findings(self, event: str, found: Findings) -> None:
+        logged = (event, *map(str, found)) if found else ()
+        if found and logged != self._last_logged:
+            log_event(event, findings=[str(one) for one in found])
+        self._last_logged = logged
 
-    def _mark(self) -> Mark | None:
+    def _stat_file(self) -> FileVersion | None:
         try:
             status = os.stat(str(self.settings.path))
         except OSError:
@@ -116,6 +119,6 @@
 
     def _run(self) -> None:
         while True:
-            told = self._told.wait(timeout=CHECK_INTERVAL_S)
-            self._told.clear()
-            self.look(bool(told))
+            requested = self._reload_requested.wait(timeout=CHECK_INTERVAL_S)
+            self._reload_requested.clear()
+            self.check_file(bool(requested))
--- a/mallowvalve/settings.py
+++ b/mallowvalve/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a process: a TOML file and the command line, checked whole before anything starts."""
+"""Settings of a process: read from a TOML file and the command line, and validated before anything starts."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from mallowvalve.types import PORT_LIMIT, Address, Locality
 
 ROLES = ("directory", "proxy", "control")
-MOST_SEEDS = 3
+MAX_SEEDS = 3
 
-Place = TypeVar("Place", Address, Locality)
+Parsed = TypeVar("Parsed", Address, Locality)
 
 
 class DetectorSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What the failure detector promises and expects; its period and helpers follow (`membership.formula`).
+    """Targets and assumptions of the failure detector; `membership.formula` derives its period and helpers from them.
 
-    `detect` is the expected time until a failure is noticed (s), `mistake` the accepted probability that a member is
-    declared failed wrongly in a period, `fail` and `loss` the expected shares of members that are down and of datagrams
-    that are lost, `round_trip` the longest expected (s). `period` (s) and `helpers` may be set outright instead.
+    `detect` is the expected time to detect a failure (s), `mistake` the accepted probability that a live member is
+    declared failed in a period, `fail` and `loss` the assumed ratios of failed members and of lost datagrams,
+    `round_trip` the longest assumed round trip (s). `period` (s) and `helpers` (a count) override the derived values.
     """
 
     detect: float = 3.0
@@ -40,7 +40,7 @@
 
 
 class RetryBudgetBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Repeats a service takes: `ratio` of its first tries within any `span` seconds, and `slack` more, fleet-wide."""
+    """A service's fleet-wide retry budget: `ratio` of its first tries in any `span` seconds, plus `slack` retries."""
 
     ratio: float = 0.2
     span: float = 10.0
@@ -48,16 +48,16 @@
 
 
 class ColdStartBounds(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests a second a cold upstream takes, fleet-wide: its own rate times `over`, and `slack` more."""
+    """Fleet-wide limit of requests a second to a cold upstream: its own rate times `over`, plus `slack`."""
 
     over: float = 1.0
     slack: float = 0.0
 
 
 class Acks(msgspec.Struct, frozen=True, kw_only=True):
-    """What an acknowledgement waits for.
+    """Condition for the acknowledgement of a write.
 
-    `commit`: a quorum's disks; `held`: the replicas in touch too; `force`: all of them.
+    `commit`: a quorum has stored it; `held`: the connected replicas have it too; `force`: all replicas have it.
     """
 
     settings: Literal["force", "held", "commit"] = "force"
@@ -65,11 +65,12 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True, kw_only=True):
-    """Names of the headers that clients, proxies and upstreams say these things with; an empty one is not said.
+    """Names of the HTTP headers between clients, proxies and upstreams; an empty name disables the header.
 
-    `ask` names one try of a client and comes back with its answer, `limit` is what time is left (ms), `seal` marks
-    an upstream's own success, `expect` the instance a request is meant for, `instance` who answers, `usage` its
-    running, waiting and slots, `not_run` its word that nothing ran, `cold` how long it stays cold (ms).
+    `ask` identifies a client's attempt and is returned with the answer, `limit` is the remaining time (ms), `seal`
+    marks a success as the upstream's own, `expect` is the instance that a request is meant for, `instance` the one that
+    answers, `usage` its running and waiting requests and slots, `not_run` its statement that nothing was executed,
+    `cold` the remaining time of its cold phase (ms).
     """
 
     ask: str = "Mallow-Ask"
@@ -83,15 +84,15 @@
 
 
 class CommonSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Settings that a process uses as they are written, with their defaults.
-
-    `fleet` is the name that processes of one fleet share, `log` a file (standard error if None), `polite` the seconds a
-    stop may take, `connections` the most a server holds, `body_bytes` the largest body of a request by the tree,
-    `faults` a trial's file of faults. `zones` gives the region of each zone, `serve_on` lets a proxy go on by what it
-    last heard without a leader, `holds` says what it keeps of the state. `coordination_at` is the path of the
-    coordination pages, `heartbeats` who keeps the upstreams (`told` from node to node, or `registered` in the state),
-    `heartbeat_ms` how often one is expected. `pace` is the least time between two rounds of a leader to its voters (s),
-    `election` the shortest time without a leader after which a voter stands (s).
+    """Settings with the same form in the file and in the process, with their defaults.
+
+    `fleet` is the name shared by all processes of a fleet, `log` a file (standard error if None), `polite` the grace
+    period of a stop (s), `connections` the limit for each server, `body_bytes` the largest body of a request routed by
+    the tree, `faults` a file of injected faults for trials. `zones` maps zones to regions, `serve_on` lets a proxy
+    continue with its last known state without a leader, `holds` selects the part of the state that it replicates.
+    `coordination_at` is the path of the coordination resources, `heartbeats` selects where upstreams are kept (`told`:
+    gossiped between nodes, `registered`: in the replicated state), `heartbeat_ms` is the expected interval. `pace` is
+    the shortest time between two rounds of a leader to its voters (s), `election` the shortest election timeout (s).
     """
 
     name: str
@@ -117,11 +118,11 @@
 
 
 class RawSettings(CommonSettings, frozen=True, kw_only=True):
-    """Settings as the file and the command line say them: localities and addresses are texts.
+    """Settings as they are written in the file and on the command line: localities and addresses are texts.
 
-    `transport` and `web` are this process's own addresses, `seeds` the transport of others; with `seed_port` all seeds
-    have that port. `pages` is an address of its own for the process's pages, `directory` one for the directory's
-    answers, `data` the folder of what must last.
+    `transport` and `web` are this process's addresses, `seeds` other processes' transport addresses; `seed_port`
+    replaces the port of all seeds. `pages` is a separate address for the process's own HTTP resources, `directory` one
+    for the directory's, `data` the folder of persistent files.
     """
 
     locality: str
@@ -135,9 +136,9 @@
 
 
 class Settings(CommonSettings, frozen=True, kw_only=True):
-    """The settings of a running process; the fields that `Written` has too mean the same there, as texts.
+    """Validated settings of a process; fields that `RawSettings` has too hold the parsed values.
 
-    `path` and `flags` are the file and the options that they were read from, for reading them again.
+    `path` and `flags` are the settings file and the command-line options, kept for a reload.
     """
 
     role: str
@@ -152,8 +153,8 @@
     flags: dict[str, Any] = {}
 
 
-NOT_NEGATIVE = ("budget.ratio", "budget.slack", "cold.slack")
-POSITIVE = (
+NOT_NEGATIVE_FIELDS = ("budget.ratio", "budget.slack", "cold.slack")
+POSITIVE_FIELDS = (
     "budget.span",
     "cold.over",
     "heartbeat_ms",
@@ -164,85 +165,85 @@
     "body_bytes",
     "polite",
 )
-PROBABILITIES = ("detector.fail", "detector.loss", "detector.mistake")
+PROBABILITY_FIELDS = ("detector.fail", "detector.loss", "detector.mistake")
 
 
 def load(role: str, path: str | None, flags: Mapping[str, Any]) -> Result[Settings, Findings]:
-    """The settings of the file at `path`, if any, overridden by `flags`; the error holds every finding."""
+    """Loads settings from the file at `path`, if any, overridden by `flags`; the error holds every finding."""
     data: dict[str, Any] = {}
     if path is not None:
         try:
             data = tomllib.loads(Path(path).read_text())
-        except (OSError, UnicodeDecodeError) as e:
-            return Err([Finding(path, f"cannot read: {e}")])
-        except tomllib.TOMLDecodeError as e:
-            return Err([Finding(path, f"not TOML: {e}")])
+        except (OSError, UnicodeDecodeError) as error:
+            return Err([Finding(path, f"cannot read: {error}")])
+        except tomllib.TOMLDecodeError as error:
+            return Err([Finding(path, f"not TOML: {error}")])
     given = {key: value for key, value in flags.items() if value not in (None, ())}
     return check(role, {**data, **given})
 
 
 def check(role: str, data: Mapping[str, Any]) -> Result[Settings, Findings]:
-    """Settings from JSON-like data; the error holds every finding."""
+    """Validates JSON-like data and returns settings; the error holds every finding."""
     found: Findings = []
-    written = finding.read_into(found, RawSettings, data)
-    if written is None:
+    raw = finding.read_into(found, RawSettings, data)
+    if raw is None:
         return Err(found)
     values: dict[str, Any] = {
-        "locality": _text(Locality, written.locality, "locality", found),
-        "transport": _text(Address, written.transport, "transport", found),
-        "web": _text(Address, written.web, "web", found),
-        "seeds": _seeds(written, found),
-        "pages": _optional(written.pages, "pages", found),
-        "directory": _optional(written.directory, "directory", found),
+        "locality": _parse(Locality, raw.locality, "locality", found),
+        "transport": _parse(Address, raw.transport, "transport", found),
+        "web": _parse(Address, raw.web, "web", found),
+        "seeds": _seeds(raw, found),
+        "pages": _parse_optional(raw.pages, "pages", found),
+        "directory": _parse_optional(raw.directory, "directory", found),
     }
-    found += _out_of_bounds(written) + _contradictions(role, written)
+    found += _out_of_bounds(raw) + _contradictions(role, raw)
     if found:
         return Err(found)
-    common = {field: getattr(written, field) for field in CommonSettings.__struct_fields__}
-    return Ok(Settings(role=role, data=Path(written.data) if written.data else None, **common, **values))
+    common = {field: getattr(raw, field) for field in CommonSettings.__struct_fields__}
+    return Ok(Settings(role=role, data=Path(raw.data) if raw.data else None, **common, **values))
 
 
-def _seeds(written: RawSettings, found: Findings) -> list[Address]:
-    read = [_text(Address, text, f"seeds[{i}]", found) for i, text in enumerate(written.seeds)]
-    seeds = [seed for seed in read if seed is not None]
-    if len(read) > MOST_SEEDS:
+def _seeds(raw: RawSettings, found: Findings) -> list[Address]:
+    parsed = [_parse(Address, text, f"seeds[{index}]", found) for index, text in enumerate(raw.seeds)]
+    seeds = [seed for seed in parsed if seed is not None]
+    if len(parsed) > MAX_SEEDS:
         found.append(Finding("seeds", "three at most"))
-    if written.seed_port is None:
+    if raw.seed_port is None:
         return seeds
-    if not 0 < written.seed_port < PORT_LIMIT:
+    if not 0 < raw.seed_port < PORT_LIMIT:
         found.append(Finding("seed_port", "must be 1 to 65535"))
-    return [Address(seed.host, written.seed_port) for seed in seeds]
+    return [Address(seed.host, raw.seed_port) for seed in seeds]
 
 
-def _out_of_bounds(written: RawSettings) -> Findings:
+def _out_of_bounds(raw: RawSettings) -> Findings:
     found = []
-    for place in NOT_NEGATIVE:
-        if attrgetter(place)(written) < 0:
+    for place in NOT_NEGATIVE_FIELDS:
+        if attrgetter(place)(raw) < 0:
             found.append(Finding(place, "must not be negative"))
-    for place in POSITIVE:
-        if attrgetter(place)(written) <= 0:
+    for place in POSITIVE_FIELDS:
+        if attrgetter(place)(raw) <= 0:
             found.append(Finding(place, "must be positive"))
-    for place in PROBABILITIES:
-        if not 0 < attrgetter(place)(written) < 1:
+    for place in PROBABILITY_FIELDS:
+        if not 0 < attrgetter(place)(raw) < 1:
             found.append(Finding(place, "must be between 0 and 1"))
-    if not written.coordination_at.startswith("/"):
+    if not raw.coordination_at.startswith("/"):
         found.append(Finding("coordination_at", "must begin with /"))
     return found
 
 
-def _contradictions(role: str, written: RawSettings) -> Findings:
+def _contradictions(role: str, raw: RawSettings) -> Findings:
     found = []
-    if written.transport == written.web:
+    if raw.transport == raw.web:
         found.append(Finding("web", "must differ from transport"))
-    if role == "control" and written.data is None:
+    if role == "control" and raw.data is None:
         found.append(Finding("data", "missing: control process keeps its state in a folder"))
-    if written.faults is not None and written.fleet != TRIAL_FLEET:
-        text = f"only for trials: a fleet named {TRIAL_FLEET!r} may have them, this one is {written.fleet!r}"
+    if raw.faults is not None and raw.fleet != TRIAL_FLEET:
+        text = f"only for trials: a fleet named {TRIAL_FLEET!r} may have them, this one is {raw.fleet!r}"
         found.append(Finding("faults", text))
     return found
 
 
-def _text(kind: type[Place], text: str, place: str, found: Findings) -> Place | None:
+def _parse(kind: type[Parsed], text: str, place: str, found: Findings) -> Parsed | None:
     result = kind.read(text)
     if isinstance(result, Err):
         found.append(Finding(place, result.err_value))
@@ -250,5 +251,5 @@
     return result.ok_value
 
 
-def _optional(text: str | None, place: str, found: Findings) -> Address | None:
-    return None if text is None else _text(Address, text, place, found)
+def _parse_optional(text: str | None, place: str, found: Findings) -> Address | None:
+    return None if text is None else _parse(Address, text, place, found)
--- a/mallowvalve/types.py
+++ b/mallowvalve/types.py
@@ -1,4 +1,4 @@
-"""Values that every part speaks of: revisions, addresses, localities."""
+"""Value types shared by all packages: revisions, addresses and localities."""
 
 from __future__ import annotations
 
@@ -9,30 +9,32 @@
 
 INDEX_BITS = 36
 PORT_LIMIT = 1 << 16
-IPV4_PARTS = 4
+IPV4_NUMBERS = 4
 BYTE_LIMIT = 256
 
-SAME_ZONE, SAME_REGION, ELSEWHERE = range(3)
+SAME_ZONE = 0
+SAME_REGION = 1
+ELSEWHERE = 2
 
 
 class Revision(int):
-    """A place in the replicated log, rising for ever: the generation of the core in the high bits, the index below."""
+    """A position in the replicated log: the core's generation in the high bits, the index below. It only increases."""
 
     __slots__ = ()
 
     @classmethod
     def make(cls, generation: int, index: int) -> Revision:
-        """The revision of entry `index` of that generation; `index` is below 2 to the power of INDEX_BITS."""
+        """Returns the revision of entry `index` of a generation; `index` must be below 2 to the power of INDEX_BITS."""
         return cls(generation << INDEX_BITS | index)
 
     @property
     def generation(self) -> int:
-        """How often a core was founded before this entry."""
+        """The number of times a core had been founded when the entry was written."""
         return self >> INDEX_BITS
 
     @property
     def index(self) -> int:
-        """The entry's number in the log of its generation."""
+        """The entry's index in the log of its generation."""
         return self & ((1 << INDEX_BITS) - 1)
 
 
@@ -44,14 +46,14 @@
 
     @classmethod
     def read(cls, text: str) -> Result[Address, str]:
-        """Parse HOST:PORT, HOST a dotted IPv4 number; the error says what was wanted."""
+        """Parses HOST:PORT with a dotted IPv4 address as HOST; the error names the expected form."""
         host, separator, port = text.rpartition(":")
         if not separator or not host:
             return Err("want HOST:PORT")
         if not port.isdigit() or not 0 < int(port) < PORT_LIMIT:
             return Err("port must be 1 to 65535")
-        parts = host.split(".")
-        if len(parts) != IPV4_PARTS or not all(part.isdigit() and int(part) < BYTE_LIMIT for part in parts):
+        numbers = host.split(".")
+        if len(numbers) != IPV4_NUMBERS or not all(number.isdigit() and int(number) < BYTE_LIMIT for number in numbers):
             return Err("host must be an IPv4 number")
         return Ok(cls(host, int(port)))
 
@@ -61,19 +63,19 @@
 
     @property
     def pair(self) -> tuple[str, int]:
-        """What sockets take."""
+        """The address in the form of the `socket` module."""
         return self.host, self.port
 
 
 class Locality(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Where a process runs."""
+    """The region and zone in which a process runs."""
 
     region: str
     zone: str
 
     @classmethod
     def read(cls, text: str) -> Result[Locality, str]:
-        """Parse REGION/ZONE; the error says what was wanted."""
+        """Parses REGION/ZONE; the error names the expected form."""
         region, separator, zone = text.partition("/")
         if not separator or not region or not zone or "/" in zone:
             return Err("want REGION/ZONE")
@@ -84,17 +86,17 @@
         return f"{self.region}/{self.zone}"
 
     def distance(self, other: Locality) -> int:
-        """SAME_ZONE, SAME_REGION or ELSEWHERE."""
+        """Returns SAME_ZONE, SAME_REGION or ELSEWHERE."""
         if self == other:
             return SAME_ZONE
         return SAME_REGION if self.region == other.region else ELSEWHERE
 
 
 def is_evacuated(at: Locality, evacuated: Mapping[str, int]) -> bool:
-    """Whether an evacuation covers `at`; `evacuated` is keyed by region, by zone or by REGION/ZONE."""
+    """Returns whether `at` is evacuated; the keys of `evacuated` are regions, zones or REGION/ZONE."""
     return any(name in evacuated for name in (at.region, at.zone, str(at)))
 
 
 def is_reachable(at: Locality, homes: frozenset[str] | None, evacuated: Mapping[str, int]) -> bool:
-    """Whether work of a tenant may go to `at`: in one of its home regions (None: any) and not evacuated."""
+    """Returns whether a tenant's requests may go to `at`: in a home region (None: any) and not evacuated."""
     return (homes is None or at.region in homes) and not is_evacuated(at, evacuated)
--- a/tests/test_fault.py
+++ b/tests/test_fault.py
@@ -1,3 +1,5 @@
+"""Injected faults: cut links of the transport, full disks, and invalid files of faults."""
+
 import json
 import random
 
@@ -15,52 +17,54 @@
 
 
 @pytest.fixture
-def faults(tmp_path):
-    f = InjectedFaults(str(tmp_path / "faults.json"), "control0")
+def inject(tmp_path):
+    """Returns a function that writes the file of faults and returns the faults as read from it."""
+    faults = InjectedFaults(str(tmp_path / "faults.json"), "control0")
 
-    def wish(**w):
-        f.path.write_text(json.dumps(w))
-        f._seen = -1
-        f.look()
-        return f
+    def inject_faults(**spec):
+        faults.path.write_text(json.dumps(spec))
+        faults._file_mtime_ns = -1
+        faults.check_file()
+        return faults
 
-    return wish
+    return inject_faults
 
 
-def test_a_datagram_is_lost_one_way_and_a_stream_both(faults):
-    f = faults(cuts=[[str(A), str(B)]])
-    assert f.drops_datagram(A, B) and not f.drops_datagram(B, A) and f.cuts_stream(A, B) and f.cuts_stream(B, A)
-    assert not faults().cuts_stream(A, B) and not InjectedFaults().cuts_stream(A, B)
+def test_a_cut_drops_datagrams_in_one_direction_and_streams_in_both(inject):
+    faults = inject(cuts=[[str(A), str(B)]])
+    assert faults.drops_datagram(A, B) and not faults.drops_datagram(B, A)
+    assert faults.cuts_stream(A, B) and faults.cuts_stream(B, A)
+    assert not inject().cuts_stream(A, B) and not InjectedFaults().cuts_stream(A, B)
 
 
-def test_a_file_that_is_not_understood_changes_nothing(faults):
-    f = faults(full=["control0"])
-    f.path.write_text('{"fill": 1}')
-    f._seen = -1
-    f.look()
-    assert f.full
+def test_an_invalid_file_leaves_the_faults_unchanged(inject):
+    faults = inject(full=["control0"])
+    faults.path.write_text('{"fill": 1}')
+    faults._file_mtime_ns = -1
+    faults.check_file()
+    assert faults.disk_full
 
 
-def test_a_full_disk_refuses_below_the_log_and_its_torn_record_is_cut(faults):
-    f = faults()
-    t = DiskLog.open(FaultyDisk(SimDisk(random.Random(1)), f), "f", "id").unwrap()
-    t.save([b"one"])
-    faults(full=["control0"])
-    f.look()
+def test_a_write_to_a_full_disk_fails_and_its_torn_record_is_truncated(inject):
+    faults = inject()
+    log = DiskLog.open(FaultyDisk(SimDisk(random.Random(1)), faults), "f", "id").unwrap()
+    log.save([b"one"])
+    inject(full=["control0"])
+    faults.check_file()
     with pytest.raises(OSError, match="no space"):
-        t.save([b"two"])
-    faults()
-    t.save([b"three"])
-    assert DiskLog.open(t.disk, "f", "id").unwrap().batches == [[b"one"], [b"three"]]
-
-
-def test_the_transport_loses_what_is_cut_and_goes_on_once_healed(faults):
-    a, b = (Address("127.0.0.1", p) for p in free_ports(2))
-    f = faults()
-    with Transport(a, "f", Counts(), f) as x, Transport(b, "f", Counts()) as y:
-        y.on("replica", lambda sender, body: body)
-        assert x.call(b, "replica", b"1", 2.0).unwrap() == b"1"
-        faults(cuts=[[str(b), str(a)]])
-        assert x.call(b, "replica", b"2", 0.1).err_value == "limit"
-        faults()
-        assert x.call(b, "replica", b"3", 2.0).unwrap() == b"3"
+        log.save([b"two"])
+    inject()
+    log.save([b"three"])
+    assert DiskLog.open(log.disk, "f", "id").unwrap().batches == [[b"one"], [b"three"]]
+
+
+def test_a_call_over_a_cut_link_times_out_and_succeeds_once_the_link_is_restored(inject):
+    near, far = (Address("127.0.0.1", port) for port in free_ports(2))
+    faults = inject()
+    with Transport(near, "f", Counts(), faults) as caller, Transport(far, "f", Counts()) as peer:
+        peer.on("replica", lambda sender, body: body)
+        assert caller.call(far, "replica", b"1", 2.0).unwrap() == b"1"
+        inject(cuts=[[str(far), str(near)]])
+        assert caller.call(far, "replica", b"2", 0.1).err_value == "limit"
+        inject()
+        assert caller.call(far, "replica", b"3", 2.0).unwrap() == b"3"
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,3 +1,5 @@
+"""The plan of a change: which differences it reports."""
+
 import copy
 
 from mallowvalve.configuration.build import build
@@ -5,48 +7,52 @@
 from mallowvalve.types import Locality
 from tests.shapes import CONFIG
 
-UP = [ReadyUpstream("boards", "b-eu", Locality("eu", "eu-a")), ReadyUpstream("boards", "b-us", Locality("us", "us-a"))]
+UPSTREAMS = [
+    ReadyUpstream("boards", "b-eu", Locality("eu", "eu-a")),
+    ReadyUpstream("boards", "b-us", Locality("us", "us-a")),
+]
 
 
-def moves(change, upstreams=UP, evacuated=None):
-    d = copy.deepcopy(CONFIG)
-    change(d)
+def planned_moves(edit, upstreams=UPSTREAMS, evacuated=None):
+    """Returns the plan's moves as tuples for the change that `edit` makes to the configuration."""
+    document = copy.deepcopy(CONFIG)
+    edit(document)
     return [
-        (m.place, m.what, m.before, m.after)
-        for m in plan(build(CONFIG).unwrap(), build(d).unwrap(), upstreams, evacuated or {})
+        (move.place, move.what, move.before, move.after)
+        for move in plan(build(CONFIG).unwrap(), build(document).unwrap(), upstreams, evacuated or {})
     ]
 
 
-def test_no_change_moves_nothing():
-    assert moves(lambda d: None) == []
+def test_an_unchanged_document_has_no_moves():
+    assert planned_moves(lambda document: None) == []
 
 
-def test_a_policy_higher_up_moves_every_route_below():
-    got = moves(lambda d: d["regions"]["eu"].update(policy="limit 2s"))
-    assert got == [(f"routes.{r}", "policy limit_ms changes", 4000, 2000) for r in ("rankings", "submit")]
+def test_a_region_policy_changes_every_route_of_the_region():
+    moves = planned_moves(lambda document: document["regions"]["eu"].update(policy="limit 2s"))
+    assert moves == [(f"routes.{route}", "policy limit_ms changes", 4000, 2000) for route in ("rankings", "submit")]
 
 
-def test_new_homes_show_the_upstreams_that_go():
-    got = moves(lambda d: d["cells"]["racing"]["tenants"].update(overlay={"homes": ["eu"]}))
-    assert ("tenants.overlay", "homes change", "anywhere", ["eu"]) in got
-    assert ("tenants.overlay", "upstreams of boards change", ["b-us"], []) in got
+def test_new_home_regions_show_the_upstreams_that_become_unreachable():
+    moves = planned_moves(lambda document: document["cells"]["racing"]["tenants"].update(overlay={"homes": ["eu"]}))
+    assert ("tenants.overlay", "homes change", "anywhere", ["eu"]) in moves
+    assert ("tenants.overlay", "upstreams of boards change", ["b-us"], []) in moves
 
 
-def test_a_tenant_left_without_upstreams_is_said():
-    got = moves(lambda d: d["cells"]["racing"]["tenants"].update(overlay={"homes": ["ap"]}))
-    assert ("tenants.overlay", "boards has no upstream left", 2, 0) in got
+def test_a_tenant_without_reachable_upstreams_is_reported():
+    moves = planned_moves(lambda document: document["cells"]["racing"]["tenants"].update(overlay={"homes": ["ap"]}))
+    assert ("tenants.overlay", "boards has no upstream left", 2, 0) in moves
 
 
-def test_routes_and_services_that_come_and_go():
-    def change(d):
-        del d["routes"]["submit"], d["services"]["runs"]
-        d["services"]["new"] = {}
-        d["routes"]["rankings"]["service"] = "new"
+def test_added_and_removed_routes_and_services_are_reported():
+    def edit(document):
+        del document["routes"]["submit"], document["services"]["runs"]
+        document["services"]["new"] = {}
+        document["routes"]["rankings"]["service"] = "new"
 
-    got = {(p, w) for p, w, _, _ in moves(change)}
+    moves = {(place, what) for place, what, _, _ in planned_moves(edit)}
     assert {
         ("routes.submit", "removed"),
         ("services.runs", "removed, 0 upstreams live"),
         ("services.new", "added"),
         ("routes.rankings", "service changes"),
-    } <= got
+    } <= moves
--- a/tests/test_types.py
+++ b/tests/test_types.py
@@ -1,22 +1,27 @@
+"""Revisions, addresses and localities."""
+
 import pytest
 
 from mallowvalve.types import Address, Locality, Revision
 
 
-def test_revisions_rise_by_generation_then_index_and_fit_a_signed_64_bit_integer():
-    rs = [Revision.make(g, i) for g, i in ((1, 0), (1, 1), (1, 2**36 - 1), (2, 0), (2**27 - 1, 2**36 - 1))]
-    assert rs == sorted(set(rs)) and rs[-1] < 2**63
-    assert (rs[2].generation, rs[2].index) == (1, 2**36 - 1)
+def test_revisions_are_ordered_by_generation_then_index_and_fit_a_signed_64_bit_integer():
+    revisions = [
+        Revision.make(generation, index)
+        for generation, index in ((1, 0), (1, 1), (1, 2**36 - 1), (2, 0), (2**27 - 1, 2**36 - 1))
+    ]
+    assert revisions == sorted(set(revisions)) and revisions[-1] < 2**63
+    assert (revisions[2].generation, revisions[2].index) == (1, 2**36 - 1)
 
 
 @pytest.mark.parametrize(
     "text", ["", "1.2.3.4", "1.2.3:80", "1.2.3.4:0", "1.2.3.4:65536", "1.2.3.400:1", "host:1", "1.2.3.4:x"]
 )
-def test_bad_addresses(text):
+def test_an_invalid_address_is_refused(text):
     assert Address.read(text).is_err()
 
 
-def test_distance_counts_zone_then_region():
-    a, b, c = (Locality.read(t).unwrap() for t in ("eu/a", "eu/b", "us/c"))
-    assert [a.distance(x) for x in (a, b, c)] == [0, 1, 2]
-    assert all(Locality.read(t).is_err() for t in ("eu", "/a", "eu/", "eu/a/b"))
+def test_distance_is_same_zone_then_same_region_then_elsewhere():
+    local, same_region, elsewhere = (Locality.read(text).unwrap() for text in ("eu/a", "eu/b", "us/c"))
+    assert [local.distance(other) for other in (local, same_region, elsewhere)] == [0, 1, 2]
+    assert all(Locality.read(text).is_err() for text in ("eu", "/a", "eu/", "eu/a/b"))
