--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -15,7 +15,7 @@
 from mallowvalve.upstreams import registry as registries
 from mallowvalve.upstreams.liveness import HeardInstance
 from mallowvalve.upstreams.registry import Registered
-from tests.test_registry import EU, states, up
+from tests.test_registry import EU, make_upstream, states_by_instance
 
 US = Locality("us", "us-a")
 SETTINGS = Settings(
@@ -119,12 +119,12 @@
     assert c.simulate_delete("/upstreams/i1").status_code == 503
     t.says = "ok"
     assert c.simulate_put("/upstreams/i1", json=leaving).status_code == 200
-    assert states(t.state.registry) == {"i1": "leaving"}
+    assert states_by_instance(t.state.registry) == {"i1": "leaving"}
     n = len(t.offered)
     assert c.simulate_put("/upstreams/i1", json=leaving | {"sequence": 3}).status_code == 200 and len(t.offered) == n
     for _ in range(2):
         assert c.simulate_delete("/upstreams/i1").status_code == 200
-    assert states(t.state.registry) == {"i1": "gone"} and len(t.offered) == n + 1
+    assert states_by_instance(t.state.registry) == {"i1": "gone"} and len(t.offered) == n + 1
     assert c.simulate_delete("/upstreams/never").status_code == 200
 
 
@@ -193,11 +193,11 @@
 def test_changes_of_one_moment_go_as_one_command_and_a_refusal_reaches_all():
     t = Control()
     with registry_task.RegistryTask(t) as task:
-        jobs = [gevent.spawn(task.heartbeat, up(f"i{n}", at=f"10.0.0.{n + 1}:80")) for n in range(5)]
+        jobs = [gevent.spawn(task.heartbeat, make_upstream(f"i{n}", at=f"10.0.0.{n + 1}:80")) for n in range(5)]
         assert [j.get(timeout=5) for j in jobs] == [True] * 5
         assert [len(c.changes) for c in t.offered] == [5]
         t.says = "undecided"
-        jobs = [gevent.spawn(task.gone, up(f"i{n}", state="gone")) for n in range(2)]
+        jobs = [gevent.spawn(task.gone, make_upstream(f"i{n}", state="gone")) for n in range(2)]
         assert [j.get(timeout=5) for j in jobs] == [False] * 2
 
 
@@ -234,10 +234,10 @@
         return task.in_touch(at)
 
     for i in ("i1", "i2"):
-        assert task.heartbeat(up(i, at=f"10.0.0.{i[1]}:80"))
+        assert task.heartbeat(make_upstream(i, at=f"10.0.0.{i[1]}:80"))
     assert report(100.5) and led.liveness.report(0.0, 101.0) == [HeardInstance("i1", 1000), HeardInstance("i2", 1000)]
     now[0] = 101.0
-    assert task.heartbeat(up("i2", seq=2, at="10.0.0.2:80"))
+    assert task.heartbeat(make_upstream("i2", seq=2, at="10.0.0.2:80"))
     assert report(101.5) and led.liveness.report(100.0, 101.5) == [HeardInstance("i2", 500)]
     assert report(103.0, cut=True) and not report(104.0)
     assert not report(104.2, cut=False, leads=False)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -25,7 +25,7 @@
 from mallowvalve.settings import Acks
 from mallowvalve.upstreams.registry import Registered
 from tests.test_core import alone, go_on, step
-from tests.test_registry import up
+from tests.test_registry import make_upstream
 
 SERVICE = Item("services", "s", 1, b'{"name":"s","version":1}')
 EVERY_KIND = [
@@ -37,7 +37,7 @@
     Put("k", "v", None, "k"),
     Evacuate("z", True),
     Amend([SERVICE]),
-    Registered([up()]),
+    Registered([make_upstream()]),
     Claim("key", "digest", "p", "nonce"),
 ]
 
