--- a/tests/test_answer.py
+++ b/tests/test_answer.py
@@ -1,102 +1,136 @@
-"""Which proxies a client is told of, and why."""
+"""Selection of the proxies that an answer names, and its reason."""
 
 from mallowvalve.directory.answer import RECENT_FAILURE_S, UNKNOWN_HOMES, ProxyView, Reason, choose_proxies
 from mallowvalve.membership.members import RETURN_WINDOW_S
 from mallowvalve.membership.wire import FAILED, LEAVING, LEFT
 from mallowvalve.types import Locality
-from tests.directory_records import EVERY_HOMES, HOME_BOTH, HOME_US, A, B, C, at, gone, numbers, proxies, reason
-
-
-def test_all_of_the_region_the_own_zone_first():
-    rows = [at(1, C), at(2, B), at(3, A), at(4, B), at(5, A)]
-    got = numbers(proxies(rows, A))
-    assert sorted(got) == [2, 3, 4, 5] and sorted(got[:2]) == [3, 5]
-    assert sorted(numbers(proxies(rows, Locality("eu", "nowhere")))) == [2, 3, 4, 5]
-
-
-def test_a_region_with_one_that_is_ready_keeps_its_clients():
-    rows = [at(1, C), at(2, B), at(3, A), at(4, C, LEAVING), at(5, C, ready=False)]
-    for homes in EVERY_HOMES:
-        assert numbers(proxies(rows, C, homes)) == [1]
-        assert reason(rows, C, homes) is Reason.LONE
-    left = [gone(at(6, C, LEFT, ready=False))]
-    assert numbers(proxies(rows, C, gone=left)) == [1]
-
-
-def test_a_region_whose_others_failed_just_now_is_helped_by_those_that_may_serve():
-    rows, failed = [at(1, C), at(2, B), at(3, A), at(4, Locality("ap", "ap-a"))], [gone(at(9, C, FAILED))]
-    assert sorted(numbers(proxies(rows, C, gone=failed))) == [1, 2, 3, 4]
-    assert numbers(proxies(rows, C, gone=failed))[0] == 1
-    assert sorted(numbers(proxies(rows, C, HOME_BOTH, gone=failed))) == [1, 2, 3]
-    assert numbers(proxies(rows, C, HOME_US, gone=failed)) == [1]
-    assert numbers(proxies(rows, C, UNKNOWN_HOMES, gone=failed)) == [1]
-    assert numbers(proxies(rows, C, gone=[gone(at(9, C, FAILED), RECENT_FAILURE_S)])) == [1]
-    assert reason(rows, C, gone=failed) is Reason.REST_FAILED
-
-
-def test_without_one_that_is_ready_the_homes_come_before_those_that_leave():
-    rows = [at(1, C, LEAVING), at(2, A), at(3, B)]
-    assert sorted(numbers(proxies(rows, C, HOME_BOTH))) == [2, 3]
-    assert reason(rows, C, HOME_BOTH) is Reason.HOME_REGION
+from tests.directory_records import (
+    ALL_HOMES,
+    AP_A,
+    EU_A,
+    EU_B,
+    HOME_EU_US,
+    HOME_US,
+    US_A,
+    departed_member,
+    named_numbers,
+    named_proxies,
+    proxy_record,
+    reason,
+)
+
+
+def test_all_proxies_of_the_region_are_named_those_of_the_clients_zone_first():
+    records = [
+        proxy_record(1, US_A),
+        proxy_record(2, EU_B),
+        proxy_record(3, EU_A),
+        proxy_record(4, EU_B),
+        proxy_record(5, EU_A),
+    ]
+    named = named_numbers(records, EU_A)
+    assert sorted(named) == [2, 3, 4, 5] and sorted(named[:2]) == [3, 5]
+    assert sorted(named_numbers(records, Locality("eu", "nowhere"))) == [2, 3, 4, 5]
+
+
+def test_a_region_with_one_ready_proxy_keeps_its_clients():
+    records = [
+        proxy_record(1, US_A),
+        proxy_record(2, EU_B),
+        proxy_record(3, EU_A),
+        proxy_record(4, US_A, LEAVING),
+        proxy_record(5, US_A, ready=False),
+    ]
+    for homes in ALL_HOMES:
+        assert named_numbers(records, US_A, homes) == [1]
+        assert reason(records, US_A, homes) is Reason.LONE
+    left = [departed_member(proxy_record(6, US_A, LEFT, ready=False))]
+    assert named_numbers(records, US_A, departed=left) == [1]
+
+
+def test_after_a_recent_failure_in_the_region_allowed_proxies_of_others_are_named_too():
+    records = [proxy_record(1, US_A), proxy_record(2, EU_B), proxy_record(3, EU_A), proxy_record(4, AP_A)]
+    failed = [departed_member(proxy_record(9, US_A, FAILED))]
+    failed_earlier = [departed_member(proxy_record(9, US_A, FAILED), RECENT_FAILURE_S)]
+    assert sorted(named_numbers(records, US_A, departed=failed)) == [1, 2, 3, 4]
+    assert named_numbers(records, US_A, departed=failed)[0] == 1
+    assert sorted(named_numbers(records, US_A, HOME_EU_US, departed=failed)) == [1, 2, 3]
+    assert named_numbers(records, US_A, HOME_US, departed=failed) == [1]
+    assert named_numbers(records, US_A, UNKNOWN_HOMES, departed=failed) == [1]
+    assert named_numbers(records, US_A, departed=failed_earlier) == [1]
+    assert reason(records, US_A, departed=failed) is Reason.REST_FAILED
+
+
+def test_without_a_ready_proxy_the_home_regions_come_before_leaving_proxies():
+    records = [proxy_record(1, US_A, LEAVING), proxy_record(2, EU_A), proxy_record(3, EU_B)]
+    assert sorted(named_numbers(records, US_A, HOME_EU_US)) == [2, 3]
+    assert reason(records, US_A, HOME_EU_US) is Reason.HOME_REGION
     for homes in (None, UNKNOWN_HOMES, HOME_US):
-        assert numbers(proxies(rows, C, homes)) == [1]
-        assert reason(rows, C, homes) is Reason.LEAVING
-    rows = [at(1, C, LEAVING), at(2, A, LEAVING)]
-    assert numbers(proxies(rows, Locality("ap", "ap-a"), HOME_US)) == [1]
-
-
-def test_where_nobody_accepts_a_host_with_homes_waits_for_a_restart_and_another_host_goes_elsewhere():
-    rows, left = [at(2, A), at(3, B)], [gone(at(1, C, LEFT, ready=False))]
-    assert numbers(proxies(rows, C, HOME_US, gone=left)) == []
-    assert reason(rows, C, HOME_US, gone=left) is Reason.RETURNING
-    assert reason([*rows, at(1, C, ready=False)], C, HOME_US) is Reason.RETURNING
-    assert reason([*rows, at(1, C, LEAVING, ready=False)], C, HOME_US) is Reason.RETURNING
-    assert sorted(numbers(proxies(rows, C, gone=left))) == [2, 3]
-    assert sorted(numbers(proxies(rows, C, HOME_US, gone=[gone(at(1, C, LEFT), RETURN_WINDOW_S)]))) == [2, 3]
-    assert sorted(numbers(proxies(rows, C, HOME_US, gone=[gone(at(1, C, FAILED))]))) == [2, 3]
-    assert reason(rows, C) is Reason.NONE_ACCEPTS
-    assert reason([], C, HOME_US) is Reason.NOBODY
-
-
-def test_one_that_is_doubted_is_named_only_where_nobody_else_is():
-    silent = {"suspects": lambda record: record.web.host == "10.0.0.1"}
-    rows = [at(1, C), at(2, A), at(3, B)]
-    assert sorted(numbers(proxies(rows, C, **silent))) == [2, 3]
-    assert sorted(numbers(proxies(rows, C, HOME_US, **silent))) == [2, 3]
-    assert numbers(proxies(rows[:1], C, **silent)) == [1]
-
-
-def test_none_that_is_unready_stopping_or_failed_or_no_proxy():
-    rows = [
-        at(1, A),
-        at(2, A),
-        at(3, A, LEAVING),
-        at(8, A, LEAVING, ready=False),
-        at(4, A, FAILED),
-        at(5, A, LEFT),
-        at(6, A, ready=False),
-        at(7, A, role="control"),
+        assert named_numbers(records, US_A, homes) == [1]
+        assert reason(records, US_A, homes) is Reason.LEAVING
+    records = [proxy_record(1, US_A, LEAVING), proxy_record(2, EU_A, LEAVING)]
+    assert named_numbers(records, AP_A, HOME_US) == [1]
+
+
+def test_if_no_proxy_accepts_a_host_with_homes_waits_for_a_restart_and_another_host_goes_elsewhere():
+    records = [proxy_record(2, EU_A), proxy_record(3, EU_B)]
+    left = [departed_member(proxy_record(1, US_A, LEFT, ready=False))]
+    left_earlier = [departed_member(proxy_record(1, US_A, LEFT), RETURN_WINDOW_S)]
+    failed = [departed_member(proxy_record(1, US_A, FAILED))]
+    assert named_numbers(records, US_A, HOME_US, departed=left) == []
+    assert reason(records, US_A, HOME_US, departed=left) is Reason.RETURNING
+    assert reason([*records, proxy_record(1, US_A, ready=False)], US_A, HOME_US) is Reason.RETURNING
+    assert reason([*records, proxy_record(1, US_A, LEAVING, ready=False)], US_A, HOME_US) is Reason.RETURNING
+    assert sorted(named_numbers(records, US_A, departed=left)) == [2, 3]
+    assert sorted(named_numbers(records, US_A, HOME_US, departed=left_earlier)) == [2, 3]
+    assert sorted(named_numbers(records, US_A, HOME_US, departed=failed)) == [2, 3]
+    assert reason(records, US_A) is Reason.NONE_ACCEPTS
+    assert reason([], US_A, HOME_US) is Reason.NOBODY
+
+
+def test_a_suspected_proxy_is_named_only_if_no_other_is_available():
+    suspected = {"is_suspected": lambda record: record.web.host == "10.0.0.1"}
+    records = [proxy_record(1, US_A), proxy_record(2, EU_A), proxy_record(3, EU_B)]
+    assert sorted(named_numbers(records, US_A, **suspected)) == [2, 3]
+    assert sorted(named_numbers(records, US_A, HOME_US, **suspected)) == [2, 3]
+    assert named_numbers(records[:1], US_A, **suspected) == [1]
+
+
+def test_members_that_are_unready_stopping_or_failed_or_not_proxies_are_not_named():
+    records = [
+        proxy_record(1, EU_A),
+        proxy_record(2, EU_A),
+        proxy_record(3, EU_A, LEAVING),
+        proxy_record(8, EU_A, LEAVING, ready=False),
+        proxy_record(4, EU_A, FAILED),
+        proxy_record(5, EU_A, LEFT),
+        proxy_record(6, EU_A, ready=False),
+        proxy_record(7, EU_A, role="control"),
     ]
-    assert sorted(numbers(proxies(rows, A))) == [1, 2]
-    assert numbers(proxies(rows[2:], A)) == [3]
-    assert proxies(rows[3:], A) == []
-
-
-def test_those_that_leave_are_named_where_none_is_ready_in_their_region():
-    rows = [at(1, A, LEAVING), at(2, B, LEAVING), at(3, C)]
-    assert sorted(numbers(proxies(rows, A))) == [1, 2]
-    assert numbers(proxies(rows, C)) == [3]
-    assert numbers(proxies([*rows, at(4, B)], A)) == [4]
-    assert sorted(numbers(proxies(rows[:2], C))) == [1, 2]
-    closed = [at(1, A, LEAVING, ready=False), at(3, C)]
-    assert reason(closed, A) is Reason.RETURNING
-    assert [r.name for r in choose_proxies(ProxyView(closed), A, wait_for_return=False).proxies] == ["n3"]
-
-
-def test_a_long_answer_is_cut_to_the_nearest_and_zones_leave_out_different_ones():
-    rows = [at(n, A) for n in range(10)] + [at(n, B) for n in range(10, 200)]
-    got = numbers(proxies(rows, A))
-    assert len(got) == 64 and set(got[:10]) == set(range(10))
-    wide = [at(n, C) for n in range(200)]
-    assert set(proxies(wide, Locality("us", "us-b"))) != set(proxies(wide, Locality("us", "us-c")))
-    assert numbers(proxies(rows, A)) == numbers(proxies(rows[::-1], A))
+    assert sorted(named_numbers(records, EU_A)) == [1, 2]
+    assert named_numbers(records[2:], EU_A) == [3]
+    assert named_proxies(records[3:], EU_A) == []
+
+
+def test_leaving_proxies_are_named_if_none_is_ready_in_their_region():
+    records = [proxy_record(1, EU_A, LEAVING), proxy_record(2, EU_B, LEAVING), proxy_record(3, US_A)]
+    assert sorted(named_numbers(records, EU_A)) == [1, 2]
+    assert named_numbers(records, US_A) == [3]
+    assert named_numbers([*records, proxy_record(4, EU_B)], EU_A) == [4]
+    assert sorted(named_numbers(records[:2], US_A)) == [1, 2]
+    closed = [proxy_record(1, EU_A, LEAVING, ready=False), proxy_record(3, US_A)]
+    assert reason(closed, EU_A) is Reason.RETURNING
+    choice = choose_proxies(ProxyView(closed), EU_A, wait_for_return=False)
+    assert [record.name for record in choice.proxies] == ["n3"]
+
+
+def test_a_long_answer_is_cut_to_the_nearest_proxies_and_each_zone_drops_different_ones():
+    records = [proxy_record(number, EU_A) for number in range(10)]
+    records += [proxy_record(number, EU_B) for number in range(10, 200)]
+    named = named_numbers(records, EU_A)
+    assert len(named) == 64 and set(named[:10]) == set(range(10))
+    equally_near = [proxy_record(number, US_A) for number in range(200)]
+    assert set(named_proxies(equally_near, Locality("us", "us-b"))) != set(
+        named_proxies(equally_near, Locality("us", "us-c"))
+    )
+    assert named_numbers(records, EU_A) == named_numbers(records[::-1], EU_A)
