--- a/tests/fill.py
+++ b/tests/fill.py
@@ -1,84 +1,88 @@
-"""The templates' language: gaps, lists, tables and what stands where there is no value."""
+"""Renders the deployment templates: placeholders, sections for lists and tables, and inverted sections."""
 
 from __future__ import annotations
 
 import json
 import re
 
-GAP = re.compile(r"\{\{([#^/]?)([^{}|]+)(\|json)?\}\}")
+TAG = re.compile(r"\{\{([#^/]?)([^{}|]+)(\|json)?\}\}")
 
 
-class Entry:
+class TemplateEntry:
+    """A value in scope: an entry of a list or table with its key, and whether it is the last one."""
+
     __slots__ = ("value", "key", "last")
 
     def __init__(self, value, key=None, last=True):
         self.value, self.key, self.last = value, key, last
 
 
-def find(at: list[Entry], name: str):
+def find(scopes: list[TemplateEntry], name: str):
+    """Returns the value of a dotted name in the innermost scope that has it; `.` is the innermost value itself."""
     if name == ".":
-        return at[-1].value
-    for e in reversed(at):
-        got = _walk(e.value, name.split("."))
-        if got is not None:
-            return got
+        return scopes[-1].value
+    for entry in reversed(scopes):
+        found = _walk(entry.value, name.split("."))
+        if found is not None:
+            return found
     return None
 
 
-def _walk(v, parts: list[str]):
-    for p in parts:
-        if isinstance(v, dict):
-            v = v.get(p)
-        elif isinstance(v, list) and p.isdigit() and int(p) < len(v):
-            v = v[int(p)]
+def _walk(value, parts: list[str]):
+    for part in parts:
+        if isinstance(value, dict):
+            value = value.get(part)
+        elif isinstance(value, list) and part.isdigit() and int(part) < len(value):
+            value = value[int(part)]
         else:
             return None
-    return v
+    return value
 
 
-def _text(v) -> str:
-    if v is None or isinstance(v, str):
-        return v or ""
-    if isinstance(v, list):
-        return ",".join(map(_text, v))
-    return json.dumps(v)
+def _text(value) -> str:
+    if value is None or isinstance(value, str):
+        return value or ""
+    if isinstance(value, list):
+        return ",".join(map(_text, value))
+    return json.dumps(value)
 
 
-def _entries(v) -> list[Entry]:
-    if not isinstance(v, (list, dict)):
-        return [Entry(v)] if v not in (None, False) else []
-    rows = list(v.items()) if isinstance(v, dict) else list(enumerate(v))
-    return [Entry(x, k, i == len(rows) - 1) for i, (k, x) in enumerate(rows)]
+def _entries(value) -> list[TemplateEntry]:
+    if not isinstance(value, (list, dict)):
+        return [TemplateEntry(value)] if value not in (None, False) else []
+    rows = list(value.items()) if isinstance(value, dict) else list(enumerate(value))
+    return [TemplateEntry(entry, key, index == len(rows) - 1) for index, (key, entry) in enumerate(rows)]
 
 
 def fill(text: str, settings: dict) -> str:
-    return _fill(text, [Entry(settings)])
+    """Returns the template `text` rendered with `settings`."""
+    return _render(text, [TemplateEntry(settings)])
 
 
-def _fill(text: str, at: list[Entry]) -> str:
-    out, pos = [], 0
-    while (m := GAP.search(text, pos)) is not None:
-        out.append(text[pos : m.start()])
-        kind, name, as_json = m.groups()
-        pos = m.end()
+def _render(text: str, scopes: list[TemplateEntry]) -> str:
+    rendered, position = [], 0
+    while (match := TAG.search(text, position)) is not None:
+        rendered.append(text[position : match.start()])
+        kind, name, as_json = match.groups()
+        position = match.end()
         if not kind:
-            out.append(_gap(at, name, as_json is not None))
+            rendered.append(_placeholder(scopes, name, as_json is not None))
             continue
-        close = "{{/%s}}" % name
-        end = text.index(close, pos)
-        inner, pos = text[pos:end], end + len(close)
-        entries = _entries(find(at, name))
+        closing_tag = "{{/%s}}" % name
+        end = text.index(closing_tag, position)
+        section, position = text[position:end], end + len(closing_tag)
+        entries = _entries(find(scopes, name))
         if kind == "#":
-            out += [_fill(inner, [*at, e]) for e in entries]
+            rendered += [_render(section, [*scopes, entry]) for entry in entries]
         elif not entries:
-            out.append(_fill(inner, at))
-    return "".join([*out, text[pos:]])
+            rendered.append(_render(section, scopes))
+    return "".join([*rendered, text[position:]])
 
 
-def _gap(at: list[Entry], name: str, as_json: bool) -> str:
+def _placeholder(scopes: list[TemplateEntry], name: str, as_json: bool) -> str:
     if name == "@":
-        return str(at[-1].key)
+        return str(scopes[-1].key)
     if name == ",":
-        return "" if at[-1].last else ","
-    v = find(at, name)
-    return json.dumps(v) if as_json else _text(v)
+        return "" if scopes[-1].last else ","
+    value = find(scopes, name)
+    return json.dumps(value) if as_json else _text(value)
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -1,3 +1,5 @@
+"""Daemons import neither tools nor libraries that they do not need at the start."""
+
 import subprocess
 import sys
 
@@ -8,7 +10,7 @@
 from mallowvalve.node import NodeResource
 from mallowvalve.web import Later, say
 
-LOOK = """
+LIST_MODULES = """
 import sys
 sys.argv = "mallowvalve {role} --check --name a --locality eu/a --transport 127.0.0.1:1 --web 127.0.0.1:2 --data d".split()
 from mallowvalve.cli import main
@@ -16,44 +18,50 @@
 import mallowvalve.{role}.main
 print(*sorted(sys.modules))
 """
-NOT_THERE = {"lark", "prometheus_client", "mallowvalve.routing.maker", *(f"mallowvalve.{t}.main" for t in TOOLS)}
+NOT_IMPORTED = {
+    "lark",
+    "prometheus_client",
+    "mallowvalve.routing.maker",
+    *(f"mallowvalve.{tool}.main" for tool in TOOLS),
+}
 
 
 @pytest.mark.parametrize("role", ["proxy", "control", "directory"])
-def test_a_daemon_loads_no_tool_and_no_grammar(role):
-    out = subprocess.run(
-        [sys.executable, "-c", LOOK.format(role=role)], capture_output=True, text=True, check=True
+def test_a_daemon_imports_no_tool_and_no_grammar(role):
+    output = subprocess.run(
+        [sys.executable, "-c", LIST_MODULES.format(role=role)], capture_output=True, text=True, check=True
     ).stdout
-    loaded = set(out.split())
-    assert f"mallowvalve.{role}.main" in loaded and NOT_THERE & loaded == set()
+    imported = set(output.split())
+    assert f"mallowvalve.{role}.main" in imported and NOT_IMPORTED & imported == set()
 
 
-def test_every_tool_is_listed_and_found():
+def test_every_tool_is_listed_and_can_be_imported():
     assert main.list_commands(None) == sorted([*TOOLS, "proxy", "control", "directory"])
-    assert all(main.get_command(None, t).name == t for t in TOOLS) and main.get_command(None, "none") is None
+    assert all(main.get_command(None, tool).name == tool for tool in TOOLS) and main.get_command(None, "none") is None
 
 
-def test_a_proxy_starts_and_says_whether_it_is_ready_without_the_pages_library():
-    out = subprocess.run(
-        [sys.executable, "-c", LOOK.format(role="proxy")], capture_output=True, text=True, check=True
+def test_a_proxy_answers_readiness_without_importing_the_web_framework():
+    output = subprocess.run(
+        [sys.executable, "-c", LIST_MODULES.format(role="proxy")], capture_output=True, text=True, check=True
     ).stdout
-    assert {"falcon", "asyncio"} & set(out.split()) == set()
-    app, said = Later(), []
+    assert {"falcon", "asyncio"} & set(output.split()) == set()
+    app, responses = Later(), []
     app.plain["/-/ready"] = lambda: (503, {"ready": False})
     app.add_route("/x", object())
     body = app(
-        {"REQUEST_METHOD": "GET", "PATH_INFO": "/-/ready"}, lambda status, headers: said.append((status, dict(headers)))
+        {"REQUEST_METHOD": "GET", "PATH_INFO": "/-/ready"},
+        lambda status, headers: responses.append((status, dict(headers))),
     )
-    assert body == [b'{"ready":false}'] and said[0][0] == "503 Service Unavailable"
-    assert said[0][1] == {"Content-Type": "application/json", "Content-Length": "15"}
+    assert body == [b'{"ready":false}'] and responses[0][0] == "503 Service Unavailable"
+    assert responses[0][1] == {"Content-Type": "application/json", "Content-Length": "15"}
 
 
-def test_an_app_made_later_has_every_route_whenever_it_was_added():
-    app, view = Later(), NodeResource(None)
-    view.on_get = lambda req, resp: say(resp, {"at": req.path})
-    app.add_route("/before", view)
+def test_a_lazily_created_app_has_routes_added_before_and_after_its_creation():
+    app, resource = Later(), NodeResource(None)
+    resource.on_get = lambda req, resp: say(resp, {"at": req.path})
+    app.add_route("/before", resource)
     client = TestClient(app.made())
-    app.add_route("/after", view)
+    app.add_route("/after", resource)
     assert client.simulate_get("/before").json == {"at": "/before"} and client.simulate_get("/after").json == {
         "at": "/after"
     }
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The page of metrics: what it says, in which format, and that counting costs nothing for it."""
+"""The Prometheus exposition of counters and gauges."""
 
 from falcon.testing import TestClient
 from prometheus_client.parser import text_string_to_metric_families
@@ -10,14 +10,15 @@
 
 
 def samples(page: bytes) -> dict[str, float]:
+    """Returns the values by name and label, read with the library's own parser."""
     return {
-        s.name + "".join(f"{{{v}}}" for v in s.labels.values()): s.value
+        sample.name + "".join(f"{{{label}}}" for label in sample.labels.values()): sample.value
         for family in text_string_to_metric_families(page.decode())
-        for s in family.samples
+        for sample in family.samples
     }
 
 
-def test_counters_and_gauges_are_read_back_by_the_librarys_own_parser():
+def test_counters_and_gauges_are_readable_with_the_librarys_parser():
     counts = Counts()
     counts.add("requests", 3)
     counts.add("rejected_not-run")
@@ -32,25 +33,25 @@
     }
 
 
-def test_names_that_become_one_are_counted_together():
+def test_counters_whose_metric_names_coincide_are_added():
     assert samples(render_metrics({"a-b": 1, "a_b": 2}, {})) == {"mallowvalve_a_b_total": 3.0}
 
 
-def test_nothing_counted_is_an_empty_page():
+def test_without_counters_the_exposition_is_empty():
     assert samples(render_metrics({}, {})) == {}
 
 
-def test_a_node_shows_all_it_counts():
-    raw = {"name": "n", "locality": "eu/a", "transport": "127.0.0.1:1", "web": "127.0.0.1:2"}
-    node = Node(settings.check("proxy", raw).unwrap())
+def test_a_node_exposes_all_its_counters_and_gauges():
+    raw_settings = {"name": "n", "locality": "eu/a", "transport": "127.0.0.1:1", "web": "127.0.0.1:2"}
+    node = Node(settings.check("proxy", raw_settings).unwrap())
     node.counts.add("requests", 2)
     node.membership.membership.counts.add("membership_declared")
     node.heartbeats.table.counts.add("heartbeat_new")
     node.gauge("busy", lambda: 7)
     node.app.add_route("/-/metrics", MetricsResource(node))
-    answer = TestClient(node.app.made()).simulate_get("/-/metrics")
-    assert answer.status_code == 200 and answer.headers["content-type"] == CONTENT_TYPE
-    assert samples(answer.content) == {
+    response = TestClient(node.app.made()).simulate_get("/-/metrics")
+    assert response.status_code == 200 and response.headers["content-type"] == CONTENT_TYPE
+    assert samples(response.content) == {
         "mallowvalve_requests_total": 2.0,
         "mallowvalve_membership_declared_total": 1.0,
         "mallowvalve_heartbeat_new_total": 1.0,
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,9 +1,11 @@
+"""Validation of the settings, and the command's exit codes."""
+
 from click.testing import CliRunner
 
 from mallowvalve import settings
 from mallowvalve.cli import main
 
-GOOD = {
+VALID_SETTINGS = {
     "name": "a",
     "locality": "eu/a",
     "transport": "127.0.0.1:4001",
@@ -12,50 +14,54 @@
 }
 
 
-def places(role="proxy", **fields):
-    return {f.place for f in settings.check(role, {**GOOD, **fields}).err_value}
+def finding_places(role="proxy", **fields):
+    return {finding.place for finding in settings.check(role, {**VALID_SETTINGS, **fields}).err_value}
 
 
-def test_faults_are_refused_outside_trials_and_said():
+def test_faults_are_refused_outside_a_trial_fleet():
     base = {"name": "n", "locality": "eu/a", "transport": "127.0.0.1:1", "web": "127.0.0.1:2", "faults": "f.json"}
-    (f,) = settings.check("proxy", base).err_value
-    assert f.place == "faults" and "only for trials" in f.text
+    (finding,) = settings.check("proxy", base).err_value
+    assert finding.place == "faults" and "only for trials" in finding.text
     assert settings.check("proxy", {**base, "fleet": "localfleet"}).unwrap().faults == "f.json"
 
 
-def test_good_settings_are_read():
-    p = settings.check("proxy", GOOD).unwrap()
-    assert str(p.locality) == "eu/a" and p.transport.port == 4001 and p.detector.detect == 3.0
+def test_valid_settings_are_parsed():
+    parsed = settings.check("proxy", VALID_SETTINGS).unwrap()
+    assert str(parsed.locality) == "eu/a" and parsed.transport.port == 4001 and parsed.detector.detect == 3.0
 
 
 def test_every_finding_is_reported_with_its_place():
-    assert places(transport="nowhere", locality="eu", colour=1) == {"colour"}
-    assert places(transport="nowhere", locality="eu", seeds=["x"]) == {"transport", "locality", "seeds[0]"}
-    assert places(polite="soon", detector={"loss": "much", "speed": 1}) == {"polite", "detector.loss", "detector.speed"}
-    assert places(role="control") == {"data"}
-    assert places(detector={"loss": 1.5}) == {"detector.loss"}
-    assert places(seeds=["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]) == {"seeds"}
-
-
-def test_bad_settings_end_the_program_with_code_2(tmp_path):
-    f = tmp_path / "p.toml"
-    f.write_text('name = "a"\nlocality = 5\n')
-    r = CliRunner().invoke(main, ["proxy", "--settings", str(f), "--web", "here"])
-    assert r.exit_code == 2
-    assert "locality" in r.stderr and "transport: missing" in r.stderr
-    for bad in (tmp_path / "none.toml", tmp_path):
-        assert CliRunner().invoke(main, ["directory", "--settings", str(bad)]).exit_code == 2
-    f.write_text("name = = 1")
-    assert CliRunner().invoke(main, ["control", "--settings", str(f)]).exit_code == 2
-
-
-def test_a_port_in_use_ends_the_program_with_code_2():
+    assert finding_places(transport="nowhere", locality="eu", colour=1) == {"colour"}
+    assert finding_places(transport="nowhere", locality="eu", seeds=["x"]) == {"transport", "locality", "seeds[0]"}
+    assert finding_places(polite="soon", detector={"loss": "much", "speed": 1}) == {
+        "polite",
+        "detector.loss",
+        "detector.speed",
+    }
+    assert finding_places(role="control") == {"data"}
+    assert finding_places(detector={"loss": 1.5}) == {"detector.loss"}
+    assert finding_places(seeds=["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"]) == {"seeds"}
+
+
+def test_invalid_settings_exit_with_code_2(tmp_path):
+    file = tmp_path / "p.toml"
+    file.write_text('name = "a"\nlocality = 5\n')
+    result = CliRunner().invoke(main, ["proxy", "--settings", str(file), "--web", "here"])
+    assert result.exit_code == 2
+    assert "locality" in result.stderr and "transport: missing" in result.stderr
+    for unreadable in (tmp_path / "none.toml", tmp_path):
+        assert CliRunner().invoke(main, ["directory", "--settings", str(unreadable)]).exit_code == 2
+    file.write_text("name = = 1")
+    assert CliRunner().invoke(main, ["control", "--settings", str(file)]).exit_code == 2
+
+
+def test_a_port_in_use_exits_with_code_2():
     import socket
 
-    with socket.socket() as s:
-        s.bind(("127.0.0.1", 0))
-        s.listen()
-        taken = f"127.0.0.1:{s.getsockname()[1]}"
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen()
+        used_address = f"127.0.0.1:{listener.getsockname()[1]}"
         args = [
             "directory",
             "--name",
@@ -63,11 +69,11 @@
             "--locality",
             "eu/a",
             "--transport",
-            taken,
+            used_address,
             "--web",
             "127.0.0.1:1",
             "--log",
             "/dev/null",
         ]
-        r = CliRunner().invoke(main, args)
-    assert r.exit_code == 2 and "start:" in r.stderr
+        result = CliRunner().invoke(main, args)
+    assert result.exit_code == 2 and "start:" in result.stderr
