--- a/sim/door.py
+++ b/sim/door.py
@@ -1,7 +1,7 @@
 """A core machine with its pages: the steps that the daemon's tasks take for a call, over simulated messages.
 
 The pages under `mallowvalve/control` wait in greenlets; here the same steps are callbacks around the same machines
-(`Core`, `Items`, `PlainCoordination`, `Liveness`), with the pages' own limits.
+(`Core`, `Items`, `PlainCoordination`, `LivenessTracker`), with the pages' own limits.
 """
 
 from __future__ import annotations
