--- a/mallowvalve/upstreams/board.py
+++ b/mallowvalve/upstreams/board.py
@@ -57,7 +57,7 @@
 
 
 class HeartbeatRow:
-    """An upstream's newest heartbeat, its arrival, the begin of its presence and its last broken connection (s)."""
+    """An upstream: its newest heartbeat, when that was received, since when it is present, and its last failure (s)."""
 
     __slots__ = ("heartbeat", "heard_at_s", "since", "failed_at_s")
 
