--- a/mallowvalve/proxy/admission.py
+++ b/mallowvalve/proxy/admission.py
@@ -11,7 +11,7 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.host_request import HostRequest, host_without_port, local_response
 from mallowvalve.proxy.steps import NOT_RUN, ClientRequest, ProxyResponse, Step, WaitForCapacity
-from mallowvalve.settings import Settings, Terms
+from mallowvalve.settings import HeaderNames, Settings
 
 MAX_LIMIT_DIGITS = 12
 MAX_COUNTED_LIMIT_S = 2.0
@@ -37,7 +37,7 @@
     def __init__(self, replica: Replica, settings: Settings, now: Callable[[], float], rng: random.Random):
         self.replica, self.settings, self.now, self.rng = replica, settings, now, rng
         self.serves_until: Callable[[], float | None] = lambda: None
-        terms: Terms = settings.terms
+        terms: HeaderNames = settings.terms
         self._id_header, self._limit_header = terms.ask.lower(), terms.limit.lower()
 
     def admit(self, request: ClientRequest, now: float) -> Result[HostRequest, ProxyResponse]:
--- a/mallowvalve/proxy/chooser.py
+++ b/mallowvalve/proxy/chooser.py
@@ -7,20 +7,20 @@
 
 from mallowvalve.routing.compiler import Policy
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import Row
+from mallowvalve.upstreams.board import HeartbeatRow
 
 FAILURE_AVOIDANCE_S = 2.0
 MIN_SLOW_START_FACTOR = 0.05
 
 
-def slow_start_factor(row: Row, ramp_ms: int, now: float) -> float:
+def slow_start_factor(row: HeartbeatRow, ramp_ms: int, now: float) -> float:
     """Returns the share of its full load that a recently started upstream gets, at least `MIN_SLOW_START_FACTOR`."""
     if ramp_ms <= 0:
         return 1.0
     return max(MIN_SLOW_START_FACTOR, min(1.0, (now - row.since) * 1000 / ramp_ms))
 
 
-def max_in_flight(row: Row, policy: Policy, proxies: int, now: float) -> int:
+def max_in_flight(row: HeartbeatRow, policy: Policy, proxies: int, now: float) -> int:
     """Returns how many requests each of `proxies` proxies may have in flight at an upstream."""
     return max(1, math.ceil(policy.width * slow_start_factor(row, policy.ramp_ms, now) / max(1, proxies)))
 
@@ -34,10 +34,12 @@
         self.near, self.rng = near, rng
         self.in_flight: dict[Address, int] = {}
 
-    def pick(self, rows: list[Row], policy: Policy, proxies: int, tried: set[Address], now: float) -> Row | None:
+    def pick(
+        self, rows: list[HeartbeatRow], policy: Policy, proxies: int, tried: set[Address], now: float
+    ) -> HeartbeatRow | None:
         """Returns the upstream for the next request, or None if all are tried or at capacity."""
         rows = [r for r in rows if r.heartbeat.address not in tried]
-        rows = [r for r in rows if now - r.broken > FAILURE_AVOIDANCE_S] or rows
+        rows = [r for r in rows if now - r.failed_at_s > FAILURE_AVOIDANCE_S] or rows
         rows = [r for r in rows if self.in_flight.get(r.heartbeat.address, 0) < max_in_flight(r, policy, proxies, now)]
         if not rows:
             return None
@@ -50,9 +52,9 @@
         first, second = self.rng.choices(ring, factors, k=2)
         return min((first, second), key=self._load)
 
-    def _by_distance(self, rows: list[Row]) -> list[list[Row]]:
+    def _by_distance(self, rows: list[HeartbeatRow]) -> list[list[HeartbeatRow]]:
         """Groups upstreams by distance; if all near ones are in slow start, farther ones take a share of the load."""
-        by_distance: dict[int, list[Row]] = {}
+        by_distance: dict[int, list[HeartbeatRow]] = {}
         for row in rows:
             by_distance.setdefault(self.near.distance(row.heartbeat.locality), []).append(row)
         return [by_distance[d] for d in sorted(by_distance)]
@@ -69,5 +71,5 @@
         else:
             self.in_flight.pop(address, None)
 
-    def _load(self, row: Row) -> float:
+    def _load(self, row: HeartbeatRow) -> float:
         return self.in_flight.get(row.heartbeat.address, 0) + row.heartbeat.usage
--- a/mallowvalve/proxy/host_forwarder.py
+++ b/mallowvalve/proxy/host_forwarder.py
@@ -34,7 +34,7 @@
     UpstreamResponse,
     WaitForCapacity,
 )
-from mallowvalve.settings import Settings, Terms
+from mallowvalve.settings import HeaderNames, Settings
 
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 """Statuses by which clients conclude that a request did not run."""
@@ -78,7 +78,7 @@
         self.counts = counts
         self.now = now
         self.admission = Admission(replica, settings, now, rng)
-        terms: Terms = settings.terms
+        terms: HeaderNames = settings.terms
         self._not_run = terms.not_run.lower()
         self._seal = terms.seal.lower()
         self.writer = RequestWriter(terms)
--- a/mallowvalve/proxy/host_upstreams.py
+++ b/mallowvalve/proxy/host_upstreams.py
@@ -13,7 +13,7 @@
 from mallowvalve.proxy.steps import GATEWAY_TIMEOUT, MISDIRECTED, SERVER_ERROR, UpstreamResponse
 from mallowvalve.proxy.upstream_state import BREAKER_OPEN_S, MAX_BREAKER_OPEN_S, NEVER, UpstreamState, ZoneHealth
 from mallowvalve.settings import Settings
-from mallowvalve.types import Locality, emptied
+from mallowvalve.types import Locality, is_evacuated
 
 PREFERRED_UTILIZATION = 0.85
 """Up to this utilization an upstream is preferred to all that are farther away."""
@@ -307,7 +307,7 @@
         before, self._evacuated = self._evacuated, evacuated
         for zone in before.keys() - evacuated.keys():
             for state in self.upstreams.values():
-                if emptied(state.upstream.locality, {zone: 0}):
+                if is_evacuated(state.upstream.locality, {zone: 0}):
                     self._mark_cold(
                         state, now + COLD_AFTER_EVACUATION_HEARTBEATS * self.settings.heartbeat_ms / 1000, now
                     )
@@ -359,7 +359,7 @@
         return (
             now >= state.misdirected_until
             and (not homes or locality.region in homes)
-            and not (evacuated and emptied(locality, evacuated))
+            and not (evacuated and is_evacuated(locality, evacuated))
         )
 
     def _less_loaded_of_two(self, healthy: list[UpstreamState], now: float, proxies: int) -> UpstreamState:
--- a/mallowvalve/proxy/retry_detector.py
+++ b/mallowvalve/proxy/retry_detector.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from mallowvalve import clock
-from mallowvalve.metrics import vital
+from mallowvalve.metrics import exit_on_failure
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
@@ -61,7 +61,7 @@
 
     def __enter__(self) -> RetryDetectorTask:
         """Starts the broadcasts."""
-        self._job = vital(gevent.spawn(self._run))
+        self._job = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
--- a/mallowvalve/proxy/tenant_forwarder.py
+++ b/mallowvalve/proxy/tenant_forwarder.py
@@ -35,7 +35,7 @@
     WaitForCapacity,
 )
 from mallowvalve.proxy.tenant_request import TenantRequest, check_body, parse_request
-from mallowvalve.types import Locality, emptied
+from mallowvalve.types import Locality, is_evacuated
 
 UNDECIDED = "undecided"
 CLAIM_TIMEOUT_S = 3.0
@@ -186,7 +186,7 @@
             )
             if result.is_err():
                 self.counts.add("upstream_open_failed")
-                row.broken = self.now()
+                row.failed_at_s = self.now()
                 lease.release(keep=False)
                 return None
             lease.connection = result.ok_value
@@ -215,7 +215,7 @@
             return ForwardedRequest(lease, result.ok_value)
         self.counts.add("upstream_" + result.err_value.partition(":")[0])
         if result.err_value != "limit":
-            row.broken = self.now()
+            row.failed_at_s = self.now()
         return ForwardedRequest(lease, None)
 
     def _client_left(self, call: TenantRequest) -> ProxyResponse:
@@ -288,7 +288,7 @@
         """Returns the status, place and text of the rejection while this proxy admits no requests, else None."""
         if not self.replica.admits(self.now()):
             return 503, "proxy", "its settings may be out of date"
-        if not emptied(self.locality, self.replica.state.settings.evacuated):
+        if not is_evacuated(self.locality, self.replica.state.settings.evacuated):
             self._evacuated_since = None
             return None
         self._evacuated_since = self._evacuated_since if self._evacuated_since is not None else self.now()
--- a/tests/tenant_bench.py
+++ b/tests/tenant_bench.py
@@ -14,7 +14,7 @@
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 from mallowvalve.raft.messages import GroupId
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import Board, Heartbeat
+from mallowvalve.upstreams.board import Heartbeat, HeartbeatTable
 
 HERE = Locality("eu", "eu-a")
 ME = Address("10.0.0.1", 1)
@@ -36,7 +36,7 @@
         self.replica = Replica(ME, 7, "proxy", HERE, lambda r: None)
         self.replica.group, self.replica.state = GroupId(1, "g"), ReplicatedState(1)
         self.replica.state.settings.roster = {str(ME): Seat(7, HERE)}
-        self.board, self.counts = Board(), Counts()
+        self.board, self.counts = HeartbeatTable(), Counts()
         self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
         self.now = now
         self.forwarder = TenantForwarder(
@@ -55,5 +55,5 @@
 
     def upstream(self, n=0, service="s", at=HERE, port=100, incarnation=1, state="ready", sequence=1) -> Heartbeat:
         heartbeat = Heartbeat(service, f"u{n}", incarnation, sequence, 0.0, state, at, Address("127.0.0.1", port))
-        self.board.hear(heartbeat, self.now())
+        self.board.record(heartbeat, self.now())
         return heartbeat
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -11,7 +11,7 @@
 from mallowvalve.raft.messages import GroupId
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.board import TOMBSTONE, Heartbeat
+from mallowvalve.upstreams.board import TOMBSTONE_S, Heartbeat
 from mallowvalve.upstreams.task import HeartbeatTask
 from tests.test_membership import record
 
@@ -40,10 +40,10 @@
     task = HeartbeatTask(MembershipTask(detector()), Transport(OWN_ADDRESS, "f", Counts()))
     for index in range(2000):
         heartbeat = Heartbeat("s", f"i{index}", 1, 1, 0.0, "ready", LOCALITY, OWN_ADDRESS)
-        task.board.hear(heartbeat, 0.0)
+        task.table.record(heartbeat, 0.0)
         task._log(heartbeat)
-    task.forget(TOMBSTONE + 1.0)
-    assert len(task.board.rows) == 0 == len(task._known)
+    task.drop_expired(TOMBSTONE_S + 1.0)
+    assert len(task.table.rows) == 0 == len(task._logged_status)
 
 
 def test_unused_connections_to_peers_are_closed():
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -92,7 +92,7 @@
         transport=transport,
         membership=SimpleNamespace(alive=lambda role=None: []),
         gauge=lambda *arguments: None,
-        allow=lambda *arguments: None,
+        set_service_filter=lambda *arguments: None,
     )
     with transport, controls[0].transport, controls[1].transport, controls[2].transport:
         yield node, controls
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -11,8 +11,8 @@
 from mallowvalve.proxy.retry_budget import RetryBudget
 from mallowvalve.proxy.retry_detector import RetryDetector
 from mallowvalve.routing.compiler import DEFAULT_POLICY
-from mallowvalve.types import Address, Locality, reachable
-from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
+from mallowvalve.types import Address, Locality, is_reachable
+from mallowvalve.upstreams.board import SILENCE_TIMEOUT_S, Heartbeat, HeartbeatTable
 
 EU, EU2, US = Locality("eu", "a"), Locality("eu", "b"), Locality("us", "c")
 
@@ -22,44 +22,44 @@
 
 
 def test_heartbeats_are_ordered_by_incarnation_then_sequence():
-    board = Board()
-    assert board.hear(heartbeat(sequence=5), 0.0) and not board.hear(heartbeat(sequence=4), 1.0)
-    assert board.hear(heartbeat(incarnation=2, sequence=1), 2.0) and not board.hear(
+    board = HeartbeatTable()
+    assert board.record(heartbeat(sequence=5), 0.0) and not board.record(heartbeat(sequence=4), 1.0)
+    assert board.record(heartbeat(incarnation=2, sequence=1), 2.0) and not board.record(
         heartbeat(incarnation=1, sequence=9), 3.0
     )
     assert board.rows["s/i0"].since == 2.0
 
 
 def test_an_incarnation_that_leaves_does_not_become_ready_again():
-    board = Board()
-    board.hear(heartbeat(sequence=1), 0.0)
-    board.hear(heartbeat(sequence=2, state="leaving"), 1.0)
-    assert not board.hear(heartbeat(sequence=3), 2.0) and board.usable("s", 2.0) == []
-    board.hear(heartbeat(sequence=4, state="gone"), 3.0)
-    assert not board.hear(heartbeat(sequence=5, state="leaving"), 4.0)
-    assert board.hear(heartbeat(incarnation=2, sequence=1), 5.0) and len(board.usable("s", 5.0)) == 1
+    board = HeartbeatTable()
+    board.record(heartbeat(sequence=1), 0.0)
+    board.record(heartbeat(sequence=2, state="leaving"), 1.0)
+    assert not board.record(heartbeat(sequence=3), 2.0) and board.usable("s", 2.0) == []
+    board.record(heartbeat(sequence=4, state="gone"), 3.0)
+    assert not board.record(heartbeat(sequence=5, state="leaving"), 4.0)
+    assert board.record(heartbeat(incarnation=2, sequence=1), 5.0) and len(board.usable("s", 5.0)) == 1
 
 
 def test_a_silent_upstream_is_unusable_and_restarts_its_slow_start():
-    board = Board()
-    board.hear(heartbeat(sequence=1), 0.0)
-    assert board.usable("s", SILENT - 0.1) and not board.usable("s", SILENT)
-    board.hear(heartbeat(sequence=2), 20.0)
+    board = HeartbeatTable()
+    board.record(heartbeat(sequence=1), 0.0)
+    assert board.usable("s", SILENCE_TIMEOUT_S - 0.1) and not board.usable("s", SILENCE_TIMEOUT_S)
+    board.record(heartbeat(sequence=2), 20.0)
     assert board.usable("s", 20.0)[0].since == 20.0
 
 
 def test_a_relayed_heartbeat_keeps_its_age():
-    board, receiver = Board(), Board()
-    board.hear(heartbeat(), 0.0)
+    board, receiver = HeartbeatTable(), HeartbeatTable()
+    board.record(heartbeat(), 0.0)
     for aged in board.newer_than(receiver.digest(), 6.0):
-        receiver.hear(aged.heartbeat, 106.0, aged.age)
+        receiver.record(aged.heartbeat, 106.0, aged.age_s)
     assert receiver.usable("s", 107.0) and not receiver.usable("s", 108.1)
 
 
 def rows(*heartbeats, since=-100.0):
-    board = Board()
+    board = HeartbeatTable()
     for sent in heartbeats:
-        board.hear(sent, 0.0)
+        board.record(sent, 0.0)
     usable = board.usable(heartbeats[0].service, 0.0)
     for row in usable:
         row.since = since
@@ -67,9 +67,9 @@
 
 
 def test_homes_and_evacuations_limit_reachability():
-    assert reachable(US, None, {}) and not reachable(US, frozenset({"eu"}), {})
+    assert is_reachable(US, None, {}) and not is_reachable(US, frozenset({"eu"}), {})
     for zone in ("c", "us", "us/c"):
-        assert not reachable(US, None, {zone: 1})
+        assert not is_reachable(US, None, {zone: 1})
 
 
 def test_near_upstreams_first_then_the_less_loaded_of_two():
