--- a/mallowvalve/client_watch.py
+++ b/mallowvalve/client_watch.py
@@ -11,7 +11,7 @@
 from mallowvalve.http_head import peek
 
 
-class Client(Protocol):
+class ClientConnection(Protocol):
     """A client's connection, of which a request is being served."""
 
     socket: socket.socket
@@ -20,7 +20,7 @@
         """Whether the client has ended the connection, as far as this machine knows; reads nothing off it."""
 
 
-class Happened(Enum):
+class WaitResult(Enum):
     """What a wait ended with."""
 
     READABLE = "there is something to read"
@@ -32,7 +32,7 @@
     """Raised in the midst of an answer whose client has ended its connection."""
 
 
-def wait_for_bytes(upstream: socket.socket, client: Client, seconds: float) -> Happened:
+def wait_for_bytes(upstream: socket.socket, client: ClientConnection, seconds: float) -> WaitResult:
     """Wait until the upstream has sent something or the client has left, for so many seconds.
 
     A client that has sent more after its request is taken for one that waits, whatever it does behind those bytes.
@@ -43,16 +43,16 @@
     readable, touched = upstream._read_event, client.socket._read_event
     timer = hub.loop.timer(max(0.0, seconds))
     try:
-        readable.start(waiter.switch, Happened.READABLE)
-        touched.start(waiter.switch, Happened.CLIENT_LEFT)
-        timer.start(waiter.switch, Happened.TIMED_OUT)
+        readable.start(waiter.switch, WaitResult.READABLE)
+        touched.start(waiter.switch, WaitResult.CLIENT_LEFT)
+        timer.start(waiter.switch, WaitResult.TIMED_OUT)
         happened = waiter.get()
-        if happened is Happened.CLIENT_LEFT and not client.client_left():
+        if happened is WaitResult.CLIENT_LEFT and not client.client_left():
             touched.stop()
             waiter.clear()
             happened = waiter.get()
-        if happened is Happened.TIMED_OUT and peek(upstream) is not None:
-            return Happened.READABLE
+        if happened is WaitResult.TIMED_OUT and peek(upstream) is not None:
+            return WaitResult.READABLE
         return happened
     finally:
         readable.stop()
@@ -66,16 +66,16 @@
 
     __slots__ = ("_socket", "_client", "_seconds_left")
 
-    def __init__(self, upstream: socket.socket, client: Client, seconds_left):
+    def __init__(self, upstream: socket.socket, client: ClientConnection, seconds_left):
         """`seconds_left()` tells for how long a read may wait (s)."""
         self._socket, self._client, self._seconds_left = upstream, client, seconds_left
 
     def recv(self, size: int) -> bytes:
         """As a socket's; raises ClientLeftError when the client leaves first, TimeoutError when the time is over."""
         match wait_for_bytes(self._socket, self._client, self._seconds_left()):
-            case Happened.CLIENT_LEFT:
+            case WaitResult.CLIENT_LEFT:
                 raise ClientLeftError("the client has left")
-            case Happened.TIMED_OUT:
+            case WaitResult.TIMED_OUT:
                 raise TimeoutError("the upstream said nothing in time")
         return self._socket.recv(size)
 
--- a/mallowvalve/control/api.py
+++ b/mallowvalve/control/api.py
@@ -44,7 +44,7 @@
         t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
         if t.code != Code.OK:
             return self.reject(req, resp, t)
-        web.say(resp, {"revision": t.revision, "in_force": True})
+        web.send_json(resp, {"revision": t.revision, "in_force": True})
 
     def key(self, req: falcon.Request, resp: falcon.Response) -> str | None:
         """The caller's key for its command, or a new one; None once a finding was answered."""
@@ -53,21 +53,21 @@
             return uuid.uuid4().hex
         if 0 < len(key) <= KEY_BYTES:
             return key
-        web.turn_away(req, resp, 400, [Finding("Mallow-Key", f"want 1 to {KEY_BYTES} characters")])
+        web.reject_early(req, resp, 400, [Finding("Mallow-Key", f"want 1 to {KEY_BYTES} characters")])
         return None
 
     def named(self, req: falcon.Request, resp: falcon.Response, name: str) -> bool:
         """Whether the name may be used; otherwise a finding was answered."""
         if len(name) <= KEY_BYTES and name.isprintable():
             return True
-        web.turn_away(req, resp, 400, [Finding("name", f"want 1 to {KEY_BYTES} printable characters")])
+        web.reject_early(req, resp, 400, [Finding("name", f"want 1 to {KEY_BYTES} printable characters")])
         return False
 
     def reject(self, req: falcon.Request, resp: falcon.Response, t: Took) -> None:
         """Answers with what became of a command that was not acknowledged."""
         match t.code:
             case Code.LEADER | Code.REPLACED:
-                web.turn_away(req, resp, 503, [Finding("control", "no leader here just now")], 1)
+                web.reject_early(req, resp, 503, [Finding("control", "no leader here just now")], 1)
                 if t.leader is not None:
                     resp.set_header("Mallow-Leader", self.web_of(t.leader))
             case Code.REUSED:
--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -57,7 +57,7 @@
             resp.set_header("Retry-After", str(max(1, s.number // 1000)))
         else:
             body["number"] = s.number
-        web.say(resp, body, STATUS[s.code])
+        web.send_json(resp, body, STATUS[s.code])
 
 
 class Locks(Coordination):
@@ -65,13 +65,13 @@
 
     def on_post(self, req, resp, name: str, act: str) -> None:
         """One of the three acts, by the path."""
-        d = web.read_as(CoordinationDoc, req, resp)
+        d = web.read_json(CoordinationDoc, req, resp)
         key = self.key(req, resp) if d is not None and self.named(req, resp, name) else None
         if key is None:
             return
         if not d.holder or len(d.holder) > HOLDER_MOST or not HOLD_LEAST_MS <= d.ttl_ms <= HOLD_MOST_MS:
             found = [Finding("holder, ttl_ms", "want a holder of at most 200 characters and 100 to 600000 ms")]
-            return web.turn_away(req, resp, 400, found)
+            return web.reject_early(req, resp, 400, found)
         match act:
             case "take":
                 self.run(req, resp, Lock(name, d.holder, d.ttl_ms, key))
@@ -80,7 +80,7 @@
             case "free":
                 self.run(req, resp, Unlock(name, d.holder, d.token, key))
             case _:
-                web.turn_away(req, resp, 404, [Finding("path", "want take, renew or free")])
+                web.reject_early(req, resp, 404, [Finding("path", "want take, renew or free")])
 
 
 class Numbers(Coordination):
@@ -103,15 +103,15 @@
         st = self.task.core.state
         had = st.coordination.keys.get(name)
         body = {"name": name, "value": had[0] if had else None, "at": had[1] if had else 0, "revision": st.revision}
-        web.say(resp, body, 200 if had else 404)
+        web.send_json(resp, body, 200 if had else 404)
 
     def on_put(self, req, resp, name: str) -> None:
         """Puts a value."""
-        d = web.read_as(CoordinationDoc, req, resp, 1 << 20)
+        d = web.read_json(CoordinationDoc, req, resp, 1 << 20)
         if d is None:
             return
         if d.value is None or len(d.value) > VALUE_MOST:
-            return web.turn_away(req, resp, 400, [Finding("value", f"want text of at most {VALUE_MOST} characters")])
+            return web.reject_early(req, resp, 400, [Finding("value", f"want text of at most {VALUE_MOST} characters")])
         self._put(req, resp, name, d.value, d.base)
 
     def on_delete(self, req, resp, name: str) -> None:
@@ -149,7 +149,7 @@
             gevent.sleep(0.05)
         if not events and not self.task.core.current(clock.now()) and self.confirm(req, resp) is None:
             return
-        web.say(
+        web.send_json(
             resp,
             {
                 "revision": upto,
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -41,12 +41,12 @@
             return None
         t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT, effect)
         if t.code == Code.INVALID:
-            return web.turn_away(req, resp, 400, _findings(t.body))
+            return web.reject_early(req, resp, 400, _findings(t.body))
         if t.code == Code.CONFLICT:
-            return web.turn_away(req, resp, 409, _findings(t.body))
+            return web.reject_early(req, resp, 409, _findings(t.body))
         if t.code != Code.OK:
             return self.reject(req, resp, t)
-        web.say(resp, {"revision": t.revision})
+        web.send_json(resp, {"revision": t.revision})
 
 
 class ItemsView(ItemApi):
@@ -57,7 +57,7 @@
         if self.confirm(req, resp) is None:
             return
         items = self.task.core.state.items
-        web.say(resp, {kind: self._laid_out(items, kind) for kind in items.kinds()})
+        web.send_json(resp, {kind: self._laid_out(items, kind) for kind in items.kinds()})
 
     def _laid_out(self, items: Items, kind: str):
         held = items.current_documents(kind)
@@ -66,19 +66,19 @@
 
     def on_patch(self, req, resp) -> None:
         """What this node finds wrong may only be news it has not heard yet; the leader's state has the last word."""
-        body = web.body_of(req, CALL_BYTES)
+        body = web.read_body(req, CALL_BYTES)
         if body is None:
-            return web.turn_away(req, resp, 413, [Finding("body", f"larger than {CALL_BYTES} bytes")])
+            return web.reject_early(req, resp, 413, [Finding("body", f"larger than {CALL_BYTES} bytes")])
         r = parse_amend(body)
         if r.is_err():
-            return web.turn_away(req, resp, 400, r.err_value)
+            return web.reject_early(req, resp, 400, r.err_value)
         c, s = r.ok_value, self.task.core.state
         if s is not None and _refusal(s.items, c) is not None:
             if self.confirm(req, resp) is None:
                 return
             refusal = _refusal(self.task.core.state.items, c)
             if refusal is not None:
-                return web.turn_away(req, resp, *refusal)
+                return web.reject_early(req, resp, *refusal)
         elif s is not None and not s.items.has_newer(c):
             c = Amend([])
         self.offer(req, resp, c)
@@ -103,7 +103,7 @@
                 return
             known = {z for r in self.task.tree().doc.regions.values() for z in r.zones}
             if zone not in known and zone not in s.evacuated:
-                return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {zone[:200]!r}")])
+                return web.reject_early(req, resp, 404, [Finding("zone", f"no zone {zone[:200]!r}")])
         gevent.sleep(STANDS)
         self.offer(req, resp, Evacuate(zone, on), EFFECT - STANDS)
 
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -62,18 +62,20 @@
         s = self.confirm(req, resp)
         if s is None:
             return
-        web.say(resp, {"revision": s.doc_revision, "doc": msgspec.json.decode(s.doc), "evacuated": sorted(s.evacuated)})
+        web.send_json(
+            resp, {"revision": s.doc_revision, "doc": msgspec.json.decode(s.doc), "evacuated": sorted(s.evacuated)}
+        )
 
     def on_put(self, req, resp) -> None:
         """Replaces the document."""
-        d = web.read_as(ConfigDoc, req, resp, CONFIG_BYTES)
+        d = web.read_json(ConfigDoc, req, resp, CONFIG_BYTES)
         key = self.key(req, resp) if d is not None else None
         if key is not None:
             self.apply(req, resp, Change(d.base, msgspec.json.encode(d.doc), key), d.doc)
 
     def on_patch(self, req, resp) -> None:
         """Changes the document by a JSON patch."""
-        d = web.read_as(PatchDoc, req, resp, CONFIG_BYTES)
+        d = web.read_json(PatchDoc, req, resp, CONFIG_BYTES)
         key = self.key(req, resp) if d is not None else None
         s = self.confirm(req, resp) if key is not None else None
         if s is None:
@@ -86,14 +88,14 @@
             return self.reject(req, resp, Took(Code.CONFLICT, s.doc_revision))
         doc = patched(s, d.patch)
         if doc.is_err():
-            return web.turn_away(req, resp, 422, doc.err_value)
+            return web.reject_early(req, resp, 422, doc.err_value)
         self.apply(req, resp, msgspec.structs.replace(c, doc=msgspec.json.encode(doc.ok_value)), doc.ok_value)
 
     def apply(self, req, resp, c: Change, doc: dict) -> None:
         """Checks the document, then offers the change."""
         built = self.task.check(doc)
         if built.is_err():
-            return web.turn_away(req, resp, 422, built.err_value)
+            return web.reject_early(req, resp, 422, built.err_value)
         self.offer(req, resp, c)
 
 
@@ -102,13 +104,13 @@
 
     def on_post(self, req, resp) -> None:
         """What the change would move."""
-        d = web.read_as(PlanDoc, req, resp, CONFIG_BYTES)
+        d = web.read_json(PlanDoc, req, resp, CONFIG_BYTES)
         if d is None:
             return
         if (d.doc is None) == (d.patch is None):
-            return web.turn_away(req, resp, 400, [Finding("doc, patch", "want one of them")])
+            return web.reject_early(req, resp, 400, [Finding("doc, patch", "want one of them")])
         if d.patch is not None and d.base is None:
-            return web.turn_away(req, resp, 400, [Finding("base", "missing: a patch needs it")])
+            return web.reject_early(req, resp, 400, [Finding("base", "missing: a patch needs it")])
         s = self.confirm(req, resp)
         if s is None:
             return
@@ -117,11 +119,11 @@
         doc = Ok(d.doc) if d.patch is None else patched(s, d.patch)
         new = doc.and_then(self.task.check)
         if new.is_err():
-            return web.turn_away(req, resp, 422, new.err_value)
+            return web.reject_early(req, resp, 422, new.err_value)
         board = self.task.node.heartbeats.board.all(clock.now())
         seen = [Seen(b.service, b.instance, b.locality) for b, status, _ in board if status == "ready"]
         moves = plan(self.task.tree(), new.ok_value, seen, s.evacuated)
-        web.say(resp, {"base": s.doc_revision, "moves": moves, "doc": doc.ok_value})
+        web.send_json(resp, {"base": s.doc_revision, "moves": moves, "doc": doc.ok_value})
 
 
 class EvacuateDoc(msgspec.Struct):
@@ -136,7 +138,7 @@
 
     def on_post(self, req, resp) -> None:
         """Empties a zone, or gives it back."""
-        d = web.read_as(EvacuateDoc, req, resp)
+        d = web.read_json(EvacuateDoc, req, resp)
         key = self.key(req, resp) if d is not None else None
         s = self.confirm(req, resp) if key is not None else None
         if s is None:
@@ -146,7 +148,7 @@
             f"{n}/{z}" for n, r in regions.items() for z in r.zones
         }
         if d.zone not in known | set(regions) and d.zone not in s.evacuated:
-            return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {d.zone[:200]!r}")])
+            return web.reject_early(req, resp, 404, [Finding("zone", f"no zone {d.zone[:200]!r}")])
         self.offer(req, resp, Evacuate(d.zone, d.evacuated, key))
 
 
@@ -161,14 +163,14 @@
 
     def on_post(self, req, resp) -> None:
         """Strikes a proxy that will not come back."""
-        d = web.read_as(StrikeDoc, req, resp)
+        d = web.read_json(StrikeDoc, req, resp)
         key = self.key(req, resp) if d is not None else None
         s = self.confirm(req, resp) if key is not None else None
         if s is None:
             return
         seat = s.roster.get(d.proxy)
         if seat is None:
-            return web.turn_away(req, resp, 404, [Finding("proxy", f"{d.proxy[:200]!r} is not on the roster")])
+            return web.reject_early(req, resp, 404, [Finding("proxy", f"{d.proxy[:200]!r} is not on the roster")])
         self.offer(req, resp, Strike(Address.read(d.proxy).ok_value, seat.boot, key))
 
 
@@ -186,15 +188,15 @@
 
     def on_post(self, req, resp) -> None:
         """Founds anew from the newest state that answers."""
-        d = web.read_as(RiskDoc, req, resp)
+        d = web.read_json(RiskDoc, req, resp)
         if d is None:
             return
         if d.accept != RISK:
-            return web.turn_away(req, resp, 400, [Finding("accept", f"must say: {RISK}")])
+            return web.reject_early(req, resp, 400, [Finding("accept", f"must say: {RISK}")])
         r = self.task.founder.found_anew()
         if r.is_err():
-            return web.turn_away(req, resp, 409, [Finding("control", r.err_value)])
-        web.say(
+            return web.reject_early(req, resp, 409, [Finding("control", r.err_value)])
+        web.send_json(
             resp,
             {"generation": r.ok_value.generation, "from": str(r.ok_value.base.addr), "index": r.ok_value.base.index},
         )
@@ -208,9 +210,9 @@
         c = self.task.core
         r = c.raft
         if r is None:
-            return web.say(resp, {"leader": None, "blank": True})
+            return web.send_json(resp, {"leader": None, "blank": True})
         v = r.log.voters
-        web.say(
+        web.send_json(
             resp,
             {
                 "leader": str(c.leader()) if c.leader() else None,
--- a/mallowvalve/control/http_plain.py
+++ b/mallowvalve/control/http_plain.py
@@ -94,9 +94,9 @@
         """Pages of one control process."""
         self.task = task
 
-    def read_as(self, kind: type, req, resp, name: str):
+    def read_json(self, kind: type, req, resp, name: str):
         """The checked body, or None once the findings were answered."""
-        d = web.read_as(kind, req, resp, BODY_MOST)
+        d = web.read_json(kind, req, resp, BODY_MOST)
         if d is None:
             return None
         found = check(name, d)
@@ -136,27 +136,27 @@
 
     def on_post(self, req, resp, name: str) -> None:
         """Takes a lock, or holds it longer for its holder."""
-        d = self.read_as(TakeDoc, req, resp, name)
+        d = self.read_json(TakeDoc, req, resp, name)
         w = self.run(req, resp, Take(name, d.holder, d.hold_ms)) if d is not None else None
         if w is not None:
             self._say(resp, w, {"token": w.number})
 
     def on_put(self, req, resp, name: str) -> None:
         """Holds a lock longer, under its token."""
-        d = self.read_as(ExtendDoc, req, resp, name)
+        d = self.read_json(ExtendDoc, req, resp, name)
         w = self.run(req, resp, Extend(name, d.holder, d.token, d.hold_ms)) if d is not None else None
         if w is not None:
             self._say(resp, w, {})
 
     def on_delete(self, req, resp, name: str) -> None:
         """Gives a lock back; the answer is the same whether it was held or not."""
-        d = self.read_as(FreeDoc, req, resp, name)
+        d = self.read_json(FreeDoc, req, resp, name)
         w = self.run(req, resp, Free(name, d.holder, d.token)) if d is not None else None
         if w is not None:
             self._say(resp, w, {})
 
     def _say(self, resp, w: PlainResult, body: dict) -> None:
-        web.say(resp, body) if w.code is PlainResultCode.OK else web.say(resp, {"code": w.code}, 409)
+        web.send_json(resp, body) if w.code is PlainResultCode.OK else web.send_json(resp, {"code": w.code}, 409)
 
 
 class Numbers(Page):
@@ -169,7 +169,7 @@
             return web.reject(resp, 400, web.NOT_RUN, found)
         w = self.run(req, resp, Count(name))
         if w is not None:
-            web.say(resp, {"value": w.number})
+            web.send_json(resp, {"value": w.number})
 
 
 class Cells(Page):
@@ -185,15 +185,15 @@
             return
         had = plain.keys.get(name)
         if had is None:
-            return web.say(resp, {"revision": 0}, 404)
-        web.say(resp, {"value": had[0], "revision": had[1]})
+            return web.send_json(resp, {"revision": 0}, 404)
+        web.send_json(resp, {"value": had[0], "revision": had[1]})
 
     def on_put(self, req, resp, name: str) -> None:
         """Puts a value, on a revision if one is given."""
-        d = self.read_as(WriteDoc, req, resp, name)
+        d = self.read_json(WriteDoc, req, resp, name)
         w = self.run(req, resp, Write(name, d.value, d.base)) if d is not None else None
         if w is not None:
-            web.say(resp, {"revision": w.number}, 200 if w.code is PlainResultCode.OK else 412)
+            web.send_json(resp, {"revision": w.number}, 200 if w.code is PlainResultCode.OK else 412)
 
 
 class Bell:
@@ -258,7 +258,7 @@
         if plain is None:
             return
         if after == 0 and plain.revision(name):
-            return web.say(resp, {"events": [], "revision": plain.revision(name)})
+            return web.send_json(resp, {"events": [], "revision": plain.revision(name)})
         self._watch(req, resp, plain, name, after, end)
 
     def _plain(self, req, resp, after: int) -> PlainCoordination | None:
@@ -287,11 +287,11 @@
                 return
             got = plain.events_since(group, after)
             if got is None:
-                return web.say(resp, {"code": "compacted"}, 410)
+                return web.send_json(resp, {"code": "compacted"}, 410)
             if got[0] or over:
                 if got[1] < after:
                     return web.reject(resp, 503, web.NOT_RUN, [Finding("after", f"held here up to {got[1]} only")], 0.2)
-                return web.say(resp, {"events": list(map(event, got[0])), "revision": got[1]})
+                return web.send_json(resp, {"events": list(map(event, got[0])), "revision": got[1]})
             self.bell.wait(group, after, min(BOUNDS[Answer.WATCH].seconds, end - clock.now()))
             if web.client_left(req):
                 return web.reject(resp, 503, web.NOT_RUN, [Finding("watch", "its caller has closed the connection")])
--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -125,7 +125,7 @@
     def on_put(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
         """A heartbeat or a notice of leaving."""
         node = self.task.node
-        body = web.body_of(req, BODY_BYTES)
+        body = web.read_body(req, BODY_BYTES)
         if body is None:
             return web.reject(resp, 413, web.NOT_RUN, [Finding("body", f"larger than {BODY_BYTES} bytes")])
         r = read(instance, body, node.settings.zones)
@@ -138,7 +138,7 @@
             return self._unsure(req, resp)
         membership = node.membership
         to = heartbeat_at(membership.alive("control"), membership.membership.me, u.locality, instance)
-        web.say(resp, {} if to is None else {"heartbeat_at": str(to)})
+        web.send_json(resp, {} if to is None else {"heartbeat_at": str(to)})
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
         """The upstream's end; acknowledged for one that is not known, too."""
@@ -146,7 +146,7 @@
             return web.reject(resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {NAME} printable characters")])
         if not self.registry.gone(Upstream(instance, "", NOWHERE, Locality("", ""), 0, "gone")):
             return self._unsure(req, resp)
-        web.say(resp, {})
+        web.send_json(resp, {})
 
     def _unsure(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Not acknowledged; safe to repeat, and better said to another where this process is out of touch."""
@@ -166,7 +166,7 @@
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Answers without asking anybody."""
         registry = self.registry.registry
-        web.say(
+        web.send_json(
             resp,
             {
                 "revision": registry.revision if registry else 0,
--- a/mallowvalve/directory/pages.py
+++ b/mallowvalve/directory/pages.py
@@ -96,7 +96,7 @@
             return
         rows = [self._row(record) for record in self._in_order(req, near.ok_value, choice, avoid)]
         life_ms = int(LIFE_MS * life(choice) / LIFE_S)
-        web.say(resp, {"life_ms": life_ms, "proxies": rows[:MOST], **marks})
+        web.send_json(resp, {"life_ms": life_ms, "proxies": rows[:MOST], **marks})
 
     def _in_order(
         self, req: falcon.Request, near: Locality, choice: Choice, avoid: Collection[Address]
@@ -132,7 +132,7 @@
         choice = self.pages.directory.look_up(near, homes)
         marks = self.pages.give(resp, near.region, homes, choice)
         if marks is not None:
-            web.say(resp, {"proxies": [str(r.web) for r in choice.named], "life_s": life(choice), **marks})
+            web.send_json(resp, {"proxies": [str(r.web) for r in choice.named], "life_s": life(choice), **marks})
 
 
 class Pages:
@@ -200,7 +200,7 @@
             }
             for record in choice.named
         ]
-        web.say(resp, {"region": near.region, "reason": choice.reason.value, "named": rows})
+        web.send_json(resp, {"region": near.region, "reason": choice.reason.value, "named": rows})
 
 
 def place(req: falcon.Request, node: Node) -> Locality:
@@ -210,7 +210,7 @@
     return Locality(region, zone) if region else node.settings.locality
 
 
-def add_routes(app: falcon.App | web.Later, pages: Pages) -> None:
+def add_routes(app: falcon.App | web.LazyApp, pages: Pages) -> None:
     """Add the directory's pages."""
     app.add_route("/connect", Connect(pages))
     app.add_route("/proxies", Proxies(pages))
--- a/mallowvalve/http_connection.py
+++ b/mallowvalve/http_connection.py
@@ -11,7 +11,7 @@
 from gevent.pywsgi import Input, WSGIHandler
 
 from mallowvalve.finding import Finding
-from mallowvalve.http_head import Incoming, has_ended, read_head
+from mallowvalve.http_head import RequestReader, peer_has_closed, read_head
 
 OUTCOME = "Mallow-Outcome"
 NOT_RUN, UNDECIDED, UNKNOWN = "not-run", "undecided", "unknown"
@@ -31,14 +31,14 @@
         pass
 
 
-class Handler(WSGIHandler):
+class ConnectionHandler(WSGIHandler):
     """A client's connection. Its bounds are the server's `limits`, asked anew for each request."""
 
-    linger = reads_ended = False
+    linger = read_side_closed = False
 
     def __init__(self, sock, address, server, rfile=None):
         """A connection's socket; reads go through `Incoming`."""
-        super().__init__(sock, address, server, rfile or Incoming(sock))
+        super().__init__(sock, address, server, rfile or RequestReader(sock))
 
     def handle(self):
         """One request after another, until either side ends the connection."""
@@ -64,7 +64,7 @@
             most, seconds, idle = limits.header_bytes, limits.header_ms / 1000, limits.idle_ms / 1000
         self.idle = idle
         try:
-            if not self.rfile.begun(idle):
+            if not self.rfile.wait_for_request(idle):
                 return None
             self.busy = True
             head = self.rfile.head(most, seconds)
@@ -98,7 +98,7 @@
         self.wsgi_input = Input(
             self.rfile,
             h.length,
-            self.socket if h.said.get("expect", "").lower() == "100-continue" else None,
+            self.socket if h.header_map.get("expect", "").lower() == "100-continue" else None,
             h.chunked,
         )
         return {
@@ -152,7 +152,7 @@
         self.response_length += len(data)
 
     def _headers(self):
-        for k, v in self.headers.said.items():
+        for k, v in self.headers.header_map.items():
             if "_" not in k and k not in ("content-type", "content-length"):
                 yield "HTTP_" + k.replace("-", "_").upper(), v
 
@@ -182,7 +182,7 @@
 
         Not known once this side has ended its reads, nor while bytes of the client's wait to be read.
         """
-        return not self.rfile.buf and not self.reads_ended and has_ended(self.socket)
+        return not self.rfile.buf and not self.read_side_closed and peer_has_closed(self.socket)
 
     def cut(self) -> None:
         """This answer is the connection's last, and what the client still sends of its request is not waited for."""
--- a/mallowvalve/http_head.py
+++ b/mallowvalve/http_head.py
@@ -14,58 +14,58 @@
 MOST_LINES = 200
 
 
-class Head:
+class RequestHead:
     """`pairs` as they came, `said` by lower-case name; what pywsgi asks of its headers is answered from these."""
 
-    __slots__ = ("method", "target", "version", "pairs", "said", "length", "chunked", "close")
+    __slots__ = ("method", "target", "version", "header_pairs", "header_map", "length", "chunked", "close")
 
     status = ""
 
     def get(self, name: str, default=None):
         """A header by its name in any case."""
-        return self.said.get(name.lower(), default)
+        return self.header_map.get(name.lower(), default)
 
     getheader = get
 
     @property
     def typeheader(self) -> str | None:
         """The content type, as pywsgi asks for it."""
-        return self.said.get("content-type")
+        return self.header_map.get("content-type")
 
 
-def read_head(data: bytes) -> Head:
+def read_head(data: bytes) -> RequestHead:
     """A whole head, its empty line left out; ValueError for what is no request or could be taken for two."""
     text = data.decode("latin-1")
     m = _FIRST.match(text)
     if m is None or not _LINES.fullmatch(text, m.end()):
         raise ValueError("malformed head")
-    h = Head()
+    h = RequestHead()
     h.method, h.target, h.version = m.groups()
-    h.pairs = _LINE.findall(text, m.end())
-    if len(h.pairs) > MOST_LINES:
+    h.header_pairs = _LINE.findall(text, m.end())
+    if len(h.header_pairs) > MOST_LINES:
         raise ValueError("too many headers")
-    h.said = said = {}
-    for field, value in h.pairs:
+    h.header_map = header_map = {}
+    for field, value in h.header_pairs:
         name = field.lower()
-        if name not in said:
-            said[name] = value
+        if name not in header_map:
+            header_map[name] = value
         elif name in ("content-length", "transfer-encoding", "host"):
             raise ValueError(f"two headers {name}")
         else:
-            said[name] = f"{said[name]}{'; ' if name == 'cookie' else ', '}{value}"
-    length, coding = said.get("content-length"), said.get("transfer-encoding")
+            header_map[name] = f"{header_map[name]}{'; ' if name == 'cookie' else ', '}{value}"
+    length, coding = header_map.get("content-length"), header_map.get("transfer-encoding")
     if length is not None and (coding is not None or not length.isascii() or not length.isdigit()):
         raise ValueError("ambiguous length")
     if coding is not None and (coding.lower() != "chunked" or h.version == "HTTP/1.0"):
         raise ValueError("unknown coding")
     h.length, h.chunked = int(length) if length is not None else None, coding is not None
-    said_of = said.get("connection", "").lower()
+    said_of = header_map.get("connection", "").lower()
     words = {w.strip() for w in said_of.split(",")} if said_of else ()
     h.close = "close" in words or h.version == "HTTP/1.0" and "keep-alive" not in words
     return h
 
 
-def until_bytes(sock) -> None:
+def wait_until_readable(sock) -> None:
     """Waits for something to read; a read that must wait first would be a call for nothing."""
     sock._wait(sock._read_event)
 
@@ -83,21 +83,21 @@
         return b""
 
 
-def has_ended(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """Whether the peer has closed or reset the connection, as far as this machine knows; reads nothing off it."""
     return peek(sock) == b""
 
 
-class Incoming:
+class RequestReader:
     """What a client sends, with a buffer; stands where pywsgi has a file."""
 
-    __slots__ = ("sock", "buf", "closed", "used")
+    __slots__ = ("sock", "buf", "closed", "has_received")
 
     def __init__(self, sock):
         """Nothing is read yet."""
-        self.sock, self.buf, self.closed, self.used = sock, bytearray(), False, False
+        self.sock, self.buf, self.closed, self.has_received = sock, bytearray(), False, False
 
-    def begun(self, idle: float | None) -> bool:
+    def wait_for_request(self, idle: float | None) -> bool:
         """Whether a request begins within so many seconds; line ends before it are passed over."""
         while True:
             while self.buf[:2] == b"\r\n":
@@ -106,8 +106,8 @@
                 return True
             self.sock.settimeout(idle)
             try:
-                if self.used:
-                    until_bytes(self.sock)
+                if self.has_received:
+                    wait_until_readable(self.sock)
                 data = self.sock.recv(16384)
             except TimeoutError:
                 return False
@@ -115,7 +115,7 @@
                 self.sock.settimeout(None)
             if not data:
                 return False
-            self.used = True
+            self.has_received = True
             self.buf += data
 
     def head(self, most: int, seconds: float) -> bytes | None:
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -132,7 +132,7 @@
         self.membership = MembershipTask(self._membership(remembered), self.faults)
         self.transport = Transport(settings.transport, settings.fleet, self.counts, self.faults)
         self.heartbeats = HeartbeatTask(self.membership, self.transport)
-        self.app = web.Later()
+        self.app = web.LazyApp()
         self.server = web.Server(settings.web, self.app, self.counts, settings.connections)
         self.pages = (
             web.Server(settings.pages, self.app, self.counts, PAGES) if settings.pages else contextlib.nullcontext()
@@ -159,7 +159,7 @@
     def __enter__(self) -> Node:
         """Start every part; where one fails, those before it are stopped again."""
         self._stack = contextlib.ExitStack()
-        self.app.plain["/-/ready"] = self._said_ready
+        self.app.plain_routes["/-/ready"] = self._said_ready
         self.app.add_route("/-/counts", CountsView(self))
         self.app.add_route("/-/metrics", Metrics(self))
         self.app.add_route("/-/nodes", Nodes(self))
@@ -289,7 +289,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """All of them, by name."""
-        web.say(resp, {"counts": self.node.counted(), "gauges": self.node.gauges()})
+        web.send_json(resp, {"counts": self.node.counted(), "gauges": self.node.gauges()})
 
 
 class Metrics(View):
@@ -309,7 +309,7 @@
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Members by transport address."""
         members = sorted(self.node.membership.view(), key=lambda record: record.addr)
-        web.say(resp, {"nodes": [self._row(record) for record in members]})
+        web.send_json(resp, {"nodes": [self._row(record) for record in members]})
 
     def _row(self, record: MemberRecord) -> dict[str, object]:
         return {
@@ -329,7 +329,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Those with the word `about`, or all."""
-        web.say(resp, {"name": self.node.settings.name, "changes": recent.about(req.get_param("about") or "")})
+        web.send_json(resp, {"name": self.node.settings.name, "changes": recent.about(req.get_param("about") or "")})
 
 
 class Upstreams(View):
@@ -337,7 +337,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Upstreams by name."""
-        web.say(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.board.all(clock.now())]})
+        web.send_json(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.board.all(clock.now())]})
 
     def _row(self, heartbeat: Heartbeat, status: str, age: float) -> dict[str, object]:
         return {
@@ -357,17 +357,17 @@
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Take one in; 400 with findings, 403 where no configuration allows its service."""
-        doc = web.read_as(HeartbeatDoc, req, resp)
+        doc = web.read_json(HeartbeatDoc, req, resp)
         if doc is None:
             return
         read = read_heartbeat(doc)
         if isinstance(read, Err):
             self.node.counts.add("heartbeat_refused")
-            web.turn_away(req, resp, 400, read.err_value)
+            web.reject_early(req, resp, 400, read.err_value)
             return
         heartbeat = read.ok_value
         if not self.node.allowed(heartbeat.service):
             self.node.counts.add("heartbeat_unallowed")
-            web.turn_away(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
+            web.reject_early(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
             return
-        web.say(resp, {"news": self.node.heartbeats.hear(heartbeat)})
+        web.send_json(resp, {"news": self.node.heartbeats.hear(heartbeat)})
--- a/mallowvalve/proxy/front.py
+++ b/mallowvalve/proxy/frontend.py
@@ -11,10 +11,9 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock, web
+from mallowvalve.proxy.host_connection import HostConnection
 from mallowvalve.proxy.host_forwarder import HostForwarder
 from mallowvalve.proxy.host_request import HOP_BY_HOP_HEADERS
-from mallowvalve.proxy.link import Link
-from mallowvalve.proxy.serve import Stream
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     AwaitResponse,
@@ -27,6 +26,7 @@
     Step,
     WaitForCapacity,
 )
+from mallowvalve.proxy.tenant_frontend import StreamedBody
 
 SKIP = HOP_BY_HOP_HEADERS
 REASONS = {
@@ -44,7 +44,7 @@
 }
 
 
-class Rooms:
+class CapacityQueue:
     """Who waits for a place at a service: the most urgent first (priority 0), and of these the first to come."""
 
     __slots__ = ("_waiting",)
@@ -74,21 +74,21 @@
             event.set()
 
 
-class Front:
+class Frontend:
     """The callable of a proxy's server: host routes go the way of `tries`, all else to the app behind it."""
 
     __slots__ = ("tries", "app", "rooms", "only", "mark")
 
     def __init__(self, tries: HostForwarder, app: Callable, only: bool):
         self.tries, self.app, self.only = tries, app, only
-        self.rooms = Rooms()
+        self.rooms = CapacityQueue()
         self.mark = tries.settings.terms.ask.lower()
 
     def __call__(self, env: dict, start: Callable):
         h = env["mallow.head"]
-        if not self._takes(h.said, h.target):
+        if not self._takes(h.header_map, h.target):
             return self.app(env["mallow.handler"].full_environ(), start)
-        a = ClientRequest(h.method, h.target, h.said, env["REMOTE_ADDR"], h.length, h.pairs)
+        a = ClientRequest(h.method, h.target, h.header_map, env["REMOTE_ADDR"], h.length, h.header_pairs)
         steps, got = self.tries.handle(a), None
         try:
             while True:
@@ -120,7 +120,7 @@
             case ReadBody():
                 return self._body(env, s)
             case OpenConnection():
-                r = Link.open(s.heartbeat, self.mark, s.end)
+                r = HostConnection.open(s.heartbeat, self.mark, s.end)
                 self.tries.counts.add("upstream_connections", r.is_ok())
                 return r
             case WaitForCapacity():
@@ -156,7 +156,7 @@
         if a.length is not None and a.status not in (204, 304):
             headers.append(("Content-Length", str(a.length)))
         start(REASONS.get(a.status) or f"{a.status} Other", headers)
-        return [a.body] if a.body_stream is None else Stream(r)
+        return [a.body] if a.body_stream is None else StreamedBody(r)
 
     def _own(self, env: dict, start: Callable, r: ProxyResponse):
         h = env["mallow.head"]
--- a/mallowvalve/proxy/link.py
+++ b/mallowvalve/proxy/host_connection.py
@@ -8,9 +8,9 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.client_watch import Client, ClientLeftError, Happened, wait_for_bytes
-from mallowvalve.http_head import until_bytes
-from mallowvalve.proxy.reader import Reader
+from mallowvalve.client_watch import ClientConnection, ClientLeftError, WaitResult, wait_for_bytes
+from mallowvalve.http_head import wait_until_readable
+from mallowvalve.proxy.response_parser import ResponseParser
 from mallowvalve.proxy.steps import CLIENT_LEFT, ClientLeft, UpstreamResponse
 from mallowvalve.upstreams.registry import Upstream
 
@@ -25,7 +25,7 @@
     return bool(readable), bool(writable)
 
 
-class Link:
+class HostConnection:
     """A connection to an upstream of a host route, which is checked by the `expect` header of each request."""
 
     __slots__ = ("heartbeat", "sock", "since", "life", "mark", "reader", "cut_off")
@@ -36,11 +36,11 @@
         self.mark = mark
         self.since = clock.now()
         self.life = LIFE
-        self.reader: Reader | None = None
+        self.reader: ResponseParser | None = None
         self.cut_off = False
 
     @classmethod
-    def open(cls, up: Upstream, mark: str, end: float) -> Result[Link, str]:
+    def open(cls, up: Upstream, mark: str, end: float) -> Result[HostConnection, str]:
         left = end - clock.now()
         if left <= 0:
             return Err("limit")
@@ -52,7 +52,7 @@
         return Ok(cls(up, sock, mark))
 
     def exchange(
-        self, method: str, request: bytes, end: float, ask: str, client: Client | None = None
+        self, method: str, request: bytes, end: float, ask: str, client: ClientConnection | None = None
     ) -> Result[UpstreamResponse, str] | ClientLeft:
         """Err begins with `unsent` only when no byte of the request has left; with `client`, ends when it leaves."""
         sock = self.sock
@@ -61,7 +61,7 @@
             n = sock.send(request)
         except OSError as e:
             return Err(f"unsent: {e}")
-        self.reader = Reader(method, self.mark if ask else "", ask)
+        self.reader = ResponseParser(method, self.mark if ask else "", ask)
         if n < len(request):
             self.cut_off = True
             broken = self._send_rest(memoryview(request)[n:], end)
@@ -86,7 +86,7 @@
                     return None
                 continue
             try:
-                reader.take(self.sock.recv(READ_BYTES))
+                reader.receive(self.sock.recv(READ_BYTES))
             except OSError as e:
                 return f"broken: {e}"
             if reader.why or reader.done or reader.large():
@@ -94,7 +94,7 @@
         self.cut_off = False
         return None
 
-    def receive(self, end: float, client: Client | None = None) -> Result[UpstreamResponse, str] | ClientLeft:
+    def receive(self, end: float, client: ClientConnection | None = None) -> Result[UpstreamResponse, str] | ClientLeft:
         """The answer to what was sent; after Err `limit` one may go on waiting for it. `client` as for `exchange`."""
         sock, r = self.sock, self.reader
         try:
@@ -102,13 +102,13 @@
                 if (left := end - clock.now()) <= 0:
                     return Err("limit")
                 self._wait(left, client, r)
-                r.take(sock.recv(READ_BYTES))
+                r.receive(sock.recv(READ_BYTES))
                 if r.why:
                     return Err(r.why)
                 if r.large():
                     return Ok(
                         UpstreamResponse(
-                            r.status, r.headers, None, r.length(), self._rest(r, end, client), False, r.said
+                            r.status, r.headers, None, r.length(), self._rest(r, end, client), False, r.header_map
                         )
                     )
         except ClientLeftError:
@@ -118,11 +118,11 @@
         except OSError as e:
             return Err(f"broken: {e}")
         self.reader = None
-        self._note_life(r.said.get("keep-alive", ""))
+        self._note_life(r.header_map.get("keep-alive", ""))
         keep = r.reusable and not self.cut_off
         return Ok(
             UpstreamResponse(
-                r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.said
+                r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.header_map
             )
         )
 
@@ -144,24 +144,24 @@
             if k.lower() == "timeout" and v.isdigit():
                 self.life = min(60.0, max(0.0, int(v) - 1.0))
 
-    def _wait(self, seconds: float, client: Client | None, reader: Reader) -> None:
+    def _wait(self, seconds: float, client: ClientConnection | None, reader: ResponseParser) -> None:
         """Wait for bytes; raises ClientLeftError when the client leaves first, TimeoutError when the time is over."""
         if client is None:
             self.sock.settimeout(seconds)
             if not reader.begun:
-                until_bytes(self.sock)
+                wait_until_readable(self.sock)
             return
         happened = wait_for_bytes(self.sock, client, seconds)
-        if happened is Happened.CLIENT_LEFT:
+        if happened is WaitResult.CLIENT_LEFT:
             raise ClientLeftError("the client has left")
-        if happened is Happened.TIMED_OUT:
+        if happened is WaitResult.TIMED_OUT:
             raise TimeoutError("the upstream said nothing in time")
 
-    def _rest(self, r: Reader, end: float, client: Client | None) -> Iterator[bytes]:
+    def _rest(self, r: ResponseParser, end: float, client: ClientConnection | None) -> Iterator[bytes]:
         yield r.drain()
         while not r.done:
             self._wait(max(0.001, end - clock.now()), client, r)
-            r.take(self.sock.recv(READ_BYTES))
+            r.receive(self.sock.recv(READ_BYTES))
             if r.why:
                 raise ConnectionError("the upstream broke off mid-answer")
             if r.body:
--- a/mallowvalve/proxy/connections.py
+++ b/mallowvalve/proxy/idle_tenant_connections.py
@@ -9,7 +9,7 @@
 IDLE = 30.0
 
 
-class Kept(Protocol):
+class IdleTenantConnection(Protocol):
     """A connection: `since` when it was last given back or opened (s)."""
 
     heartbeat: Heartbeat
@@ -19,15 +19,15 @@
     def stale(self) -> bool: ...
 
 
-class Connections:
+class IdleTenantConnections:
     """Idle connections to upstreams, one exchange at a time each."""
 
     __slots__ = ("_idle",)
 
     def __init__(self):
-        self._idle: dict[tuple[str, int], list[Kept]] = {}
+        self._idle: dict[tuple[str, int], list[IdleTenantConnection]] = {}
 
-    def take(self, b: Heartbeat, now: float) -> Kept | None:
+    def take(self, b: Heartbeat, now: float) -> IdleTenantConnection | None:
         idle = self._idle.get((b.name, b.incarnation), [])
         while idle:
             s = idle.pop()
@@ -36,7 +36,7 @@
             s.close()
         return None
 
-    def give(self, s: Kept, now: float) -> None:
+    def give(self, s: IdleTenantConnection, now: float) -> None:
         s.since = now
         self._idle.setdefault((s.heartbeat.name, s.heartbeat.incarnation), []).append(s)
 
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -12,18 +12,18 @@
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.metrics import vital
 from mallowvalve.node import Node
-from mallowvalve.proxy.front import Front
+from mallowvalve.proxy.frontend import Frontend
 from mallowvalve.proxy.host_forwarder import HostForwarder
 from mallowvalve.proxy.host_upstreams import HostUpstreams
-from mallowvalve.proxy.pool import Pool
 from mallowvalve.proxy.retry_detector import RetryDetectorTask
-from mallowvalve.proxy.serve import Rejections, Serve
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
+from mallowvalve.proxy.tenant_frontend import RejectionsPage, TenantFrontend
+from mallowvalve.proxy.tenant_upstream_pool import TenantUpstreamPool
 from mallowvalve.settings import Settings
 from mallowvalve.types import emptied
 
 
-class Doors:
+class DeferredListener:
     """A front with pages apart listens only once settings are held: who finds no listener tries elsewhere at once."""
 
     __slots__ = ("node", "replica", "_job")
@@ -31,7 +31,7 @@
     def __init__(self, node: Node, replica: ReplicaTask):
         self.node, self.replica = node, replica
 
-    def __enter__(self) -> Doors:
+    def __enter__(self) -> DeferredListener:
         """Watch for the settings."""
         self._job = vital(gevent.spawn(self._run))
         return self
@@ -47,15 +47,15 @@
             self.node.server.start()
 
 
-class Tidy:
+class ConnectionPruner:
     """Closes connections to upstreams that are gone, once a second, and all at the end."""
 
     __slots__ = ("pool", "hosts", "_job")
 
-    def __init__(self, pool: Pool, hosts: HostUpstreams):
+    def __init__(self, pool: TenantUpstreamPool, hosts: HostUpstreams):
         self.pool, self.hosts = pool, hosts
 
-    def __enter__(self) -> Tidy:
+    def __enter__(self) -> ConnectionPruner:
         """Begin."""
         self._job = vital(gevent.spawn(self._run))
         return self
@@ -63,13 +63,13 @@
     def __exit__(self, *_) -> None:
         """Close all."""
         self._job.kill()
-        self.pool.connections.keep(set())
+        self.pool.idle_connections.keep(set())
         self.hosts.idle_connections.prune(set(), self.hosts.now())
 
     def _run(self) -> None:
         while True:
             gevent.sleep(1.0)
-            self.pool.tidy()
+            self.pool.prune()
             self.hosts.prune()
 
 
@@ -77,7 +77,7 @@
     """Run a proxy until it is told to stop."""
     node = Node(settings)
     replica = ReplicaTask(node)
-    pool = Pool(node.heartbeats.board, replica.replica, settings.locality, random.Random(), clock.now)
+    pool = TenantUpstreamPool(node.heartbeats.board, replica.replica, settings.locality, random.Random(), clock.now)
     repeats = RetryDetectorTask(node.transport, replica.replica.roster)
     path = TenantForwarder(
         replica.replica,
@@ -89,9 +89,9 @@
         f"{settings.transport}#{node.boot}",
         lambda: uuid.uuid4().hex,
     )
-    serve = Serve(path, replica, settings.body_bytes)
+    serve = TenantFrontend(path, replica, settings.body_bytes)
     pool.on_free = serve.freed
-    node.app.add_route("/-/rejections", Rejections(path))
+    node.app.add_route("/-/rejections", RejectionsPage(path))
     hosts = HostUpstreams(replica.replica, settings, random.Random(), clock.now)
     tries = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
     _mount(node, serve, hosts, tries)
@@ -99,23 +99,29 @@
         "busy", lambda: sum(pool.chooser.in_flight.values()) + sum(s.in_flight for s in hosts.upstreams.values())
     )
     node.late = settings.serve_on and settings.pages is not None
-    with node, replica, Tidy(pool, hosts), repeats, Doors(node, replica) if node.late else contextlib.nullcontext():
+    with (
+        node,
+        replica,
+        ConnectionPruner(pool, hosts),
+        repeats,
+        DeferredListener(node, replica) if node.late else contextlib.nullcontext(),
+    ):
         node.run(lambda: _ready(settings, replica))
 
 
-def _mount(node: Node, serve: Serve, hosts: HostUpstreams, tries: HostForwarder) -> None:
+def _mount(node: Node, serve: TenantFrontend, hosts: HostUpstreams, tries: HostForwarder) -> None:
     """With pages of their own, the front serves requests only; else it passes what is no host's to the one app."""
     apart = node.settings.pages is not None
-    app = web.Later() if apart else node.app
+    app = web.LazyApp() if apart else node.app
     app.add_sink(serve, "/")
-    front = Front(tries, app, only=apart)
+    front = Frontend(tries, app, only=apart)
     hosts.on_free = front.rooms.freed
     if apart:
         node.front = front
     else:
         node.server.application = front
     node.server.lean = True
-    tries.admission.serves_until = serve.path.serves_until = lambda: node.server.until
+    tries.admission.serves_until = serve.path.serves_until = lambda: node.server.stop_deadline
     node.server.limits = lambda: _limits(tries)
 
 
--- a/mallowvalve/proxy/reader.py
+++ b/mallowvalve/proxy/response_parser.py
@@ -9,7 +9,7 @@
 WHOLE = 256 << 10
 
 
-class Reader(HTTPResponseParser):
+class ResponseParser(HTTPResponseParser):
     """Reads one answer out of what a connection brings, without sockets: answers that bear another id are passed over.
 
     `mark` is the header that bears the id (lower case; empty: not checked), `ask` the id of the request. After each
@@ -19,17 +19,17 @@
     def __init__(self, method: str, mark: str, ask: str):
         super().__init__()
         self.mark, self.ask, self.bodiless = mark, ask, method == "HEAD"
-        self.done = self.extra = self.keep = self.begun = self._ours = False
+        self.done = self.extra = self.keep_alive = self.begun = self._ours = False
         self.why = ""
         self.others = self.status = 0
         self.headers: list[tuple[str, str]] = []
-        self.said: dict[str, str] = {}
+        self.header_map: dict[str, str] = {}
         self.body = bytearray()
         self._name: str | None = None
         self._value = ""
         self._fields: list[tuple[str, str]] = []
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         try:
             self.feed(data)
         except HTTPParseError as e:
@@ -44,7 +44,7 @@
     @property
     def reusable(self) -> bool:
         """Whether the next request may go on this connection: nothing came but this one whole answer."""
-        return self.done and self.keep and not self.extra and not self.others
+        return self.done and self.keep_alive and not self.extra and not self.others
 
     def large(self) -> bool:
         return not self.done and self._ours and len(self.body) >= WHOLE
@@ -54,7 +54,7 @@
         return got
 
     def length(self) -> int | None:
-        n = self.said.get("content-length", "")
+        n = self.header_map.get("content-length", "")
         return int(n) if n.isdigit() else None
 
     def _on_message_begin(self) -> None:
@@ -84,18 +84,18 @@
         code = self.get_code()
         if code < OK or self.done:
             return False
-        said: dict[str, str] = {}
+        header_map: dict[str, str] = {}
         for field, value in self._fields:
             name = field.lower()
-            said[name] = f"{said[name]}, {value}" if name in said else value
-        if not self.mark or said.get(self.mark) == self.ask:
+            header_map[name] = f"{header_map[name]}, {value}" if name in header_map else value
+        if not self.mark or header_map.get(self.mark) == self.ask:
             self._ours = True
-            self.status, self.headers, self.said = code, self._fields, said
-        elif self.mark not in said:
+            self.status, self.headers, self.header_map = code, self._fields, header_map
+        elif self.mark not in header_map:
             self.why = "garbage: an answer without an id"
         if (
-            "content-length" not in said
-            and "transfer-encoding" not in said
+            "content-length" not in header_map
+            and "transfer-encoding" not in header_map
             and code not in (204, 304)
             and not self.bodiless
         ):
@@ -112,6 +112,6 @@
         if self.get_code() < OK or self.done:
             return
         if self._ours and not self.why:
-            self.done, self._ours, self.keep = True, False, self.should_keep_alive()
+            self.done, self._ours, self.keep_alive = True, False, self.should_keep_alive()
         else:
             self.others += 1
--- a/mallowvalve/proxy/connection.py
+++ b/mallowvalve/proxy/tenant_connection.py
@@ -12,7 +12,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve import clock
-from mallowvalve.client_watch import Client, ClientLeftError, WatchedSocket
+from mallowvalve.client_watch import ClientConnection, ClientLeftError, WatchedSocket
 from mallowvalve.proxy.steps import CLIENT_LEFT, NO_STATUS, OK, ClientLeft, UpstreamResponse
 from mallowvalve.upstreams.board import Heartbeat
 
@@ -34,7 +34,7 @@
 )
 
 
-class Identity(msgspec.Struct):
+class UpstreamIdentity(msgspec.Struct):
     """What an upstream says of itself on its status path."""
 
     service: str
@@ -42,7 +42,7 @@
     incarnation: int
 
 
-class Strict(HTTPSocketResponse):
+class StrictResponse(HTTPSocketResponse):
     """With no id in an answer, bytes after it make it doubtful whose it is: the exchange fails."""
 
     def _on_message_begin(self) -> None:
@@ -51,7 +51,7 @@
         super()._on_message_begin()
 
 
-class Connection:
+class TenantConnection:
     """One exchange at a time; opened only when the upstream that answers is the one that was meant."""
 
     __slots__ = ("heartbeat", "sock", "since")
@@ -62,7 +62,7 @@
         self.since = clock.now()
 
     @classmethod
-    def open(cls, heartbeat: Heartbeat, status: str, end: float) -> Result[Connection, str]:
+    def open(cls, heartbeat: Heartbeat, status: str, end: float) -> Result[TenantConnection, str]:
         left = end - clock.now()
         if left <= 0:
             return Err("limit")
@@ -79,7 +79,7 @@
         return Err(why)
 
     def exchange(
-        self, method: str, request: bytes, end: float, client: Client | None = None
+        self, method: str, request: bytes, end: float, client: ClientConnection | None = None
     ) -> Result[UpstreamResponse, str] | ClientLeft:
         """With `client` it ends when that one leaves."""
         return self.receive(method, end, client) if self.send(request, end) else Err("broken: not sent whole")
@@ -93,7 +93,7 @@
         return True
 
     def receive(
-        self, method: str, end: float, client: Client | None = None
+        self, method: str, end: float, client: ClientConnection | None = None
     ) -> Result[UpstreamResponse, str] | ClientLeft:
         self.sock.settimeout(max(0.001, end - clock.now()))
         source = self.sock if client is None else WatchedSocket(self.sock, client, lambda: end - clock.now())
@@ -133,7 +133,7 @@
         if a.status != OK or a.body is None:
             return f"status: answered {a.status}"
         try:
-            who = msgspec.json.decode(a.body, type=Identity)
+            who = msgspec.json.decode(a.body, type=UpstreamIdentity)
         except msgspec.DecodeError:
             return "status: not understood"
         b = self.heartbeat
@@ -142,7 +142,7 @@
         return None if a.reusable else "status: the connection does not stay open"
 
     def _receive(self, method: str, source: socket.socket | WatchedSocket) -> Result[UpstreamResponse, str]:
-        r = Strict(source, method=method)
+        r = StrictResponse(source, method=method)
         if not OK <= r.status_code < NO_STATUS:
             return Err(f"garbage: status {r.status_code}")
         length, chunked = r.get("content-length"), r.get("transfer-encoding")
--- a/mallowvalve/proxy/tenant_forwarder.py
+++ b/mallowvalve/proxy/tenant_forwarder.py
@@ -12,7 +12,6 @@
 from mallowvalve.ledger.ledger import Claim, Done, Forfeit, LedgerResult, Release
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.admission import outlasts
-from mallowvalve.proxy.pool import Lease, Pool
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     NOT_RUN,
@@ -35,6 +34,7 @@
     WaitForCapacity,
 )
 from mallowvalve.proxy.tenant_request import TenantRequest, check_body, parse_request
+from mallowvalve.proxy.tenant_upstream_pool import TenantUpstreamLease, TenantUpstreamPool
 from mallowvalve.types import Locality, emptied
 
 UNDECIDED = "undecided"
@@ -51,7 +51,7 @@
 class ForwardedRequest(msgspec.Struct):
     """A request that was sent: its lease, and the response if it arrived completely."""
 
-    lease: Lease
+    lease: TenantUpstreamLease
     answer: UpstreamResponse | None
 
 
@@ -75,7 +75,7 @@
     def __init__(
         self,
         replica: Replica,
-        pool: Pool,
+        pool: TenantUpstreamPool,
         retry_detector,
         counts: Counts,
         now: Callable[[], float],
@@ -161,7 +161,7 @@
                 if not (yield from self._queue(call, queue_end)):
                     return self._reject(call, 503, "all upstreams are busy", 1)
                 continue
-            lease = Lease(self.pool, row)
+            lease = TenantUpstreamLease(self.pool, row)
             try:
                 sent = yield from self._try_upstream(call, lease)
             except BaseException:
@@ -172,14 +172,14 @@
             tried.add(row.heartbeat.address)
 
     def _try_upstream(
-        self, call: TenantRequest, lease: Lease
+        self, call: TenantRequest, lease: TenantUpstreamLease
     ) -> Generator[Step, object, ForwardedRequest | ProxyResponse | None]:
         """Sends on a connection to the upstream, without another step after the last checks.
 
         Returns None if another upstream is to be tried.
         """
         row = lease.row
-        lease.connection = self.pool.connections.take(row.heartbeat, self.now())
+        lease.connection = self.pool.idle_connections.take(row.heartbeat, self.now())
         if lease.connection is None:
             result = yield OpenConnection(
                 row.heartbeat, self.replica.tree.doc.services[call.plan.service].status, call.end
@@ -191,7 +191,7 @@
                 return None
             lease.connection = result.ok_value
         rejection = self._revalidate(call)
-        if rejection is not None or not self.pool.fits(row, call.plan, call.tenant):
+        if rejection is not None or not self.pool.is_still_usable(row, call.plan, call.tenant):
             lease.release(keep=rejection is not None)
             return rejection
         idempotent = call.plan.kind != "once"
@@ -305,7 +305,7 @@
         call.is_retry = call.is_retry or call.follows_failure
         return self.pool.budget(call.plan.service).take_retry(self.now()) if call.is_retry else True
 
-    def _respond(self, call: TenantRequest, lease: Lease, response: UpstreamResponse) -> ProxyResponse:
+    def _respond(self, call: TenantRequest, lease: TenantUpstreamLease, response: UpstreamResponse) -> ProxyResponse:
         self.counts.add("answers")
         if response.status >= SERVER_ERROR:
             self.retry_detector.record_failure(call.fingerprint, self.now())
--- a/mallowvalve/proxy/serve.py
+++ b/mallowvalve/proxy/tenant_frontend.py
@@ -15,7 +15,6 @@
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.control.state import encode
 from mallowvalve.ledger.ledger import LedgerResult
-from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
     ClientCheck,
@@ -30,6 +29,7 @@
     Step,
     WaitForCapacity,
 )
+from mallowvalve.proxy.tenant_connection import TenantConnection
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 
 if TYPE_CHECKING:
@@ -39,7 +39,7 @@
 _verdict = msgspec.msgpack.Decoder(LedgerResult).decode
 
 
-class Rejections:
+class RejectionsPage:
     """The page of the last rejections."""
 
     def __init__(self, path: TenantForwarder):
@@ -47,7 +47,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         now, about = clock.now(), req.get_param("about") or ""
-        web.say(
+        web.send_json(
             resp,
             {
                 "rejections": [
@@ -67,7 +67,7 @@
         )
 
 
-class Serve:
+class TenantFrontend:
     """Does for a request's path what needs sockets and the loop."""
 
     def __init__(self, path: TenantForwarder, replica: ReplicaTask, body_bytes: int):
@@ -104,7 +104,7 @@
             case ReadBody():
                 return self._body(req, s.end)
             case OpenConnection():
-                r = Connection.open(s.heartbeat, s.status_path, s.end)
+                r = TenantConnection.open(s.heartbeat, s.status_path, s.end)
                 self.counts.add("upstream_connections", r.is_ok())
                 return r
             case WaitForCapacity():
@@ -118,7 +118,7 @@
     def _body(self, req: falcon.Request, end: float) -> Result[bytes, tuple[int, str, str]]:
         try:
             with gevent.Timeout(max(0.001, end - clock.now())):
-                body = web.body_of(req, self.body_bytes)
+                body = web.read_body(req, self.body_bytes)
         except gevent.Timeout:
             return Err((408, "body", "did not arrive within the limit"))
         except OSError:
@@ -155,12 +155,12 @@
         if a.body_stream is None:
             resp.data = a.body
         else:
-            resp.stream = Stream(r)
+            resp.stream = StreamedBody(r)
         if a.length is not None and (a.body_stream is not None or method == "HEAD"):
             resp.content_length = a.length
 
 
-class Stream:
+class StreamedBody:
     """The rest of an answer; its place is given back when it ends, or is left."""
 
     __slots__ = ("lease", "rest", "drain_if_client_leaves")
--- a/mallowvalve/proxy/pool.py
+++ b/mallowvalve/proxy/tenant_upstream_pool.py
@@ -8,23 +8,23 @@
 from mallowvalve.configuration.model import Plan
 from mallowvalve.control.replica import Replica
 from mallowvalve.proxy.chooser import Chooser
-from mallowvalve.proxy.connections import Connections
+from mallowvalve.proxy.idle_tenant_connections import IdleTenantConnections
 from mallowvalve.proxy.retry_budget import RetryBudget
 from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import Board, Row
 
 
-class Lease:
+class TenantUpstreamLease:
     """A place in an upstream's width, and the connection opened for it, given back exactly once."""
 
     __slots__ = ("connection", "pool", "row", "streams", "_left")
 
-    def __init__(self, pool: Pool, row: Row):
+    def __init__(self, pool: TenantUpstreamPool, row: Row):
         self.connection, self.pool, self.row = None, pool, row
         self.streams = self._left = False
         pool.chooser.enter(row.heartbeat.address)
 
-    def __enter__(self) -> Lease:
+    def __enter__(self) -> TenantUpstreamLease:
         """The place is taken already."""
         return self
 
@@ -38,16 +38,16 @@
             return
         self._left = True
         if self.connection is not None and keep:
-            self.pool.connections.give(self.connection, self.pool.now())
+            self.pool.idle_connections.give(self.connection, self.pool.now())
         elif self.connection is not None:
             self.connection.close()
         self.pool.leave(self.row)
 
 
-class Pool:
+class TenantUpstreamPool:
     """The upstreams a proxy may use, its places at them, their queues and their budgets."""
 
-    __slots__ = ("board", "replica", "chooser", "connections", "now", "on_free", "waiting", "_budgets")
+    __slots__ = ("board", "replica", "chooser", "idle_connections", "now", "on_free", "waiting", "_budgets")
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
     ):
         self.board, self.replica, self.now, self.on_free = board, replica, now, on_free
         self.chooser = Chooser(near, rng)
-        self.connections = Connections()
+        self.idle_connections = IdleTenantConnections()
         self.waiting: dict[str, int] = {}
         self._budgets: dict[str, RetryBudget] = {}
 
@@ -75,7 +75,7 @@
     def pick(self, rows: list[Row], plan: Plan, tried: set[Address]) -> Row | None:
         return self.chooser.pick(rows, plan.policy, len(self.replica.roster()), tried, self.now())
 
-    def fits(self, row: Row, plan: Plan, tenant: str) -> bool:
+    def is_still_usable(self, row: Row, plan: Plan, tenant: str) -> bool:
         b = row.heartbeat
         r = self.board.rows.get(b.name)
         if (
@@ -91,13 +91,13 @@
         self.chooser.leave(row.heartbeat.address)
         self.on_free(row.heartbeat.service)
 
-    def tidy(self) -> None:
+    def prune(self) -> None:
         live = {
             (r.heartbeat.name, r.heartbeat.incarnation)
             for r in self.board.rows.values()
             if r.heartbeat.state == "ready"
         }
-        self.connections.keep(live)
+        self.idle_connections.keep(live)
         known = self.replica.tree.doc.services
         for s in [s for s in self._budgets if s not in known]:
             del self._budgets[s]
--- a/mallowvalve/standins/upstream.py
+++ b/mallowvalve/standins/upstream.py
@@ -80,7 +80,7 @@
 
     def status(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
         """Who it is, for proxies that open a connection."""
-        web.say(
+        web.send_json(
             resp,
             {"service": self.service, "instance": self.instance, "incarnation": self.incarnation, "state": self.state},
         )
@@ -95,7 +95,7 @@
             if self.fault and self.rng.random() < self.fault_share:
                 self._misbehave(req)
                 return
-            web.say(
+            web.send_json(
                 resp,
                 {
                     "by": self.instance,
@@ -143,10 +143,10 @@
         said = req.get_media()
         self.fault = said["fault"]
         self.fault_share = float(said["share"])
-        web.say(resp, {"ok": True})
+        web.send_json(resp, {"ok": True})
 
 
-class StandinHandler(web.Handler):
+class StandinHandler(web.ConnectionHandler):
     """Hands the socket to the application, so that it can break off."""
 
     def get_environ(self) -> dict[str, Any]:
--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -16,7 +16,7 @@
 from mallowvalve import clock, finding
 from mallowvalve.configuration.items import Limits
 from mallowvalve.finding import Finding, Findings, parse_json
-from mallowvalve.http_connection import NOT_RUN, OUTCOME, UNDECIDED, UNKNOWN, Handler, encode
+from mallowvalve.http_connection import NOT_RUN, OUTCOME, UNDECIDED, UNKNOWN, ConnectionHandler, encode
 from mallowvalve.http_head import peek
 from mallowvalve.metrics import Counts, change
 from mallowvalve.types import Address
@@ -25,23 +25,23 @@
     import falcon
 
 DRAIN_LOOK_S = 0.02
-LAST_CALL_S = 0.3
+ACCEPT_STOP_MARGIN_S = 0.3
 """How long before its end a stopping server takes no connection, whoever else does (s)."""
 
 
 class Server(WSGIServer):
     """A server that can be drained; `limits` bounds what clients send, and a `lean` application is told little."""
 
-    handler_class = Handler
+    handler_class = ConnectionHandler
 
     def __init__(self, at: Address, app, counts: Counts, most: int):
         """Serve `app` at an address, on at most `most` connections."""
         super().__init__(at.pair, app, log=None, error_log=None, spawn=Pool(most))
         self.counts = counts
-        self.connections: set[Handler] = set()
+        self.connections: set[ConnectionHandler] = set()
         self.draining = False
         self.lean = False
-        self.until: float | None = None
+        self.stop_deadline: float | None = None
         self.limits: Callable[[], Limits | None] = lambda: None
 
     def __enter__(self) -> Server:
@@ -67,27 +67,27 @@
         Connections are taken until `linger`, or until `wait` returns, which is given that time and the last one.
         """
         began = clock.now() if told_at is None else told_at
-        self.draining, self.until = True, began + linger + limit
+        self.draining, self.stop_deadline = True, began + linger + limit
         if wait is None:
             gevent.sleep(max(0.0, began + linger - clock.now()))
         else:
-            wait(began + linger, self.until - LAST_CALL_S)
+            wait(began + linger, self.stop_deadline - ACCEPT_STOP_MARGIN_S)
         self.close()
-        while len(self.pool) and clock.now() < self.until:
+        while len(self.pool) and clock.now() < self.stop_deadline:
             for h in list(self.connections):
                 if not h.busy:
                     self._nudge(h)
             gevent.sleep(DRAIN_LOOK_S)
 
-    def _nudge(self, h: Handler) -> None:
+    def _nudge(self, h: ConnectionHandler) -> None:
         """End a connection that rests; a request that has arrived is served first."""
         with suppress(OSError, AttributeError):
             if not peek(h.socket):
-                h.reads_ended = True
+                h.read_side_closed = True
                 h.socket.shutdown(socket.SHUT_RD)
 
 
-def say(resp: falcon.Response, body: object, status: int = 200) -> None:
+def send_json(resp: falcon.Response, body: object, status: int = 200) -> None:
     """Answer with JSON."""
     resp.status = status
     resp.content_type = "application/json"
@@ -98,13 +98,13 @@
     resp: falcon.Response, status: int, outcome: str, findings: Findings, retry_after: float | None = None
 ) -> None:
     """A refusal with its outcome and findings; `retry_after` in seconds."""
-    say(resp, {"outcome": outcome, "findings": findings}, status)
+    send_json(resp, {"outcome": outcome, "findings": findings}, status)
     resp.set_header(OUTCOME, outcome)
     if retry_after is not None:
         resp.set_header("Retry-After", str(max(1, math.ceil(retry_after))))
 
 
-def turn_away(
+def reject_early(
     req: falcon.Request, resp: falcon.Response, status: int, findings: Findings, retry_after: float | None = None
 ) -> None:
     """Rejections what nobody was asked about yet: of a key, an earlier try may have run."""
@@ -113,11 +113,11 @@
 
 def client_left(req: falcon.Request) -> bool:
     """Whether the client has ended its connection since it sent this request, so that nobody waits for the answer."""
-    handler: Handler | None = req.env.get("mallow.handler")
+    handler: ConnectionHandler | None = req.env.get("mallow.handler")
     return handler is not None and handler.client_left()
 
 
-def body_of(req: falcon.Request, most: int) -> bytes | None:
+def read_body(req: falcon.Request, most: int) -> bytes | None:
     """The request's body; None when it is larger than `most` bytes."""
     if req.content_length is not None and req.content_length > most:
         return None
@@ -125,27 +125,27 @@
     return data if len(data) <= most else None
 
 
-def read_as(kind: type, req: falcon.Request, resp: falcon.Response, most: int = 65536):
+def read_json(kind: type, req: falcon.Request, resp: falcon.Response, most: int = 65536):
     """The JSON body as a checked struct, or None once every finding was answered."""
-    data = body_of(req, most)
+    data = read_body(req, most)
     if data is None:
-        turn_away(req, resp, 413, [Finding("body", f"larger than {most} bytes")])
+        reject_early(req, resp, 413, [Finding("body", f"larger than {most} bytes")])
         return None
     r = parse_json(data).and_then(lambda d: finding.read(kind, d))
     if r.is_err():
-        turn_away(req, resp, 400, r.err_value)
+        reject_early(req, resp, 400, r.err_value)
         return None
     return r.ok_value
 
 
-class Later:
+class LazyApp:
     """An app that loads its library with the first request that needs it; `plain` answers GETs of a path without."""
 
-    __slots__ = ("plain", "_app", "_todo")
+    __slots__ = ("plain_routes", "_app", "_todo")
 
     def __init__(self):
         """The library is not loaded yet."""
-        self.plain: dict[str, Callable[[], tuple[int, object]]] = {}
+        self.plain_routes: dict[str, Callable[[], tuple[int, object]]] = {}
         self._app: falcon.App | None = None
         self._todo: list[tuple] = []
 
@@ -165,9 +165,9 @@
 
     def __call__(self, env: dict, start: Callable):
         """As WSGI's."""
-        act = self.plain.get(env["PATH_INFO"]) if env["REQUEST_METHOD"] == "GET" else None
+        act = self.plain_routes.get(env["PATH_INFO"]) if env["REQUEST_METHOD"] == "GET" else None
         if act is None:
-            return self.made()(env, start)
+            return self.load()(env, start)
         status, body = act()
         data = encode(body)
         start(
@@ -176,7 +176,7 @@
         )
         return [data]
 
-    def made(self) -> falcon.App:
+    def load(self) -> falcon.App:
         """The app, loaded now if it was not."""
         if self._app is None:
             self._app = make_app()
@@ -192,7 +192,7 @@
     app = falcon.App()
     app.resp_options.default_media_type = None
     app.set_error_serializer(
-        lambda req, resp, e: turn_away(req, resp, e.status_code, [Finding("request", e.title or "")])
+        lambda req, resp, e: reject_early(req, resp, e.status_code, [Finding("request", e.title or "")])
     )
     app.add_error_handler(Exception, _crash)
     return app
@@ -202,7 +202,7 @@
     from falcon import HTTPError
 
     if isinstance(ex, HTTPError):
-        turn_away(req, resp, ex.status_code, [Finding(req.path, ex.description or ex.title)])
+        reject_early(req, resp, ex.status_code, [Finding(req.path, ex.description or ex.title)])
         return
     change("crash", where=req.path, error=repr(ex))
     reject(resp, 500, UNKNOWN, [Finding(req.path, "internal error")])
--- a/sim/directory_fleet.py
+++ b/sim/directory_fleet.py
@@ -13,7 +13,7 @@
 from mallowvalve.membership.wire import MemberRecord
 from mallowvalve.node import STOP_SHARES
 from mallowvalve.types import Address, Locality
-from mallowvalve.web import LAST_CALL_S
+from mallowvalve.web import ACCEPT_STOP_MARGIN_S
 from sim.members import Member
 from sim.world import World
 
@@ -144,7 +144,7 @@
         self.told_at = self.world.now
         self.member.emit(self.member.membership.leave(final=False))
         linger, last = STOP_SHARES["proxy"]
-        end = self.world.now + GRACE * (linger + last) - LAST_CALL_S
+        end = self.world.now + GRACE * (linger + last) - ACCEPT_STOP_MARGIN_S
         closing = DrainSequence(self.world.now + GRACE * linger, end, self.member.rng)
         self._step(self.life, closing)
 
--- a/sim/host_fleet.py
+++ b/sim/host_fleet.py
@@ -113,7 +113,7 @@
 
 
 class SimLink:
-    """A connection to an upstream, as `proxy.link.Link` is for the daemon."""
+    """A connection to an upstream, as `proxy.host_connection.HostConnection` is for the daemon."""
 
     def __init__(self, node: HostProxy, upstream: SimUpstream):
         self.node, self.upstream, self.heartbeat = node, upstream, upstream.up
--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -6,7 +6,6 @@
 from mallowvalve.control.state import encode
 from mallowvalve.ledger.ledger import LedgerResult
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.pool import Pool
 from mallowvalve.proxy.retry_detector import RetryDetector
 from mallowvalve.proxy.steps import (
     CLIENT_LEFT,
@@ -23,6 +22,7 @@
     WaitForCapacity,
 )
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
+from mallowvalve.proxy.tenant_upstream_pool import TenantUpstreamPool
 from mallowvalve.upstreams.board import Aged, Board, Heartbeat
 from sim.history import History
 from sim.replica import ReplicaNode
@@ -85,7 +85,7 @@
         self.history, self.proxies = history, proxies
         self.board, self.repeats = Board(), Telling()
         self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
-        self.pool = Pool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
+        self.pool = TenantUpstreamPool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
         self.path = TenantForwarder(
             self.replica,
             self.pool,
@@ -208,7 +208,7 @@
             self.board.hear(a.heartbeat, self.now, a.age)
 
     def _digests(self) -> None:
-        self.pool.tidy()
+        self.pool.prune()
         self.board.forget(self.now)
         others = [a for a in self.proxies() if a != self.addr]
         if others:
--- a/sim/request_cost.py
+++ b/sim/request_cost.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.http_head import read_head
 from mallowvalve.proxy.host_forwarder import HostForwarder
-from mallowvalve.proxy.reader import Reader
+from mallowvalve.proxy.response_parser import ResponseParser
 from mallowvalve.proxy.steps import ClientCheck, ClientRequest, Exchange, OpenConnection, UpstreamResponse
 
 HEAD = (
@@ -31,7 +31,7 @@
 
 def carry_one(tries: HostForwarder, head: bytes) -> None:
     h = read_head(head)
-    steps, got = tries.handle(ClientRequest(h.method, h.target, h.said, "", h.length, h.pairs)), None
+    steps, got = tries.handle(ClientRequest(h.method, h.target, h.header_map, "", h.length, h.header_pairs)), None
     try:
         while True:
             match steps.send(got):
@@ -40,9 +40,13 @@
                 case ClientCheck():
                     got = None
                 case Exchange() as s:
-                    r = Reader(s.method, "mallow-ask", s.request_id)
-                    r.take(ANSWER)
-                    got = Ok(UpstreamResponse(r.status, r.headers, bytes(r.body), len(r.body), None, r.keep, r.said))
+                    r = ResponseParser(s.method, "mallow-ask", s.request_id)
+                    r.receive(ANSWER)
+                    got = Ok(
+                        UpstreamResponse(
+                            r.status, r.headers, bytes(r.body), len(r.body), None, r.keep_alive, r.header_map
+                        )
+                    )
     except StopIteration as e:
         if e.value.status != 200:
             raise SystemExit(f"a request ended in {e.value}") from None
--- a/tests/front_players.py
+++ b/tests/frontend_bench.py
@@ -11,18 +11,24 @@
 from mallowvalve import clock, web
 from mallowvalve.configuration.items import Limits
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.front import Front
+from mallowvalve.proxy.frontend import Frontend
 from mallowvalve.types import Address
 from tests.host_bench import HostBench
 
-ANSWER = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nX-Own: a\r\nx-own: b\r\nConnection: keep-alive\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nX-Own: a\r\nx-own: b\r\nConnection: keep-alive\r\n"
 
 
-class Up:
+class ScriptedUpstream:
     """An upstream that keeps what it got; `how` makes the answer's bytes, `go` holds it back, `end` closes after it."""
 
     def __init__(self):
-        self.got, self.how, self.go, self.begun, self.end = [], None, None, Event(), False
+        self.requests, self.make_response, self.may_respond, self.request_received, self.end = (
+            [],
+            None,
+            None,
+            Event(),
+            False,
+        )
         self.server = StreamServer(("127.0.0.1", 0), self.run)
 
     def run(self, sock, _):
@@ -42,35 +48,39 @@
                 body, buf = buf[:n], buf[n:]
                 mark = re.search(rb"(?i)\nmallow-ask: (\S+)", head)
                 mark = mark[1] if mark else b""
-                self.got.append((head, body))
-                self.begun.set()
-                if self.go is not None:
-                    self.go.wait()
-                sock.sendall(self.how(mark) if self.how else ANSWER % mark + b"Content-Length: 2\r\n\r\nok")
+                self.requests.append((head, body))
+                self.request_received.set()
+                if self.may_respond is not None:
+                    self.may_respond.wait()
+                sock.sendall(
+                    self.make_response(mark)
+                    if self.make_response
+                    else RESPONSE_HEAD % mark + b"Content-Length: 2\r\n\r\nok"
+                )
                 if self.end:
                     return
 
 
 @contextmanager
-def served():
+def serve_frontend():
     """A proxy's front over one upstream: the server, the upstream and the proxy's parts."""
-    up = Up()
+    up = ScriptedUpstream()
     up.server.start()
     b = HostBench(clock.now)
     b.route("r", "/r/", "read", service="s", tries=1, limit_ms=5000.0)
     b.route("o", "/o/", "try", service="s", tries=2, limit_ms=5000.0)
     b.upstream("u0", port=up.server.server_port)
     b.state.items.limits = Limits(version=1, header_bytes=2000, body_bytes=1000, header_ms=150.0, idle_ms=60000.0)
-    front = Front(b.forwarder, None, True)
+    front = Frontend(b.forwarder, None, True)
     b.hosts.on_free = front.rooms.freed
     with web.Server(Address("127.0.0.1", 0), front, Counts(), 16) as s:
         s.lean, s.limits = True, lambda: b.state.items.limits
-        b.forwarder.admission.serves_until = lambda: s.until
+        b.forwarder.admission.serves_until = lambda: s.stop_deadline
         yield s, up, b
     up.server.stop()
 
 
-class Client:
+class HttpClient:
     def __init__(self, server):
         self.sock = socket.create_connection(("127.0.0.1", server.server_port), timeout=10)
 
@@ -78,7 +88,7 @@
         self.sock.sendall(data)
         return self
 
-    def answer(self, method="GET"):
+    def read_response(self, method="GET"):
         r = http.client.HTTPResponse(self.sock, method=method)
         r.begin()
         return r.status, r.read(), r.msg
@@ -90,5 +100,5 @@
             return True
 
 
-def req(target=b"/r/1", method=b"GET", more=b"", body=b"", mark=b"a1"):
-    return b"%s %s HTTP/1.1\r\nHost: h.example\r\nMallow-Ask: %s\r\n%s\r\n%s" % (method, target, mark, more, body)
+def build_request(target=b"/r/1", method=b"GET", more=b"", body=b"", request_id=b"a1"):
+    return b"%s %s HTTP/1.1\r\nHost: h.example\r\nMallow-Ask: %s\r\n%s\r\n%s" % (method, target, request_id, more, body)
--- a/tests/host_bench.py
+++ b/tests/host_bench.py
@@ -13,7 +13,7 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.host_forwarder import HostForwarder
 from mallowvalve.proxy.host_upstreams import HostUpstreams
-from mallowvalve.proxy.reader import Reader
+from mallowvalve.proxy.response_parser import ResponseParser
 from mallowvalve.proxy.steps import (
     AwaitResponse,
     ClientCheck,
@@ -202,10 +202,10 @@
         return [exchange.connection.heartbeat.instance for exchange in self.exchanges()]
 
 
-def feed_reader(*parts: bytes, request_id: str = "a1", method: str = "GET") -> Reader:
-    reader = Reader(method, "mallow-ask", request_id)
+def feed_reader(*parts: bytes, request_id: str = "a1", method: str = "GET") -> ResponseParser:
+    reader = ResponseParser(method, "mallow-ask", request_id)
     for part in parts:
-        reader.take(part)
+        reader.receive(part)
     return reader
 
 
--- a/tests/tenant_bench.py
+++ b/tests/tenant_bench.py
@@ -9,9 +9,9 @@
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.state import Seat, State
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.pool import Pool
 from mallowvalve.proxy.retry_detector import RetryDetector
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
+from mallowvalve.proxy.tenant_upstream_pool import TenantUpstreamPool
 from mallowvalve.raft.messages import Group
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Board, Heartbeat
@@ -37,7 +37,7 @@
         self.replica.group, self.replica.state = Group(1, "g"), State(1)
         self.replica.state.settings.roster = {str(ME): Seat(7, HERE)}
         self.board, self.counts = Board(), Counts()
-        self.pool = Pool(self.board, self.replica, HERE, random.Random(1), now)
+        self.pool = TenantUpstreamPool(self.board, self.replica, HERE, random.Random(1), now)
         self.now = now
         self.forwarder = TenantForwarder(
             self.replica, self.pool, RetryDetector(), self.counts, now, HERE, "me#7", lambda: "n1"
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -17,7 +17,7 @@
 from mallowvalve.control.state import encode
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.main import Doors
+from mallowvalve.proxy.main import DeferredListener
 from mallowvalve.raft.messages import Append, Ask, Entry, Envelope, Group, Hard, Voice, Voters
 from mallowvalve.raft.raft import DOUBT, FIRST, Times
 from mallowvalve.storage.log import DiskLog
@@ -150,7 +150,7 @@
     began = []
     server = SimpleNamespace(start=lambda: began.append(1), stop=lambda timeout: began.append(0))
     node, replica = SimpleNamespace(server=server, stopping=Event()), SimpleNamespace(held=Event())
-    with Doors(node, replica):
+    with DeferredListener(node, replica):
         gevent.idle()
         assert began == []
         replica.held.set()
--- a/tests/test_call_model.py
+++ b/tests/test_call_model.py
@@ -14,7 +14,7 @@
 CAPACITY = 4
 STATE_MACHINES = [
     "transport/calls.py",
-    "proxy/reader.py",
+    "proxy/response_parser.py",
     "proxy/host_forwarder.py",
     "proxy/tenant_forwarder.py",
     "proxy/idle_connections.py",
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -10,8 +10,8 @@
 
 from mallowvalve import clock
 from mallowvalve.configuration.items import Limits
-from mallowvalve.proxy.front import Rooms
-from tests.test_front import ANSWER, Client, req, set_up
+from mallowvalve.proxy.frontend import CapacityQueue
+from tests.test_front import RESPONSE_HEAD, HttpClient, build_request, set_up
 
 __all__ = ["set_up"]
 
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize(
     "early,status,outcome",
-    [(TURNED_AWAY, 503, "not-run"), (ANSWER + b"Content-Length: 2\r\n\r\nok", 200, None)],
+    [(TURNED_AWAY, 503, "not-run"), (RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nok", 200, None)],
 )
 def test_an_early_answer_to_a_large_body_counts(set_up, early, status, outcome, closes):
     s, _, b = set_up
@@ -46,8 +46,8 @@
     up.server.start()
     b.upstream("u0", port=up.server.server_port)
     body = b"x" * 8_000_000
-    data = req(b"/o/1", b"POST", b"Content-Length: %d\r\n" % len(body), body)
-    got, _, headers = Client(s).send(data).answer()
+    data = build_request(b"/o/1", b"POST", b"Content-Length: %d\r\n" % len(body), body)
+    got, _, headers = HttpClient(s).send(data).read_response()
     up.end.set()
     up.server.stop()
     assert (got, headers["mallow-outcome"]) == (status, outcome)
@@ -56,15 +56,15 @@
 
 CHUNKS = b"2\r\nab\r\n0\r\nX-One: 1\r\nX-Two: 2\r\n\r\n"
 TURNS = {
-    "get": (req(mark=b"%s"), 200),
-    "head": (req(method=b"HEAD", mark=b"%s"), 200),
-    "post": (req(b"/o/1", b"POST", b"Content-Length: 3\r\n", b"abc", b"%s"), 200),
-    "empty": (req(b"/o/1", b"POST", b"Content-Length: 0\r\n", b"", b"%s"), 200),
-    "chunked": (req(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", CHUNKS, b"%s"), 200),
-    "expects": (req(b"/o/1", b"POST", b"Expect: 100-continue\r\nContent-Length: 3\r\n", b"abc", b"%s"), 200),
-    "none": (req(b"/none", mark=b"%s"), 404),
-    "early": (req(b"/none", b"POST", b"Content-Length: 3\r\n", b"abc", b"%s"), 404),
-    "closes": (req(more=b"Connection: close\r\n", mark=b"%s"), 200),
+    "get": (build_request(request_id=b"%s"), 200),
+    "head": (build_request(method=b"HEAD", request_id=b"%s"), 200),
+    "post": (build_request(b"/o/1", b"POST", b"Content-Length: 3\r\n", b"abc", b"%s"), 200),
+    "empty": (build_request(b"/o/1", b"POST", b"Content-Length: 0\r\n", b"", b"%s"), 200),
+    "chunked": (build_request(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", CHUNKS, b"%s"), 200),
+    "expects": (build_request(b"/o/1", b"POST", b"Expect: 100-continue\r\nContent-Length: 3\r\n", b"abc", b"%s"), 200),
+    "none": (build_request(b"/none", request_id=b"%s"), 404),
+    "early": (build_request(b"/none", b"POST", b"Content-Length: 3\r\n", b"abc", b"%s"), 404),
+    "closes": (build_request(more=b"Connection: close\r\n", request_id=b"%s"), 200),
     "bad": (b"GET /r/ HTTP/1.1\r\nMallow-Ask: %s\r\nno colon\r\n\r\n", 400),
 }
 LAST = {"early", "closes", "bad"}
@@ -88,14 +88,15 @@
 @pytest.mark.parametrize("at_once", [True, False])
 def test_every_order_of_three_requests_on_a_clients_connection(set_up, at_once):
     s, up, b = set_up
-    up.how = lambda mark: (
-        ANSWER % mark + (b"Content-Length: 2\r\n\r\n" + (b"" if up.got[-1][0].startswith(b"HEAD") else b"ok"))
+    up.make_response = lambda mark: (
+        RESPONSE_HEAD % mark
+        + (b"Content-Length: 2\r\n\r\n" + (b"" if up.requests[-1][0].startswith(b"HEAD") else b"ok"))
     )
     for order in itertools.product(TURNS, repeat=3):
         if order[0] in LAST:
             continue
         b.replica._sure = clock.now()
-        client, before = Client(s), len(up.got)
+        client, before = HttpClient(s), len(up.requests)
         file = client.sock.makefile("rb")
         wires = [TURNS[name][0].replace(b"%s", b"a%d" % i) for i, name in enumerate(order)]
         if at_once:
@@ -111,12 +112,12 @@
             if ends:
                 assert file.read(1) == b""
                 break
-        assert len(up.got) - before == answered
+        assert len(up.requests) - before == answered
         client.sock.close()
 
 
 def test_the_most_urgent_is_told_first_of_a_free_place_and_of_these_the_first_to_come():
-    rooms, told = Rooms(), []
+    rooms, told = CapacityQueue(), []
 
     def wait(name: str, priority: int) -> None:
         if rooms.wait("s", 5, priority):
@@ -135,9 +136,9 @@
 
 def test_a_head_answer_of_unknown_length_says_none(set_up):
     s, up, _ = set_up
-    up.how = lambda mark: ANSWER % mark + b"Transfer-Encoding: chunked\r\n\r\n"
-    client = Client(s)
-    status, _, headers = client.send(req(method=b"HEAD")).answer("HEAD")
+    up.make_response = lambda mark: RESPONSE_HEAD % mark + b"Transfer-Encoding: chunked\r\n\r\n"
+    client = HttpClient(s)
+    status, _, headers = client.send(build_request(method=b"HEAD")).read_response("HEAD")
     assert (status, headers["content-length"], headers["transfer-encoding"]) == (200, None, None)
-    up.how = None
-    assert client.send(req(mark=b"a2")).answer()[0] == 200
+    up.make_response = None
+    assert client.send(build_request(request_id=b"a2")).read_response()[0] == 200
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -10,10 +10,10 @@
 from gevent.server import StreamServer
 from result import Err
 
-from mallowvalve.client_watch import Happened, WatchedSocket, wait_for_bytes
-from mallowvalve.http_head import Incoming
+from mallowvalve.client_watch import WaitResult, WatchedSocket, wait_for_bytes
+from mallowvalve.http_head import RequestReader
 from mallowvalve.proxy.steps import CLIENT_LEFT, AwaitResponse, ClientCheck, Exchange, WaitForCapacity
-from tests.front_players import ANSWER, Client, req, served
+from tests.frontend_bench import RESPONSE_HEAD, HttpClient, build_request, serve_frontend
 from tests.host_bench import NOT_RUN, HostScenario, make_request, make_response
 
 READ, ONCE = make_request("/r/1"), make_request("/o/1", "POST", length=0)
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def set_up():
-    with served() as parts:
+    with serve_frontend() as parts:
         yield parts
 
 
@@ -73,7 +73,7 @@
 
 def test_reads_stop_when_their_clients_leave(silent):
     server, upstream, bench = silent
-    clients = [Client(server).send(req(mark=b"a%d" % i)) for i in range(LEAVING_CLIENTS)]
+    clients = [HttpClient(server).send(build_request(request_id=b"a%d" % i)) for i in range(LEAVING_CLIENTS)]
     assert happens_soon(lambda: upstream.begun == LEAVING_CLIENTS)
     for client in clients:
         client.sock.close()
@@ -85,7 +85,7 @@
 
 def test_a_reset_counts_as_leaving(silent):
     server, upstream, _ = silent
-    client = Client(server).send(req())
+    client = HttpClient(server).send(build_request())
     assert happens_soon(lambda: upstream.begun == 1)
     client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     client.sock.close()
@@ -94,7 +94,7 @@
 
 def test_clients_that_leave_do_not_count_against_the_upstream(silent):
     server, upstream, bench = silent
-    client = Client(server).send(req())
+    client = HttpClient(server).send(build_request())
     assert happens_soon(lambda: upstream.begun == 1)
     client.sock.close()
     assert happens_soon(lambda: is_idle(bench))
@@ -105,13 +105,13 @@
 
 def test_a_try_runs_to_its_end_after_its_client_has_left(set_up):
     server, upstream, bench = set_up
-    upstream.go = Event()
-    client = Client(server).send(req(b"/o/1", b"POST", POST))
-    assert upstream.begun.wait(SOON_S)
+    upstream.may_respond = Event()
+    client = HttpClient(server).send(build_request(b"/o/1", b"POST", POST))
+    assert upstream.request_received.wait(SOON_S)
     client.sock.close()
     Event().wait(timeout=0.1)
     assert bench.hosts.upstreams["u0"].in_flight == 1
-    upstream.go.set()
+    upstream.may_respond.set()
     assert happens_soon(lambda: is_idle(bench)) and bench.forwarder.counts.snapshot()["answers"] == 1
     assert len(bench.hosts.idle_connections._idle["u0"]) == 1
 
@@ -119,8 +119,8 @@
 @pytest.mark.parametrize("head", [b"Content-Length: 600000\r\n\r\n", b"Transfer-Encoding: chunked\r\n\r\n927c0\r\n"])
 def test_a_silent_upstream_is_disconnected_during_a_streamed_response(silent, head):
     server, upstream, bench = silent
-    upstream.response = lambda request_id: ANSWER % request_id + head + b"x" * 300_000
-    client = Client(server).send(req())
+    upstream.response = lambda request_id: RESPONSE_HEAD % request_id + head + b"x" * 300_000
+    client = HttpClient(server).send(build_request())
     received = 0
     while received < 300_000:
         data = client.sock.recv(65536)
@@ -132,62 +132,62 @@
 
 def test_a_client_that_pipelines_a_request_has_not_left(set_up):
     server, upstream, _ = set_up
-    upstream.go = Event()
-    client = Client(server).send(req(mark=b"a1"))
-    assert upstream.begun.wait(SOON_S)
-    client.send(req(mark=b"a2"))
+    upstream.may_respond = Event()
+    client = HttpClient(server).send(build_request(request_id=b"a1"))
+    assert upstream.request_received.wait(SOON_S)
+    client.send(build_request(request_id=b"a2"))
     Event().wait(timeout=0.05)
-    upstream.go.set()
+    upstream.may_respond.set()
     received = b""
     while received.count(b"\r\n\r\nok") < 2:
         data = client.sock.recv(65536)
         assert data
         received += data
-    assert len(upstream.got) == 2
+    assert len(upstream.requests) == 2
 
 
 def test_a_half_closed_client_gets_a_response_to_its_stopped_read(silent):
     """A half close looks like a closed connection in TCP: the read is stopped, but the client still gets a response."""
     server, upstream, _ = silent
-    client = Client(server).send(req())
+    client = HttpClient(server).send(build_request())
     assert happens_soon(lambda: upstream.begun == 1)
     client.sock.shutdown(socket.SHUT_WR)
-    status, _, headers = client.answer()
+    status, _, headers = client.read_response()
     assert (status, headers["mallow-outcome"], headers["connection"]) == (502, "unknown", "close")
 
 
 def test_a_half_closed_client_gets_the_upstreams_response_to_a_try(set_up):
     server, upstream, _ = set_up
-    upstream.go = Event()
-    client = Client(server).send(req(b"/o/1", b"POST", POST))
-    assert upstream.begun.wait(SOON_S)
+    upstream.may_respond = Event()
+    client = HttpClient(server).send(build_request(b"/o/1", b"POST", POST))
+    assert upstream.request_received.wait(SOON_S)
     client.sock.shutdown(socket.SHUT_WR)
     Event().wait(timeout=0.05)
-    upstream.go.set()
-    assert client.answer()[:2] == (200, b"ok")
+    upstream.may_respond.set()
+    assert client.read_response()[:2] == (200, b"ok")
 
 
 def test_a_received_request_is_served_before_its_connection_is_closed(set_up):
     server, upstream, _ = set_up
-    client = Client(server)
-    assert client.send(req()).answer()[0] == 200
-    client.send(req(mark=b"a2"))
+    client = HttpClient(server)
+    assert client.send(build_request()).read_response()[0] == 200
+    client.send(build_request(request_id=b"a2"))
     server._nudge(next(iter(server.connections)))
-    assert client.answer()[0] == 200 and len(upstream.got) == 2
+    assert client.read_response()[0] == 200 and len(upstream.requests) == 2
 
 
 def test_a_read_side_shut_down_by_the_server_is_no_leaving_client(set_up):
     """A draining server shuts down the read side of its connections; this must not stop a request."""
     server, upstream, _ = set_up
-    upstream.go = Event()
-    client = Client(server).send(req())
-    assert upstream.begun.wait(SOON_S)
+    upstream.may_respond = Event()
+    client = HttpClient(server).send(build_request())
+    assert upstream.request_received.wait(SOON_S)
     handler = next(iter(server.connections))
-    handler.reads_ended = True
+    handler.read_side_closed = True
     handler.socket._sock.shutdown(socket.SHUT_RD)
     Event().wait(timeout=0.05)
-    upstream.go.set()
-    assert client.answer()[:2] == (200, b"ok")
+    upstream.may_respond.set()
+    assert client.read_response()[:2] == (200, b"ok")
 
 
 @pytest.mark.parametrize("sent", [READ, ONCE], ids=["read", "once"])
@@ -254,13 +254,13 @@
     upstream, remote = socket_pair()
     local, client = socket_pair()
     with upstream, remote, local, client:
-        assert wait_for_bytes(upstream, FakeHandler(local), 0.01) is Happened.TIMED_OUT
+        assert wait_for_bytes(upstream, FakeHandler(local), 0.01) is WaitResult.TIMED_OUT
         remote.sendall(b"x")
-        assert wait_for_bytes(upstream, FakeHandler(local), 1.0) is Happened.READABLE
+        assert wait_for_bytes(upstream, FakeHandler(local), 1.0) is WaitResult.READABLE
         assert upstream.recv(1) == b"x"
         client.sendall(b"more")
-        assert wait_for_bytes(upstream, FakeHandler(local), 0.01) is Happened.TIMED_OUT
-        assert wait_for_bytes(upstream, FakeHandler(local, left=True), 1.0) is Happened.CLIENT_LEFT
+        assert wait_for_bytes(upstream, FakeHandler(local), 0.01) is WaitResult.TIMED_OUT
+        assert wait_for_bytes(upstream, FakeHandler(local, left=True), 1.0) is WaitResult.CLIENT_LEFT
 
 
 def test_a_watched_socket_reads_until_the_client_leaves():
@@ -319,16 +319,16 @@
         gevent.idle()
         remote._sock.sendall(b"x")
         block_event_loop(0.1)
-        assert waits.get(timeout=SOON_S) is Happened.READABLE
+        assert waits.get(timeout=SOON_S) is WaitResult.READABLE
 
 
 @pytest.mark.parametrize("used", [False, True])
 def test_a_request_received_while_the_event_loop_is_blocked_precedes_the_idle_timeout(used):
     near, client = socket_pair()
     with near, client:
-        incoming = Incoming(near)
-        incoming.used = used
-        begins = gevent.spawn(incoming.begun, 0.05)
+        incoming = RequestReader(near)
+        incoming.has_received = used
+        begins = gevent.spawn(incoming.wait_for_request, 0.05)
         gevent.idle()
         client._sock.sendall(b"GET")
         block_event_loop(0.1)
--- a/tests/test_client_leaves_tenant.py
+++ b/tests/test_client_leaves_tenant.py
@@ -9,8 +9,8 @@
 
 from mallowvalve import clock, web
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.serve import Serve, Stream
 from mallowvalve.proxy.steps import ProxyResponse, UpstreamResponse
+from mallowvalve.proxy.tenant_frontend import StreamedBody, TenantFrontend
 from mallowvalve.types import Address
 from tests.tenant_bench import TenantBench
 
@@ -54,7 +54,7 @@
     bench = TenantBench(clock.now)
     bench.upstream(port=upstream.server.server_port)
     app = web.make_app()
-    app.add_sink(Serve(bench.forwarder, None, 1 << 20), "/")
+    app.add_sink(TenantFrontend(bench.forwarder, None, 1 << 20), "/")
     with web.Server(Address("127.0.0.1", 0), app, Counts(), 4) as server:
         sock = socket.create_connection(("127.0.0.1", server.server_port), timeout=10)
         sock.sendall(b"GET /r/1 HTTP/1.1\r\nHost: x\r\nMallow-Tenant: t\r\n%s\r\n" % headers)
@@ -96,7 +96,7 @@
             read.append(part)
             yield part
 
-    stream = Stream(
+    stream = StreamedBody(
         ProxyResponse(
             200,
             answer=UpstreamResponse(200, [], None, 3, rest()),
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -9,7 +9,7 @@
 from mallowvalve.control import http_items, http_operators, http_plain
 from mallowvalve.control.state import Evacuate
 from mallowvalve.coordination.plain import Take
-from mallowvalve.http_head import has_ended
+from mallowvalve.http_head import peer_has_closed
 from mallowvalve.metrics import Counts
 from mallowvalve.types import Address
 from tests.test_http_items import Task
@@ -76,11 +76,11 @@
 
 def test_a_connection_has_ended_when_it_was_closed_or_reset_and_not_while_bytes_wait():
     left, right = socket.socketpair()
-    assert not has_ended(right)
+    assert not peer_has_closed(right)
     left.sendall(b"x")
-    assert not has_ended(right) and right.recv(1) == b"x"
+    assert not peer_has_closed(right) and right.recv(1) == b"x"
     left.close()
-    assert has_ended(right)
+    assert peer_has_closed(right)
     right.close()
 
 
--- a/tests/test_headers.py
+++ b/tests/test_headers.py
@@ -7,7 +7,7 @@
 from mallowvalve.proxy.request_writer import RequestWriter
 from mallowvalve.proxy.steps import ClientRequest
 from mallowvalve.settings import Terms
-from tests.front_players import ANSWER, Client, req, served
+from tests.frontend_bench import RESPONSE_HEAD, HttpClient, build_request, serve_frontend
 
 OF_ONE_CONNECTION = [
     ("Connection", "close, X-Named"),
@@ -52,10 +52,12 @@
 
 def test_an_answers_headers():
     sent = [(k, v) for k, v in KEPT if k != "Host"]
-    with served() as (s, up, _):
-        head = ANSWER.split(b"X-Own")[0] + b"".join(f"{k}: {v}\r\n".encode() for k, v in [*sent, *OF_ONE_CONNECTION])
-        up.how = lambda mark: head % mark + b"Content-Length: 2\r\n\r\nok"
-        c = Client(s).send(req())
+    with serve_frontend() as (s, up, _):
+        head = RESPONSE_HEAD.split(b"X-Own")[0] + b"".join(
+            f"{k}: {v}\r\n".encode() for k, v in [*sent, *OF_ONE_CONNECTION]
+        )
+        up.make_response = lambda mark: head % mark + b"Content-Length: 2\r\n\r\nok"
+        c = HttpClient(s).send(build_request())
         r = http.client.HTTPResponse(c.sock)
         r.begin()
         got = [(k, v) for k, v in r.getheaders() if k not in ("Mallow-Ask", "X-Seal")]
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.cli import TOOLS, main
 from mallowvalve.node import View
-from mallowvalve.web import Later, say
+from mallowvalve.web import LazyApp, send_json
 
 LOOK = """
 import sys
@@ -38,8 +38,8 @@
         [sys.executable, "-c", LOOK.format(role="proxy")], capture_output=True, text=True, check=True
     ).stdout
     assert {"falcon", "asyncio"} & set(out.split()) == set()
-    app, said = Later(), []
-    app.plain["/-/ready"] = lambda: (503, {"ready": False})
+    app, said = LazyApp(), []
+    app.plain_routes["/-/ready"] = lambda: (503, {"ready": False})
     app.add_route("/x", object())
     body = app(
         {"REQUEST_METHOD": "GET", "PATH_INFO": "/-/ready"}, lambda status, headers: said.append((status, dict(headers)))
@@ -49,10 +49,10 @@
 
 
 def test_an_app_made_later_has_every_route_whenever_it_was_added():
-    app, view = Later(), View(None)
-    view.on_get = lambda req, resp: say(resp, {"at": req.path})
+    app, view = LazyApp(), View(None)
+    view.on_get = lambda req, resp: send_json(resp, {"at": req.path})
     app.add_route("/before", view)
-    client = TestClient(app.made())
+    client = TestClient(app.load())
     app.add_route("/after", view)
     assert client.simulate_get("/before").json == {"at": "/before"} and client.simulate_get("/after").json == {
         "at": "/after"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -48,7 +48,7 @@
     node.heartbeats.board.counts.add("heartbeat_new")
     node.gauge("busy", lambda: 7)
     node.app.add_route("/-/metrics", Metrics(node))
-    answer = TestClient(node.app.made()).simulate_get("/-/metrics")
+    answer = TestClient(node.app.load()).simulate_get("/-/metrics")
     assert answer.status_code == 200 and answer.headers["content-type"] == CONTENT_TYPE
     assert samples(answer.content) == {
         "mallowvalve_requests_total": 2.0,
--- a/tests/test_out_of_touch.py
+++ b/tests/test_out_of_touch.py
@@ -85,7 +85,7 @@
 
     def on_put(self, req, resp):
         self.got.append((req.query_string, req.bounded_stream.read()))
-        web.say(resp, {"ok": True})
+        web.send_json(resp, {"ok": True})
 
 
 def test_the_command_lines_calls_follow_to_the_process_that_is_named():
--- a/tests/test_planned_stop.py
+++ b/tests/test_planned_stop.py
@@ -13,7 +13,7 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.proxy.steps import AwaitResponse, ClientRequest, Exchange, ProposeCommand
 from mallowvalve.types import Address
-from tests.front_players import Client, req, served
+from tests.frontend_bench import HttpClient, build_request, serve_frontend
 from tests.host_bench import HostScenario, make_request
 from tests.test_tenant_forwarder import TenantScenario
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def set_up():
-    with served() as parts:
+    with serve_frontend() as parts:
         yield parts
 
 
@@ -59,15 +59,15 @@
     """The request is admitted late in the stop and answered at the end of its limit."""
     server, upstream, bench = set_up
     bench.route("r", "/r/", "read", service="s", tries=1, limit_ms=600.0)
-    client = Client(server)
-    assert client.send(req()).answer()[0] == 200
-    upstream.go = Event()
+    client = HttpClient(server)
+    assert client.send(build_request()).read_response()[0] == 200
+    upstream.may_respond = Event()
     stop = gevent.spawn(server.drain, 0.3, 0.4)
     Event().wait(timeout=0.2)
-    sent = len(upstream.got)
-    status, _, headers = client.send(req(mark=b"a2")).answer()
-    assert (status, headers["mallow-outcome"]) == (503, "not-run") and len(upstream.got) == sent
-    upstream.go.set()
+    sent = len(upstream.requests)
+    status, _, headers = client.send(build_request(request_id=b"a2")).read_response()
+    assert (status, headers["mallow-outcome"]) == (503, "not-run") and len(upstream.requests) == sent
+    upstream.may_respond.set()
     stop.join(timeout=10)
 
 
@@ -75,12 +75,12 @@
     """The connection is accepted, but its handler has not run yet when the drain lists the connections."""
     server, upstream, bench = set_up
     bench.route("r", "/r/", "read", service="s", tries=1, limit_ms=1000.0)
-    upstream.go, close, clients = Event(), server.close, []
+    upstream.may_respond, close, clients = Event(), server.close, []
 
     def close_after_an_accept():
         server.close = close
         client = socket.create_connection(("127.0.0.1", server.server_port), timeout=5)
-        client.sendall(req(mark=b"a5"))
+        client.sendall(build_request(request_id=b"a5"))
         clients.append(client)
         with socket.socket(fileno=os.dup(server.socket.fileno())) as listener:
             accepted, address = listener.accept()
@@ -90,8 +90,10 @@
     server.close = close_after_an_accept
     drained = gevent.spawn(server.drain, 0.0, 5.0)
     drained.join(timeout=0.3)
-    assert upstream.begun.wait(timeout=5) and not drained.ready(), "the drain ended while an upstream was at work"
-    upstream.go.set()
+    assert upstream.request_received.wait(timeout=5) and not drained.ready(), (
+        "the drain ended while an upstream was at work"
+    )
+    upstream.may_respond.set()
     drained.join(timeout=10)
     with clients[0] as client:
         assert client.recv(4096).startswith(b"HTTP/1.1 200")
@@ -102,7 +104,7 @@
     with web.Server(Address("127.0.0.1", 0), web.make_app(), Counts(), 4) as server:
         told_at = clock.now() - 3.0
         server.drain(1.0, 5.0, told_at)
-        assert server.until == told_at + 6.0 and server.closed
+        assert server.stop_deadline == told_at + 6.0 and server.closed
 
 
 def test_a_stop_does_not_wait_without_connections():
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,8 +8,8 @@
 
 from mallowvalve import clock, web
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.serve import Serve
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
+from mallowvalve.proxy.tenant_frontend import TenantFrontend
 from mallowvalve.types import Address
 from tests.tenant_bench import TenantBench
 
@@ -36,7 +36,7 @@
     server.start()
     b = TenantBench(clock.now)
     b.upstream(port=server.server_port)
-    s = Serve(b.forwarder, None, 1 << 20)
+    s = TenantFrontend(b.forwarder, None, 1 << 20)
     yield s, answers, b.pool
     server.stop()
 
--- a/tests/test_proxy_machine.py
+++ b/tests/test_proxy_machine.py
@@ -7,9 +7,9 @@
 
 from mallowvalve import clock
 from mallowvalve.proxy.chooser import Chooser, max_in_flight
-from mallowvalve.proxy.connection import Connection
 from mallowvalve.proxy.retry_budget import RetryBudget
 from mallowvalve.proxy.retry_detector import RetryDetector
+from mallowvalve.proxy.tenant_connection import TenantConnection
 from mallowvalve.routing.compiler import DEFAULT_POLICY
 from mallowvalve.types import Address, Locality, reachable
 from mallowvalve.upstreams.board import SILENT, Board, Heartbeat
@@ -199,7 +199,7 @@
     server.start()
     try:
         end = clock.now() + 5
-        opened = Connection.open(
+        opened = TenantConnection.open(
             Heartbeat("s", "i0", 1, 1, 0.0, "ready", EU, Address("127.0.0.1", server.server_port)), "/health", end
         )
         if opened.is_err():
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -10,8 +10,8 @@
     assert r.done and bytes(r.body) == b"ok" and r.others == 1 and not r.why
     r = feed_reader(HEAD % b"a0" + b"n", b"o")
     assert not r.done and not r.why
-    r.take(HEAD % b"a1")
-    r.take(b"ok")
+    r.receive(HEAD % b"a1")
+    r.receive(b"ok")
     assert r.done and bytes(r.body) == b"ok"
 
 
@@ -42,6 +42,6 @@
 def test_an_answer_in_single_bytes_and_one_after_an_interim_one():
     data = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD % b"a1" + b"ok"
     r = feed_reader(*[data[i : i + 1] for i in range(len(data))])
-    assert r.done and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep
+    assert r.done and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep_alive
     r = feed_reader(HEAD % b"a1", method="HEAD")
     assert r.done and r.length() == 2 and not r.body
--- a/tests/test_web.py
+++ b/tests/test_web.py
@@ -28,7 +28,7 @@
 
 class Plain:
     def on_get(self, req, resp):
-        web.say(resp, {"ok": True})
+        web.send_json(resp, {"ok": True})
 
 
 class Connection:
--- a/tests/upstream_wire.py
+++ b/tests/upstream_wire.py
@@ -9,8 +9,8 @@
 import msgspec
 from result import Ok
 
-from mallowvalve.proxy import link
-from mallowvalve.proxy.link import Link
+from mallowvalve.proxy import host_connection
+from mallowvalve.proxy.host_connection import HostConnection
 from mallowvalve.proxy.steps import (
     AwaitResponse,
     ClientCheck,
@@ -163,8 +163,8 @@
         self.bench = HostBench(lambda: self.now)
         for i in range(upstreams):
             self.bench.upstream(f"u{i}", port=100 + i)
-        monkeypatch.setattr(link, "clock", SimpleNamespace(now=lambda: self.now))
-        monkeypatch.setattr(link, "wait_either", self._either)
+        monkeypatch.setattr(host_connection, "clock", SimpleNamespace(now=lambda: self.now))
+        monkeypatch.setattr(host_connection, "wait_either", self._either)
 
     def _either(self, sock: FakeSocket, left: float) -> tuple[bool, bool]:
         return bool(sock.events), not sock.events
@@ -201,7 +201,7 @@
             case ClientCheck():
                 return None
             case OpenConnection():
-                return Ok(Link(step.heartbeat, FakeSocket(self), "mallow-ask"))
+                return Ok(HostConnection(step.heartbeat, FakeSocket(self), "mallow-ask"))
             case ReadBody():
                 return Ok(b"x" * 20)
             case WaitForCapacity():
