--- a/mallowvalve/client_watch.py
+++ b/mallowvalve/client_watch.py
@@ -1,4 +1,4 @@
-"""One wait on both sides of a request: for its upstream's bytes, and for its client's leaving."""
+"""Waits for bytes of an upstream and, at the same time, for the client of the request to close its connection."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class ClientConnection(Protocol):
-    """A client's connection, of which a request is being served."""
+    """A client's connection while one of its requests is served."""
 
     socket: socket.socket
 
     def client_left(self) -> bool:
-        """Whether the client has ended the connection, as far as this machine knows; reads nothing off it."""
+        """Returns whether the client is known to have closed the connection; consumes no bytes."""
 
 
 class WaitResult(Enum):
-    """What a wait ended with."""
+    """The event that ended a wait."""
 
     READABLE = "there is something to read"
     CLIENT_LEFT = "the client has ended its connection"
@@ -29,56 +29,56 @@
 
 
 class ClientLeftError(ConnectionError):
-    """Raised in the midst of an answer whose client has ended its connection."""
+    """Raised while an upstream's response is received, once the client has closed its connection."""
 
 
 def wait_for_bytes(upstream: socket.socket, client: ClientConnection, seconds: float) -> WaitResult:
-    """Wait until the upstream has sent something or the client has left, for so many seconds.
+    """Waits until the upstream has sent bytes or the client has left, for at most `seconds`.
 
-    A client that has sent more after its request is taken for one that waits, whatever it does behind those bytes.
-    What the upstream has sent counts also when the time is over: a process that stood still finds both at once.
+    A client that has sent bytes after its request counts as present, whatever it does after them. Bytes of the
+    upstream count even after the timeout: a process that was suspended finds both at once.
     """
     hub = get_hub()
     waiter = Waiter(hub)
-    readable, touched = upstream._read_event, client.socket._read_event
+    readable, client_event = upstream._read_event, client.socket._read_event
     timer = hub.loop.timer(max(0.0, seconds))
     try:
         readable.start(waiter.switch, WaitResult.READABLE)
-        touched.start(waiter.switch, WaitResult.CLIENT_LEFT)
+        client_event.start(waiter.switch, WaitResult.CLIENT_LEFT)
         timer.start(waiter.switch, WaitResult.TIMED_OUT)
-        happened = waiter.get()
-        if happened is WaitResult.CLIENT_LEFT and not client.client_left():
-            touched.stop()
+        result = waiter.get()
+        if result is WaitResult.CLIENT_LEFT and not client.client_left():
+            client_event.stop()
             waiter.clear()
-            happened = waiter.get()
-        if happened is WaitResult.TIMED_OUT and peek(upstream) is not None:
+            result = waiter.get()
+        if result is WaitResult.TIMED_OUT and peek(upstream) is not None:
             return WaitResult.READABLE
-        return happened
+        return result
     finally:
         readable.stop()
-        touched.stop()
+        client_event.stop()
         timer.stop()
         timer.close()
 
 
 class WatchedSocket:
-    """An upstream's socket for a library that reads from it: its reads end when the client leaves."""
+    """An upstream's socket whose reads end once the client has left; for libraries that read from a socket."""
 
     __slots__ = ("_socket", "_client", "_seconds_left")
 
     def __init__(self, upstream: socket.socket, client: ClientConnection, seconds_left):
-        """`seconds_left()` tells for how long a read may wait (s)."""
+        """`seconds_left()` returns how long a read may wait."""
         self._socket, self._client, self._seconds_left = upstream, client, seconds_left
 
     def recv(self, size: int) -> bytes:
-        """As a socket's; raises ClientLeftError when the client leaves first, TimeoutError when the time is over."""
+        """Receives bytes; raises ClientLeftError if the client leaves first, TimeoutError after `seconds_left()`."""
         match wait_for_bytes(self._socket, self._client, self._seconds_left()):
             case WaitResult.CLIENT_LEFT:
-                raise ClientLeftError("the client has left")
+                raise ClientLeftError("the client closed its connection")
             case WaitResult.TIMED_OUT:
-                raise TimeoutError("the upstream said nothing in time")
+                raise TimeoutError("the upstream sent nothing before the deadline")
         return self._socket.recv(size)
 
     def close(self) -> None:
-        """Close the upstream's socket."""
+        """Closes the upstream's socket."""
         self._socket.close()
--- a/mallowvalve/http_connection.py
+++ b/mallowvalve/http_connection.py
@@ -1,4 +1,4 @@
-"""A client's HTTP connection to one of this project's servers, bounded in what it may send and how long it may take."""
+"""A client's HTTP connection to one of the servers, with limits on the size and duration of its requests."""
 
 from __future__ import annotations
 
@@ -14,76 +14,92 @@
 from mallowvalve.http_head import RequestReader, peer_has_closed, read_head
 
 OUTCOME = "Mallow-Outcome"
-NOT_RUN, UNDECIDED, UNKNOWN = "not-run", "undecided", "unknown"
-WHOLE = 256 << 10
-
-HEADER_BYTES, HEADER_S = 65536, 30.0
-LINGER = 0.3
-SOON = 2.0
+NOT_RUN = "not-run"
+UNDECIDED = "undecided"
+UNKNOWN = "unknown"
+MAX_COMBINED_BYTES = 256 << 10
+"""The response head and a first part of the body up to this size are sent with one call."""
+
+DEFAULT_MAX_HEAD_BYTES = 65536
+DEFAULT_HEAD_TIMEOUT_S = 30.0
+LINGER_S = 0.3
+"""How long a connection is read after an early error response before it is closed."""
+KEEP_ALIVE_MARGIN_S = 2.0
+"""The Keep-Alive timeout sent to clients is this much shorter than the idle timeout."""
 
 encode = msgspec.json.encode
 
 
-class Nothing:
-    """Stands for a body of which nothing more is wanted."""
+class DiscardedInput:
+    """Replaces the input of a request whose remaining body is not read."""
 
     def _discard(self) -> None:
         pass
 
 
 class ConnectionHandler(WSGIHandler):
-    """A client's connection. Its bounds are the server's `limits`, asked anew for each request."""
+    """A client's connection; each request is subject to the limits that the server has at its start.
+
+    `busy`: a request has been received and not yet answered. `linger`: bytes are read and discarded for `LINGER_S`
+    before the close. `read_side_closed`: a draining server has shut down the reads of this connection.
+    """
 
     linger = read_side_closed = False
 
     def __init__(self, sock, address, server, rfile=None):
-        """A connection's socket; reads go through `Incoming`."""
+        """Serves the connection `sock`, which is read through a `RequestReader`."""
         super().__init__(sock, address, server, rfile or RequestReader(sock))
 
     def handle(self):
-        """One request after another, until either side ends the connection."""
+        """Handles requests until either side closes the connection."""
         self.server.connections.add(self)
         self.busy = False
         try:
-            while (r := self.handle_one_request()) is True:
+            while (result := self.handle_one_request()) is True:
                 self.busy = False
-            if r is not None:
+            if result is not None:
                 self.linger = True
-                self.socket.sendall(r[1])
+                self.socket.sendall(result[1])
         except OSError:
             pass
         finally:
             self.server.connections.discard(self)
-            self._end()
+            self._close()
 
     def handle_one_request(self):
-        """True: another may follow; None: the connection ends; else a refusal to be sent before it ends."""
+        """Returns True if another request may follow, None to close the connection, else an error response to send."""
         limits = self.server.limits()
-        most, seconds, idle = HEADER_BYTES, HEADER_S, None
+        max_head_bytes, head_timeout_s, idle_s = DEFAULT_MAX_HEAD_BYTES, DEFAULT_HEAD_TIMEOUT_S, None
         if limits is not None:
-            most, seconds, idle = limits.header_bytes, limits.header_ms / 1000, limits.idle_ms / 1000
-        self.idle = idle
+            max_head_bytes, head_timeout_s, idle_s = (
+                limits.header_bytes,
+                limits.header_ms / 1000,
+                limits.idle_ms / 1000,
+            )
+        self.idle_s = idle_s
         try:
-            if not self.rfile.wait_for_request(idle):
+            if not self.rfile.wait_for_request(idle_s):
                 return None
             self.busy = True
-            head = self.rfile.head(most, seconds)
+            data = self.rfile.read_head(max_head_bytes, head_timeout_s)
         except TimeoutError:
-            return self._refuse(408, "Request Timeout", NOT_RUN, "its head took too long")
+            return self._error_response(408, "Request Timeout", NOT_RUN, "its head took too long")
         except OSError:
             return None
-        if head is None:
-            return self._refuse(431, "Request Header Fields Too Large", NOT_RUN, f"a head of over {most} bytes")
-        if not head:
+        if data is None:
+            return self._error_response(
+                431, "Request Header Fields Too Large", NOT_RUN, f"a head of over {max_head_bytes} bytes"
+            )
+        if not data:
             return None
         try:
-            self.request = h = read_head(head)
+            self.request = head = read_head(data)
         except ValueError:
             self.server.counts.add("web_bad_request")
-            return self._refuse(400, "Bad Request", UNDECIDED, "not understood as HTTP")
-        self.headers, self.command, self.path, self.request_version = h, h.method, h.target, h.version
-        self.requestline = h.method
-        self.content_length, self.close_connection = h.length, h.close
+            return self._error_response(400, "Bad Request", UNDECIDED, "not understood as HTTP")
+        self.headers, self.command, self.path, self.request_version = head, head.method, head.target, head.version
+        self.requestline = head.method
+        self.content_length, self.close_connection = head.length, head.close
         self.response_length = 0
         self.environ = self.get_environ()
         self.application = self.server.application
@@ -91,83 +107,87 @@
         return None if self.close_connection else True
 
     def get_environ(self):
-        """A server whose callable is lean is told little; what it passes on gets the whole from `mallow.handler`."""
-        if not self.server.lean:
+        """Returns the WSGI environment, or a minimal one; `full_environ` returns the complete one later."""
+        if not self.server.minimal_environ:
             return self.full_environ()
-        h = self.request
+        head = self.request
         self.wsgi_input = Input(
             self.rfile,
-            h.length,
-            self.socket if h.header_map.get("expect", "").lower() == "100-continue" else None,
-            h.chunked,
+            head.length,
+            self.socket if head.header_map.get("expect", "").lower() == "100-continue" else None,
+            head.chunked,
         )
         return {
-            "REQUEST_METHOD": h.method,
-            "SERVER_PROTOCOL": h.version,
+            "REQUEST_METHOD": head.method,
+            "SERVER_PROTOCOL": head.version,
             "REMOTE_ADDR": self.client_address[0],
             "wsgi.input": self.wsgi_input,
-            "mallow.target": h.target,
-            "mallow.head": h,
+            "mallow.target": head.target,
+            "mallow.head": head,
             "mallow.handler": self,
         }
 
     def full_environ(self):
-        """All that WSGI asks for."""
-        env = super().get_environ()
-        env["mallow.target"] = self.path
-        env["mallow.head"] = self.request
-        env["mallow.handler"] = self
-        return env
+        """Returns the complete WSGI environment."""
+        environ = super().get_environ()
+        environ["mallow.target"] = self.path
+        environ["mallow.head"] = self.request
+        environ["mallow.handler"] = self
+        return environ
 
     def finalize_headers(self):
-        """Say whether the connection goes on, and for how long it may rest."""
+        """Sets the Connection and Keep-Alive headers."""
         self.provided_date = self.provided_date or ""
         if self.server.draining or self.close_connection:
             self.close_connection = True
-            self.response_headers = [h for h in self.response_headers if h[0].lower() != b"connection"]
+            self.response_headers = [header for header in self.response_headers if header[0].lower() != b"connection"]
             self.response_headers.append((b"Connection", b"close"))
-        elif self.idle is not None:
-            self.response_headers.append((b"Keep-Alive", b"timeout=%d" % max(1, int(self.idle - SOON))))
+        elif self.idle_s is not None:
+            self.response_headers.append(
+                (b"Keep-Alive", b"timeout=%d" % max(1, int(self.idle_s - KEEP_ALIVE_MARGIN_S)))
+            )
         super().finalize_headers()
         if self.command == "HEAD" and self.provided_content_length is None:
-            self.response_headers = [h for h in self.response_headers if h[0].lower() != b"content-length"]
+            self.response_headers = [
+                header for header in self.response_headers if header[0].lower() != b"content-length"
+            ]
 
     def _write_with_headers(self, data):
-        """Head and a small body leave in one call."""
+        """Sends the head together with a small body in one call."""
         self.headers_sent = True
         self.finalize_headers()
         head = b"".join(
-            (b"HTTP/1.1 ", self.status, b"\r\n", *(b"%s: %s\r\n" % h for h in self.response_headers), b"\r\n")
+            (b"HTTP/1.1 ", self.status, b"\r\n", *(b"%s: %s\r\n" % header for header in self.response_headers), b"\r\n")
         )
-        if self.response_use_chunked or len(data) > WHOLE:
+        if self.response_use_chunked or len(data) > MAX_COMBINED_BYTES:
             self._sendall(head)
             self._write(data)
             return
         self._sendall(head + data)
 
     def _sendall(self, data):
-        n = self.socket.send(data)
-        if n < len(data):
-            self.socket.sendall(memoryview(data)[n:])
+        sent = self.socket.send(data)
+        if sent < len(data):
+            self.socket.sendall(memoryview(data)[sent:])
         self.response_length += len(data)
 
     def _headers(self):
-        for k, v in self.headers.header_map.items():
-            if "_" not in k and k not in ("content-type", "content-length"):
-                yield "HTTP_" + k.replace("-", "_").upper(), v
+        for name, value in self.headers.header_map.items():
+            if "_" not in name and name not in ("content-type", "content-length"):
+                yield "HTTP_" + name.replace("-", "_").upper(), value
 
-    def _refuse(self, status: int, reason: str, outcome: str, text: str):
+    def _error_response(self, status: int, reason: str, outcome: str, text: str):
         body = encode({"findings": [Finding("request", text)]})
         head = f"HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n{OUTCOME}: {outcome}\r\n"
         return status, f"{head}Connection: close\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
 
-    def _end(self) -> None:
-        """After a refusal what still comes is dropped for a moment, so that a reset does not swallow the answer."""
+    def _close(self) -> None:
+        """Closes the connection; lingers after an error response, which a reset by unread bytes would discard."""
         sock, self.socket = self.socket, None
         try:
             if self.linger:
                 sock.shutdown(socket.SHUT_WR)
-                with gevent.Timeout(LINGER, False):
+                with gevent.Timeout(LINGER_S, False):
                     while sock.recv(65536):
                         pass
         except OSError:
@@ -178,32 +198,34 @@
         self.__dict__.pop("wsgi_input", None)
 
     def client_left(self) -> bool:
-        """Whether the client has ended the connection; one that has only ended its own side counts too.
+        """Returns whether the client has closed the connection; a half-close counts too.
 
-        Not known once this side has ended its reads, nor while bytes of the client's wait to be read.
+        This is unknown, and False, after the server has shut down its reads and while bytes of the client are unread.
         """
-        return not self.rfile.buf and not self.read_side_closed and peer_has_closed(self.socket)
+        return not self.rfile.buffer and not self.read_side_closed and peer_has_closed(self.socket)
 
-    def cut(self) -> None:
-        """This answer is the connection's last, and what the client still sends of its request is not waited for."""
-        self.linger, self.wsgi_input, self.close_connection = True, Nothing(), True
+    def close_without_reading(self) -> None:
+        """Closes the connection after this response without waiting for the rest of the request."""
+        self.linger, self.wsgi_input, self.close_connection = True, DiscardedInput(), True
 
     def log_request(self):
-        """Requests are counted, not logged."""
+        """Logs nothing: requests are only counted."""
         pass
 
     def _send_error_response_if_possible(self, error_code):
-        """What ends outside the application, or is cut by the stop, has an outcome too."""
+        """Sends an error response with an outcome for a request that failed or was cut off by the end of a drain."""
         self.close_connection = True
         if self.response_length:
             return
-        cut = isinstance(sys.exc_info()[1], GreenletExit)
+        cut_off = isinstance(sys.exc_info()[1], GreenletExit)
         status, outcome = (
             (504, UNDECIDED)
-            if cut
+            if cut_off
             else (error_code, UNKNOWN if error_code == HTTPStatus.INTERNAL_SERVER_ERROR else UNDECIDED)
         )
-        body = encode({"outcome": outcome, "findings": [Finding("request", "cut by a stop" if cut else "not served")]})
+        body = encode(
+            {"outcome": outcome, "findings": [Finding("request", "cut by a stop" if cut_off else "not served")]}
+        )
         head = [("Content-Type", "application/json"), (OUTCOME, outcome), ("Content-Length", str(len(body)))]
         try:
             self.start_response(f"{status} {HTTPStatus(status).phrase}", head)
@@ -212,5 +234,5 @@
             self.server.counts.add("web_client_error")
 
     def log_error(self, msg, *args):
-        """Errors of clients are counted, not logged."""
+        """Logs nothing: errors of clients are only counted."""
         self.server.counts.add("web_client_error")
--- a/mallowvalve/http_head.py
+++ b/mallowvalve/http_head.py
@@ -1,4 +1,4 @@
-"""The head of a request, read off a client's connection within bounds, and strictly."""
+"""Reads request heads from clients' connections within limits, and parses them strictly."""
 
 from __future__ import annotations
 
@@ -8,72 +8,79 @@
 from gevent import socket
 
 _TOKEN = r"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-_FIRST = re.compile(rf"({_TOKEN}) ([\x21-\x7e\x80-\xff]+) (HTTP/1\.[01])\r\n")
-_LINE = re.compile(rf"({_TOKEN}):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n")
-_LINES = re.compile(rf"(?:{_TOKEN}:[^\x00-\x08\x0a-\x1f\x7f]*\r\n)*")
-MOST_LINES = 200
+_REQUEST_LINE = re.compile(rf"({_TOKEN}) ([\x21-\x7e\x80-\xff]+) (HTTP/1\.[01])\r\n")
+_HEADER_LINE = re.compile(rf"({_TOKEN}):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n")
+_HEADER_LINES = re.compile(rf"(?:{_TOKEN}:[^\x00-\x08\x0a-\x1f\x7f]*\r\n)*")
+MAX_HEADERS = 200
 
 
 class RequestHead:
-    """`pairs` as they came, `said` by lower-case name; what pywsgi asks of its headers is answered from these."""
+    """A request's head: `header_pairs` as received, `header_map` by lower-case name.
+
+    `length` is the Content-Length, `close` whether the connection ends with the response. Pywsgi uses this as its
+    headers object, hence `get`, `getheader`, `status` and `typeheader`.
+    """
 
     __slots__ = ("method", "target", "version", "header_pairs", "header_map", "length", "chunked", "close")
 
     status = ""
 
     def get(self, name: str, default=None):
-        """A header by its name in any case."""
+        """Returns a header by its name, in any case."""
         return self.header_map.get(name.lower(), default)
 
     getheader = get
 
     @property
     def typeheader(self) -> str | None:
-        """The content type, as pywsgi asks for it."""
+        """The content type."""
         return self.header_map.get("content-type")
 
 
 def read_head(data: bytes) -> RequestHead:
-    """A whole head, its empty line left out; ValueError for what is no request or could be taken for two."""
+    """Parses a complete head without its final empty line.
+
+    Raises ValueError if it is malformed or its framing is ambiguous, so that it could be read as two requests.
+    """
     text = data.decode("latin-1")
-    m = _FIRST.match(text)
-    if m is None or not _LINES.fullmatch(text, m.end()):
+    request_line = _REQUEST_LINE.match(text)
+    if request_line is None or not _HEADER_LINES.fullmatch(text, request_line.end()):
         raise ValueError("malformed head")
-    h = RequestHead()
-    h.method, h.target, h.version = m.groups()
-    h.header_pairs = _LINE.findall(text, m.end())
-    if len(h.header_pairs) > MOST_LINES:
+    head = RequestHead()
+    head.method, head.target, head.version = request_line.groups()
+    head.header_pairs = _HEADER_LINE.findall(text, request_line.end())
+    if len(head.header_pairs) > MAX_HEADERS:
         raise ValueError("too many headers")
-    h.header_map = header_map = {}
-    for field, value in h.header_pairs:
+    head.header_map = header_map = {}
+    for field, value in head.header_pairs:
         name = field.lower()
         if name not in header_map:
             header_map[name] = value
         elif name in ("content-length", "transfer-encoding", "host"):
-            raise ValueError(f"two headers {name}")
+            raise ValueError(f"duplicate header {name}")
         else:
             header_map[name] = f"{header_map[name]}{'; ' if name == 'cookie' else ', '}{value}"
     length, coding = header_map.get("content-length"), header_map.get("transfer-encoding")
     if length is not None and (coding is not None or not length.isascii() or not length.isdigit()):
         raise ValueError("ambiguous length")
-    if coding is not None and (coding.lower() != "chunked" or h.version == "HTTP/1.0"):
-        raise ValueError("unknown coding")
-    h.length, h.chunked = int(length) if length is not None else None, coding is not None
-    said_of = header_map.get("connection", "").lower()
-    words = {w.strip() for w in said_of.split(",")} if said_of else ()
-    h.close = "close" in words or h.version == "HTTP/1.0" and "keep-alive" not in words
-    return h
+    if coding is not None and (coding.lower() != "chunked" or head.version == "HTTP/1.0"):
+        raise ValueError("unsupported transfer coding")
+    head.length, head.chunked = int(length) if length is not None else None, coding is not None
+    connection = header_map.get("connection", "").lower()
+    options = {option.strip() for option in connection.split(",")} if connection else ()
+    head.close = "close" in options or head.version == "HTTP/1.0" and "keep-alive" not in options
+    return head
 
 
 def wait_until_readable(sock) -> None:
-    """Waits for something to read; a read that must wait first would be a call for nothing."""
+    """Waits until the socket is readable; saves the system call of a read that would block first."""
     sock._wait(sock._read_event)
 
 
 def peek(sock: socket.socket) -> bytes | None:
-    """The next byte, read without taking it: b"" when the peer has ended the connection, None for none yet.
+    """Returns the next byte without consuming it: b"" if the peer has closed the connection, None if none has arrived.
 
-    Asked of the system's socket, which never blocks, since this is done once a request.
+    This reads the operating system's socket, which never blocks, because it is called for every request.
     """
     try:
         return sock._sock.recv(1, socket.MSG_PEEK)
@@ -84,27 +91,30 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed or reset the connection, as far as this machine knows; reads nothing off it."""
+    """Returns whether the peer is known to have closed or reset the connection; consumes no bytes."""
     return peek(sock) == b""
 
 
 class RequestReader:
-    """What a client sends, with a buffer; stands where pywsgi has a file."""
+    """A buffered reader of what a client sends, used by pywsgi as its input file.
+
+    `has_received`: the connection has brought any bytes yet.
+    """
 
-    __slots__ = ("sock", "buf", "closed", "has_received")
+    __slots__ = ("sock", "buffer", "closed", "has_received")
 
     def __init__(self, sock):
-        """Nothing is read yet."""
-        self.sock, self.buf, self.closed, self.has_received = sock, bytearray(), False, False
+        """Starts with an empty buffer."""
+        self.sock, self.buffer, self.closed, self.has_received = sock, bytearray(), False, False
 
-    def wait_for_request(self, idle: float | None) -> bool:
-        """Whether a request begins within so many seconds; line ends before it are passed over."""
+    def wait_for_request(self, idle_s: float | None) -> bool:
+        """Returns whether a request begins within `idle_s` seconds; skips line ends before it."""
         while True:
-            while self.buf[:2] == b"\r\n":
-                del self.buf[:2]
-            if self.buf:
+            while self.buffer[:2] == b"\r\n":
+                del self.buffer[:2]
+            if self.buffer:
                 return True
-            self.sock.settimeout(idle)
+            self.sock.settimeout(idle_s)
             try:
                 if self.has_received:
                     wait_until_readable(self.sock)
@@ -116,56 +126,57 @@
             if not data:
                 return False
             self.has_received = True
-            self.buf += data
+            self.buffer += data
 
-    def head(self, most: int, seconds: float) -> bytes | None:
-        """The head without its last empty line, b"" when the connection ended in it, None when it is too long.
+    def read_head(self, max_bytes: int, timeout_s: float) -> bytes | None:
+        """Reads a request head without its final empty line.
 
-        Raises TimeoutError when it takes longer than `seconds`.
+        Returns b"" if the connection ends first, None if the head is longer than `max_bytes`. Raises TimeoutError after
+        `timeout_s` seconds.
         """
-        n = self.buf.find(b"\r\n\r\n")
-        if n < 0:
-            with gevent.Timeout(seconds, TimeoutError()):
-                while n < 0:
-                    if len(self.buf) > most:
+        end = self.buffer.find(b"\r\n\r\n")
+        if end < 0:
+            with gevent.Timeout(timeout_s, TimeoutError()):
+                while end < 0:
+                    if len(self.buffer) > max_bytes:
                         return None
                     data = self.sock.recv(16384)
                     if not data:
                         return b""
-                    at = max(0, len(self.buf) - 3)
-                    self.buf += data
-                    n = self.buf.find(b"\r\n\r\n", at)
-        if n + 4 > most:
+                    search_from = max(0, len(self.buffer) - 3)
+                    self.buffer += data
+                    end = self.buffer.find(b"\r\n\r\n", search_from)
+        if end + 4 > max_bytes:
             return None
-        head = bytes(self.buf[: n + 2])
-        del self.buf[: n + 4]
+        head = bytes(self.buffer[: end + 2])
+        del self.buffer[: end + 4]
         return head
 
-    def read(self, n: int = -1) -> bytes:
-        """So many bytes, fewer only when the connection ended; with no number what is left."""
-        while n < 0 or len(self.buf) < n:
+    def read(self, size: int = -1) -> bytes:
+        """Reads `size` bytes, fewer only at the end of the connection; a negative size reads to that end."""
+        while size < 0 or len(self.buffer) < size:
             data = self.sock.recv(65536)
             if not data:
                 break
-            self.buf += data
-        if n < 0 or n >= len(self.buf):
-            got, self.buf = bytes(self.buf), bytearray()
-            return got
-        got = bytes(self.buf[:n])
-        del self.buf[:n]
-        return got
-
-    def readline(self, most: int = -1) -> bytes:
-        """Up to and with the next line end, at most `most` bytes."""
-        while (i := self.buf.find(b"\n")) < 0 and (most < 0 or len(self.buf) < most):
+            self.buffer += data
+        if size < 0 or size >= len(self.buffer):
+            data, self.buffer = bytes(self.buffer), bytearray()
+            return data
+        data = bytes(self.buffer[:size])
+        del self.buffer[:size]
+        return data
+
+    def readline(self, max_bytes: int = -1) -> bytes:
+        """Reads up to and including the next line end, at most `max_bytes` bytes unless that is negative."""
+        while (newline := self.buffer.find(b"\n")) < 0 and (max_bytes < 0 or len(self.buffer) < max_bytes):
             data = self.sock.recv(65536)
             if not data:
                 break
-            self.buf += data
-        n = i + 1 if i >= 0 else len(self.buf)
-        n = n if most < 0 else min(n, most)
-        return self.read(n)
+            self.buffer += data
+        size = newline + 1 if newline >= 0 else len(self.buffer)
+        size = size if max_bytes < 0 else min(size, max_bytes)
+        return self.read(size)
 
     def close(self) -> None:
-        """Nothing more will be read; the socket is the server's to close."""
+        """Marks the reader as closed; the server closes the socket."""
         self.closed = True
--- a/mallowvalve/proxy/__init__.py
+++ b/mallowvalve/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy: it takes clients' requests and sends them to upstreams."""
+"""The proxy: forwards clients' requests to upstreams."""
--- a/mallowvalve/proxy/frontend.py
+++ b/mallowvalve/proxy/frontend.py
@@ -1,4 +1,4 @@
-"""The entrance of a proxy: does for a request on a host route what needs sockets and the loop."""
+"""The WSGI application of a proxy: performs the I/O steps of requests on host routes."""
 
 from __future__ import annotations
 
@@ -28,8 +28,7 @@
 )
 from mallowvalve.proxy.tenant_frontend import StreamedBody
 
-SKIP = HOP_BY_HOP_HEADERS
-REASONS = {
+STATUS_LINES = {
     200: "200 OK",
     201: "201 Created",
     204: "204 No Content",
@@ -45,29 +44,29 @@
 
 
 class CapacityQueue:
-    """Who waits for a place at a service: the most urgent first (priority 0), and of these the first to come."""
+    """Requests that wait for a free slot at a service: lowest `priority` number first, then in order of arrival."""
 
     __slots__ = ("_waiting",)
 
     def __init__(self):
-        """Nobody waits."""
+        """Starts with empty queues."""
         self._waiting: dict[str, list[tuple[int, Event]]] = {}
 
-    def wait(self, service: str, left: float, priority: int = 0) -> bool:
-        """Whether a place became free within `left` seconds."""
-        if left <= 0:
+    def wait(self, service: str, seconds_left: float, priority: int = 0) -> bool:
+        """Returns whether a slot became free within `seconds_left` seconds."""
+        if seconds_left <= 0:
             return False
         waiter = priority, Event()
         queue = self._waiting.setdefault(service, [])
         insort(queue, waiter, key=itemgetter(0))
         try:
-            return waiter[1].wait(timeout=left)
+            return waiter[1].wait(timeout=seconds_left)
         finally:
             if waiter in queue:
                 queue.remove(waiter)
 
-    def freed(self, service: str) -> None:
-        """Tell the first in the queue, if any."""
+    def wake_next(self, service: str) -> None:
+        """Wakes the first request in the queue of a service, if any."""
         queue = self._waiting.get(service)
         if queue:
             _, event = queue.pop(0)
@@ -75,97 +74,116 @@
 
 
 class Frontend:
-    """The callable of a proxy's server: host routes go the way of `tries`, all else to the app behind it."""
-
-    __slots__ = ("tries", "app", "rooms", "only", "mark")
-
-    def __init__(self, tries: HostForwarder, app: Callable, only: bool):
-        self.tries, self.app, self.only = tries, app, only
-        self.rooms = CapacityQueue()
-        self.mark = tries.settings.terms.ask.lower()
-
-    def __call__(self, env: dict, start: Callable):
-        h = env["mallow.head"]
-        if not self._takes(h.header_map, h.target):
-            return self.app(env["mallow.handler"].full_environ(), start)
-        a = ClientRequest(h.method, h.target, h.header_map, env["REMOTE_ADDR"], h.length, h.header_pairs)
-        steps, got = self.tries.handle(a), None
+    """The WSGI application of a proxy's server: `forwarder` handles host routes, `fallback_app` all other requests.
+
+    With `traffic_only` the address serves no pages: requests of unknown hosts without a tenant header go to
+    `forwarder` as well.
+    """
+
+    __slots__ = ("forwarder", "fallback_app", "capacity_queue", "traffic_only", "id_header")
+
+    def __init__(self, forwarder: HostForwarder, fallback_app: Callable, traffic_only: bool):
+        self.forwarder, self.fallback_app, self.traffic_only = forwarder, fallback_app, traffic_only
+        self.capacity_queue = CapacityQueue()
+        self.id_header = forwarder.settings.terms.ask.lower()
+
+    def __call__(self, environ: dict, start_response: Callable):
+        """Answers a request (WSGI)."""
+        head = environ["mallow.head"]
+        if not self._is_for_host_route(head.header_map, head.target):
+            return self.fallback_app(environ["mallow.handler"].full_environ(), start_response)
+        request = ClientRequest(
+            head.method, head.target, head.header_map, environ["REMOTE_ADDR"], head.length, head.header_pairs
+        )
+        steps, result = self.forwarder.handle(request), None
         try:
             while True:
-                got = self._do(steps.send(got), env)
-        except StopIteration as e:
-            return self._say(env, start, e.value)
+                result = self._perform(steps.send(result), environ)
+        except StopIteration as stop:
+            return self._respond(environ, start_response, stop.value)
         finally:
             steps.close()
 
-    def _takes(self, headers: dict[str, str], target: str) -> bool:
-        if not self.only and target.startswith("/-/"):
+    def _is_for_host_route(self, headers: dict[str, str], target: str) -> bool:
+        if not self.traffic_only and target.startswith("/-/"):
             return False
-        if self.tries.serves_host(headers.get("host", "")):
+        if self.forwarder.serves_host(headers.get("host", "")):
             return True
         if "mallow-tenant" in headers:
             return False
-        s = self.tries.replica.state
-        return self.only or s is not None and s.items.revision > 0
+        state = self.forwarder.replica.state
+        return self.traffic_only or state is not None and state.items.revision > 0
 
-    def _do(self, s: Step, env: dict):
-        match s:
+    def _perform(self, step: Step, environ: dict):
+        match step:
             case Exchange():
-                client = env["mallow.handler"] if s.stop_if_client_leaves else None
-                return s.connection.exchange(s.method, s.request, s.end, s.request_id, client)
+                client = environ["mallow.handler"] if step.stop_if_client_leaves else None
+                return step.connection.exchange(step.method, step.request, step.end, step.request_id, client)
             case AwaitResponse():
-                return s.connection.receive(s.end, env["mallow.handler"] if s.stop_if_client_leaves else None)
+                return step.connection.receive(
+                    step.end, environ["mallow.handler"] if step.stop_if_client_leaves else None
+                )
             case ClientCheck():
-                return CLIENT_LEFT if env["mallow.handler"].client_left() else None
+                return CLIENT_LEFT if environ["mallow.handler"].client_left() else None
             case ReadBody():
-                return self._body(env, s)
+                return self._read_body(environ, step)
             case OpenConnection():
-                r = HostConnection.open(s.heartbeat, self.mark, s.end)
-                self.tries.counts.add("upstream_connections", r.is_ok())
-                return r
+                result = HostConnection.open(step.heartbeat, self.id_header, step.end)
+                self.forwarder.counts.add("upstream_connections", result.is_ok())
+                return result
             case WaitForCapacity():
-                return self.rooms.wait(s.service, s.end - clock.now(), s.priority)
+                return self.capacity_queue.wait(step.service, step.end - clock.now(), step.priority)
 
-    def _body(self, env: dict, s: ReadBody) -> Result[bytes, tuple[int, str, str]]:
-        length = env["mallow.head"].length
-        if length is not None and length > s.max_bytes:
-            return Err((413, "body", f"larger than {s.max_bytes} bytes"))
+    def _read_body(self, environ: dict, step: ReadBody) -> Result[bytes, tuple[int, str, str]]:
+        length = environ["mallow.head"].length
+        if length is not None and length > step.max_bytes:
+            return Err((413, "body", f"larger than {step.max_bytes} bytes"))
         try:
-            with gevent.Timeout(max(0.001, s.end - clock.now())):
-                data = env["wsgi.input"].read(s.max_bytes + 1)
-                env["mallow.read"] = True
+            with gevent.Timeout(max(0.001, step.end - clock.now())):
+                data = environ["wsgi.input"].read(step.max_bytes + 1)
+                environ["mallow.read"] = True
         except gevent.Timeout:
             return Err((408, "body", "did not arrive within the limit"))
         except OSError:
             return Err((400, "body", "broken off or badly chunked"))
-        return Err((413, "body", f"larger than {s.max_bytes} bytes")) if len(data) > s.max_bytes else Ok(data)
-
-    def _say(self, env: dict, start: Callable, r: ProxyResponse):
-        a = r.answer
-        if a is None:
-            return self._own(env, start, r)
-        if a.body_stream is not None and a.length is None and env["SERVER_PROTOCOL"] != "HTTP/1.1":
-            r.lease.release(keep=False)
-            return self._own(env, start, ProxyResponse(502, "unknown", []))
-        drop = (
-            SKIP | {w.strip().lower() for w in a.header_map["connection"].split(",")}
-            if "connection" in a.header_map
-            else SKIP
+        return Err((413, "body", f"larger than {step.max_bytes} bytes")) if len(data) > step.max_bytes else Ok(data)
+
+    def _respond(self, environ: dict, start_response: Callable, response: ProxyResponse):
+        upstream_response = response.answer
+        if upstream_response is None:
+            return self._respond_locally(environ, start_response, response)
+        if (
+            upstream_response.body_stream is not None
+            and upstream_response.length is None
+            and environ["SERVER_PROTOCOL"] != "HTTP/1.1"
+        ):
+            response.lease.release(keep=False)
+            return self._respond_locally(environ, start_response, ProxyResponse(502, "unknown", []))
+        dropped = (
+            HOP_BY_HOP_HEADERS
+            | {name.strip().lower() for name in upstream_response.header_map["connection"].split(",")}
+            if "connection" in upstream_response.header_map
+            else HOP_BY_HOP_HEADERS
         )
-        headers = [h for h in a.headers if h[0].lower() not in drop]
-        if a.length is not None and a.status not in (204, 304):
-            headers.append(("Content-Length", str(a.length)))
-        start(REASONS.get(a.status) or f"{a.status} Other", headers)
-        return [a.body] if a.body_stream is None else StreamedBody(r)
-
-    def _own(self, env: dict, start: Callable, r: ProxyResponse):
-        h = env["mallow.head"]
-        body = web.encode({"outcome": r.outcome, "findings": r.findings})
-        headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body))), (web.OUTCOME, r.outcome)]
-        if r.retry_after is not None:
-            headers.append(("Retry-After", f"{r.retry_after:.2f}"))
-        if r.close or (h.length or h.chunked) and "mallow.read" not in env:
+        headers = [header for header in upstream_response.headers if header[0].lower() not in dropped]
+        if upstream_response.length is not None and upstream_response.status not in (204, 304):
+            headers.append(("Content-Length", str(upstream_response.length)))
+        start_response(STATUS_LINES.get(upstream_response.status) or f"{upstream_response.status} Other", headers)
+        return [upstream_response.body] if upstream_response.body_stream is None else StreamedBody(response)
+
+    def _respond_locally(self, environ: dict, start_response: Callable, response: ProxyResponse):
+        """Sends a response of the proxy itself; the connection ends if the request's body was not read."""
+        head = environ["mallow.head"]
+        body = web.encode({"outcome": response.outcome, "findings": response.findings})
+        headers = [
+            ("Content-Type", "application/json"),
+            ("Content-Length", str(len(body))),
+            (web.OUTCOME, response.outcome),
+        ]
+        if response.retry_after is not None:
+            headers.append(("Retry-After", f"{response.retry_after:.2f}"))
+        if response.close or (head.length or head.chunked) and "mallow.read" not in environ:
             headers.append(("Connection", "close"))
-            env["mallow.handler"].cut()
-        start(REASONS.get(r.status) or f"{r.status} Refused", headers)
-        return [] if h.method == "HEAD" else [body]
+            environ["mallow.handler"].close_without_reading()
+        start_response(STATUS_LINES.get(response.status) or f"{response.status} Refused", headers)
+        return [] if head.method == "HEAD" else [body]
--- a/mallowvalve/proxy/host_connection.py
+++ b/mallowvalve/proxy/host_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream of a host route: one exchange at a time over a socket."""
+"""A connection to an upstream of a host route."""
 
 from __future__ import annotations
 
@@ -14,69 +14,79 @@
 from mallowvalve.proxy.steps import CLIENT_LEFT, ClientLeft, UpstreamResponse
 from mallowvalve.upstreams.registry import Upstream
 
-LIFE = 4.0
-CONNECT = 0.5
+DEFAULT_IDLE_LIFE_S = 4.0
+"""How long an idle connection is used if its upstream sends no Keep-Alive timeout."""
+CONNECT_TIMEOUT_S = 0.5
 READ_BYTES = 65536
 
 
-def wait_either(sock: socket.socket, left: float) -> tuple[bool, bool]:
-    """Whether there is something to read, and room to write; neither when `left` seconds are over."""
-    readable, writable, _ = select.select([sock], [sock], [], max(0.0, left))
+def wait_readable_or_writable(sock: socket.socket, seconds_left: float) -> tuple[bool, bool]:
+    """Returns whether the socket is readable and whether it is writable; neither after `seconds_left` seconds."""
+    readable, writable, _ = select.select([sock], [sock], [], max(0.0, seconds_left))
     return bool(readable), bool(writable)
 
 
 class HostConnection:
-    """A connection to an upstream of a host route, which is checked by the `expect` header of each request."""
+    """A connection for one exchange at a time; the `expect` header of each request names the intended upstream.
 
-    __slots__ = ("heartbeat", "sock", "since", "life", "mark", "reader", "cut_off")
+    `since` is the time of its last use or opening, `life` how long it may stay idle (s). `partly_sent`: the upstream
+    has not received all of a request.
+    """
 
-    def __init__(self, up: Upstream, sock, mark: str):
-        self.heartbeat = up
+    __slots__ = ("heartbeat", "sock", "since", "life", "id_header", "parser", "partly_sent")
+
+    def __init__(self, upstream: Upstream, sock, id_header: str):
+        self.heartbeat = upstream
         self.sock = sock
-        self.mark = mark
+        self.id_header = id_header
         self.since = clock.now()
-        self.life = LIFE
-        self.reader: ResponseParser | None = None
-        self.cut_off = False
+        self.life = DEFAULT_IDLE_LIFE_S
+        self.parser: ResponseParser | None = None
+        self.partly_sent = False
 
     @classmethod
-    def open(cls, up: Upstream, mark: str, end: float) -> Result[HostConnection, str]:
-        left = end - clock.now()
-        if left <= 0:
+    def open(cls, upstream: Upstream, id_header: str, end: float) -> Result[HostConnection, str]:
+        """Connects until the deadline `end`; `id_header` is the header of the request id, in lower case."""
+        seconds_left = end - clock.now()
+        if seconds_left <= 0:
             return Err("limit")
         try:
-            sock = socket.create_connection(up.address.pair, timeout=min(CONNECT, left))
-        except OSError as e:
-            return Err(f"unreachable: {e.strerror or e}")
+            sock = socket.create_connection(upstream.address.pair, timeout=min(CONNECT_TIMEOUT_S, seconds_left))
+        except OSError as error:
+            return Err(f"unreachable: {error.strerror or error}")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        return Ok(cls(up, sock, mark))
+        return Ok(cls(upstream, sock, id_header))
 
     def exchange(
-        self, method: str, request: bytes, end: float, ask: str, client: ClientConnection | None = None
+        self, method: str, request: bytes, end: float, request_id: str, client: ClientConnection | None = None
     ) -> Result[UpstreamResponse, str] | ClientLeft:
-        """Err begins with `unsent` only when no byte of the request has left; with `client`, ends when it leaves."""
+        """Sends a request and receives its response; given `client`, stops once the client has left.
+
+        The error begins with `unsent` only if no byte of the request was sent.
+        """
         sock = self.sock
         sock.settimeout(max(0.001, end - clock.now()))
         try:
-            n = sock.send(request)
-        except OSError as e:
-            return Err(f"unsent: {e}")
-        self.reader = ResponseParser(method, self.mark if ask else "", ask)
-        if n < len(request):
-            self.cut_off = True
-            broken = self._send_rest(memoryview(request)[n:], end)
-            if broken is not None:
-                return Err(broken)
+            sent = sock.send(request)
+        except OSError as error:
+            return Err(f"unsent: {error}")
+        self.parser = ResponseParser(method, self.id_header if request_id else "", request_id)
+        if sent < len(request):
+            self.partly_sent = True
+            failure = self._send_rest(memoryview(request)[sent:], end)
+            if failure is not None:
+                return Err(failure)
         return self.receive(end, client)
 
     def _send_rest(self, rest: memoryview, end: float) -> str | None:
-        """Send on while nothing comes back; why that failed.
+        """Sends the rest of a request unless a response comes first; returns the reason of a failure.
 
-        An upstream that answers early may read no more, or reset the connection after its answer: the answer counts.
+        An upstream that responds early may stop reading, or reset the connection after its response: the response
+        counts.
         """
-        reader = self.reader
+        parser = self.parser
         while rest:
-            readable, writable = wait_either(self.sock, end - clock.now())
+            readable, writable = wait_readable_or_writable(self.sock, end - clock.now())
             if not readable and not writable:
                 return "broken: not sent whole within the limit"
             if not readable:
@@ -86,50 +96,67 @@
                     return None
                 continue
             try:
-                reader.receive(self.sock.recv(READ_BYTES))
-            except OSError as e:
-                return f"broken: {e}"
-            if reader.why or reader.done or reader.large():
-                return reader.why or None
-        self.cut_off = False
+                parser.receive(self.sock.recv(READ_BYTES))
+            except OSError as error:
+                return f"broken: {error}"
+            if parser.error or parser.complete or parser.must_stream():
+                return parser.error or None
+        self.partly_sent = False
         return None
 
     def receive(self, end: float, client: ClientConnection | None = None) -> Result[UpstreamResponse, str] | ClientLeft:
-        """The answer to what was sent; after Err `limit` one may go on waiting for it. `client` as for `exchange`."""
-        sock, r = self.sock, self.reader
+        """Receives the response to the request sent last; after the error `limit` it can be called again.
+
+        Given `client`, it stops once the client has left.
+        """
+        sock, parser = self.sock, self.parser
         try:
-            while not r.done:
-                if (left := end - clock.now()) <= 0:
+            while not parser.complete:
+                if (seconds_left := end - clock.now()) <= 0:
                     return Err("limit")
-                self._wait(left, client, r)
-                r.receive(sock.recv(READ_BYTES))
-                if r.why:
-                    return Err(r.why)
-                if r.large():
+                self._wait(seconds_left, client, parser)
+                parser.receive(sock.recv(READ_BYTES))
+                if parser.error:
+                    return Err(parser.error)
+                if parser.must_stream():
                     return Ok(
                         UpstreamResponse(
-                            r.status, r.headers, None, r.length(), self._rest(r, end, client), False, r.header_map
+                            parser.status,
+                            parser.headers,
+                            None,
+                            parser.content_length(),
+                            self._stream(parser, end, client),
+                            False,
+                            parser.header_map,
                         )
                     )
         except ClientLeftError:
             return CLIENT_LEFT
         except TimeoutError:
             return Err("limit")
-        except OSError as e:
-            return Err(f"broken: {e}")
-        self.reader = None
-        self._note_life(r.header_map.get("keep-alive", ""))
-        keep = r.reusable and not self.cut_off
+        except OSError as error:
+            return Err(f"broken: {error}")
+        self.parser = None
+        self._set_life(parser.header_map.get("keep-alive", ""))
+        reusable = parser.reusable and not self.partly_sent
         return Ok(
             UpstreamResponse(
-                r.status, r.headers, bytes(r.body), r.length() if r.bodiless else len(r.body), None, keep, r.header_map
+                parser.status,
+                parser.headers,
+                bytes(parser.body),
+                parser.content_length() if parser.has_no_body else len(parser.body),
+                None,
+                reusable,
+                parser.header_map,
             )
         )
 
     def close(self) -> None:
+        """Closes the connection."""
         self.sock.close()
 
     def stale(self) -> bool:
+        """Returns whether the connection has ended, or has received unexpected bytes."""
         self.sock.settimeout(0.0)
         try:
             return self.sock.recv(1, socket.MSG_PEEK) is not None
@@ -138,31 +165,35 @@
         except OSError:
             return True
 
-    def _note_life(self, text: str) -> None:
-        for part in text.split(","):
-            k, _, v = part.strip().partition("=")
-            if k.lower() == "timeout" and v.isdigit():
-                self.life = min(60.0, max(0.0, int(v) - 1.0))
+    def _set_life(self, keep_alive: str) -> None:
+        """Sets the idle life from a Keep-Alive header: a second less than its timeout, at most 60 s."""
+        for part in keep_alive.split(","):
+            name, _, value = part.strip().partition("=")
+            if name.lower() == "timeout" and value.isdigit():
+                self.life = min(60.0, max(0.0, int(value) - 1.0))
+
+    def _wait(self, seconds: float, client: ClientConnection | None, parser: ResponseParser) -> None:
+        """Waits for bytes of the response.
 
-    def _wait(self, seconds: float, client: ClientConnection | None, reader: ResponseParser) -> None:
-        """Wait for bytes; raises ClientLeftError when the client leaves first, TimeoutError when the time is over."""
+        Raises ClientLeftError if the client leaves first, TimeoutError after `seconds` seconds.
+        """
         if client is None:
             self.sock.settimeout(seconds)
-            if not reader.begun:
+            if not parser.started:
                 wait_until_readable(self.sock)
             return
-        happened = wait_for_bytes(self.sock, client, seconds)
-        if happened is WaitResult.CLIENT_LEFT:
-            raise ClientLeftError("the client has left")
-        if happened is WaitResult.TIMED_OUT:
-            raise TimeoutError("the upstream said nothing in time")
-
-    def _rest(self, r: ResponseParser, end: float, client: ClientConnection | None) -> Iterator[bytes]:
-        yield r.drain()
-        while not r.done:
-            self._wait(max(0.001, end - clock.now()), client, r)
-            r.receive(self.sock.recv(READ_BYTES))
-            if r.why:
-                raise ConnectionError("the upstream broke off mid-answer")
-            if r.body:
-                yield r.drain()
+        result = wait_for_bytes(self.sock, client, seconds)
+        if result is WaitResult.CLIENT_LEFT:
+            raise ClientLeftError("the client closed its connection")
+        if result is WaitResult.TIMED_OUT:
+            raise TimeoutError("the upstream sent nothing before the deadline")
+
+    def _stream(self, parser: ResponseParser, end: float, client: ClientConnection | None) -> Iterator[bytes]:
+        yield parser.drain()
+        while not parser.complete:
+            self._wait(max(0.001, end - clock.now()), client, parser)
+            parser.receive(self.sock.recv(READ_BYTES))
+            if parser.error:
+                raise ConnectionError("the upstream closed the connection before the end of its response")
+            if parser.body:
+                yield parser.drain()
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts put together."""
+"""The process of the proxy: builds and runs its parts."""
 
 from __future__ import annotations
 
@@ -24,21 +24,26 @@
 
 
 class DeferredListener:
-    """A front with pages apart listens only once settings are held: who finds no listener tries elsewhere at once."""
+    """Starts the server of a proxy only once the replica has settings.
 
-    __slots__ = ("node", "replica", "_job")
+    Until then connections are refused, so that clients try another proxy at once. Used if the pages have an address of
+    their own.
+    """
+
+    __slots__ = ("node", "replica", "_greenlet")
 
     def __init__(self, node: Node, replica: ReplicaTask):
+        """Does not listen yet."""
         self.node, self.replica = node, replica
 
     def __enter__(self) -> DeferredListener:
-        """Watch for the settings."""
-        self._job = vital(gevent.spawn(self._run))
+        """Starts to wait for settings."""
+        self._greenlet = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
-        """Stop listening."""
-        self._job.kill()
+        """Stops the server."""
+        self._greenlet.kill()
         self.node.server.stop(timeout=0.2)
 
     def _run(self) -> None:
@@ -48,22 +53,23 @@
 
 
 class ConnectionPruner:
-    """Closes connections to upstreams that are gone, once a second, and all at the end."""
+    """Closes connections to removed upstreams, once a second, and all connections at the end."""
 
-    __slots__ = ("pool", "hosts", "_job")
+    __slots__ = ("pool", "hosts", "_greenlet")
 
     def __init__(self, pool: TenantUpstreamPool, hosts: HostUpstreams):
+        """Prunes the connections of `pool` (tenants' services) and `hosts` (host routes)."""
         self.pool, self.hosts = pool, hosts
 
     def __enter__(self) -> ConnectionPruner:
-        """Begin."""
-        self._job = vital(gevent.spawn(self._run))
+        """Starts to prune."""
+        self._greenlet = vital(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
-        """Close all."""
-        self._job.kill()
-        self.pool.idle_connections.keep(set())
+        """Closes all idle connections."""
+        self._greenlet.kill()
+        self.pool.idle_connections.prune(set())
         self.hosts.idle_connections.prune(set(), self.hosts.now())
 
     def _run(self) -> None:
@@ -74,27 +80,27 @@
 
 
 def run(settings: Settings) -> None:
-    """Run a proxy until it is told to stop."""
+    """Runs a proxy until it is told to stop."""
     node = Node(settings)
     replica = ReplicaTask(node)
     pool = TenantUpstreamPool(node.heartbeats.board, replica.replica, settings.locality, random.Random(), clock.now)
-    repeats = RetryDetectorTask(node.transport, replica.replica.roster)
-    path = TenantForwarder(
+    retry_detector = RetryDetectorTask(node.transport, replica.replica.roster)
+    tenant_forwarder = TenantForwarder(
         replica.replica,
         pool,
-        repeats,
+        retry_detector,
         node.counts,
         clock.now,
         settings.locality,
         f"{settings.transport}#{node.boot}",
         lambda: uuid.uuid4().hex,
     )
-    serve = TenantFrontend(path, replica, settings.body_bytes)
-    pool.on_free = serve.freed
-    node.app.add_route("/-/rejections", RejectionsPage(path))
+    tenant_frontend = TenantFrontend(tenant_forwarder, replica, settings.body_bytes)
+    pool.on_free = tenant_frontend.wake_waiting
+    node.app.add_route("/-/rejections", RejectionsPage(tenant_forwarder))
     hosts = HostUpstreams(replica.replica, settings, random.Random(), clock.now)
-    tries = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
-    _mount(node, serve, hosts, tries)
+    host_forwarder = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
+    _mount(node, tenant_frontend, hosts, host_forwarder)
     node.gauge(
         "busy", lambda: sum(pool.chooser.in_flight.values()) + sum(s.in_flight for s in hosts.upstreams.values())
     )
@@ -103,35 +109,39 @@
         node,
         replica,
         ConnectionPruner(pool, hosts),
-        repeats,
+        retry_detector,
         DeferredListener(node, replica) if node.late else contextlib.nullcontext(),
     ):
         node.run(lambda: _ready(settings, replica))
 
 
-def _mount(node: Node, serve: TenantFrontend, hosts: HostUpstreams, tries: HostForwarder) -> None:
-    """With pages of their own, the front serves requests only; else it passes what is no host's to the one app."""
-    apart = node.settings.pages is not None
-    app = web.LazyApp() if apart else node.app
-    app.add_sink(serve, "/")
-    front = Frontend(tries, app, only=apart)
-    hosts.on_free = front.rooms.freed
-    if apart:
-        node.front = front
+def _mount(node: Node, tenant_frontend: TenantFrontend, hosts: HostUpstreams, host_forwarder: HostForwarder) -> None:
+    """Sets the application of the node's server.
+
+    If the pages have an address of their own, the server takes requests for upstreams only; otherwise the frontend
+    passes all but the requests on host routes to the node's app.
+    """
+    has_own_pages_address = node.settings.pages is not None
+    app = web.LazyApp() if has_own_pages_address else node.app
+    app.add_sink(tenant_frontend, "/")
+    frontend = Frontend(host_forwarder, app, traffic_only=has_own_pages_address)
+    hosts.on_free = frontend.capacity_queue.wake_next
+    if has_own_pages_address:
+        node.front = frontend
     else:
-        node.server.application = front
-    node.server.lean = True
-    tries.admission.serves_until = serve.path.serves_until = lambda: node.server.stop_deadline
-    node.server.limits = lambda: _limits(tries)
+        node.server.application = frontend
+    node.server.minimal_environ = True
+    host_forwarder.admission.serves_until = tenant_frontend.forwarder.serves_until = lambda: node.server.stop_deadline
+    node.server.limits = lambda: _limits(host_forwarder)
 
 
-def _limits(tries: HostForwarder):
-    s = tries.replica.state
-    return s.items.limits if s is not None and s.items.revision else None
+def _limits(host_forwarder: HostForwarder):
+    state = host_forwarder.replica.state
+    return state.items.limits if state is not None and state.items.revision else None
 
 
 def _ready(settings: Settings, replica: ReplicaTask) -> bool:
-    s = replica.replica.state
-    if settings.serve_on and s is not None and s.items.revision > 0:
+    state = replica.replica.state
+    if settings.serve_on and state is not None and state.items.revision > 0:
         return True
-    return replica.admits() and not emptied(settings.locality, s.settings.evacuated)
+    return replica.admits() and not emptied(settings.locality, state.settings.evacuated)
--- a/mallowvalve/proxy/request_writer.py
+++ b/mallowvalve/proxy/request_writer.py
@@ -1,4 +1,4 @@
-"""A request on a host route as it is sent on to an upstream."""
+"""Serializes requests on host routes for upstreams."""
 
 from __future__ import annotations
 
@@ -8,33 +8,37 @@
 
 
 class RequestWriter:
-    """Writes requests: all headers go along unchanged but for those of one connection and those set here."""
+    """Serializes requests; headers are forwarded unchanged, except hop-by-hop headers and those that the proxy sets."""
 
     __slots__ = ("_terms", "_id_header", "_dropped")
 
     def __init__(self, terms: Terms):
-        """`terms` name the headers of a request's id, its limit and the upstream it is for."""
+        """`terms` names the headers for the id of a request, its time limit and the upstream it is sent to."""
         self._terms = terms
         self._id_header = terms.ask.lower()
         self._dropped = HOP_BY_HOP_HEADERS | {terms.limit.lower(), terms.expect.lower()}
 
-    def lines(self, a: ClientRequest, body: bytes) -> str:
-        """The request line and the headers that are the same for each upstream."""
+    def lines(self, request: ClientRequest, body: bytes) -> str:
+        """Returns the request line and the headers that are the same for every upstream."""
         dropped = self._dropped
-        if "connection" in a.headers:
-            named = {h.strip().lower() for h in a.headers["connection"].split(",")}
+        if "connection" in request.headers:
+            named = {name.strip().lower() for name in request.headers["connection"].split(",")}
             dropped = dropped | named - {"host", self._id_header}
-        lines = [f"{a.method} {a.target} HTTP/1.1\r\n"]
-        lines += [f"{k}: {v}\r\n" for k, v in a.header_pairs or a.headers.items() if k.lower() not in dropped]
-        if body or a.length is not None or "transfer-encoding" in a.headers:
+        lines = [f"{request.method} {request.target} HTTP/1.1\r\n"]
+        lines += [
+            f"{name}: {value}\r\n"
+            for name, value in request.header_pairs or request.headers.items()
+            if name.lower() not in dropped
+        ]
+        if body or request.length is not None or "transfer-encoding" in request.headers:
             lines.append(f"Content-Length: {len(body)}\r\n")
         return "".join(lines)
 
-    def whole(self, t: HostRequest, instance: str, now: float) -> bytes:
-        """The request for one upstream, with the time that is left."""
-        head = t.head
+    def whole(self, request: HostRequest, instance: str, now: float) -> bytes:
+        """Returns the complete request for the upstream `instance`, with the time that is left (ms)."""
+        head = request.head
         if self._terms.limit:
-            head += f"{self._terms.limit}: {max(1, int((t.end - now) * 1000))}\r\n"
+            head += f"{self._terms.limit}: {max(1, int((request.end - now) * 1000))}\r\n"
         if self._terms.expect:
             head += f"{self._terms.expect}: {instance}\r\n"
-        return (head + "\r\n").encode("latin-1") + t.body
+        return (head + "\r\n").encode("latin-1") + request.body
--- a/mallowvalve/proxy/tenant_connection.py
+++ b/mallowvalve/proxy/tenant_connection.py
@@ -1,4 +1,4 @@
-"""A connection to an upstream of a tenant's service, which says first who it is."""
+"""A connection to an upstream of a tenant's service, with a check of the upstream's identity when it is opened."""
 
 from __future__ import annotations
 
@@ -16,8 +16,9 @@
 from mallowvalve.proxy.steps import CLIENT_LEFT, NO_STATUS, OK, ClientLeft, UpstreamResponse
 from mallowvalve.upstreams.board import Heartbeat
 
-WHOLE = 256 << 10
-SKIP = frozenset(
+MAX_BUFFERED_BODY_BYTES = 256 << 10
+"""A body of this size or more is streamed to the client instead of buffered."""
+UNFORWARDED_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -32,10 +33,11 @@
         "date",
     )
 )
+"""Response headers that are not forwarded to the client."""
 
 
 class UpstreamIdentity(msgspec.Struct):
-    """What an upstream says of itself on its status path."""
+    """The identity that an upstream reports at its status path."""
 
     service: str
     instance: str
@@ -43,16 +45,22 @@
 
 
 class StrictResponse(HTTPSocketResponse):
-    """With no id in an answer, bytes after it make it doubtful whose it is: the exchange fails."""
+    """A response that must be the last on its connection so far; bytes after it fail the exchange.
+
+    Tenants' responses carry no request id, so after extra bytes it is uncertain which response belongs to the request.
+    """
 
     def _on_message_begin(self) -> None:
         if self.message_complete and self.get_code() >= OK:
-            raise HTTPProtocolViolationError("bytes after the answer")
+            raise HTTPProtocolViolationError("extra bytes after the response")
         super()._on_message_begin()
 
 
 class TenantConnection:
-    """One exchange at a time; opened only when the upstream that answers is the one that was meant."""
+    """A connection for one exchange at a time, opened only to the upstream of the given heartbeat.
+
+    `since` is the time of its opening or of its return to the idle connections (s).
+    """
 
     __slots__ = ("heartbeat", "sock", "since")
 
@@ -62,29 +70,31 @@
         self.since = clock.now()
 
     @classmethod
-    def open(cls, heartbeat: Heartbeat, status: str, end: float) -> Result[TenantConnection, str]:
-        left = end - clock.now()
-        if left <= 0:
+    def open(cls, heartbeat: Heartbeat, status_path: str, end: float) -> Result[TenantConnection, str]:
+        """Connects and checks the upstream's identity at `status_path` until the deadline `end`."""
+        seconds_left = end - clock.now()
+        if seconds_left <= 0:
             return Err("limit")
         try:
-            sock = socket.create_connection(heartbeat.address.pair, timeout=min(1.0, left))
-        except OSError as e:
-            return Err(f"unreachable: {e.strerror or e}")
-        s = cls(heartbeat, sock)
-        s.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        why = s._identify(status, min(end, clock.now() + 1.0))
-        if why is None:
-            return Ok(s)
-        s.close()
-        return Err(why)
+            sock = socket.create_connection(heartbeat.address.pair, timeout=min(1.0, seconds_left))
+        except OSError as error:
+            return Err(f"unreachable: {error.strerror or error}")
+        connection = cls(heartbeat, sock)
+        connection.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        failure = connection._identify(status_path, min(end, clock.now() + 1.0))
+        if failure is None:
+            return Ok(connection)
+        connection.close()
+        return Err(failure)
 
     def exchange(
         self, method: str, request: bytes, end: float, client: ClientConnection | None = None
     ) -> Result[UpstreamResponse, str] | ClientLeft:
-        """With `client` it ends when that one leaves."""
-        return self.receive(method, end, client) if self.send(request, end) else Err("broken: not sent whole")
+        """Sends a request and receives its response; given `client`, stops once the client has left."""
+        return self.receive(method, end, client) if self.send(request, end) else Err("broken: request not sent")
 
     def send(self, data: bytes, end: float) -> bool:
+        """Sends all of `data` and returns whether that succeeded before the deadline `end`."""
         self.sock.settimeout(max(0.001, end - clock.now()))
         try:
             self.sock.sendall(data)
@@ -95,6 +105,7 @@
     def receive(
         self, method: str, end: float, client: ClientConnection | None = None
     ) -> Result[UpstreamResponse, str] | ClientLeft:
+        """Receives a response; an error is `limit` after the deadline `end`, else `garbage: ...` or `broken: ...`."""
         self.sock.settimeout(max(0.001, end - clock.now()))
         source = self.sock if client is None else WatchedSocket(self.sock, client, lambda: end - clock.now())
         try:
@@ -104,72 +115,89 @@
             return CLIENT_LEFT
         except (gevent.Timeout, TimeoutError):
             return Err("limit")
-        except (HTTPParseError, ValueError) as e:
-            return Err(f"garbage: {e}")
-        except OSError as e:
-            return Err(f"broken: {e}")
+        except (HTTPParseError, ValueError) as error:
+            return Err(f"garbage: {error}")
+        except OSError as error:
+            return Err(f"broken: {error}")
 
     def close(self) -> None:
+        """Closes the connection."""
         self.sock.close()
 
     def stale(self) -> bool:
+        """Returns whether the connection has ended, or has received unexpected bytes."""
         self.sock.setblocking(False)
         try:
             return self.sock.recv(1, socket.MSG_PEEK) is not None
         except BlockingIOError:
             return False
-        except OSError as e:
-            return getattr(e, "errno", None) != errno.EAGAIN
+        except OSError as error:
+            return getattr(error, "errno", None) != errno.EAGAIN
         finally:
             self.sock.setblocking(True)
 
-    def _identify(self, path: str, end: float) -> str | None:
-        if not self.send(f"GET {path} HTTP/1.1\r\nHost: {self.heartbeat.address}\r\n\r\n".encode(), end):
-            return "status: not sent"
-        r = self.receive("GET", end)
-        if r.is_err():
-            return f"status: {r.err_value}"
-        a = r.ok_value
-        if a.status != OK or a.body is None:
-            return f"status: answered {a.status}"
+    def _identify(self, status_path: str, end: float) -> str | None:
+        """Checks the upstream's identity; returns the reason of a failure, else None."""
+        if not self.send(f"GET {status_path} HTTP/1.1\r\nHost: {self.heartbeat.address}\r\n\r\n".encode(), end):
+            return "status: request not sent"
+        result = self.receive("GET", end)
+        if result.is_err():
+            return f"status: {result.err_value}"
+        response = result.ok_value
+        if response.status != OK or response.body is None:
+            return f"status: answered {response.status}"
         try:
-            who = msgspec.json.decode(a.body, type=UpstreamIdentity)
+            identity = msgspec.json.decode(response.body, type=UpstreamIdentity)
         except msgspec.DecodeError:
-            return "status: not understood"
-        b = self.heartbeat
-        if (who.service, who.instance, who.incarnation) != (b.service, b.instance, b.incarnation):
-            return "status: another upstream answers here"
-        return None if a.reusable else "status: the connection does not stay open"
+            return "status: malformed identity"
+        expected = self.heartbeat
+        if (identity.service, identity.instance, identity.incarnation) != (
+            expected.service,
+            expected.instance,
+            expected.incarnation,
+        ):
+            return "status: another upstream answers at this address"
+        return None if response.reusable else "status: the upstream does not keep the connection open"
 
     def _receive(self, method: str, source: socket.socket | WatchedSocket) -> Result[UpstreamResponse, str]:
-        r = StrictResponse(source, method=method)
-        if not OK <= r.status_code < NO_STATUS:
-            return Err(f"garbage: status {r.status_code}")
-        length, chunked = r.get("content-length"), r.get("transfer-encoding")
-        bodiless = method == "HEAD" or r.status_code in (204, 304)
-        if length is None and chunked is None and not bodiless:
-            return Err("garbage: an answer of unknown length")
+        response = StrictResponse(source, method=method)
+        if not OK <= response.status_code < NO_STATUS:
+            return Err(f"garbage: status {response.status_code}")
+        length, chunked = response.get("content-length"), response.get("transfer-encoding")
+        has_no_body = method == "HEAD" or response.status_code in (204, 304)
+        if length is None and chunked is None and not has_no_body:
+            return Err("garbage: neither Content-Length nor Transfer-Encoding")
         if isinstance(length, list) or isinstance(chunked, list) or length is not None and chunked is not None:
-            return Err("garbage: ambiguous length")
-        headers = [(k, v) for k, v in r.headers if k.lower() not in SKIP]
-        if bodiless:
-            return Ok(UpstreamResponse(r.status_code, headers, b"", r.content_length, None, not r.should_close()))
+            return Err("garbage: ambiguous message framing")
+        headers = [(name, value) for name, value in response.headers if name.lower() not in UNFORWARDED_HEADERS]
+        if has_no_body:
+            return Ok(
+                UpstreamResponse(
+                    response.status_code, headers, b"", response.content_length, None, not response.should_close()
+                )
+            )
         body = bytearray()
-        while len(body) < WHOLE:
-            part = r.read(65536)
+        while len(body) < MAX_BUFFERED_BODY_BYTES:
+            part = response.read(65536)
             if not part:
                 break
             body += part
-        if r.message_complete and len(body) < WHOLE:
-            return Ok(UpstreamResponse(r.status_code, headers, bytes(body), len(body), None, not r.should_close()))
-        if len(body) < WHOLE:
-            return Err("broken: half an answer")
-        n = int(length) if length is not None else None
-        return Ok(UpstreamResponse(r.status_code, headers, None, n, self._rest(r, bytes(body))))
-
-    def _rest(self, r: HTTPSocketResponse, first: bytes) -> Iterator[bytes]:
+        if response.message_complete and len(body) < MAX_BUFFERED_BODY_BYTES:
+            return Ok(
+                UpstreamResponse(
+                    response.status_code, headers, bytes(body), len(body), None, not response.should_close()
+                )
+            )
+        if len(body) < MAX_BUFFERED_BODY_BYTES:
+            return Err("broken: incomplete response")
+        content_length = int(length) if length is not None else None
+        return Ok(
+            UpstreamResponse(response.status_code, headers, None, content_length, self._stream(response, bytes(body)))
+        )
+
+    def _stream(self, response: HTTPSocketResponse, first: bytes) -> Iterator[bytes]:
         yield first
-        while part := r.read(65536):
+        while part := response.read(65536):
             yield bytes(part)
-        if not r.message_complete:
-            raise ConnectionError("the upstream broke off mid-answer")
+        if not response.message_complete:
+            raise ConnectionError("the upstream closed the connection before the end of its response")
--- a/mallowvalve/proxy/tenant_frontend.py
+++ b/mallowvalve/proxy/tenant_frontend.py
@@ -1,4 +1,4 @@
-"""Does for a tenant's request what needs sockets and the loop."""
+"""Performs the I/O steps of tenants' requests."""
 
 from __future__ import annotations
 
@@ -35,87 +35,95 @@
 if TYPE_CHECKING:
     import falcon
 
-INSIST = 10.0
-_verdict = msgspec.msgpack.Decoder(LedgerResult).decode
+BACKGROUND_PROPOSAL_S = 10.0
+"""How long a command is proposed in the background before the claim is left open."""
+_decode_result = msgspec.msgpack.Decoder(LedgerResult).decode
 
 
 class RejectionsPage:
-    """The page of the last rejections."""
+    """`/-/rejections`: the last requests that the proxy itself answered with an error."""
 
-    def __init__(self, path: TenantForwarder):
-        self.path = path
+    def __init__(self, forwarder: TenantForwarder):
+        """Shows the rejections of `forwarder`."""
+        self.forwarder = forwarder
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
+        """Returns the newest first; `about` selects a route, tenant, target or outcome."""
         now, about = clock.now(), req.get_param("about") or ""
         web.send_json(
             resp,
             {
                 "rejections": [
                     {
-                        "ago_ms": int((now - b.at) * 1000),
-                        "route": b.route,
-                        "tenant": b.tenant,
-                        "target": b.target,
-                        "status": b.status,
-                        "outcome": b.outcome,
-                        "why": b.why,
+                        "ago_ms": int((now - record.at) * 1000),
+                        "route": record.route,
+                        "tenant": record.tenant,
+                        "target": record.target,
+                        "status": record.status,
+                        "outcome": record.outcome,
+                        "why": record.why,
                     }
-                    for b in reversed(self.path.rejections)
-                    if not about or about in (b.route, b.tenant, b.target, b.outcome)
+                    for record in reversed(self.forwarder.rejections)
+                    if not about or about in (record.route, record.tenant, record.target, record.outcome)
                 ]
             },
         )
 
 
 class TenantFrontend:
-    """Does for a request's path what needs sockets and the loop."""
+    """The falcon sink for tenants' requests: performs the steps of `forwarder` and sends its response."""
 
-    def __init__(self, path: TenantForwarder, replica: ReplicaTask, body_bytes: int):
-        self.path, self.replica, self.body_bytes = path, replica, body_bytes
-        self.counts = path.counts
-        self._freed: dict[str, Event] = {}
+    def __init__(self, forwarder: TenantForwarder, replica: ReplicaTask, body_bytes: int):
+        """`body_bytes` is the largest request body."""
+        self.forwarder, self.replica, self.body_bytes = forwarder, replica, body_bytes
+        self.counts = forwarder.counts
+        self._slot_freed: dict[str, Event] = {}
 
     def __call__(self, req: falcon.Request, resp: falcon.Response, **_) -> None:
-        headers = {k.lower(): v for k, v in req.headers.items()}
-        a = ClientRequest(req.method, req.env["mallow.target"], headers, req.remote_addr, req.content_length)
-        steps, got = self.path.handle(a), None
+        """Answers a request."""
+        headers = {name.lower(): value for name, value in req.headers.items()}
+        request = ClientRequest(req.method, req.env["mallow.target"], headers, req.remote_addr, req.content_length)
+        steps, result = self.forwarder.handle(request), None
         try:
             while True:
-                got = self._do(steps.send(got), req)
-        except StopIteration as e:
-            self._say(resp, req.method, e.value)
+                result = self._perform(steps.send(result), req)
+        except StopIteration as stop:
+            self._respond(resp, req.method, stop.value)
         finally:
             steps.close()
 
-    def freed(self, service: str) -> None:
-        e = self._freed.pop(service, None)
-        if e is not None:
-            e.set()
+    def wake_waiting(self, service: str) -> None:
+        """Wakes all requests that wait for a free slot at a service."""
+        event = self._slot_freed.pop(service, None)
+        if event is not None:
+            event.set()
 
-    def _do(self, s: Step, req: falcon.Request):
-        match s:
+    def _perform(self, step: Step, req: falcon.Request):
+        match step:
             case Exchange():
-                client = req.env.get("mallow.handler") if s.stop_if_client_leaves else None
-                return s.connection.exchange(s.method, s.request, s.end, client)
+                client = req.env.get("mallow.handler") if step.stop_if_client_leaves else None
+                return step.connection.exchange(step.method, step.request, step.end, client)
             case ClientCheck():
                 return CLIENT_LEFT if web.client_left(req) else None
             case ProposeCommand():
-                return self._offer(s.command, s.timeout_s)
+                return self._propose(step.command, step.timeout_s)
             case ReadBody():
-                return self._body(req, s.end)
+                return self._read_body(req, step.end)
             case OpenConnection():
-                r = TenantConnection.open(s.heartbeat, s.status_path, s.end)
-                self.counts.add("upstream_connections", r.is_ok())
-                return r
+                result = TenantConnection.open(step.heartbeat, step.status_path, step.end)
+                self.counts.add("upstream_connections", result.is_ok())
+                return result
             case WaitForCapacity():
-                left = s.end - clock.now()
-                return left > 0 and self._freed.setdefault(s.service, Event()).wait(timeout=left)
+                seconds_left = step.end - clock.now()
+                return seconds_left > 0 and self._slot_freed.setdefault(step.service, Event()).wait(
+                    timeout=seconds_left
+                )
             case Sleep():
-                return gevent.sleep(s.delay_s)
+                return gevent.sleep(step.delay_s)
             case ProposeInBackground():
-                return gevent.spawn(self._insist, s)
+                return gevent.spawn(self._propose_until_accepted, step)
 
-    def _body(self, req: falcon.Request, end: float) -> Result[bytes, tuple[int, str, str]]:
+    def _read_body(self, req: falcon.Request, end: float) -> Result[bytes, tuple[int, str, str]]:
         try:
             with gevent.Timeout(max(0.001, end - clock.now())):
                 body = web.read_body(req, self.body_bytes)
@@ -125,72 +133,72 @@
             return Err((400, "body", "broken off or badly chunked"))
         return Err((413, "body", f"larger than {self.body_bytes} bytes")) if body is None else Ok(body)
 
-    def _offer(self, command, limit: float) -> LedgerResult:
-        t = self.replica.offer(encode(command), limit)
-        return _verdict(t.body) if t.body else LedgerResult("undecided")
+    def _propose(self, command, timeout_s: float) -> LedgerResult:
+        outcome = self.replica.offer(encode(command), timeout_s)
+        return _decode_result(outcome.body) if outcome.body else LedgerResult("undecided")
 
-    def _insist(self, s: ProposeInBackground) -> None:
-        end = clock.now() + INSIST
+    def _propose_until_accepted(self, step: ProposeInBackground) -> None:
+        end = clock.now() + BACKGROUND_PROPOSAL_S
         while clock.now() < end:
-            if self._offer(s.command, 2.0).state in s.accepted_states:
+            if self._propose(step.command, 2.0).state in step.accepted_states:
                 return
             gevent.sleep(0.5)
         self.counts.add("claim_left_open")
 
-    def _say(self, resp: falcon.Response, method: str, r: ProxyResponse) -> None:
-        if r.close:
+    def _respond(self, resp: falcon.Response, method: str, response: ProxyResponse) -> None:
+        if response.close:
             resp.set_header("Connection", "close")
-        if r.replayed:
+        if response.replayed:
             resp.set_header("Mallow-Repeat", "1")
-        a = r.answer
-        if a is None:
-            web.reject(resp, r.status, r.outcome, r.findings, r.retry_after)
+        upstream_response = response.answer
+        if upstream_response is None:
+            web.reject(resp, response.status, response.outcome, response.findings, response.retry_after)
             return
-        resp.status = a.status
-        for k, v in a.headers:
-            if k.lower() == "content-type":
-                resp.content_type = v
+        resp.status = upstream_response.status
+        for name, value in upstream_response.headers:
+            if name.lower() == "content-type":
+                resp.content_type = value
             else:
-                resp.append_header(k, v)
-        if a.body_stream is None:
-            resp.data = a.body
+                resp.append_header(name, value)
+        if upstream_response.body_stream is None:
+            resp.data = upstream_response.body
         else:
-            resp.stream = StreamedBody(r)
-        if a.length is not None and (a.body_stream is not None or method == "HEAD"):
-            resp.content_length = a.length
+            resp.stream = StreamedBody(response)
+        if upstream_response.length is not None and (upstream_response.body_stream is not None or method == "HEAD"):
+            resp.content_length = upstream_response.length
 
 
 class StreamedBody:
-    """The rest of an answer; its place is given back when it ends, or is left."""
+    """A streamed response body; the lease is released at the end of the stream or once the client has left."""
 
-    __slots__ = ("lease", "rest", "drain_if_client_leaves")
+    __slots__ = ("lease", "body_stream", "drain_if_client_leaves")
 
-    def __init__(self, reply: ProxyResponse):
-        """With `drain_if_client_leaves` the rest is read to its end also when nobody takes it any more."""
-        self.lease, self.rest, self.drain_if_client_leaves = (
-            reply.lease,
-            reply.answer.body_stream,
-            reply.drain_if_client_leaves,
+    def __init__(self, response: ProxyResponse):
+        """With `drain_if_client_leaves`, the body is read to its end even after the client has left."""
+        self.lease, self.body_stream, self.drain_if_client_leaves = (
+            response.lease,
+            response.answer.body_stream,
+            response.drain_if_client_leaves,
         )
 
     def __iter__(self):
-        """The parts as they come."""
+        """Yields the parts as they are received."""
         try:
-            for part in self.rest:
+            for part in self.body_stream:
                 yield bytes(part)
         finally:
             self.close()
 
     def close(self) -> None:
-        """Nobody takes more of it."""
+        """Ends the stream to the client (WSGI calls this when the response is finished or dropped)."""
         if self.drain_if_client_leaves:
             self.drain_if_client_leaves = False
-            gevent.spawn(self._read_on)
+            gevent.spawn(self._drain)
             return
         self.lease.release(keep=False)
 
-    def _read_on(self) -> None:
+    def _drain(self) -> None:
         with suppress(OSError, HTTPParseError):
-            for _ in self.rest:
+            for _ in self.body_stream:
                 pass
         self.lease.release(keep=False)
--- a/mallowvalve/proxy/tenant_upstream_pool.py
+++ b/mallowvalve/proxy/tenant_upstream_pool.py
@@ -1,4 +1,4 @@
-"""The upstreams that a proxy may use for tenants, and its places at them."""
+"""The upstreams that a proxy may use for tenants' requests, and the slots that it takes at them."""
 
 from __future__ import annotations
 
@@ -15,37 +15,45 @@
 
 
 class TenantUpstreamLease:
-    """A place in an upstream's width, and the connection opened for it, given back exactly once."""
+    """One request's slot at an upstream and its connection, released exactly once.
 
-    __slots__ = ("connection", "pool", "row", "streams", "_left")
+    `streams`: a response is still streamed over the connection, so the end of the `with` block keeps the lease.
+    """
+
+    __slots__ = ("connection", "pool", "row", "streams", "_released")
 
     def __init__(self, pool: TenantUpstreamPool, row: Row):
+        """Takes a slot at the upstream of `row`."""
         self.connection, self.pool, self.row = None, pool, row
-        self.streams = self._left = False
+        self.streams = self._released = False
         pool.chooser.enter(row.heartbeat.address)
 
     def __enter__(self) -> TenantUpstreamLease:
-        """The place is taken already."""
+        """Returns the lease; the constructor has taken the slot."""
         return self
 
     def __exit__(self, kind, *_) -> None:
-        """Give the place back, unless an answer still streams over it."""
+        """Releases the lease, unless a response is still streamed over it."""
         if kind is not None or not self.streams:
             self.release(keep=False)
 
     def release(self, keep: bool) -> None:
-        if self._left:
+        """Frees the slot; `keep` returns the connection to the idle ones, otherwise it is closed."""
+        if self._released:
             return
-        self._left = True
+        self._released = True
         if self.connection is not None and keep:
             self.pool.idle_connections.give(self.connection, self.pool.now())
         elif self.connection is not None:
             self.connection.close()
-        self.pool.leave(self.row)
+        self.pool.release_slot(self.row)
 
 
 class TenantUpstreamPool:
-    """The upstreams a proxy may use, its places at them, their queues and their budgets."""
+    """The upstreams of tenants' services, with the proxy's slots, idle connections, queue lengths and retry budgets.
+
+    `waiting` has the number of queued requests by service; `on_free` is called with the service of each freed slot.
+    """
 
     __slots__ = ("board", "replica", "chooser", "idle_connections", "now", "on_free", "waiting", "_budgets")
 
@@ -65,39 +73,49 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def budget(self, service: str) -> RetryBudget:
+        """Returns the retry budget of a service."""
         return self._budgets.setdefault(service, RetryBudget())
 
     def usable(self, plan: Plan, tenant: str, tried: set[Address]) -> list[Row]:
-        homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
+        """Returns the ready upstreams of the plan's service that are not in `tried` and that the tenant may reach."""
+        homes, evacuated = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
         rows = self.board.usable(plan.service, self.now())
-        return [r for r in rows if r.heartbeat.address not in tried and reachable(r.heartbeat.locality, homes, out)]
+        return [
+            row
+            for row in rows
+            if row.heartbeat.address not in tried and reachable(row.heartbeat.locality, homes, evacuated)
+        ]
 
     def pick(self, rows: list[Row], plan: Plan, tried: set[Address]) -> Row | None:
+        """Returns the upstream for the next request, or None if all are tried or at capacity."""
         return self.chooser.pick(rows, plan.policy, len(self.replica.roster()), tried, self.now())
 
     def is_still_usable(self, row: Row, plan: Plan, tenant: str) -> bool:
-        b = row.heartbeat
-        r = self.board.rows.get(b.name)
+        """Returns whether the chosen upstream is still ready in the same incarnation and reachable for the tenant."""
+        chosen = row.heartbeat
+        current = self.board.rows.get(chosen.name)
         if (
-            r is None
-            or self.board.status(r, self.now()) != "ready"
-            or (r.heartbeat.incarnation, r.heartbeat.address) != (b.incarnation, b.address)
+            current is None
+            or self.board.status(current, self.now()) != "ready"
+            or (current.heartbeat.incarnation, current.heartbeat.address) != (chosen.incarnation, chosen.address)
         ):
             return False
-        homes, out = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
-        return b.service == plan.service and reachable(b.locality, homes, out)
+        homes, evacuated = self.replica.tree.homes(tenant), self.replica.state.settings.evacuated
+        return chosen.service == plan.service and reachable(chosen.locality, homes, evacuated)
 
-    def leave(self, row: Row) -> None:
+    def release_slot(self, row: Row) -> None:
+        """Frees a slot at the upstream of `row`."""
         self.chooser.leave(row.heartbeat.address)
         self.on_free(row.heartbeat.service)
 
     def prune(self) -> None:
+        """Closes connections to upstreams that are not ready, and drops the retry budgets of removed services."""
         live = {
-            (r.heartbeat.name, r.heartbeat.incarnation)
-            for r in self.board.rows.values()
-            if r.heartbeat.state == "ready"
+            (row.heartbeat.name, row.heartbeat.incarnation)
+            for row in self.board.rows.values()
+            if row.heartbeat.state == "ready"
         }
-        self.idle_connections.keep(live)
+        self.idle_connections.prune(live)
         known = self.replica.tree.doc.services
-        for s in [s for s in self._budgets if s not in known]:
-            del self._budgets[s]
+        for service in [service for service in self._budgets if service not in known]:
+            del self._budgets[service]
--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -1,4 +1,4 @@
-"""The HTTP server of each daemon, and how its pages read bodies and say outcomes."""
+"""The HTTP server of each process, and helpers with which its pages read bodies and send responses."""
 
 from __future__ import annotations
 
@@ -24,71 +24,75 @@
 if TYPE_CHECKING:
     import falcon
 
-DRAIN_LOOK_S = 0.02
+DRAIN_POLL_S = 0.02
 ACCEPT_STOP_MARGIN_S = 0.3
-"""How long before its end a stopping server takes no connection, whoever else does (s)."""
+"""A stopping server closes its listener this long before its end, even if no other process accepts connections."""
 
 
 class Server(WSGIServer):
-    """A server that can be drained; `limits` bounds what clients send, and a `lean` application is told little."""
+    """A WSGI server that can be drained.
+
+    `limits` returns the limits on requests, `connections` are the open ones, and `stop_deadline` is the end of a drain
+    (s, this process's clock). With `minimal_environ` the application gets only a few entries of the WSGI environment.
+    """
 
     handler_class = ConnectionHandler
 
-    def __init__(self, at: Address, app, counts: Counts, most: int):
-        """Serve `app` at an address, on at most `most` connections."""
-        super().__init__(at.pair, app, log=None, error_log=None, spawn=Pool(most))
+    def __init__(self, address: Address, app, counts: Counts, max_connections: int):
+        """Serves `app` at an address."""
+        super().__init__(address.pair, app, log=None, error_log=None, spawn=Pool(max_connections))
         self.counts = counts
         self.connections: set[ConnectionHandler] = set()
         self.draining = False
-        self.lean = False
+        self.minimal_environ = False
         self.stop_deadline: float | None = None
         self.limits: Callable[[], Limits | None] = lambda: None
 
     def __enter__(self) -> Server:
-        """Listen."""
+        """Starts to listen."""
         self.start()
         return self
 
     def __exit__(self, *_) -> None:
-        """Stop at once."""
+        """Stops at once."""
         self.stop(timeout=0.2)
 
     def drain(
         self,
-        linger: float,
-        limit: float,
-        told_at: float | None = None,
-        wait: Callable[[float, float], None] | None = None,
+        accept_s: float,
+        finish_s: float,
+        signalled_at: float | None = None,
+        wait_to_close: Callable[[float, float], None] | None = None,
     ) -> None:
-        """Serve on for a while, telling each connection to close; then take no more, and let answers finish.
+        """Accepts connections for a while but ends each with its response, then closes the listener and finishes.
 
-        `linger` and `limit` (s) count from `told_at` on this process's own clock, else from now: what a slow process
-        does late doesn't move the end. A connection counts from when it was accepted, before anything of it runs.
-        Connections are taken until `linger`, or until `wait` returns, which is given that time and the last one.
+        `accept_s` and `finish_s` count from `signalled_at` (s, this process's clock), or from now: a late start of the
+        drain does not move its end. `wait_to_close` may keep the listener open for longer; it gets the earliest and
+        the latest time to return. Connections that were accepted but not yet handled are waited for as well.
         """
-        began = clock.now() if told_at is None else told_at
-        self.draining, self.stop_deadline = True, began + linger + limit
-        if wait is None:
-            gevent.sleep(max(0.0, began + linger - clock.now()))
+        began = clock.now() if signalled_at is None else signalled_at
+        self.draining, self.stop_deadline = True, began + accept_s + finish_s
+        if wait_to_close is None:
+            gevent.sleep(max(0.0, began + accept_s - clock.now()))
         else:
-            wait(began + linger, self.stop_deadline - ACCEPT_STOP_MARGIN_S)
+            wait_to_close(began + accept_s, self.stop_deadline - ACCEPT_STOP_MARGIN_S)
         self.close()
         while len(self.pool) and clock.now() < self.stop_deadline:
-            for h in list(self.connections):
-                if not h.busy:
-                    self._nudge(h)
-            gevent.sleep(DRAIN_LOOK_S)
+            for handler in list(self.connections):
+                if not handler.busy:
+                    self._nudge(handler)
+            gevent.sleep(DRAIN_POLL_S)
 
-    def _nudge(self, h: ConnectionHandler) -> None:
-        """End a connection that rests; a request that has arrived is served first."""
+    def _nudge(self, handler: ConnectionHandler) -> None:
+        """Closes an idle connection by its read side, unless a request has been received: that one is served first."""
         with suppress(OSError, AttributeError):
-            if not peek(h.socket):
-                h.read_side_closed = True
-                h.socket.shutdown(socket.SHUT_RD)
+            if not peek(handler.socket):
+                handler.read_side_closed = True
+                handler.socket.shutdown(socket.SHUT_RD)
 
 
 def send_json(resp: falcon.Response, body: object, status: int = 200) -> None:
-    """Answer with JSON."""
+    """Sends a JSON response."""
     resp.status = status
     resp.content_type = "application/json"
     resp.data = encode(body)
@@ -97,7 +101,7 @@
 def reject(
     resp: falcon.Response, status: int, outcome: str, findings: Findings, retry_after: float | None = None
 ) -> None:
-    """A refusal with its outcome and findings; `retry_after` in seconds."""
+    """Sends an error response with its outcome and findings; `retry_after` is in seconds."""
     send_json(resp, {"outcome": outcome, "findings": findings}, status)
     resp.set_header(OUTCOME, outcome)
     if retry_after is not None:
@@ -107,102 +111,109 @@
 def reject_early(
     req: falcon.Request, resp: falcon.Response, status: int, findings: Findings, retry_after: float | None = None
 ) -> None:
-    """Rejections what nobody was asked about yet: of a key, an earlier try may have run."""
+    """Rejects a request that did not run; with an idempotency key an earlier attempt may have run (`undecided`)."""
     reject(resp, status, UNDECIDED if req.get_header("Mallow-Key") else NOT_RUN, findings, retry_after)
 
 
 def client_left(req: falcon.Request) -> bool:
-    """Whether the client has ended its connection since it sent this request, so that nobody waits for the answer."""
+    """Returns whether the client has closed its connection since it sent this request."""
     handler: ConnectionHandler | None = req.env.get("mallow.handler")
     return handler is not None and handler.client_left()
 
 
-def read_body(req: falcon.Request, most: int) -> bytes | None:
-    """The request's body; None when it is larger than `most` bytes."""
-    if req.content_length is not None and req.content_length > most:
+def read_body(req: falcon.Request, max_bytes: int) -> bytes | None:
+    """Reads the request's body; None if it is larger than `max_bytes`."""
+    if req.content_length is not None and req.content_length > max_bytes:
         return None
-    data = req.bounded_stream.read(most + 1) if req.content_length is not None else req.env["wsgi.input"].read(most + 1)
-    return data if len(data) <= most else None
+    data = (
+        req.bounded_stream.read(max_bytes + 1)
+        if req.content_length is not None
+        else req.env["wsgi.input"].read(max_bytes + 1)
+    )
+    return data if len(data) <= max_bytes else None
 
 
-def read_json(kind: type, req: falcon.Request, resp: falcon.Response, most: int = 65536):
-    """The JSON body as a checked struct, or None once every finding was answered."""
-    data = read_body(req, most)
+def read_json(kind: type, req: falcon.Request, resp: falcon.Response, max_bytes: int = 65536):
+    """Reads the JSON body as a struct of type `kind`; on an error, sends all findings and returns None."""
+    data = read_body(req, max_bytes)
     if data is None:
-        reject_early(req, resp, 413, [Finding("body", f"larger than {most} bytes")])
+        reject_early(req, resp, 413, [Finding("body", f"larger than {max_bytes} bytes")])
         return None
-    r = parse_json(data).and_then(lambda d: finding.read(kind, d))
-    if r.is_err():
-        reject_early(req, resp, 400, r.err_value)
+    result = parse_json(data).and_then(lambda doc: finding.read(kind, doc))
+    if result.is_err():
+        reject_early(req, resp, 400, result.err_value)
         return None
-    return r.ok_value
+    return result.ok_value
 
 
 class LazyApp:
-    """An app that loads its library with the first request that needs it; `plain` answers GETs of a path without."""
+    """A WSGI application that imports falcon for the first request that needs it.
+
+    `plain_routes` has functions by path that answer GET requests without falcon; each returns a status and a JSON body.
+    """
 
-    __slots__ = ("plain_routes", "_app", "_todo")
+    __slots__ = ("plain_routes", "_app", "_pending_calls")
 
     def __init__(self):
-        """The library is not loaded yet."""
+        """Does not load falcon yet."""
         self.plain_routes: dict[str, Callable[[], tuple[int, object]]] = {}
         self._app: falcon.App | None = None
-        self._todo: list[tuple] = []
+        self._pending_calls: list[tuple] = []
 
-    def add_route(self, *a, **kw) -> None:
-        """As falcon's."""
-        self._add("add_route", a, kw)
+    def add_route(self, *args, **kwargs) -> None:
+        """Adds a route as `falcon.App.add_route` does."""
+        self._add("add_route", args, kwargs)
 
-    def add_sink(self, *a, **kw) -> None:
-        """As falcon's."""
-        self._add("add_sink", a, kw)
+    def add_sink(self, *args, **kwargs) -> None:
+        """Adds a sink as `falcon.App.add_sink` does."""
+        self._add("add_sink", args, kwargs)
 
-    def _add(self, what: str, a: tuple, kw: dict) -> None:
+    def _add(self, method: str, args: tuple, kwargs: dict) -> None:
         if self._app is None:
-            self._todo.append((what, a, kw))
+            self._pending_calls.append((method, args, kwargs))
         else:
-            getattr(self._app, what)(*a, **kw)
-
-    def __call__(self, env: dict, start: Callable):
-        """As WSGI's."""
-        act = self.plain_routes.get(env["PATH_INFO"]) if env["REQUEST_METHOD"] == "GET" else None
-        if act is None:
-            return self.load()(env, start)
-        status, body = act()
+            getattr(self._app, method)(*args, **kwargs)
+
+    def __call__(self, environ: dict, start_response: Callable):
+        """Answers a request (WSGI)."""
+        answer = self.plain_routes.get(environ["PATH_INFO"]) if environ["REQUEST_METHOD"] == "GET" else None
+        if answer is None:
+            return self.load()(environ, start_response)
+        status, body = answer()
         data = encode(body)
-        start(
+        start_response(
             f"{status} {HTTPStatus(status).phrase}",
             [("Content-Type", "application/json"), ("Content-Length", str(len(data)))],
         )
         return [data]
 
     def load(self) -> falcon.App:
-        """The app, loaded now if it was not."""
+        """Returns the falcon app; the first call creates it."""
         if self._app is None:
             self._app = make_app()
-            for what, a, kw in self._todo:
-                getattr(self._app, what)(*a, **kw)
+            for method, args, kwargs in self._pending_calls:
+                getattr(self._app, method)(*args, **kwargs)
         return self._app
 
 
 def make_app() -> falcon.App:
-    """A falcon app whose errors are refusals with outcomes."""
+    """Returns a falcon app that answers errors with an outcome and findings."""
     import falcon
 
     app = falcon.App()
     app.resp_options.default_media_type = None
     app.set_error_serializer(
-        lambda req, resp, e: reject_early(req, resp, e.status_code, [Finding("request", e.title or "")])
+        lambda req, resp, error: reject_early(req, resp, error.status_code, [Finding("request", error.title or "")])
     )
-    app.add_error_handler(Exception, _crash)
+    app.add_error_handler(Exception, _handle_error)
     return app
 
 
-def _crash(req, resp, ex, _settings) -> None:
+def _handle_error(req, resp, error, _params) -> None:
     from falcon import HTTPError
 
-    if isinstance(ex, HTTPError):
-        reject_early(req, resp, ex.status_code, [Finding(req.path, ex.description or ex.title)])
+    if isinstance(error, HTTPError):
+        reject_early(req, resp, error.status_code, [Finding(req.path, error.description or error.title)])
         return
-    change("crash", where=req.path, error=repr(ex))
+    change("crash", where=req.path, error=repr(error))
     reject(resp, 500, UNKNOWN, [Finding(req.path, "internal error")])
--- a/tests/frontend_bench.py
+++ b/tests/frontend_bench.py
@@ -72,9 +72,9 @@
     b.upstream("u0", port=up.server.server_port)
     b.state.items.limits = Limits(version=1, header_bytes=2000, body_bytes=1000, header_ms=150.0, idle_ms=60000.0)
     front = Frontend(b.forwarder, None, True)
-    b.hosts.on_free = front.rooms.freed
+    b.hosts.on_free = front.capacity_queue.wake_next
     with web.Server(Address("127.0.0.1", 0), front, Counts(), 16) as s:
-        s.lean, s.limits = True, lambda: b.state.items.limits
+        s.minimal_environ, s.limits = True, lambda: b.state.items.limits
         b.forwarder.admission.serves_until = lambda: s.stop_deadline
         yield s, up, b
     up.server.stop()
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -126,12 +126,12 @@
     jobs = [gevent.spawn(wait, name, int(name[0])) for name in ("2a", "1a", "2b", "0a", "1b")]
     gevent.idle()
     for job in jobs:
-        rooms.freed("s")
+        rooms.wake_next("s")
         gevent.idle()
     gevent.joinall(jobs, timeout=5)
     assert told == ["0a", "1a", "1b", "2a", "2b"]
     assert not rooms.wait("s", 0.01, 0)
-    rooms.freed("s")
+    rooms.wake_next("s")
 
 
 def test_a_head_answer_of_unknown_length_says_none(set_up):
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -7,22 +7,22 @@
 
 def test_an_extra_answer_is_passed_over_whole():
     r = feed_reader(HEAD % b"a0" + b"no" + HEAD % b"a1" + b"ok")
-    assert r.done and bytes(r.body) == b"ok" and r.others == 1 and not r.why
+    assert r.complete and bytes(r.body) == b"ok" and r.foreign_responses == 1 and not r.error
     r = feed_reader(HEAD % b"a0" + b"n", b"o")
-    assert not r.done and not r.why
+    assert not r.complete and not r.error
     r.receive(HEAD % b"a1")
     r.receive(b"ok")
-    assert r.done and bytes(r.body) == b"ok"
+    assert r.complete and bytes(r.body) == b"ok"
 
 
 @pytest.mark.parametrize("more", [b"!!", b"garbage\r\n\r\n", HEAD % b"a0" + b"no", HEAD % b"a1" + b"no"])
 def test_bytes_after_a_whole_answer_spoil_only_the_connection(more):
     r = feed_reader(HEAD % b"a1" + b"ok" + more)
-    assert r.done and bytes(r.body) == b"ok" and r.extra and not r.why
+    assert r.complete and bytes(r.body) == b"ok" and r.extra_bytes and not r.error
 
 
 @pytest.mark.parametrize(
-    "parts,why",
+    "parts,error",
     [
         ([HEAD % b"a1" + b"o", b""], "broken"),
         ([b""], "broken"),
@@ -34,14 +34,14 @@
         ([HEAD % b"a0" + b"no", b""], "broken"),
     ],
 )
-def test_what_is_no_whole_answer(parts, why):
+def test_what_is_no_whole_answer(parts, error):
     r = feed_reader(*parts)
-    assert not r.done and r.why.startswith(why)
+    assert not r.complete and r.error.startswith(error)
 
 
 def test_an_answer_in_single_bytes_and_one_after_an_interim_one():
     data = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD % b"a1" + b"ok"
     r = feed_reader(*[data[i : i + 1] for i in range(len(data))])
-    assert r.done and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep_alive
+    assert r.complete and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep_alive
     r = feed_reader(HEAD % b"a1", method="HEAD")
-    assert r.done and r.length() == 2 and not r.body
+    assert r.complete and r.content_length() == 2 and not r.body
--- a/tests/upstream_wire.py
+++ b/tests/upstream_wire.py
@@ -164,7 +164,7 @@
         for i in range(upstreams):
             self.bench.upstream(f"u{i}", port=100 + i)
         monkeypatch.setattr(host_connection, "clock", SimpleNamespace(now=lambda: self.now))
-        monkeypatch.setattr(host_connection, "wait_either", self._either)
+        monkeypatch.setattr(host_connection, "wait_readable_or_writable", self._either)
 
     def _either(self, sock: FakeSocket, left: float) -> tuple[bool, bool]:
         return bool(sock.events), not sock.events
