--- a/mallowvalve/web.py
+++ b/mallowvalve/web.py
@@ -80,10 +80,10 @@
         while len(self.pool) and clock.now() < self.stop_deadline:
             for handler in list(self.connections):
                 if not handler.busy:
-                    self._nudge(handler)
+                    self._close_if_idle(handler)
             gevent.sleep(DRAIN_POLL_S)
 
-    def _nudge(self, handler: ConnectionHandler) -> None:
+    def _close_if_idle(self, handler: ConnectionHandler) -> None:
         """Closes an idle connection by its read side, unless a request has been received: that one is served first."""
         with suppress(OSError, AttributeError):
             if not peek(handler.socket):
--- a/tests/host_bench.py
+++ b/tests/host_bench.py
@@ -202,7 +202,7 @@
         return [exchange.connection.heartbeat.instance for exchange in self.exchanges()]
 
 
-def feed_reader(*parts: bytes, request_id: str = "a1", method: str = "GET") -> ResponseParser:
+def feed_parser(*parts: bytes, request_id: str = "a1", method: str = "GET") -> ResponseParser:
     reader = ResponseParser(method, "mallow-ask", request_id)
     for part in parts:
         reader.receive(part)
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -11,7 +11,7 @@
 from mallowvalve import clock
 from mallowvalve.configuration.items import Limits
 from mallowvalve.proxy.frontend import CapacityQueue
-from tests.test_front import RESPONSE_HEAD, HttpClient, build_request, set_up
+from tests.test_frontend import RESPONSE_HEAD, HttpClient, build_request, set_up
 
 __all__ = ["set_up"]
 
--- a/tests/test_client_leaves.py
+++ b/tests/test_client_leaves.py
@@ -172,7 +172,7 @@
     client = HttpClient(server)
     assert client.send(build_request()).read_response()[0] == 200
     client.send(build_request(request_id=b"a2"))
-    server._nudge(next(iter(server.connections)))
+    server._close_if_idle(next(iter(server.connections)))
     assert client.read_response()[0] == 200 and len(upstream.requests) == 2
 
 
--- a/tests/test_reader.py
+++ b/tests/test_response_parser.py
@@ -1,14 +1,14 @@
 import pytest
 
-from tests.host_bench import feed_reader
+from tests.host_bench import feed_parser
 
 HEAD = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\n"
 
 
 def test_an_extra_answer_is_passed_over_whole():
-    r = feed_reader(HEAD % b"a0" + b"no" + HEAD % b"a1" + b"ok")
+    r = feed_parser(HEAD % b"a0" + b"no" + HEAD % b"a1" + b"ok")
     assert r.complete and bytes(r.body) == b"ok" and r.foreign_responses == 1 and not r.error
-    r = feed_reader(HEAD % b"a0" + b"n", b"o")
+    r = feed_parser(HEAD % b"a0" + b"n", b"o")
     assert not r.complete and not r.error
     r.receive(HEAD % b"a1")
     r.receive(b"ok")
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("more", [b"!!", b"garbage\r\n\r\n", HEAD % b"a0" + b"no", HEAD % b"a1" + b"no"])
 def test_bytes_after_a_whole_answer_spoil_only_the_connection(more):
-    r = feed_reader(HEAD % b"a1" + b"ok" + more)
+    r = feed_parser(HEAD % b"a1" + b"ok" + more)
     assert r.complete and bytes(r.body) == b"ok" and r.extra_bytes and not r.error
 
 
@@ -35,13 +35,13 @@
     ],
 )
 def test_what_is_no_whole_answer(parts, error):
-    r = feed_reader(*parts)
+    r = feed_parser(*parts)
     assert not r.complete and r.error.startswith(error)
 
 
 def test_an_answer_in_single_bytes_and_one_after_an_interim_one():
     data = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD % b"a1" + b"ok"
-    r = feed_reader(*[data[i : i + 1] for i in range(len(data))])
+    r = feed_parser(*[data[i : i + 1] for i in range(len(data))])
     assert r.complete and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep_alive
-    r = feed_reader(HEAD % b"a1", method="HEAD")
+    r = feed_parser(HEAD % b"a1", method="HEAD")
     assert r.complete and r.content_length() == 2 and not r.body
