--- a/tests/frontend_bench.py
+++ b/tests/frontend_bench.py
@@ -1,4 +1,4 @@
-"""A proxy's front on loopback with a scripted upstream, and a raw client of it."""
+"""A proxy's frontend on the loopback interface with a scripted upstream, and a client of it."""
 
 import http.client
 import re
@@ -19,65 +19,64 @@
 
 
 class ScriptedUpstream:
-    """An upstream that keeps what it got; `how` makes the answer's bytes, `go` holds it back, `end` closes after it."""
+    """An upstream that records its requests.
+
+    `make_response` returns the bytes of a response for a request id, `may_respond` (an event) delays the responses,
+    and with `closes_after_response` the connection ends after the first.
+    """
 
     def __init__(self):
-        self.requests, self.make_response, self.may_respond, self.request_received, self.end = (
-            [],
-            None,
-            None,
-            Event(),
-            False,
-        )
+        self.requests, self.make_response, self.may_respond = [], None, None
+        self.request_received, self.closes_after_response = Event(), False
         self.server = StreamServer(("127.0.0.1", 0), self.run)
 
     def run(self, sock, _):
-        buf = b""
+        buffer = b""
         with sock:
             while True:
-                while b"\r\n\r\n" not in buf:
+                while b"\r\n\r\n" not in buffer:
                     data = sock.recv(65536)
                     if not data:
                         return
-                    buf += data
-                head, _, buf = buf.partition(b"\r\n\r\n")
-                n = re.search(rb"(?i)\ncontent-length: (\d+)", head)
-                n = int(n[1]) if n else 0
-                while len(buf) < n:
-                    buf += sock.recv(65536)
-                body, buf = buf[:n], buf[n:]
-                mark = re.search(rb"(?i)\nmallow-ask: (\S+)", head)
-                mark = mark[1] if mark else b""
+                    buffer += data
+                head, _, buffer = buffer.partition(b"\r\n\r\n")
+                length = re.search(rb"(?i)\ncontent-length: (\d+)", head)
+                length = int(length[1]) if length else 0
+                while len(buffer) < length:
+                    buffer += sock.recv(65536)
+                body, buffer = buffer[:length], buffer[length:]
+                request_id = re.search(rb"(?i)\nmallow-ask: (\S+)", head)
+                request_id = request_id[1] if request_id else b""
                 self.requests.append((head, body))
                 self.request_received.set()
                 if self.may_respond is not None:
                     self.may_respond.wait()
                 sock.sendall(
-                    self.make_response(mark)
+                    self.make_response(request_id)
                     if self.make_response
-                    else RESPONSE_HEAD % mark + b"Content-Length: 2\r\n\r\nok"
+                    else RESPONSE_HEAD % request_id + b"Content-Length: 2\r\n\r\nok"
                 )
-                if self.end:
+                if self.closes_after_response:
                     return
 
 
 @contextmanager
 def serve_frontend():
-    """A proxy's front over one upstream: the server, the upstream and the proxy's parts."""
-    up = ScriptedUpstream()
-    up.server.start()
-    b = HostBench(clock.now)
-    b.route("r", "/r/", "read", service="s", tries=1, limit_ms=5000.0)
-    b.route("o", "/o/", "try", service="s", tries=2, limit_ms=5000.0)
-    b.upstream("u0", port=up.server.server_port)
-    b.state.items.limits = Limits(version=1, header_bytes=2000, body_bytes=1000, header_ms=150.0, idle_ms=60000.0)
-    front = Frontend(b.forwarder, None, True)
-    b.hosts.on_free = front.capacity_queue.wake_next
-    with web.Server(Address("127.0.0.1", 0), front, Counts(), 16) as s:
-        s.minimal_environ, s.limits = True, lambda: b.state.items.limits
-        b.forwarder.admission.serves_until = lambda: s.stop_deadline
-        yield s, up, b
-    up.server.stop()
+    """Runs a proxy's frontend with one upstream; yields the server, the upstream and the bench of the proxy's parts."""
+    upstream = ScriptedUpstream()
+    upstream.server.start()
+    bench = HostBench(clock.now)
+    bench.route("r", "/r/", "read", service="s", tries=1, limit_ms=5000.0)
+    bench.route("o", "/o/", "try", service="s", tries=2, limit_ms=5000.0)
+    bench.upstream("u0", port=upstream.server.server_port)
+    bench.state.items.limits = Limits(version=1, header_bytes=2000, body_bytes=1000, header_ms=150.0, idle_ms=60000.0)
+    frontend = Frontend(bench.forwarder, None, True)
+    bench.hosts.on_free = frontend.capacity_queue.wake_next
+    with web.Server(Address("127.0.0.1", 0), frontend, Counts(), 16) as server:
+        server.minimal_environ, server.limits = True, lambda: bench.state.items.limits
+        bench.forwarder.admission.serves_until = lambda: server.stop_deadline
+        yield server, upstream, bench
+    upstream.server.stop()
 
 
 class HttpClient:
@@ -89,9 +88,9 @@
         return self
 
     def read_response(self, method="GET"):
-        r = http.client.HTTPResponse(self.sock, method=method)
-        r.begin()
-        return r.status, r.read(), r.msg
+        response = http.client.HTTPResponse(self.sock, method=method)
+        response.begin()
+        return response.status, response.read(), response.msg
 
     def closed(self):
         try:
@@ -100,5 +99,11 @@
             return True
 
 
-def build_request(target=b"/r/1", method=b"GET", more=b"", body=b"", request_id=b"a1"):
-    return b"%s %s HTTP/1.1\r\nHost: h.example\r\nMallow-Ask: %s\r\n%s\r\n%s" % (method, target, request_id, more, body)
+def build_request(target=b"/r/1", method=b"GET", headers=b"", body=b"", request_id=b"a1"):
+    return b"%s %s HTTP/1.1\r\nHost: h.example\r\nMallow-Ask: %s\r\n%s\r\n%s" % (
+        method,
+        target,
+        request_id,
+        headers,
+        body,
+    )
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection to a proxy, and answers of upstreams that come before their request was sent whole."""
+"""A client's connection to a proxy, and responses of upstreams that arrive before their request is sent completely."""
 
 import itertools
 import re
@@ -11,74 +11,74 @@
 from mallowvalve import clock
 from mallowvalve.configuration.items import Limits
 from mallowvalve.proxy.frontend import CapacityQueue
-from tests.test_frontend import RESPONSE_HEAD, HttpClient, build_request, set_up
+from tests.test_frontend import RESPONSE_HEAD, HttpClient, build_request, frontend
 
-__all__ = ["set_up"]
+__all__ = ["frontend"]
 
 
-class EarlyUp:
-    """An upstream that answers as soon as it has read a part of a request, and reads no more of it."""
+class EarlyResponder:
+    """An upstream that responds after the first part of a request and reads no more of it."""
 
-    def __init__(self, answer: bytes, closes: bool):
-        self.answer, self.closes, self.end = answer, closes, Event()
+    def __init__(self, response: bytes, closes: bool):
+        self.response, self.closes, self.may_close = response, closes, Event()
         self.server = StreamServer(("127.0.0.1", 0), self.run)
 
     def run(self, sock, _):
         with sock:
             head = sock.recv(3000)
-            sock.sendall(self.answer % re.search(rb"(?i)\nmallow-ask: (\S+)", head)[1])
+            sock.sendall(self.response % re.search(rb"(?i)\nmallow-ask: (\S+)", head)[1])
             if not self.closes:
-                self.end.wait()
+                self.may_close.wait()
 
 
-TURNED_AWAY = b"HTTP/1.1 503 X\r\nMallow-Ask: %s\r\nMallow-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+NOT_RUN_RESPONSE = b"HTTP/1.1 503 X\r\nMallow-Ask: %s\r\nMallow-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize(
     "early,status,outcome",
-    [(TURNED_AWAY, 503, "not-run"), (RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nok", 200, None)],
+    [(NOT_RUN_RESPONSE, 503, "not-run"), (RESPONSE_HEAD + b"Content-Length: 2\r\n\r\nok", 200, None)],
 )
-def test_an_early_answer_to_a_large_body_counts(set_up, early, status, outcome, closes):
-    s, _, b = set_up
-    b.state.items.limits = Limits(version=3, body_bytes=9_000_000)
-    up = EarlyUp(early, closes)
-    up.server.start()
-    b.upstream("u0", port=up.server.server_port)
+def test_an_early_response_to_a_large_body_counts(frontend, early, status, outcome, closes):
+    server, _, bench = frontend
+    bench.state.items.limits = Limits(version=3, body_bytes=9_000_000)
+    upstream = EarlyResponder(early, closes)
+    upstream.server.start()
+    bench.upstream("u0", port=upstream.server.server_port)
     body = b"x" * 8_000_000
     data = build_request(b"/o/1", b"POST", b"Content-Length: %d\r\n" % len(body), body)
-    got, _, headers = HttpClient(s).send(data).read_response()
-    up.end.set()
-    up.server.stop()
-    assert (got, headers["mallow-outcome"]) == (status, outcome)
-    assert not b.hosts.idle_connections._idle.get("u0")
+    received_status, _, headers = HttpClient(server).send(data).read_response()
+    upstream.may_close.set()
+    upstream.server.stop()
+    assert (received_status, headers["mallow-outcome"]) == (status, outcome)
+    assert not bench.hosts.idle_connections._idle.get("u0")
 
 
-CHUNKS = b"2\r\nab\r\n0\r\nX-One: 1\r\nX-Two: 2\r\n\r\n"
-TURNS = {
+CHUNKED_BODY = b"2\r\nab\r\n0\r\nX-One: 1\r\nX-Two: 2\r\n\r\n"
+REQUESTS = {
     "get": (build_request(request_id=b"%s"), 200),
     "head": (build_request(method=b"HEAD", request_id=b"%s"), 200),
     "post": (build_request(b"/o/1", b"POST", b"Content-Length: 3\r\n", b"abc", b"%s"), 200),
     "empty": (build_request(b"/o/1", b"POST", b"Content-Length: 0\r\n", b"", b"%s"), 200),
-    "chunked": (build_request(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", CHUNKS, b"%s"), 200),
+    "chunked": (build_request(b"/o/1", b"POST", b"Transfer-Encoding: chunked\r\n", CHUNKED_BODY, b"%s"), 200),
     "expects": (build_request(b"/o/1", b"POST", b"Expect: 100-continue\r\nContent-Length: 3\r\n", b"abc", b"%s"), 200),
     "none": (build_request(b"/none", request_id=b"%s"), 404),
     "early": (build_request(b"/none", b"POST", b"Content-Length: 3\r\n", b"abc", b"%s"), 404),
-    "closes": (build_request(more=b"Connection: close\r\n", request_id=b"%s"), 200),
+    "closes": (build_request(headers=b"Connection: close\r\n", request_id=b"%s"), 200),
     "bad": (b"GET /r/ HTTP/1.1\r\nMallow-Ask: %s\r\nno colon\r\n\r\n", 400),
 }
-LAST = {"early", "closes", "bad"}
+CLOSING = {"early", "closes", "bad"}
 
 
-def read_answer(file, method: bytes) -> tuple[int, bytes | None, bool]:
-    """Status, id and whether the connection ends; an interim answer is passed over. The body is taken off whole."""
+def read_response(file, method: bytes) -> tuple[int, bytes | None, bool]:
+    """Reads a response; returns its status, request id and whether the connection ends. Skips interim responses."""
     status = int(file.readline().split()[1])
     headers = {}
     while line := file.readline().strip():
         name, _, value = line.partition(b":")
         headers[name.lower()] = value.strip()
     if status == 100:
-        return read_answer(file, method)
+        return read_response(file, method)
     length = int(headers[b"content-length"])
     if method != b"HEAD":
         assert len(file.read(length)) == length
@@ -86,59 +86,59 @@
 
 
 @pytest.mark.parametrize("at_once", [True, False])
-def test_every_order_of_three_requests_on_a_clients_connection(set_up, at_once):
-    s, up, b = set_up
-    up.make_response = lambda mark: (
-        RESPONSE_HEAD % mark
-        + (b"Content-Length: 2\r\n\r\n" + (b"" if up.requests[-1][0].startswith(b"HEAD") else b"ok"))
+def test_every_sequence_of_three_requests_on_one_connection(frontend, at_once):
+    server, upstream, bench = frontend
+    upstream.make_response = lambda request_id: (
+        RESPONSE_HEAD % request_id
+        + (b"Content-Length: 2\r\n\r\n" + (b"" if upstream.requests[-1][0].startswith(b"HEAD") else b"ok"))
     )
-    for order in itertools.product(TURNS, repeat=3):
-        if order[0] in LAST:
+    for order in itertools.product(REQUESTS, repeat=3):
+        if order[0] in CLOSING:
             continue
-        b.replica._sure = clock.now()
-        client, before = HttpClient(s), len(up.requests)
+        bench.replica._sure = clock.now()
+        client, before = HttpClient(server), len(upstream.requests)
         file = client.sock.makefile("rb")
-        wires = [TURNS[name][0].replace(b"%s", b"a%d" % i) for i, name in enumerate(order)]
+        requests = [REQUESTS[name][0].replace(b"%s", b"a%d" % i) for i, name in enumerate(order)]
         if at_once:
-            client.send(b"".join(wires))
+            client.send(b"".join(requests))
         answered = 0
-        for i, name in enumerate(order):
+        for index, name in enumerate(order):
             if not at_once:
-                client.send(wires[i])
-            status, mark, ends = read_answer(file, wires[i].split()[0])
-            assert status == TURNS[name][1] and mark == (b"a%d" % i if status == 200 else None)
+                client.send(requests[index])
+            status, request_id, closes = read_response(file, requests[index].split()[0])
+            assert status == REQUESTS[name][1] and request_id == (b"a%d" % index if status == 200 else None)
             answered += status == 200
-            assert ends == (name in LAST)
-            if ends:
+            assert closes == (name in CLOSING)
+            if closes:
                 assert file.read(1) == b""
                 break
-        assert len(up.requests) - before == answered
+        assert len(upstream.requests) - before == answered
         client.sock.close()
 
 
-def test_the_most_urgent_is_told_first_of_a_free_place_and_of_these_the_first_to_come():
-    rooms, told = CapacityQueue(), []
+def test_the_capacity_queue_wakes_by_priority_and_then_by_arrival():
+    queue, woken = CapacityQueue(), []
 
     def wait(name: str, priority: int) -> None:
-        if rooms.wait("s", 5, priority):
-            told.append(name)
+        if queue.wait("s", 5, priority):
+            woken.append(name)
 
-    jobs = [gevent.spawn(wait, name, int(name[0])) for name in ("2a", "1a", "2b", "0a", "1b")]
+    waiters = [gevent.spawn(wait, name, int(name[0])) for name in ("2a", "1a", "2b", "0a", "1b")]
     gevent.idle()
-    for job in jobs:
-        rooms.wake_next("s")
+    for _ in waiters:
+        queue.wake_next("s")
         gevent.idle()
-    gevent.joinall(jobs, timeout=5)
-    assert told == ["0a", "1a", "1b", "2a", "2b"]
-    assert not rooms.wait("s", 0.01, 0)
-    rooms.wake_next("s")
+    gevent.joinall(waiters, timeout=5)
+    assert woken == ["0a", "1a", "1b", "2a", "2b"]
+    assert not queue.wait("s", 0.01, 0)
+    queue.wake_next("s")
 
 
-def test_a_head_answer_of_unknown_length_says_none(set_up):
-    s, up, _ = set_up
-    up.make_response = lambda mark: RESPONSE_HEAD % mark + b"Transfer-Encoding: chunked\r\n\r\n"
-    client = HttpClient(s)
+def test_a_head_response_of_unknown_length_has_no_framing_headers(frontend):
+    server, upstream, _ = frontend
+    upstream.make_response = lambda request_id: RESPONSE_HEAD % request_id + b"Transfer-Encoding: chunked\r\n\r\n"
+    client = HttpClient(server)
     status, _, headers = client.send(build_request(method=b"HEAD")).read_response("HEAD")
     assert (status, headers["content-length"], headers["transfer-encoding"]) == (200, None, None)
-    up.make_response = None
+    upstream.make_response = None
     assert client.send(build_request(request_id=b"a2")).read_response()[0] == 200
--- a/tests/test_headers.py
+++ b/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""Headers go along as they came, either way, but for those of one connection and those that the proxy sets itself."""
+"""Headers are forwarded unchanged in both directions, except hop-by-hop headers and those that the proxy sets."""
 
 import http.client
 
@@ -9,7 +9,7 @@
 from mallowvalve.settings import Terms
 from tests.frontend_bench import RESPONSE_HEAD, HttpClient, build_request, serve_frontend
 
-OF_ONE_CONNECTION = [
+HOP_BY_HOP = [
     ("Connection", "close, X-Named"),
     ("Keep-Alive", "timeout=5"),
     ("TE", "trailers"),
@@ -18,7 +18,7 @@
     ("Proxy-Connection", "keep-alive"),
     ("X-Named", "by Connection"),
 ]
-KEPT = [
+FORWARDED = [
     ("Host", "h.example"),
     ("X-Own", "a"),
     ("x-own", "b"),
@@ -35,31 +35,34 @@
 ]
 
 
-def test_a_requests_headers():
-    pairs = [*KEPT, *OF_ONE_CONNECTION]
-    said = {k.lower(): v for k, v in pairs}
-    lines = RequestWriter(Terms()).lines(ClientRequest("GET", "/r/1?a=%20b", said, "c", None, pairs), b"")
-    assert lines == "GET /r/1?a=%20b HTTP/1.1\r\n" + "".join(f"{k}: {v}\r\n" for k, v in KEPT)
+def test_request_headers_are_forwarded():
+    pairs = [*FORWARDED, *HOP_BY_HOP]
+    header_map = {name.lower(): value for name, value in pairs}
+    lines = RequestWriter(Terms()).lines(ClientRequest("GET", "/r/1?a=%20b", header_map, "c", None, pairs), b"")
+    assert lines == "GET /r/1?a=%20b HTTP/1.1\r\n" + "".join(f"{name}: {value}\r\n" for name, value in FORWARDED)
 
 
 @pytest.mark.parametrize("named", ["host", "mallow-ask"])
-def test_what_a_request_needs_is_not_dropped_because_connection_names_it(named):
+def test_the_connection_header_cannot_remove_headers_that_the_proxy_needs(named):
     pairs = [("Host", "h.example"), ("Mallow-Ask", "a1"), ("Connection", named)]
-    said = {k.lower(): v for k, v in pairs}
-    lines = RequestWriter(Terms()).lines(ClientRequest("GET", "/", said, "c", None, pairs), b"")
+    header_map = {name.lower(): value for name, value in pairs}
+    lines = RequestWriter(Terms()).lines(ClientRequest("GET", "/", header_map, "c", None, pairs), b"")
     assert "Host: h.example\r\n" in lines and "Mallow-Ask: a1\r\n" in lines
 
 
-def test_an_answers_headers():
-    sent = [(k, v) for k, v in KEPT if k != "Host"]
-    with serve_frontend() as (s, up, _):
+def test_response_headers_are_forwarded():
+    sent = [(name, value) for name, value in FORWARDED if name != "Host"]
+    with serve_frontend() as (server, upstream, _):
         head = RESPONSE_HEAD.split(b"X-Own")[0] + b"".join(
-            f"{k}: {v}\r\n".encode() for k, v in [*sent, *OF_ONE_CONNECTION]
+            f"{name}: {value}\r\n".encode() for name, value in [*sent, *HOP_BY_HOP]
         )
-        up.make_response = lambda mark: head % mark + b"Content-Length: 2\r\n\r\nok"
-        c = HttpClient(s).send(build_request())
-        r = http.client.HTTPResponse(c.sock)
-        r.begin()
-        got = [(k, v) for k, v in r.getheaders() if k not in ("Mallow-Ask", "X-Seal")]
-        assert got[: len(sent)] == sent
-        assert {k.lower() for k, _ in got[len(sent) :]} <= {"content-length", "keep-alive"} and r.read() == b"ok"
+        upstream.make_response = lambda request_id: head % request_id + b"Content-Length: 2\r\n\r\nok"
+        client = HttpClient(server).send(build_request())
+        response = http.client.HTTPResponse(client.sock)
+        response.begin()
+        received = [(name, value) for name, value in response.getheaders() if name not in ("Mallow-Ask", "X-Seal")]
+        assert received[: len(sent)] == sent
+        assert {name.lower() for name, _ in received[len(sent) :]} <= {
+            "content-length",
+            "keep-alive",
+        } and response.read() == b"ok"
