--- a/tests/test_connection_model.py
+++ b/tests/test_connection_model.py
@@ -1,7 +1,7 @@
-"""A proxy's connections to upstreams against their promises, over orders of what upstreams can do to them.
+"""Model test of a proxy's connections to upstreams, over sequences of upstream behaviours.
 
-Each answer goes once to the request whose id it bears; what may not be repeated is on the wire once, unless an upstream proved
-that it did not run; nothing of one exchange shows in the next.
+Each response goes once to the request whose id it carries; a request that may not be repeated is sent once, unless an
+upstream proved that it did not run; and nothing of one exchange is visible in the next.
 """
 
 import itertools
@@ -13,57 +13,59 @@
 from tests.host_bench import make_request
 from tests.upstream_wire import BEHAVIOURS, Wire
 
-GAPS = [0.0, 0.6, 2.5]
-"""Pauses (s) before a request: none, short of and beyond what the connections for unrepeatable requests may rest."""
-LIMIT, SLACK = 1.0, 0.01
-"""The routes' time, and what its last reads and writes may take beyond it (s)."""
-TURNS = [(b, kind, gap) for b in BEHAVIOURS for kind in ("read", "try") for gap in GAPS]
+PAUSES_S = [0.0, 0.6, 2.5]
+"""Pauses before a request: none, below and above the idle limit of connections for unrepeatable requests."""
+LIMIT_S = 1.0
+"""The time limit of the routes."""
+SLACK_S = 0.01
+"""The last reads and writes may exceed the routes' limit by this."""
+EXCHANGES = [(behaviour, kind, pause) for behaviour in BEHAVIOURS for kind in ("read", "try") for pause in PAUSES_S]
 
 
-def check_exchange(wire: Wire, name: str, kind: str, reply) -> None:
-    sent = [s for s in wire.sent if s.ask == name and s.bytes_left]
-    maybe = [s for s in sent if not s.refused]
+def check_exchange(wire: Wire, request_id: str, kind: str, response) -> None:
+    sent = [send for send in wire.sent if send.request_id == request_id and send.accepted_bytes]
+    may_have_run = [send for send in sent if not send.refused]
     if kind == "try":
-        assert len(maybe) <= 1 and (not maybe or sent[-1] is maybe[0])
+        assert len(may_have_run) <= 1 and (not may_have_run or sent[-1] is may_have_run[0])
     else:
         assert len(sent) <= 2
-    if reply.answer is not None:
-        assert reply.answer.body == name.encode() and reply.answer.header_map["mallow-ask"] == name
-    elif reply.outcome == "not-run":
-        assert not maybe
+    if response.answer is not None:
+        assert response.answer.body == request_id.encode() and response.answer.header_map["mallow-ask"] == request_id
+    elif response.outcome == "not-run":
+        assert not may_have_run
     else:
-        assert maybe and reply.status in (502, 504) and reply.retry_after is None
+        assert may_have_run and response.status in (502, 504) and response.retry_after is None
 
 
-def play(monkeypatch, turns, again=()) -> Wire:
+def play(monkeypatch, exchanges, retries=()) -> Wire:
     wire = Wire(monkeypatch)
-    for i, (behaviour, kind, gap) in enumerate(turns):
-        wire.now += gap
-        wire.script = [behaviour, *again]
-        name = f"{chr(97 + i)}0"
+    for index, (behaviour, kind, pause) in enumerate(exchanges):
+        wire.now += pause
+        wire.script = [behaviour, *retries]
+        request_id = f"{chr(97 + index)}0"
         began = wire.now
         if kind == "read":
-            reply = wire.carry(make_request(f"/r/{i}", request_id=name))
+            response = wire.forward(make_request(f"/r/{index}", request_id=request_id))
         else:
-            reply = wire.carry(make_request(f"/o/{i}", "POST", request_id=name, length=20))
-        assert wire.now - began <= LIMIT + SLACK
-        check_exchange(wire, name, kind, reply)
+            response = wire.forward(make_request(f"/o/{index}", "POST", request_id=request_id, length=20))
+        assert wire.now - began <= LIMIT_S + SLACK_S
+        check_exchange(wire, request_id, kind, response)
     return wire
 
 
-def test_every_order_of_two_exchanges(monkeypatch):
-    for turns in itertools.product([t for t in TURNS if t[2] == 0], [t for t in TURNS if t[2] < 1]):
-        play(monkeypatch, turns)
+def test_every_sequence_of_two_exchanges(monkeypatch):
+    for exchanges in itertools.product([e for e in EXCHANGES if e[2] == 0], [e for e in EXCHANGES if e[2] < 1]):
+        play(monkeypatch, exchanges)
 
 
 @pytest.mark.parametrize("kind", ["read", "try"])
-def test_every_pair_on_one_request(monkeypatch, kind):
+def test_every_pair_of_behaviours_for_one_request(monkeypatch, kind):
     for first, second in itertools.product(BEHAVIOURS, BEHAVIOURS):
         play(monkeypatch, [(first, kind, 0.0), (BEHAVIOURS[0], "try", 0.0)], [second])
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
-@given(st.lists(st.sampled_from(TURNS), max_size=12))
-def test_longer_orders(turns):
+@given(st.lists(st.sampled_from(EXCHANGES), max_size=12))
+def test_longer_sequences(exchanges):
     with pytest.MonkeyPatch.context() as monkeypatch:
-        play(monkeypatch, turns)
+        play(monkeypatch, exchanges)
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -110,9 +110,7 @@
     server, upstream, bench = frontend
     app = web.make_app()
     app.add_route("/-/own", QueryPage())
-    app.add_sink(
-        lambda build_request, resp, **_: web.send_json(resp, {"tenant": build_request.get_header("Mallow-Tenant")}), "/"
-    )
+    app.add_sink(lambda req, resp, **_: web.send_json(resp, {"tenant": req.get_header("Mallow-Tenant")}), "/")
     server.application = Frontend(bench.forwarder, app, False)
     client = HttpClient(server)
     status, body, _ = client.send(build_request(b"/-/own?about=a", headers=b"X-One: 1\r\n")).read_response()
--- a/tests/test_response_parser.py
+++ b/tests/test_response_parser.py
@@ -1,3 +1,5 @@
+"""The response parser with skipped, truncated, extra and malformed responses."""
+
 import pytest
 
 from tests.host_bench import feed_parser
@@ -5,20 +7,20 @@
 HEAD = b"HTTP/1.1 200 OK\r\nMallow-Ask: %s\r\nX-Seal: 1\r\nContent-Length: 2\r\n\r\n"
 
 
-def test_an_extra_answer_is_passed_over_whole():
-    r = feed_parser(HEAD % b"a0" + b"no" + HEAD % b"a1" + b"ok")
-    assert r.complete and bytes(r.body) == b"ok" and r.foreign_responses == 1 and not r.error
-    r = feed_parser(HEAD % b"a0" + b"n", b"o")
-    assert not r.complete and not r.error
-    r.receive(HEAD % b"a1")
-    r.receive(b"ok")
-    assert r.complete and bytes(r.body) == b"ok"
+def test_a_response_with_another_request_id_is_skipped():
+    parser = feed_parser(HEAD % b"a0" + b"no" + HEAD % b"a1" + b"ok")
+    assert parser.complete and bytes(parser.body) == b"ok" and parser.foreign_responses == 1 and not parser.error
+    parser = feed_parser(HEAD % b"a0" + b"n", b"o")
+    assert not parser.complete and not parser.error
+    parser.receive(HEAD % b"a1")
+    parser.receive(b"ok")
+    assert parser.complete and bytes(parser.body) == b"ok"
 
 
-@pytest.mark.parametrize("more", [b"!!", b"garbage\r\n\r\n", HEAD % b"a0" + b"no", HEAD % b"a1" + b"no"])
-def test_bytes_after_a_whole_answer_spoil_only_the_connection(more):
-    r = feed_parser(HEAD % b"a1" + b"ok" + more)
-    assert r.complete and bytes(r.body) == b"ok" and r.extra_bytes and not r.error
+@pytest.mark.parametrize("extra", [b"!!", b"garbage\r\n\r\n", HEAD % b"a0" + b"no", HEAD % b"a1" + b"no"])
+def test_bytes_after_a_complete_response_only_make_the_connection_unusable(extra):
+    parser = feed_parser(HEAD % b"a1" + b"ok" + extra)
+    assert parser.complete and bytes(parser.body) == b"ok" and parser.extra_bytes and not parser.error
 
 
 @pytest.mark.parametrize(
@@ -34,14 +36,16 @@
         ([HEAD % b"a0" + b"no", b""], "broken"),
     ],
 )
-def test_what_is_no_whole_answer(parts, error):
-    r = feed_parser(*parts)
-    assert not r.complete and r.error.startswith(error)
+def test_truncated_and_malformed_responses_are_errors(parts, error):
+    parser = feed_parser(*parts)
+    assert not parser.complete and parser.error.startswith(error)
 
 
-def test_an_answer_in_single_bytes_and_one_after_an_interim_one():
+def test_a_response_after_an_interim_one_received_byte_by_byte_and_a_head_response():
     data = b"HTTP/1.1 100 Continue\r\n\r\n" + HEAD % b"a1" + b"ok"
-    r = feed_parser(*[data[i : i + 1] for i in range(len(data))])
-    assert r.complete and bytes(r.body) == b"ok" and r.headers[1] == ("X-Seal", "1") and r.keep_alive
-    r = feed_parser(HEAD % b"a1", method="HEAD")
-    assert r.complete and r.content_length() == 2 and not r.body
+    parser = feed_parser(*[data[i : i + 1] for i in range(len(data))])
+    assert (
+        parser.complete and bytes(parser.body) == b"ok" and parser.headers[1] == ("X-Seal", "1") and parser.keep_alive
+    )
+    parser = feed_parser(HEAD % b"a1", method="HEAD")
+    assert parser.complete and parser.content_length() == 2 and not parser.body
