--- a/mallowvalve/proxy/frontend.py
+++ b/mallowvalve/proxy/frontend.py
@@ -83,6 +83,7 @@
     __slots__ = ("forwarder", "fallback_app", "capacity_queue", "traffic_only", "id_header")
 
     def __init__(self, forwarder: HostForwarder, fallback_app: Callable, traffic_only: bool):
+        """Takes the header of the request id from the settings of `forwarder`."""
         self.forwarder, self.fallback_app, self.traffic_only = forwarder, fallback_app, traffic_only
         self.capacity_queue = CapacityQueue()
         self.id_header = forwarder.settings.terms.ask.lower()
--- a/mallowvalve/proxy/host_connection.py
+++ b/mallowvalve/proxy/host_connection.py
@@ -36,6 +36,7 @@
     __slots__ = ("heartbeat", "sock", "since", "life", "id_header", "parser", "partly_sent")
 
     def __init__(self, upstream: Upstream, sock, id_header: str):
+        """Uses the connected socket `sock`; `id_header` is the header of the request id, in lower case."""
         self.heartbeat = upstream
         self.sock = sock
         self.id_header = id_header
@@ -46,7 +47,7 @@
 
     @classmethod
     def open(cls, upstream: Upstream, id_header: str, end: float) -> Result[HostConnection, str]:
-        """Connects until the deadline `end`; `id_header` is the header of the request id, in lower case."""
+        """Connects until the deadline `end`; an error is `limit` after it, else `unreachable: ...`."""
         seconds_left = end - clock.now()
         if seconds_left <= 0:
             return Err("limit")
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -102,7 +102,8 @@
     host_forwarder = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
     _mount(node, tenant_frontend, hosts, host_forwarder)
     node.gauge(
-        "busy", lambda: sum(pool.chooser.in_flight.values()) + sum(s.in_flight for s in hosts.upstreams.values())
+        "busy",
+        lambda: sum(pool.chooser.in_flight.values()) + sum(state.in_flight for state in hosts.upstreams.values()),
     )
     node.late = settings.serve_on and settings.pages is not None
     with (
--- a/mallowvalve/proxy/tenant_connection.py
+++ b/mallowvalve/proxy/tenant_connection.py
@@ -65,6 +65,7 @@
     __slots__ = ("heartbeat", "sock", "since")
 
     def __init__(self, heartbeat: Heartbeat, sock):
+        """Uses the connected socket `sock`; `open` creates checked connections."""
         self.heartbeat = heartbeat
         self.sock = sock
         self.since = clock.now()
--- a/mallowvalve/proxy/tenant_upstream_pool.py
+++ b/mallowvalve/proxy/tenant_upstream_pool.py
@@ -66,6 +66,7 @@
         now: Callable[[], float],
         on_free: Callable[[str], None] = lambda service: None,
     ):
+        """Starts without load; `near` is the proxy's locality, `now` returns its clock (s)."""
         self.board, self.replica, self.now, self.on_free = board, replica, now, on_free
         self.chooser = Chooser(near, rng)
         self.idle_connections = IdleTenantConnections()
--- a/tests/test_client_connection.py
+++ b/tests/test_client_connection.py
@@ -98,7 +98,7 @@
         bench.replica._sure = clock.now()
         client, before = HttpClient(server), len(upstream.requests)
         file = client.sock.makefile("rb")
-        requests = [REQUESTS[name][0].replace(b"%s", b"a%d" % i) for i, name in enumerate(order)]
+        requests = [REQUESTS[name][0].replace(b"%s", b"a%d" % index) for index, name in enumerate(order)]
         if at_once:
             client.send(b"".join(requests))
         answered = 0
--- a/tests/test_frontend.py
+++ b/tests/test_frontend.py
@@ -259,18 +259,18 @@
 def test_a_graceful_stop_finishes_responses_and_serves_requests_on_open_connections(frontend):
     server, upstream, _ = frontend
     upstream.may_respond = Event()
-    client, kept = HttpClient(server), HttpClient(server)
+    client, idle_client = HttpClient(server), HttpClient(server)
     upstream.may_respond.set()
-    assert kept.send(build_request()).read_response()[0] == 200
+    assert idle_client.send(build_request()).read_response()[0] == 200
     upstream.may_respond.clear()
     upstream.request_received.clear()
     client.send(build_request(request_id=b"a7"))
     upstream.request_received.wait()
     stop = gevent.spawn(server.drain, 0.2, 5.0)
     gevent.idle()
-    kept.send(build_request(request_id=b"a8"))
+    idle_client.send(build_request(request_id=b"a8"))
     upstream.may_respond.set()
-    for connection, request_id in ((client, "a7"), (kept, "a8")):
+    for connection, request_id in ((client, "a7"), (idle_client, "a8")):
         status, body, headers = connection.read_response()
         assert (status, body, headers["mallow-ask"], headers["connection"]) == (
             200,
