--- a/mallowvalve/directory/pages.py
+++ b/mallowvalve/directory/pages.py
@@ -97,7 +97,7 @@
             return
         rows = [self._row(record) for record in self._sorted(req, near.ok_value, choice, avoid)]
         ttl_ms = int(CONNECT_TTL_MS * answer_ttl_s(choice) / ANSWER_TTL_S)
-        web.say(resp, {"life_ms": ttl_ms, "proxies": rows[:MAX_CONNECT_PROXIES], **freshness})
+        web.send_json(resp, {"life_ms": ttl_ms, "proxies": rows[:MAX_CONNECT_PROXIES], **freshness})
 
     def _sorted(
         self, req: falcon.Request, near: Locality, choice: Choice, avoid: Collection[Address]
@@ -133,7 +133,7 @@
         choice = self.service.directory.look_up(near, homes)
         freshness = self.service.check_answer(resp, near.region, homes, choice)
         if freshness is not None:
-            web.say(
+            web.send_json(
                 resp,
                 {
                     "proxies": [str(record.web) for record in choice.proxies],
@@ -209,7 +209,7 @@
             }
             for record in choice.proxies
         ]
-        web.say(resp, {"region": near.region, "reason": choice.reason.value, "named": rows})
+        web.send_json(resp, {"region": near.region, "reason": choice.reason.value, "named": rows})
 
 
 def client_locality(req: falcon.Request, node: Node) -> Locality:
@@ -222,7 +222,7 @@
     return Locality(region, zone) if region else node.settings.locality
 
 
-def add_routes(app: falcon.App | web.Later, service: DirectoryService) -> None:
+def add_routes(app: falcon.App | web.LazyApp, service: DirectoryService) -> None:
     """Adds the directory's routes to `app`."""
     app.add_route("/connect", ConnectResource(service))
     app.add_route("/proxies", ProxiesResource(service))
--- a/mallowvalve/node.py
+++ b/mallowvalve/node.py
@@ -134,7 +134,7 @@
         self.membership = MembershipTask(self._membership(remembered), self.faults)
         self.transport = Transport(settings.transport, settings.fleet, self.counts, self.faults)
         self.heartbeats = HeartbeatTask(self.membership, self.transport)
-        self.app = web.Later()
+        self.app = web.LazyApp()
         self.server = web.Server(settings.web, self.app, self.counts, settings.connections)
         self.pages = (
             web.Server(settings.pages, self.app, self.counts, MAX_PAGES_CONNECTIONS)
@@ -165,7 +165,7 @@
     def __enter__(self) -> Node:
         """Starts all parts in order; if one fails, stops those that were started."""
         self._stack = contextlib.ExitStack()
-        self.app.plain["/-/ready"] = self._readiness
+        self.app.plain_routes["/-/ready"] = self._readiness
         self.app.add_route("/-/counts", CountersResource(self))
         self.app.add_route("/-/metrics", MetricsResource(self))
         self.app.add_route("/-/nodes", MembersResource(self))
@@ -303,7 +303,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Returns all counters and gauges by name."""
-        web.say(resp, {"counts": self.node.counters(), "gauges": self.node.gauges()})
+        web.send_json(resp, {"counts": self.node.counters(), "gauges": self.node.gauges()})
 
 
 class MetricsResource(NodeResource):
@@ -323,7 +323,7 @@
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Returns the members in the order of their transport addresses."""
         members = sorted(self.node.membership.view(), key=lambda record: record.addr)
-        web.say(resp, {"nodes": [self._row(record) for record in members]})
+        web.send_json(resp, {"nodes": [self._row(record) for record in members]})
 
     def _row(self, record: MemberRecord) -> dict[str, object]:
         return {
@@ -343,7 +343,9 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Returns the events named `about` or with that value in a field; all events without the parameter."""
-        web.say(resp, {"name": self.node.settings.name, "changes": recent_events.about(req.get_param("about") or "")})
+        web.send_json(
+            resp, {"name": self.node.settings.name, "changes": recent_events.about(req.get_param("about") or "")}
+        )
 
 
 class GossipUpstreamsResource(NodeResource):
@@ -351,7 +353,7 @@
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Returns the upstreams in the order of their names."""
-        web.say(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.table.entries(clock.now())]})
+        web.send_json(resp, {"upstreams": [self._row(*row) for row in self.node.heartbeats.table.entries(clock.now())]})
 
     def _row(self, heartbeat: Heartbeat, status: str, age_s: float) -> dict[str, object]:
         return {
@@ -371,17 +373,17 @@
 
     def on_post(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Stores a heartbeat; answers 400 with findings, or 403 for a service that no configuration allows."""
-        doc = web.read_as(GossipHeartbeatDoc, req, resp)
+        doc = web.read_json(GossipHeartbeatDoc, req, resp)
         if doc is None:
             return
         result = read_heartbeat(doc)
         if isinstance(result, Err):
             self.node.counts.add("heartbeat_refused")
-            web.turn_away(req, resp, 400, result.err_value)
+            web.reject_early(req, resp, 400, result.err_value)
             return
         heartbeat = result.ok_value
         if not self.node.allows_service(heartbeat.service):
             self.node.counts.add("heartbeat_unallowed")
-            web.turn_away(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
+            web.reject_early(req, resp, 403, [Finding("service", "no configuration allows it")], 5)
             return
-        web.say(resp, {"news": self.node.heartbeats.receive(heartbeat)})
+        web.send_json(resp, {"news": self.node.heartbeats.receive(heartbeat)})
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -1,4 +1,4 @@
-"""The proxy's process: its parts put together."""
+"""The process of the proxy: builds and runs its parts."""
 
 from __future__ import annotations
 
@@ -12,33 +12,38 @@
 from mallowvalve.control.replica_task import ReplicaTask
 from mallowvalve.metrics import exit_on_failure
 from mallowvalve.node import Node
-from mallowvalve.proxy.front import Front
+from mallowvalve.proxy.frontend import Frontend
 from mallowvalve.proxy.host_forwarder import HostForwarder
 from mallowvalve.proxy.host_upstreams import HostUpstreams
-from mallowvalve.proxy.pool import Pool
 from mallowvalve.proxy.retry_detector import RetryDetectorTask
-from mallowvalve.proxy.serve import Rejections, Serve
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
+from mallowvalve.proxy.tenant_frontend import RejectionsPage, TenantFrontend
+from mallowvalve.proxy.tenant_upstream_pool import TenantUpstreamPool
 from mallowvalve.settings import Settings
 from mallowvalve.types import is_evacuated
 
 
-class Doors:
-    """A front with pages apart listens only once settings are held: who finds no listener tries elsewhere at once."""
+class DeferredListener:
+    """Starts the server of a proxy only once the replica has settings.
 
-    __slots__ = ("node", "replica", "_job")
+    Until then connections are refused, so that clients try another proxy at once. Used if the pages have an address of
+    their own.
+    """
+
+    __slots__ = ("node", "replica", "_greenlet")
 
     def __init__(self, node: Node, replica: ReplicaTask):
+        """Does not listen yet."""
         self.node, self.replica = node, replica
 
-    def __enter__(self) -> Doors:
-        """Watch for the settings."""
-        self._job = exit_on_failure(gevent.spawn(self._run))
+    def __enter__(self) -> DeferredListener:
+        """Starts to wait for settings."""
+        self._greenlet = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
-        """Stop listening."""
-        self._job.kill()
+        """Stops the server."""
+        self._greenlet.kill()
         self.node.server.stop(timeout=0.2)
 
     def _run(self) -> None:
@@ -47,91 +52,97 @@
             self.node.server.start()
 
 
-class Tidy:
-    """Closes connections to upstreams that are gone, once a second, and all at the end."""
+class ConnectionPruner:
+    """Closes connections to removed upstreams, once a second, and all connections at the end."""
 
-    __slots__ = ("pool", "hosts", "_job")
+    __slots__ = ("pool", "hosts", "_greenlet")
 
-    def __init__(self, pool: Pool, hosts: HostUpstreams):
+    def __init__(self, pool: TenantUpstreamPool, hosts: HostUpstreams):
+        """Prunes the connections of `pool` (tenants' services) and `hosts` (host routes)."""
         self.pool, self.hosts = pool, hosts
 
-    def __enter__(self) -> Tidy:
-        """Begin."""
-        self._job = exit_on_failure(gevent.spawn(self._run))
+    def __enter__(self) -> ConnectionPruner:
+        """Starts to prune."""
+        self._greenlet = exit_on_failure(gevent.spawn(self._run))
         return self
 
     def __exit__(self, *_) -> None:
-        """Close all."""
-        self._job.kill()
-        self.pool.connections.keep(set())
+        """Closes all idle connections."""
+        self._greenlet.kill()
+        self.pool.idle_connections.prune(set())
         self.hosts.idle_connections.prune(set(), self.hosts.now())
 
     def _run(self) -> None:
         while True:
             gevent.sleep(1.0)
-            self.pool.tidy()
+            self.pool.prune()
             self.hosts.prune()
 
 
 def run(settings: Settings) -> None:
-    """Run a proxy until it is told to stop."""
+    """Runs a proxy until it is told to stop."""
     node = Node(settings)
     replica = ReplicaTask(node)
-    pool = Pool(node.heartbeats.table, replica.replica, settings.locality, random.Random(), clock.now)
-    repeats = RetryDetectorTask(node.transport, replica.replica.roster)
-    path = TenantForwarder(
+    pool = TenantUpstreamPool(node.heartbeats.table, replica.replica, settings.locality, random.Random(), clock.now)
+    retry_detector = RetryDetectorTask(node.transport, replica.replica.roster)
+    tenant_forwarder = TenantForwarder(
         replica.replica,
         pool,
-        repeats,
+        retry_detector,
         node.counts,
         clock.now,
         settings.locality,
         f"{settings.transport}#{node.boot}",
         lambda: uuid.uuid4().hex,
     )
-    serve = Serve(path, replica, settings.body_bytes)
-    pool.on_free = serve.freed
-    node.app.add_route("/-/rejections", Rejections(path))
+    tenant_frontend = TenantFrontend(tenant_forwarder, replica, settings.body_bytes)
+    pool.on_free = tenant_frontend.wake_waiting
+    node.app.add_route("/-/rejections", RejectionsPage(tenant_forwarder))
     hosts = HostUpstreams(replica.replica, settings, random.Random(), clock.now)
-    tries = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
-    _mount(node, serve, hosts, tries)
+    host_forwarder = HostForwarder(replica.replica, hosts, settings, node.counts, clock.now, random.Random())
+    _mount(node, tenant_frontend, hosts, host_forwarder)
     node.gauge(
-        "busy", lambda: sum(pool.chooser.in_flight.values()) + sum(s.in_flight for s in hosts.upstreams.values())
+        "busy",
+        lambda: sum(pool.chooser.in_flight.values()) + sum(state.in_flight for state in hosts.upstreams.values()),
     )
     node.defers_web_server = settings.serve_on and settings.pages is not None
     with (
         node,
         replica,
-        Tidy(pool, hosts),
-        repeats,
-        Doors(node, replica) if node.defers_web_server else contextlib.nullcontext(),
+        ConnectionPruner(pool, hosts),
+        retry_detector,
+        DeferredListener(node, replica) if node.defers_web_server else contextlib.nullcontext(),
     ):
         node.run(lambda: _ready(settings, replica))
 
 
-def _mount(node: Node, serve: Serve, hosts: HostUpstreams, tries: HostForwarder) -> None:
-    """With pages of their own, the front serves requests only; else it passes what is no host's to the one app."""
-    apart = node.settings.pages is not None
-    app = web.Later() if apart else node.app
-    app.add_sink(serve, "/")
-    front = Front(tries, app, only=apart)
-    hosts.on_free = front.rooms.freed
-    if apart:
-        node.web_application = front
+def _mount(node: Node, tenant_frontend: TenantFrontend, hosts: HostUpstreams, host_forwarder: HostForwarder) -> None:
+    """Sets the application of the node's server.
+
+    If the pages have an address of their own, the server takes requests for upstreams only; otherwise the frontend
+    passes all but the requests on host routes to the node's app.
+    """
+    has_own_pages_address = node.settings.pages is not None
+    app = web.LazyApp() if has_own_pages_address else node.app
+    app.add_sink(tenant_frontend, "/")
+    frontend = Frontend(host_forwarder, app, traffic_only=has_own_pages_address)
+    hosts.on_free = frontend.capacity_queue.wake_next
+    if has_own_pages_address:
+        node.web_application = frontend
     else:
-        node.server.application = front
-    node.server.lean = True
-    tries.admission.serves_until = serve.path.serves_until = lambda: node.server.until
-    node.server.limits = lambda: _limits(tries)
+        node.server.application = frontend
+    node.server.minimal_environ = True
+    host_forwarder.admission.serves_until = tenant_frontend.forwarder.serves_until = lambda: node.server.stop_deadline
+    node.server.limits = lambda: _limits(host_forwarder)
 
 
-def _limits(tries: HostForwarder):
-    s = tries.replica.state
-    return s.items.limits if s is not None and s.items.revision else None
+def _limits(host_forwarder: HostForwarder):
+    state = host_forwarder.replica.state
+    return state.items.limits if state is not None and state.items.revision else None
 
 
 def _ready(settings: Settings, replica: ReplicaTask) -> bool:
-    s = replica.replica.state
-    if settings.serve_on and s is not None and s.items.revision > 0:
+    state = replica.replica.state
+    if settings.serve_on and state is not None and state.items.revision > 0:
         return True
-    return replica.admits() and not is_evacuated(settings.locality, s.settings.evacuated)
+    return replica.admits() and not is_evacuated(settings.locality, state.settings.evacuated)
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -17,7 +17,7 @@
 from mallowvalve.control.state import encode
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
-from mallowvalve.proxy.main import Doors
+from mallowvalve.proxy.main import DeferredListener
 from mallowvalve.raft.messages import (
     AppendEntries,
     ClusterConfiguration,
@@ -166,7 +166,7 @@
     events = []
     server = SimpleNamespace(start=lambda: events.append(1), stop=lambda timeout: events.append(0))
     node, replica = SimpleNamespace(server=server, stopping=Event()), SimpleNamespace(held=Event())
-    with Doors(node, replica):
+    with DeferredListener(node, replica):
         gevent.idle()
         assert events == []
         replica.held.set()
--- a/tests/test_lazy.py
+++ b/tests/test_lazy.py
@@ -8,7 +8,7 @@
 
 from mallowvalve.cli import TOOLS, main
 from mallowvalve.node import NodeResource
-from mallowvalve.web import Later, say
+from mallowvalve.web import LazyApp, send_json
 
 LIST_MODULES = """
 import sys
@@ -45,8 +45,8 @@
         [sys.executable, "-c", LIST_MODULES.format(role="proxy")], capture_output=True, text=True, check=True
     ).stdout
     assert {"falcon", "asyncio"} & set(output.split()) == set()
-    app, responses = Later(), []
-    app.plain["/-/ready"] = lambda: (503, {"ready": False})
+    app, responses = LazyApp(), []
+    app.plain_routes["/-/ready"] = lambda: (503, {"ready": False})
     app.add_route("/x", object())
     body = app(
         {"REQUEST_METHOD": "GET", "PATH_INFO": "/-/ready"},
@@ -57,10 +57,10 @@
 
 
 def test_a_lazily_created_app_has_routes_added_before_and_after_its_creation():
-    app, resource = Later(), NodeResource(None)
-    resource.on_get = lambda req, resp: say(resp, {"at": req.path})
+    app, resource = LazyApp(), NodeResource(None)
+    resource.on_get = lambda req, resp: send_json(resp, {"at": req.path})
     app.add_route("/before", resource)
-    client = TestClient(app.made())
+    client = TestClient(app.load())
     app.add_route("/after", resource)
     assert client.simulate_get("/before").json == {"at": "/before"} and client.simulate_get("/after").json == {
         "at": "/after"
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -49,7 +49,7 @@
     node.heartbeats.table.counts.add("heartbeat_new")
     node.gauge("busy", lambda: 7)
     node.app.add_route("/-/metrics", MetricsResource(node))
-    response = TestClient(node.app.made()).simulate_get("/-/metrics")
+    response = TestClient(node.app.load()).simulate_get("/-/metrics")
     assert response.status_code == 200 and response.headers["content-type"] == CONTENT_TYPE
     assert samples(response.content) == {
         "mallowvalve_requests_total": 2.0,
