--- a/mallowvalve/admin/call.py
+++ b/mallowvalve/admin/call.py
@@ -17,14 +17,14 @@
 """How often a call is sent on: a control process out of touch with a majority names another one."""
 
 
-def call_at(
+def http_call(
     host: str,
     port: int,
     method: str,
     path: str,
     body: Any = None,
     headers: Mapping[str, str] | None = None,
-    limit: float = 10.0,
+    timeout_s: float = 10.0,
 ) -> Answer:
     """The answer to one call; `body` is bytes or text as it is, else encoded as JSON. Redirections are followed.
 
@@ -35,7 +35,7 @@
     kind = {"Content-Type": "application/json"} if body is not None else {}
     answer: Answer = (0, "", {})
     for _ in range(REDIRECTS + 1):
-        answer = _call_once(host, port, method, path, data, {**kind, **(headers or {})}, limit)
+        answer = _call_once(host, port, method, path, data, {**kind, **(headers or {})}, timeout_s)
         to = urlsplit(answer[2].get("location", ""))
         if answer[0] != REDIRECTED or to.hostname is None or to.port is None:
             break
@@ -45,9 +45,9 @@
 
 
 def _call_once(
-    host: str, port: int, method: str, path: str, data: bytes | str | None, headers: Mapping[str, str], limit: float
+    host: str, port: int, method: str, path: str, data: bytes | str | None, headers: Mapping[str, str], timeout_s: float
 ) -> Answer:
-    connection = http.client.HTTPConnection(host, port, timeout=limit)
+    connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
         connection.request(method, path, body=data, headers=dict(headers))
         answer = connection.getresponse()
--- a/mallowvalve/admin/main.py
+++ b/mallowvalve/admin/main.py
@@ -11,7 +11,7 @@
 import click
 from result import Err
 
-from mallowvalve.admin.call import call_at
+from mallowvalve.admin.call import http_call
 from mallowvalve.types import Address
 
 OK = 200
@@ -32,7 +32,7 @@
     return [result.unwrap() for _, result in read]
 
 
-def ask(ctx: click.Context, method: str, path: str, body: Any = None) -> Any:
+def call_control(ctx: click.Context, method: str, path: str, body: Any = None) -> Any:
     """The body of the first answer that is no 503; one that is not 200 ends the program with code 1."""
     status = 0
     data: Any = "no address given"
@@ -50,10 +50,10 @@
 
 def _ask_at(at: Address, method: str, path: str, body: Any) -> tuple[int, Any]:
     """One process, and the leader that it names if it cannot answer itself."""
-    status, data, headers = call_at(*at.pair, method, path, body, limit=WAIT)
+    status, data, headers = http_call(*at.pair, method, path, body, timeout_s=WAIT)
     leader = Address.read(headers.get("mallow-leader", "")) if status == UNAVAILABLE else None
     if leader is not None and leader.is_ok():
-        status, data, _ = call_at(*leader.unwrap().pair, method, path, body, limit=WAIT)
+        status, data, _ = http_call(*leader.unwrap().pair, method, path, body, timeout_s=WAIT)
     return status, data
 
 
@@ -66,7 +66,7 @@
         sys.exit(2)
 
 
-def show(data: Any) -> None:
+def print_json(data: Any) -> None:
     """Print an answer."""
     click.echo(json.dumps(data, indent=2, sort_keys=True))
 
@@ -95,7 +95,7 @@
 @click.pass_context
 def apply(ctx: click.Context, file: str, base: int | None) -> None:
     """Replace the settings tree by FILE (JSON)."""
-    show(ask(ctx, "PUT", "/config", {"doc": read_json(file), "base": base}))
+    print_json(call_control(ctx, "PUT", "/config", {"doc": read_json(file), "base": base}))
 
 
 @admin.command()
@@ -104,14 +104,14 @@
 @click.pass_context
 def patch(ctx: click.Context, file: str, base: int) -> None:
     """Apply FILE (JSON Patch) to the settings tree of revision BASE."""
-    show(ask(ctx, "PATCH", "/config", {"patch": read_json(file), "base": base}))
+    print_json(call_control(ctx, "PATCH", "/config", {"patch": read_json(file), "base": base}))
 
 
 @admin.command()
 @click.pass_context
 def read(ctx: click.Context) -> None:
     """Show the settings tree and its revision."""
-    show(ask(ctx, "GET", "/config"))
+    print_json(call_control(ctx, "GET", "/config"))
 
 
 @admin.command()
@@ -119,7 +119,7 @@
 @click.pass_context
 def evacuate(ctx: click.Context, zone: str) -> None:
     """Take all work out of a zone or region."""
-    show(ask(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": True}))
+    print_json(call_control(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": True}))
 
 
 @admin.command("give-back")
@@ -127,7 +127,7 @@
 @click.pass_context
 def give_back(ctx: click.Context, zone: str) -> None:
     """Let work return to an evacuated zone or region."""
-    show(ask(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": False}))
+    print_json(call_control(ctx, "POST", "/evacuations", {"zone": zone, "evacuated": False}))
 
 
 @admin.command()
@@ -139,7 +139,7 @@
     Dead proxies go by themselves after 15 s while most others confirm. Strike by hand only when more than half are
     gone for good: one that lives on unseen may serve by old settings.
     """
-    show(ask(ctx, "POST", "/strikes", {"proxy": proxy}))
+    print_json(call_control(ctx, "POST", "/strikes", {"proxy": proxy}))
 
 
 @admin.command("found-anew")
@@ -151,7 +151,7 @@
     Changes acknowledged by voters that cannot be reached may be lost: the state is the highest that any reachable
     core, proxy or directory holds. Voters of the old generation that come back rejoin empty.
     """
-    show(ask(ctx, "POST", "/found-anew", {"accept": accept}))
+    print_json(call_control(ctx, "POST", "/found-anew", {"accept": accept}))
 
 
 @admin.command()
@@ -161,7 +161,7 @@
 @click.pass_context
 def named(ctx: click.Context, region: str, zone: str, host: str) -> None:
     """Which proxies the asked process would name to a client of REGION now, and why these."""
-    show(ask(ctx, "GET", "/-/named?" + urlencode({"region": region, "zone": zone, "name": host})))
+    print_json(call_control(ctx, "GET", "/-/named?" + urlencode({"region": region, "zone": zone, "name": host})))
 
 
 @admin.command()
@@ -174,7 +174,9 @@
     THING is a node's name or transport address, an upstream's instance, service or address, a revision, a change's key,
     a zone, a tenant, a route or a request's target. Every node that the asked ones know is asked.
     """
-    nodes = {node["web"] for node in ask(ctx, "GET", "/-/nodes")["nodes"] if node["status"] in ("alive", "leaving")}
+    nodes = {
+        node["web"] for node in call_control(ctx, "GET", "/-/nodes")["nodes"] if node["status"] in ("alive", "leaving")
+    }
     rows = [row for at in sorted(nodes) for row in told_by(Address.read(at).unwrap(), thing)]
     for ago, line in sorted(rows, reverse=True)[-most:]:
         click.echo(f"{ago / 1000:9.1f} s ago  {line}")
@@ -186,12 +188,12 @@
     """What one node remembers about a thing: how long ago (ms), and a line that says it."""
     about = quote(thing, safe="")
     out = []
-    status, data, _ = call_at(*at.pair, "GET", f"/-/changes?about={about}", limit=LOOK_WAIT)
+    status, data, _ = http_call(*at.pair, "GET", f"/-/changes?about={about}", timeout_s=LOOK_WAIT)
     name = data["name"] if status == OK else str(at)
     for change in data["changes"] if status == OK else []:
         fields = [f"{k} {v}" for k, v in change.items() if k not in ("ago_ms", "what") and v not in ("", None)]
         out.append((change["ago_ms"], f"{name:10} {change['what']}: {', '.join(fields)}"))
-    status, data, _ = call_at(*at.pair, "GET", f"/-/rejections?about={about}", limit=LOOK_WAIT)
+    status, data, _ = http_call(*at.pair, "GET", f"/-/rejections?about={about}", timeout_s=LOOK_WAIT)
     for one in data["rejections"] if status == OK and isinstance(data, dict) else []:
         verdict = f"{one['status']} {one['outcome']}, {one['why']}"
         out.append((one["ago_ms"], f"{name:10} rejected {one['target']} of {one['tenant']}: {verdict}"))
@@ -207,6 +209,6 @@
 ):
 
     def _command(ctx: click.Context, _path: str = path) -> None:
-        show(ask(ctx, "GET", _path))
+        print_json(call_control(ctx, "GET", _path))
 
     admin.command(name, help=text)(click.pass_context(_command))
--- a/mallowvalve/localfleet/acknowledged.py
+++ b/mallowvalve/localfleet/acknowledged.py
@@ -7,29 +7,31 @@
 import uuid
 
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet, Proc, until
+from mallowvalve.localfleet.fleet import FleetProcess, LocalFleet, wait_until
 from mallowvalve.localfleet.judge import after_leaving
 from mallowvalve.localfleet.mishaps import evacuate
 
 
-def after_acks(f: Fleet) -> list[str]:
+def after_acks(f: LocalFleet) -> list[str]:
     """The process that acknowledged is killed at once; what it said must still hold."""
     rng, out = random.Random(11), []
 
-    def hit(p: Proc) -> None:
+    def hit(p: FleetProcess) -> None:
         f.kill(p.name)
         time.sleep(2)
         f.start(p.name)
-        until(lambda: call(p.web, "GET", "/-/ready", limit=2)[0] == 200, 15)
+        wait_until(lambda: call(p.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200, 15)
 
-    def at_control(method: str, path: str, body) -> tuple[Proc, dict] | None:
-        p = rng.choice(f.of("control"))
-        status, data, _ = call(p.web, method, path, body, {"Mallow-Key": uuid.uuid4().hex}, 10)
+    def at_control(method: str, path: str, body) -> tuple[FleetProcess, dict] | None:
+        p = rng.choice(f.with_role("control"))
+        status, data, _ = call(p.web_port, method, path, body, {"Mallow-Key": uuid.uuid4().hex}, 10)
         return (p, data) if status == 200 else None
 
     def read(path: str) -> dict:
         return (
-            until(lambda: next((d for s, d, _ in [call(f.operators.control(), "GET", path)] if s == 200), None), 15)
+            wait_until(
+                lambda: next((d for s, d, _ in [call(f.operators.control(), "GET", path)] if s == 200), None), 15
+            )
             or {}
         )
 
@@ -41,12 +43,12 @@
         got = at_control("POST", "/numbers/acked", {})
         if got:
             hit(got[0])
-            again = until(lambda: at_control("POST", "/numbers/acked", {}), 15)
+            again = wait_until(lambda: at_control("POST", "/numbers/acked", {}), 15)
             out += [] if again and again[1]["number"] > got[1]["number"] else ["a number fell or came again"]
     got = at_control("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
     if got:
         hit(got[0])
-        again = until(
+        again = wait_until(
             lambda: next(
                 (
                     s
@@ -67,17 +69,17 @@
     return out
 
 
-def _after_order(f: Fleet, rng: random.Random, hit) -> list[str]:
+def _after_order(f: LocalFleet, rng: random.Random, hit) -> list[str]:
     share = next(s for s in f.shape.shares if s[3])
     key = uuid.uuid4().hex
     h = {"Mallow-Tenant": share[0], "Mallow-Key": key}
-    p = rng.choice(f.of("proxy"))
-    first = call(p.web, share[1], share[2], {"a": 1}, h)
+    p = rng.choice(f.with_role("proxy"))
+    first = call(p.web_port, share[1], share[2], {"a": 1}, h)
     if first[0] != 200:
         return []
     hit(p)
-    again = call(f.of("proxy")[-1].web, share[1], share[2], {"a": 1}, h)
-    n = sum(r["key"] == key for r in f.rows("ran.jsonl"))
+    again = call(f.with_role("proxy")[-1].web_port, share[1], share[2], {"a": 1}, h)
+    n = sum(r["key"] == key for r in f.read_journal("ran.jsonl"))
     return (
         []
         if n == 1 and (again[0] != 200 or again[1] == first[1])
@@ -85,22 +87,22 @@
     )
 
 
-def _after_notice(f: Fleet, hit) -> list[str]:
+def _after_notice(f: LocalFleet, hit) -> list[str]:
     """An upstream says it is leaving; the node that took the notice dies with it on its lips."""
-    u = next(p for p in f.of("upstream") if p.up)
-    p = f.of("proxy")[0]
-    status, data, _ = call(p.web, "GET", "/-/upstreams")
+    u = next(p for p in f.with_role("upstream") if p.is_running)
+    p = f.with_role("proxy")[0]
+    status, data, _ = call(p.web_port, "GET", "/-/upstreams")
     row = next((r for r in data["upstreams"] if r["instance"] == u.name), None) if status == 200 else None
     if row is None:
         return []
     heartbeat = {k: row[k] for k in ("service", "instance", "incarnation", "locality", "address")}
-    status, _, _ = call(p.web, "POST", "/-/heartbeats", heartbeat | {"sequence": 1 << 40, "state": "leaving"})
+    status, _, _ = call(p.web_port, "POST", "/-/heartbeats", heartbeat | {"sequence": 1 << 40, "state": "leaving"})
     left = time.time()
     if status != 200:
         return []
     hit(p)
     time.sleep(4)
-    out = after_leaving(u.name, left, f.rows("ran.jsonl"))
+    out = after_leaving(u.name, left, f.read_journal("ran.jsonl"))
     f.kill(u.name)
     f.start(u.name)
     time.sleep(2)
--- a/mallowvalve/localfleet/history.py
+++ b/mallowvalve/localfleet/history.py
@@ -10,7 +10,7 @@
 from verification.histories import Draw, Kind, Operation, Outcome, Put, Read, Take, outcome_of
 
 
-class Op(msgspec.Struct):
+class CoordinationCall(msgspec.Struct):
     """`said` is ok, a refusal's code, or undecided; revision, base and at are the store's own."""
 
     kind: str
@@ -25,7 +25,7 @@
     at: int = 0
 
 
-class Hold(msgspec.Struct):
+class LockHold(msgspec.Struct):
     name: str
     who: str
     start: float
@@ -33,36 +33,36 @@
     token: int
 
 
-class Event(msgspec.Struct):
+class WatchEvent(msgspec.Struct):
     watcher: str
     revision: int
     name: str
     value: str | None
 
 
-class History(msgspec.Struct):
-    ops: list[Op] = []
-    holds: list[Hold] = []
-    events: list[Event] = []
+class CoordinationHistory(msgspec.Struct):
+    ops: list[CoordinationCall] = []
+    holds: list[LockHold] = []
+    events: list[WatchEvent] = []
     gaps: list[str] = []
 
 
-def check(h: History) -> list[str]:
+def check_history(h: CoordinationHistory) -> list[str]:
     return [*in_order(h), *reads(h), *bases(h), *refused(h), *one_holder(h), *watches(h), *orders(h)]
 
 
-def orders(h: History) -> list[str]:
+def orders(h: CoordinationHistory) -> list[str]:
     """Whether each key, number and lock answered as a single one would have, by the times of its calls alone."""
     return linearizability.check(operations(h)).findings()
 
 
-def operations(h: History) -> list[Operation]:
+def operations(h: CoordinationHistory) -> list[Operation]:
     """Return the calls as the checker of histories takes them; a lock is relied on to the end of its hold."""
     ends = {(x.name, x.token): x.end for x in h.holds}
     return [_operation(o, ends) for o in h.ops]
 
 
-def _operation(o: Op, ends: dict[tuple[str, int], float]) -> Operation:
+def _operation(o: CoordinationCall, ends: dict[tuple[str, int], float]) -> Operation:
     kind: Kind
     call: histories.Call
     match o.kind:
@@ -81,17 +81,17 @@
     return Operation(kind, o.name, o.who, call, o.begun, ended, outcome, number, value)
 
 
-def _made(h: History) -> list[Op]:
+def _made(h: CoordinationHistory) -> list[CoordinationCall]:
     return [o for o in h.ops if o.said == "ok" and o.kind in ("put", "number", "take")]
 
 
-def _puts(h: History, name: str) -> list[Op]:
+def _puts(h: CoordinationHistory, name: str) -> list[CoordinationCall]:
     return sorted((o for o in _made(h) if o.kind == "put" and o.name == name), key=lambda o: o.revision)
 
 
-def in_order(h: History) -> list[str]:
+def in_order(h: CoordinationHistory) -> list[str]:
     made, out = _made(h), []
-    seen: dict[int, Op] = {}
+    seen: dict[int, CoordinationCall] = {}
     for o in made:
         if o.revision in seen:
             out.append(f"revision {o.revision} was given twice: {seen[o.revision].kind} and {o.kind}")
@@ -106,7 +106,7 @@
     return out
 
 
-def reads(h: History) -> list[str]:
+def reads(h: CoordinationHistory) -> list[str]:
     out = []
     maybe = [o for o in h.ops if o.kind == "put" and o.said == "undecided"]
     for r in (o for o in h.ops if o.kind == "read" and o.said == "ok"):
@@ -126,7 +126,7 @@
     return out
 
 
-def bases(h: History) -> list[str]:
+def bases(h: CoordinationHistory) -> list[str]:
     out = []
     for name in {o.name for o in h.ops}:
         before = 0
@@ -137,14 +137,14 @@
     return out
 
 
-def refused(h: History) -> list[str]:
+def refused(h: CoordinationHistory) -> list[str]:
     """What was told refused must be seen nowhere; each value is written once."""
     no = {o.value for o in h.ops if o.kind == "put" and o.said not in ("ok", "undecided") and o.value is not None}
     shown = {e.value for e in h.events} | {o.value for o in h.ops if o.kind == "read"}
     return [f"value {v} was told refused and is there" for v in sorted(no & shown)]
 
 
-def one_holder(h: History) -> list[str]:
+def one_holder(h: CoordinationHistory) -> list[str]:
     out, last = [], {}
     for x in sorted(h.holds, key=lambda x: x.start):
         y = last.get(x.name)
@@ -157,9 +157,9 @@
     return out
 
 
-def watches(h: History) -> list[str]:
+def watches(h: CoordinationHistory) -> list[str]:
     out = [f"a watcher was told compacted: {g}" for g in h.gaps]
-    by: dict[str, list[Event]] = defaultdict(list)
+    by: dict[str, list[WatchEvent]] = defaultdict(list)
     for e in h.events:
         by[e.watcher].append(e)
     puts = {p.revision: p for p in _made(h) if p.kind == "put"}
--- a/mallowvalve/localfleet/judge.py
+++ b/mallowvalve/localfleet/judge.py
@@ -18,7 +18,7 @@
 SHARE = 0.2
 
 
-class Offered(msgspec.Struct):
+class OfferedConfiguration(msgspec.Struct):
     """A configuration that an operator offered; without a revision nobody knows whether it was taken."""
 
     begun: float
@@ -27,7 +27,7 @@
     doc: object
 
 
-def in_force_at(offers: list[Offered], at: float, grace: float = IN_FORCE) -> list[Offered]:
+def in_force_at(offers: list[OfferedConfiguration], at: float, grace: float = IN_FORCE) -> list[OfferedConfiguration]:
     """Those that may have been in force at that moment."""
     sure = [o for o in offers if o.revision is not None and o.ended <= at - grace]
     newest = max(sure, key=lambda o: o.revision, default=None)
@@ -42,7 +42,7 @@
     return out
 
 
-def judge(offers: list[Offered], asked: list[dict], ran: list[dict]) -> list[str]:
+def judge(offers: list[OfferedConfiguration], asked: list[dict], ran: list[dict]) -> list[str]:
     """All that must hold of any trial."""
     return [*runs_once(ran), *whole_answers(asked), *not_run_is_true(asked, ran), *allowed(offers, ran)]
 
@@ -77,7 +77,7 @@
     return out
 
 
-def allowed(offers: list[Offered], ran: list[dict]) -> list[str]:
+def allowed(offers: list[OfferedConfiguration], ran: list[dict]) -> list[str]:
     """Everything ran by a configuration that may have been in force."""
     out, trees = [], {}
     for o in offers:
@@ -134,10 +134,10 @@
 
 def repeat_share(ran: list[dict], span: float = 10.0) -> tuple[float, list[str]]:
     """The largest share of repeated work over first work that a service saw in any span of 10 s."""
-    return worst_share(((r["at"], r["service"], r["request"]) for r in ran), span)
+    return worst_repeat_share(((r["at"], r["service"], r["request"]) for r in ran), span)
 
 
-def worst_share(
+def worst_repeat_share(
     runs: Iterable[tuple[float, str, str]], span: float = 10.0, least: int = 150
 ) -> tuple[float, list[str]]:
     """The largest share of repeats of first runs in any `span` seconds with `least` first ones.
--- a/mallowvalve/localfleet/main.py
+++ b/mallowvalve/localfleet/main.py
@@ -13,10 +13,10 @@
 from mallowvalve import finding
 from mallowvalve.localfleet import trial
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet, Shape, until
+from mallowvalve.localfleet.fleet import FleetShape, LocalFleet, wait_until
 
 
-def load_shape(path: str) -> Shape:
+def load_shape(path: str) -> FleetShape:
     """A fleet's file, TOML or JSON; findings end the program with code 2."""
     try:
         data = (
@@ -27,7 +27,7 @@
     except (OSError, msgspec.DecodeError) as e:
         click.echo(f"mallowvalve: {path}: {e}", err=True)
         sys.exit(2)
-    r = finding.read(Shape, data)
+    r = finding.read(FleetShape, data)
     if r.is_err():
         for f in r.err_value:
             click.echo(f"mallowvalve: {path}: {f}", err=True)
@@ -35,27 +35,32 @@
     return r.ok_value
 
 
-def settle(fleet: Fleet, limit: float = 40.0) -> bool:
+def wait_until_settled(fleet: LocalFleet, timeout_s: float = 40.0) -> bool:
     """Whether the configuration is in force, all processes ready, all upstreams known, within `limit` seconds each."""
 
     def applied() -> bool:
         return any(
-            call(p.web, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200 for p in fleet.of("control") if p.up
+            call(p.web_port, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200
+            for p in fleet.with_role("control")
+            if p.is_running
         )
 
     def all_ready() -> bool:
-        ps = [p for r in ("control", "proxy", "directory") for p in fleet.of(r) if p.up]
-        return all(call(p.web, "GET", "/-/ready", limit=2)[0] == 200 for p in ps)
+        ps = [p for r in ("control", "proxy", "directory") for p in fleet.with_role(r) if p.is_running]
+        return all(call(p.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200 for p in ps)
 
     def all_upstreams() -> bool:
-        want = len(fleet.of("upstream"))
+        want = len(fleet.with_role("upstream"))
         return all(
-            sum(u["status"] == "ready" for u in call(p.web, "GET", "/-/upstreams", limit=2)[1]["upstreams"]) >= want
-            for p in fleet.of("proxy")
-            if p.up
+            sum(u["status"] == "ready" for u in call(p.web_port, "GET", "/-/upstreams", timeout_s=2)[1]["upstreams"])
+            >= want
+            for p in fleet.with_role("proxy")
+            if p.is_running
         )
 
-    return bool(until(applied, limit) and until(all_ready, limit) and until(all_upstreams, limit))
+    return bool(
+        wait_until(applied, timeout_s) and wait_until(all_ready, timeout_s) and wait_until(all_upstreams, timeout_s)
+    )
 
 
 @click.command()
@@ -81,12 +86,12 @@
 ) -> None:
     """Run a fleet on this machine from one settings file: a development tool."""
     where = Path(folder or tempfile.mkdtemp(prefix="whole-"))
-    with Fleet(load_shape(shape), where) as f:
+    with LocalFleet(load_shape(shape), where) as f:
         click.echo(f"folder {where}")
-        ok = settle(f)
+        ok = wait_until_settled(f)
         click.echo("settled" if ok else "not settled")
-        for p in f.procs.values():
-            click.echo(f"{p.name:24} {p.locality:12} web 127.0.0.1:{p.web} pid {p.job.pid}")
+        for p in f.processes.values():
+            click.echo(f"{p.name:24} {p.locality:12} web 127.0.0.1:{p.web_port} pid {p.job.pid}")
         if acts and ok:
             found, fig = trial.run(f, list(acts), seed, rate, coordination)
             for x in found:
@@ -101,6 +106,8 @@
                 time.sleep(0.5)
         except KeyboardInterrupt:
             pass
-        rows = f.rows("asked.jsonl")
-        click.echo(f"asked {len(rows)}, answered whole {sum(r['whole'] for r in rows)}, ran {len(f.rows('ran.jsonl'))}")
+        rows = f.read_journal("asked.jsonl")
+        click.echo(
+            f"asked {len(rows)}, answered whole {sum(r['whole'] for r in rows)}, ran {len(f.read_journal('ran.jsonl'))}"
+        )
     sys.exit(0 if ok else 1)
--- a/mallowvalve/localfleet/operators.py
+++ b/mallowvalve/localfleet/operators.py
@@ -8,29 +8,29 @@
 from threading import RLock
 
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet
+from mallowvalve.localfleet.fleet import LocalFleet
 from mallowvalve.localfleet.jobs import Jobs
-from mallowvalve.localfleet.judge import Offered
+from mallowvalve.localfleet.judge import OfferedConfiguration
 
 
 class Operators(Jobs):
     """Two that change the configuration at once while a trial runs, and remember what was acknowledged."""
 
-    def __init__(self, fleet: Fleet, seed: int, every: float = 1.0):
+    def __init__(self, fleet: LocalFleet, seed: int, every: float = 1.0):
         """Each changes something every `every` seconds on average."""
         super().__init__([(self._change, (who,)) for who in ("a", "b")])
         self.fleet, self.every, self.seed = fleet, every, seed
         self.lock = RLock()
         self.rng = random.Random(3)
-        self.offers: list[Offered] = [Offered(0.0, 0.0, 0, copy.deepcopy(fleet.shape.config))]
+        self.offers: list[OfferedConfiguration] = [OfferedConfiguration(0.0, 0.0, 0, copy.deepcopy(fleet.shape.config))]
         self.acked: list[tuple[float, float, int]] = []
         self.refused = self.failed = 0
         self.ack_times: list[float] = []
 
     def control(self, rng: random.Random | None = None) -> int:
         """The web port of a control process that runs, by chance."""
-        controls = self.fleet.of("control")
-        return (rng or self.rng).choice([p for p in controls if p.up] or controls).web
+        controls = self.fleet.with_role("control")
+        return (rng or self.rng).choice([p for p in controls if p.is_running] or controls).web_port
 
     def put(self, doc: dict, key: str, base: int | None = None, control: int | None = None) -> tuple[int, object]:
         """Offers a configuration once and notes what was said."""
@@ -42,9 +42,9 @@
         if status == 200:
             self.acked.append((begun, end, data["revision"]))
             self.ack_times.append(end - begun)
-            self.offers.append(Offered(begun, end, data["revision"], plain))
+            self.offers.append(OfferedConfiguration(begun, end, data["revision"], plain))
         elif status not in (409, 422):
-            self.offers.append(Offered(begun, end, None, plain))
+            self.offers.append(OfferedConfiguration(begun, end, None, plain))
         return status, data
 
     def settle(self, doc: dict, name: str) -> bool:
--- a/mallowvalve/localfleet/schedule.py
+++ b/mallowvalve/localfleet/schedule.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from mallowvalve.finding import Finding, Findings
-from mallowvalve.localfleet.fleet import Shape
+from mallowvalve.localfleet.fleet import FleetShape
 
 VERSION = 1
 QUIET_BEFORE_S, QUIET_AFTER_S = 3.0, 12.0
@@ -72,7 +72,7 @@
         return processes | set(self.zones) | set(self.tenants)
 
 
-def names(shape: Shape) -> Names:
+def names(shape: FleetShape) -> Names:
     """The names of a shape's processes, as `localfleet.fleet` gives them."""
     by_role: dict[str, dict[str, str]] = {"proxy": {}, "directory": {}, "control": {}}
     for i, node in enumerate(shape.nodes):
@@ -84,7 +84,7 @@
     return Names(by_role["proxy"], by_role["directory"], by_role["control"], upstreams, zones, sorted(tenants))
 
 
-def draw(shape: Shape, seed: int, seconds: float, trouble: bool) -> Schedule:
+def draw(shape: FleetShape, seed: int, seconds: float, trouble: bool) -> Schedule:
     """A schedule of series that overlap; with `trouble` processes are killed and frozen too."""
     rng = random.Random(f"soak/{seed}")
     named = names(shape)
@@ -155,7 +155,7 @@
     path.write_bytes(msgspec.json.format(msgspec.json.encode(schedule), indent=1))
 
 
-def load(path: Path, shape: Shape) -> Result[Schedule, Findings]:
+def load(path: Path, shape: FleetShape) -> Result[Schedule, Findings]:
     """A saved schedule, or what is wrong with it for this shape."""
     try:
         schedule = msgspec.json.decode(path.read_bytes(), type=Schedule)
--- a/mallowvalve/localfleet/soak.py
+++ b/mallowvalve/localfleet/soak.py
@@ -17,7 +17,7 @@
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.localfleet import history
 from mallowvalve.localfleet.call import call, is_ok
-from mallowvalve.localfleet.fleet import Fleet, Proc, Shape, until
+from mallowvalve.localfleet.fleet import FleetProcess, FleetShape, LocalFleet, wait_until
 from mallowvalve.localfleet.judge import figures, judge
 from mallowvalve.localfleet.operators import Operators
 from mallowvalve.localfleet.schedule import Act, Kind, Schedule
@@ -41,7 +41,7 @@
 """Seconds without clients before descriptors are counted again."""
 
 
-def fits(shape: Shape) -> Findings:
+def fits(shape: FleetShape) -> Findings:
     """What keeps a shape from being soaked on this machine within the limits."""
     count = len(shape.nodes) + sum(len(pool.localities) for pool in shape.upstreams) + 1
     if count > MOST_PROCESSES:
@@ -55,7 +55,7 @@
 class Soak:
     """Plays a schedule against a fleet that has settled; `events` is what became of each act."""
 
-    def __init__(self, fleet: Fleet, schedule: Schedule):
+    def __init__(self, fleet: LocalFleet, schedule: Schedule):
         """Nothing is played yet."""
         self.fleet = fleet
         self.schedule = schedule
@@ -77,8 +77,8 @@
             self._play(begun)
         self.fleet.stop("clients", 30)
         time.sleep(REST_S)
-        asked, ran = self.fleet.rows("asked.jsonl"), self.fleet.rows("ran.jsonl")
-        found = operators.findings() + judge(operators.offers, asked, ran) + history.check(users.history)
+        asked, ran = self.fleet.read_journal("asked.jsonl"), self.fleet.read_journal("ran.jsonl")
+        found = operators.findings() + judge(operators.offers, asked, ran) + history.check_history(users.history)
         found += judge_soak(self.fleet, self.events, asked, ran, Levels(before, self._levels()))
         found += self._memory()
         numbers = figures(asked, ran) | {
@@ -142,9 +142,9 @@
             return free
 
     def _signal(self, name: str, number: int) -> None:
-        process = self.fleet.procs[name]
+        process = self.fleet.processes[name]
         with suppress(ProcessLookupError):
-            if process.job is not None and process.up:
+            if process.job is not None and process.is_running:
                 process.job.send_signal(number)
 
     def _stop(self, name: str) -> None:
@@ -152,7 +152,7 @@
         if not self._claim(name):
             self._signal(name, signal.SIGTERM)
             return
-        process = self.fleet.procs[name]
+        process = self.fleet.processes[name]
         self._note(What.TOLD, name)
         began = time.time()
         grace = self.fleet.polite if process.role in ROLES else 2 * self.fleet.polite
@@ -172,18 +172,18 @@
         self._note(What.TROUBLE, name)
         self.fleet.kill(name)
         time.sleep(pause)
-        self._start(self.fleet.procs[name])
+        self._start(self.fleet.processes[name])
 
-    def _start(self, process: Proc) -> None:
+    def _start(self, process: FleetProcess) -> None:
         path = "/-/ready" if process.role in ROLES else "/health"
 
         def is_ready() -> bool:
             """What ended before it was ready, by a signal that came early, is started again as a platform does."""
-            if not process.up:
+            if not process.is_running:
                 self.fleet.start(process.name)
-            return is_ok(process.web, path, 1.0)
+            return is_ok(process.web_port, path, 1.0)
 
-        ready = until(is_ready, READY_S, 0.05)
+        ready = wait_until(is_ready, READY_S, 0.05)
         self._note(What.READY if ready else What.NOT_READY, process.name)
         with self._lock:
             self._stopping.discard(process.name)
@@ -212,10 +212,12 @@
 
         def ordered() -> bool:
             return any(
-                call(p.web, "POST", "/evacuations", body, limit=5)[0] == 200 for p in self.fleet.of("control") if p.up
+                call(p.web_port, "POST", "/evacuations", body, timeout_s=5)[0] == 200
+                for p in self.fleet.with_role("control")
+                if p.is_running
             )
 
-        return bool(until(ordered, READY_S, 0.2))
+        return bool(wait_until(ordered, READY_S, 0.2))
 
     def _move_homes(self, tenant: str, lasts: float) -> None:
         """A tenant's homes become those of the first of its cell's regions for a while."""
@@ -230,12 +232,21 @@
 
     def _levels(self) -> dict[str, int]:
         """Open descriptors by process."""
-        return {p.name: self._read(p, lambda job: job.num_fds()) for role in ROLES for p in self.fleet.of(role) if p.up}
+        return {
+            p.name: self._read(p, lambda job: job.num_fds())
+            for role in ROLES
+            for p in self.fleet.with_role(role)
+            if p.is_running
+        }
 
     def _memory_now(self) -> int:
-        return sum(self._read(p, lambda job: job.memory_info().rss) for p in list(self.fleet.procs.values()) if p.up)
+        return sum(
+            self._read(p, lambda job: job.memory_info().rss)
+            for p in list(self.fleet.processes.values())
+            if p.is_running
+        )
 
-    def _read(self, process: Proc, read: Callable[[psutil.Process], int]) -> int:
+    def _read(self, process: FleetProcess, read: Callable[[psutil.Process], int]) -> int:
         with suppress(psutil.Error):
             return read(psutil.Process(process.job.pid))
         return 0
--- a/mallowvalve/localfleet/soak_judge.py
+++ b/mallowvalve/localfleet/soak_judge.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from mallowvalve.localfleet.fleet import Fleet, Proc
+from mallowvalve.localfleet.fleet import FleetProcess, LocalFleet
 
 SETTLED_S = 4.0
 """A proxy counts as steady after so long without any act on it: every directory knows it, clients hold it (s)."""
@@ -82,7 +82,7 @@
         for who, at in open_at.items():
             self.by[who].append((at, float("inf")))
 
-    def steady(self, process: Proc, begin: float, end: float) -> bool:
+    def steady(self, process: FleetProcess, begin: float, end: float) -> bool:
         """Whether nothing was done to a process or its zone between two moments, nor shortly before."""
         disturbed = [*self.by.get(process.name, []), *self.by.get(process.locality.partition("/")[2], [])]
         return not any(a <= end and b >= begin - SETTLED_S for a, b in disturbed)
@@ -97,16 +97,16 @@
         return i == 0 or self.trouble[i - 1] < at - AFTER_TROUBLE_S
 
 
-def judge_soak(fleet: Fleet, events: list[Event], asked: list[dict], ran: list[dict], levels: Levels) -> list[str]:
+def judge_soak(fleet: LocalFleet, events: list[Event], asked: list[dict], ran: list[dict], levels: Levels) -> list[str]:
     """All that must hold of a soak beside what holds of any trial."""
-    spans = Spans([*events, *unready(Path(fleet.folder), [p.name for p in fleet.of("proxy")])])
-    proxies = {f"127.0.0.1:{p.web}": p for p in fleet.of("proxy")}
+    spans = Spans([*events, *unready(Path(fleet.folder), [p.name for p in fleet.with_role("proxy")])])
+    proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     return [
         *ends(events),
         *cut_while_run(spans, proxies, asked, ran),
         *led_elsewhere(spans, proxies, homes(fleet), asked),
         *cried(Path(fleet.folder)),
-        *leaks(levels, {p.name: p.role for p in fleet.procs.values()}),
+        *leaks(levels, {p.name: p.role for p in fleet.processes.values()}),
     ]
 
 
@@ -124,7 +124,7 @@
     return out
 
 
-def homes(fleet: Fleet) -> dict[str, set[str]]:
+def homes(fleet: LocalFleet) -> dict[str, set[str]]:
     """The homes of each tenant that has any, by the shape's configuration."""
     tenants = [one for cell in fleet.shape.config["cells"].values() for one in cell["tenants"].items()]
     return {name: set(tenant["homes"]) for name, tenant in tenants if tenant.get("homes")}
@@ -140,7 +140,7 @@
     return [f"{e.who} {said[e.what].format(e.value)}" for e in events if e.what in said]
 
 
-def cut_while_run(spans: Spans, proxies: dict[str, Proc], asked: list[dict], ran: list[dict]) -> list[str]:
+def cut_while_run(spans: Spans, proxies: dict[str, FleetProcess], asked: list[dict], ran: list[dict]) -> list[str]:
     """No connection ends without an answer after an upstream began to work on its request, but in trouble."""
     runs: dict[str, list[float]] = defaultdict(list)
     for row in ran:
@@ -160,7 +160,7 @@
 
 
 def led_elsewhere(
-    spans: Spans, proxies: dict[str, Proc], homes_of: dict[str, set[str]], asked: list[dict]
+    spans: Spans, proxies: dict[str, FleetProcess], homes_of: dict[str, set[str]], asked: list[dict]
 ) -> list[str]:
     """Planned work leads nobody to another region while one that may serve was steady as long as answers are held."""
     out = []
@@ -178,7 +178,7 @@
     return _few(out, "requests were led to another region")
 
 
-def _region(process: Proc) -> str:
+def _region(process: FleetProcess) -> str:
     return process.locality.partition("/")[0]
 
 
--- a/mallowvalve/localfleet/soak_main.py
+++ b/mallowvalve/localfleet/soak_main.py
@@ -11,13 +11,13 @@
 import msgspec
 from result import Err, Ok
 
-from mallowvalve.localfleet.fleet import Fleet, Shape
-from mallowvalve.localfleet.main import load_shape, settle
+from mallowvalve.localfleet.fleet import FleetShape, LocalFleet
+from mallowvalve.localfleet.main import load_shape, wait_until_settled
 from mallowvalve.localfleet.schedule import Schedule, draw, load, save
 from mallowvalve.localfleet.soak import Soak, fits, timeline
 
 
-def scheduled(shape: Shape, seed: int, seconds: float, trouble: bool, saved: str | None) -> Schedule:
+def scheduled(shape: FleetShape, seed: int, seconds: float, trouble: bool, saved: str | None) -> Schedule:
     """What is to be played; findings end the program with code 2 before anything starts."""
     found = fits(shape)
     read = Ok(draw(shape, seed, seconds, trouble)) if saved is None else load(Path(saved), shape)
@@ -47,9 +47,9 @@
     where = Path(folder or tempfile.mkdtemp(prefix="soak-"))
     loaded = load_shape(shape)
     schedule = scheduled(loaded, seed, seconds, trouble, saved)
-    with Fleet(loaded, where) as fleet:
+    with LocalFleet(loaded, where) as fleet:
         click.echo(f"folder {where}, seed {schedule.seed}, {len(schedule.acts)} acts in {schedule.seconds:.0f} s")
-        if not settle(fleet):
+        if not wait_until_settled(fleet):
             click.echo("finding: not settled")
             sys.exit(1)
         save(schedule, where / "schedule.json")
--- a/mallowvalve/localfleet/trial.py
+++ b/mallowvalve/localfleet/trial.py
@@ -5,7 +5,7 @@
 import time
 
 from mallowvalve.localfleet import acknowledged, acts, history, mishaps
-from mallowvalve.localfleet.fleet import Fleet
+from mallowvalve.localfleet.fleet import LocalFleet
 from mallowvalve.localfleet.judge import dropped, figures, judge
 from mallowvalve.localfleet.operators import Operators
 from mallowvalve.localfleet.users import Coordinators
@@ -52,7 +52,7 @@
 
 
 def run(
-    f: Fleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
+    f: LocalFleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
 ) -> tuple[list[str], dict]:
     """Play the acts named, one after the other; findings, and figures."""
     found: list[str] = []
@@ -65,15 +65,15 @@
             t = time.time()
             got = ACTS[a](f)
             if a in PLANNED:
-                got += dropped(t, time.time(), f.rows("asked.jsonl"))
+                got += dropped(t, time.time(), f.read_journal("asked.jsonl"))
             found += [f"{a}: {g}" for g in got]
             print(f"{a}: {time.time() - t:.1f} s, {len(got)} findings", flush=True)
         time.sleep(2)
     seconds = time.time() - begun
     f.stop("clients", 30)
-    asked, ran = f.rows("asked.jsonl"), f.rows("ran.jsonl")
+    asked, ran = f.read_journal("asked.jsonl"), f.read_journal("ran.jsonl")
     histories.write(f.folder / RECORDED, history.operations(users.history))
-    found += ops.findings() + judge(ops.offers, asked, ran) + history.check(users.history)
+    found += ops.findings() + judge(ops.offers, asked, ran) + history.check_history(users.history)
     ts = sorted(ops.ack_times)
     more = {
         "seconds": round(seconds),
--- a/mallowvalve/localfleet/users.py
+++ b/mallowvalve/localfleet/users.py
@@ -7,9 +7,9 @@
 import uuid
 
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet
-from mallowvalve.localfleet.history import Event as Seen
-from mallowvalve.localfleet.history import History, Hold, Op
+from mallowvalve.localfleet.fleet import LocalFleet
+from mallowvalve.localfleet.history import CoordinationCall, CoordinationHistory, LockHold
+from mallowvalve.localfleet.history import WatchEvent as Seen
 from mallowvalve.localfleet.jobs import Jobs
 
 TRIES = 8
@@ -19,9 +19,9 @@
 class Coordinators(Jobs):
     """Applications that keep keys, locks and numbers while a trial runs; each call goes again under its key."""
 
-    def __init__(self, fleet: Fleet, seed: int, rate: float = 40.0):
+    def __init__(self, fleet: LocalFleet, seed: int, rate: float = 40.0):
         """`rate` calls a second, all together."""
-        self.fleet, self.history = fleet, History([], [], [], [])
+        self.fleet, self.history = fleet, CoordinationHistory([], [], [], [])
         self.calls = self.unsure = 0
         jobs = [
             self._keep,
@@ -38,8 +38,8 @@
         super().__init__([(j, (f"u{i}", random.Random(f"{seed}/{i}"))) for i, j in enumerate(jobs)])
 
     def _control(self, rng: random.Random) -> int:
-        controls = self.fleet.of("control")
-        return rng.choice([p for p in controls if p.up] or controls).web
+        controls = self.fleet.with_role("control")
+        return rng.choice([p for p in controls if p.is_running] or controls).web_port
 
     def _ask(self, rng: random.Random, method: str, path: str, body=None) -> tuple[int, dict]:
         """The same call under one key until it is decided."""
@@ -65,7 +65,7 @@
             status, data = self._ask(rng, "GET", f"/keys/{name}")
             if status not in (200, 404):
                 continue
-            said = Op(
+            said = CoordinationCall(
                 "read", name, who, begun, time.monotonic(), "ok", data["revision"], data["value"], None, data["at"]
             )
             self.history.ops.append(said)
@@ -73,7 +73,9 @@
             status, data = self._ask(rng, "PUT", f"/keys/{name}", {"value": value, "base": base})
             end = time.monotonic()
             ok = SAID.get(status, "undecided")
-            self.history.ops.append(Op("put", name, who, begun, end, ok, data.get("number", 0), value, base))
+            self.history.ops.append(
+                CoordinationCall("put", name, who, begun, end, ok, data.get("number", 0), value, base)
+            )
 
     def _lock(self, who: str, rng: random.Random) -> None:
         ttl = 3.0
@@ -83,9 +85,9 @@
             got = time.monotonic()
             if status != 200 or got > begun + ttl - 0.5:
                 continue
-            self.history.ops.append(Op("take", "l", who, begun, got, "ok", data["number"]))
+            self.history.ops.append(CoordinationCall("take", "l", who, begun, got, "ok", data["number"]))
             self.stop.wait(min(rng.random() * 0.3, begun + ttl - got - 0.2))
-            self.history.holds.append(Hold("l", who, got, time.monotonic(), data["number"]))
+            self.history.holds.append(LockHold("l", who, got, time.monotonic(), data["number"]))
             self._ask(rng, "POST", "/locks/l/free", {"holder": who, "token": data["number"]})
 
     def _number(self, who: str, rng: random.Random) -> None:
@@ -93,7 +95,9 @@
             begun = time.monotonic()
             status, data = self._ask(rng, "POST", "/numbers/n", {})
             if status == 200:
-                self.history.ops.append(Op("number", "n", who, begun, time.monotonic(), "ok", data["number"]))
+                self.history.ops.append(
+                    CoordinationCall("number", "n", who, begun, time.monotonic(), "ok", data["number"])
+                )
 
     def _watch(self, who: str, rng: random.Random) -> None:
         since = None
--- a/mallowvalve/planner/main.py
+++ b/mallowvalve/planner/main.py
@@ -6,7 +6,7 @@
 
 import click
 
-from mallowvalve.admin.main import ask, at_option, read_json, show
+from mallowvalve.admin.main import at_option, call_control, print_json, read_json
 from mallowvalve.types import Address
 
 
@@ -22,10 +22,10 @@
     data = read_json(file)
     is_patch = isinstance(data, list)
     if is_patch and base is None:
-        base = ask(ctx, "GET", "/config")["revision"]
-    got = ask(ctx, "POST", "/plan", {"patch" if is_patch else "doc": data, "base": base})
+        base = call_control(ctx, "GET", "/config")["revision"]
+    got = call_control(ctx, "POST", "/plan", {"patch" if is_patch else "doc": data, "base": base})
     if as_json:
-        show(got)
+        print_json(got)
         return
     click.echo(f"base {got['base']}, {len(got['moves'])} moves")
     for move in got["moves"]:
--- a/sim/history.py
+++ b/sim/history.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from mallowvalve.localfleet import history
-from mallowvalve.localfleet.judge import Offered
+from mallowvalve.localfleet.judge import OfferedConfiguration
 from verification import linearizability
 from verification.histories import Recorder
 
@@ -57,9 +57,9 @@
         self.served: list[Ran] = []
         self.left: list[Left] = []
         self.cold: list[Cold] = []
-        self.offers: list[Offered] = []
+        self.offers: list[OfferedConfiguration] = []
         self.zones: list[Emptied] = []
-        self.coord = history.History([], [], [], [])
+        self.coord = history.CoordinationHistory([], [], [], [])
         self.answers: list[tuple[float, str, str, bytes]] = []
         self.reads_told: list[tuple[float, str, int, str]] = []
         self.admitted: list[tuple] = []
--- a/sim/large.py
+++ b/sim/large.py
@@ -17,7 +17,7 @@
 from mallowvalve.fault import FLEET
 from mallowvalve.ledger.ledger import DONE, ClaimRecord
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet, Proc, until
+from mallowvalve.localfleet.fleet import FleetProcess, LocalFleet, wait_until
 from mallowvalve.localfleet.main import load_shape
 from mallowvalve.proxy.call import digest
 from mallowvalve.raft.messages import Group, Hard, Snapshot, Voters
@@ -43,11 +43,11 @@
     return s
 
 
-def plant(f: Fleet, s: State) -> int:
+def plant(f: LocalFleet, s: State) -> int:
     """Gives the first core machines disks that hold this state, as if they had been stopped."""
-    controls = f.of("control")[:3]
+    controls = f.with_role("control")[:3]
     ids = {uuid.uuid4().hex: p for p in controls}
-    voters = Voters({i: Address("127.0.0.1", p.transport) for i, p in ids.items()})
+    voters = Voters({i: Address("127.0.0.1", p.transport_port) for i, p in ids.items()})
     pic = Snapshot(Group(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
     for i, p in ids.items():
         with Folder(p.data) as d:
@@ -58,7 +58,7 @@
 class Numbers:
     """Asks for numbers all the time; the longest wait for one says how long the core did not answer."""
 
-    def __init__(self, f: Fleet):
+    def __init__(self, f: LocalFleet):
         self.f, self.stop, self.worst, self.n = f, Event(), 0.0, 0
         self.job = Thread(target=self._run)
 
@@ -75,31 +75,33 @@
     def _run(self) -> None:
         while not self.stop.wait(0.02):
             t = time.monotonic()
-            ok = call(self.f.of("control")[self.n % 3].web, "POST", "/numbers/n", {})[0] == 200
+            ok = call(self.f.with_role("control")[self.n % 3].web_port, "POST", "/numbers/n", {})[0] == 200
             self.n += ok
             self.worst = max(self.worst, time.monotonic() - t)
 
 
-def ready(f: Fleet) -> bool:
+def ready(f: LocalFleet) -> bool:
     return all(
-        call(p.web, "GET", "/-/ready", limit=2)[0] == 200 for r in ("control", "proxy", "directory") for p in f.of(r)
+        call(p.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200
+        for r in ("control", "proxy", "directory")
+        for p in f.with_role(r)
     )
 
 
-def known(f: Fleet, key: int) -> bool:
+def known(f: LocalFleet, key: int) -> bool:
     h = {"Mallow-Tenant": "runner", "Mallow-Key": f"{key:032x}"}
-    status, data, got = call(f.of("proxy")[0].web, "POST", "/runs", "{}", h)
+    status, data, got = call(f.with_role("proxy")[0].web_port, "POST", "/runs", "{}", h)
     return status == 200 and data == {"by": "before"} and got.get("mallow-repeat") == "1"
 
 
-def index(p: Proc) -> int:
-    status, data, _ = call(p.web, "GET", "/leader")
+def index(p: FleetProcess) -> int:
+    status, data, _ = call(p.web_port, "GET", "/leader")
     return data.get("index", 0) if status == 200 else 0
 
 
-def timed(what: str, test, limit: float) -> None:
+def timed(what: str, test, timeout_s: float) -> None:
     t = time.monotonic()
-    ok = until(test, limit)
+    ok = wait_until(test, timeout_s)
     click.echo(f"{what}: {time.monotonic() - t:.1f} s{'' if ok else ' (not reached)'}")
     if not ok:
         raise SystemExit(1)
@@ -110,7 +112,7 @@
 @click.option("--body", default=60, help="bytes of each kept answer")
 def main(rows: int, body: int) -> None:
     shape = load_shape(str(Path(__file__).parent.parent / "examples" / "small.json"))
-    f = Fleet(shape, Path(tempfile.mkdtemp(prefix="large-")))
+    f = LocalFleet(shape, Path(tempfile.mkdtemp(prefix="large-")))
     size = plant(f, state(shape.config, rows, body))
     click.echo(f"{rows} facts, a snapshot of {size / 1e6:.1f} MB")
     with f:
@@ -119,36 +121,41 @@
         with Numbers(f) as idle:
             time.sleep(5)
         click.echo(f"numbers, nothing else: {idle.n}, worst {idle.worst * 1000:.0f} ms")
-        taken = sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("snapshots_taken", 0) for p in f.of("control"))
+        taken = sum(
+            call(p.web_port, "GET", "/-/counts")[1]["counts"].get("snapshots_taken", 0) for p in f.with_role("control")
+        )
         with Numbers(f) as busy:
             for i in range(1, size // 2 // 65000 + 60):
-                call(f.of("control")[0].web, "PUT", f"/keys/k{i % 10}", {"value": "v" * 65000})
+                call(f.with_role("control")[0].web_port, "PUT", f"/keys/k{i % 10}", {"value": "v" * 65000})
             timed(
                 "snapshots taken by the core",
                 lambda: (
-                    sum(call(p.web, "GET", "/-/counts")[1]["counts"].get("snapshots_taken", 0) for p in f.of("control"))
+                    sum(
+                        call(p.web_port, "GET", "/-/counts")[1]["counts"].get("snapshots_taken", 0)
+                        for p in f.with_role("control")
+                    )
                     > taken + 2
                 ),
                 60,
             )
         click.echo(f"numbers while the log grew and was turned: {busy.n}, worst {busy.worst * 1000:.0f} ms")
         new = f.add_node("control", "us/us-b", "control9")
-        lead = max(index(p) for p in f.of("control")[:3])
+        lead = max(index(p) for p in f.with_role("control")[:3])
         timed("an empty core machine caught up", lambda: index(new) >= lead, 60)
-        disk = max(sum(x.stat().st_size for x in p.data.iterdir()) for p in f.of("control"))
+        disk = max(sum(x.stat().st_size for x in p.data.iterdir()) for p in f.with_role("control"))
         click.echo(f"largest folder {disk / 1e6:.0f} MB")
-        for p in f.of("control"):
+        for p in f.with_role("control"):
             f.kill(p.name)
-            f.wipe(p.name)
-        for p in f.of("control"):
+            f.delete_data(p.name)
+        for p in f.with_role("control"):
             f.start(p.name)
         timed(
             "control back after the whole core was wiped",
-            lambda: call(f.of("control")[0].web, "GET", "/config")[0] == 200,
+            lambda: call(f.with_role("control")[0].web_port, "GET", "/config")[0] == 200,
             60,
         )
         timed("and the key of before", lambda: known(f, rows // 2), 20)
-        if f.rows("ran.jsonl"):
+        if f.read_journal("ran.jsonl"):
             raise SystemExit("a key of before ran again")
 
 
--- a/sim/serving.py
+++ b/sim/serving.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from mallowvalve.localfleet.history import check as coordination
-from mallowvalve.localfleet.judge import in_force_at, worst_share
+from mallowvalve.localfleet.history import check_history as coordination
+from mallowvalve.localfleet.judge import in_force_at, worst_repeat_share
 from sim.config import allows
 from sim.history import IN_FORCE, Emptied, History
 
@@ -63,7 +63,7 @@
 
 
 def repeats(h: History) -> tuple[float, list[str]]:
-    return worst_share((r.at, r.service, r.id) for r in h.served if not r.key)
+    return worst_repeat_share((r.at, r.service, r.id) for r in h.served if not r.key)
 
 
 def whole_answers(h: History) -> list[str]:
--- a/sim/users.py
+++ b/sim/users.py
@@ -10,10 +10,10 @@
 from mallowvalve.control.replica_task import ATTEMPT
 from mallowvalve.control.state import Change, Evacuate, encode
 from mallowvalve.coordination.state import KeyedResult, Lock, Next, Put, Unlock
-from mallowvalve.localfleet.history import Op
+from mallowvalve.localfleet.history import CoordinationCall
 from mallowvalve.types import Address
 from sim.config import config
-from sim.history import Emptied, History, Offered
+from sim.history import Emptied, History, OfferedConfiguration
 from sim.replica import offer
 from sim.world import Node, World
 from verification import histories
@@ -136,7 +136,7 @@
                 self.base = t.revision
             if t.code != Code.CONFLICT:
                 ok = t.code == Code.OK
-                self.history.offers.append(Offered(begun, self.now, t.revision if ok else None, doc))
+                self.history.offers.append(OfferedConfiguration(begun, self.now, t.revision if ok else None, doc))
             if t.code == Code.OK:
                 self.base = t.revision
                 self.history.changes.append((begun, self.now, t.revision, doc))
@@ -276,7 +276,7 @@
             s = node.core.state
             value, at = s.coordination.keys.get(name, (None, 0))
             self.history.coord.ops.append(
-                Op("read", name, str(self.addr), begun, self.now, "ok", s.revision, value, None, at)
+                CoordinationCall("read", name, str(self.addr), begun, self.now, "ok", s.revision, value, None, at)
             )
             self._put(name, self.rng.choice((at, at, None)))
 
@@ -285,7 +285,7 @@
     def _put(self, name: str, base: int | None) -> None:
         value, begun = self.serial(), self.now
 
-        op = Op("put", name, str(self.addr), begun, 1e9, "undecided", 0, value, base)
+        op = CoordinationCall("put", name, str(self.addr), begun, 1e9, "undecided", 0, value, base)
         self.history.coord.ops.append(op)
 
         def took(t: wire.Took) -> None:
--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -1,6 +1,6 @@
 from __future__ import annotations
 
-from mallowvalve.localfleet.fleet import Place, Pool, Shape
+from mallowvalve.localfleet.fleet import FleetShape, NodePlacement, UpstreamPool
 
 ZONES = ["eu/eu-a", "eu/eu-b", "us/us-a", "us/us-b", "ap/ap-a", "ap/ap-b"]
 CONFIG = {
@@ -26,12 +26,15 @@
 SHARES = [["overlay", "GET", "/rankings/{n}", False, 5], ["runner", "POST", "/runs", True, 1]]
 
 
-def small() -> Shape:
-    return Shape(
-        nodes=[Place("control", z) for z in ZONES[::2]]
-        + [Place("directory", z) for z in ZONES[:2]]
-        + [Place("proxy", z) for z in ZONES[::2]],
-        upstreams=[Pool("boards", ["eu/eu-a", "us/us-a"]), Pool("runs", ["eu/eu-a", "eu/eu-b", "us/us-a"])],
+def small() -> FleetShape:
+    return FleetShape(
+        nodes=[NodePlacement("control", z) for z in ZONES[::2]]
+        + [NodePlacement("directory", z) for z in ZONES[:2]]
+        + [NodePlacement("proxy", z) for z in ZONES[::2]],
+        upstreams=[
+            UpstreamPool("boards", ["eu/eu-a", "us/us-a"]),
+            UpstreamPool("runs", ["eu/eu-a", "eu/eu-b", "us/us-a"]),
+        ],
         config=CONFIG,
         shares=SHARES,
         rate=40.0,
@@ -49,7 +52,7 @@
     }
 
 
-def trinacria() -> Shape:
+def trinacria() -> FleetShape:
     config = {
         "services": {s: {} for s in ("boards", "runs", "awards", "media")},
         "regions": CONFIG["regions"],
@@ -84,11 +87,11 @@
         ["moderator", "POST", "/awards", True, 3],
         ["runner", "POST", "/runs", True, 4],
     ]
-    return Shape(
-        nodes=[Place("control", z) for z in ZONES]
-        + [Place("directory", z) for z in ZONES[::2]]
-        + [Place("proxy", z) for z in SERVING[:9]],
-        upstreams=[Pool(s, SERVING) for s in config["services"]],
+    return FleetShape(
+        nodes=[NodePlacement("control", z) for z in ZONES]
+        + [NodePlacement("directory", z) for z in ZONES[::2]]
+        + [NodePlacement("proxy", z) for z in SERVING[:9]],
+        upstreams=[UpstreamPool(s, SERVING) for s in config["services"]],
         config=config,
         shares=shares,
         rate=400.0,
@@ -96,7 +99,7 @@
     )
 
 
-def cycles() -> Shape:
+def cycles() -> FleetShape:
     config = {
         "services": {s: {} for s in ("stock", "prices", "orders", "catalogue")},
         "regions": CONFIG["regions"],
@@ -127,15 +130,15 @@
         ["sync", "GET", "/catalogue/{n}", False, 10],
     ]
     pools = [
-        Pool("stock", SERVING + ZONES[:1]),
-        Pool("prices", SERVING + ZONES[1:2]),
-        Pool("orders", SERVING + ZONES[2:4]),
-        Pool("catalogue", SERVING + ZONES[4:5]),
+        UpstreamPool("stock", SERVING + ZONES[:1]),
+        UpstreamPool("prices", SERVING + ZONES[1:2]),
+        UpstreamPool("orders", SERVING + ZONES[2:4]),
+        UpstreamPool("catalogue", SERVING + ZONES[4:5]),
     ]
-    return Shape(
-        nodes=[Place("control", z) for z in ZONES]
-        + [Place("directory", z) for z in ZONES[::2]]
-        + [Place("proxy", z) for z in SERVING],
+    return FleetShape(
+        nodes=[NodePlacement("control", z) for z in ZONES]
+        + [NodePlacement("directory", z) for z in ZONES[::2]]
+        + [NodePlacement("proxy", z) for z in SERVING],
         upstreams=pools,
         config=config,
         shares=shares,
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -2,7 +2,14 @@
 
 import pytest
 
-from mallowvalve.localfleet.judge import Offered, after_evacuation, after_leaving, dropped, judge, repeat_share
+from mallowvalve.localfleet.judge import (
+    OfferedConfiguration,
+    after_evacuation,
+    after_leaving,
+    dropped,
+    judge,
+    repeat_share,
+)
 from tests.shapes import CONFIG
 
 
@@ -26,17 +33,21 @@
 
 
 def in_force():
-    return [Offered(0.0, 0.0, 1, CONFIG)]
+    return [OfferedConfiguration(0.0, 0.0, 1, CONFIG)]
 
 
 def test_a_run_is_judged_by_what_may_have_been_in_force():
     moved = copy.deepcopy(CONFIG)
     moved["cells"]["racing"]["tenants"]["runner"]["homes"] = ["us"]
-    offers = [Offered(0.0, 0.0, 1, CONFIG), Offered(5.0, 6.0, 2, moved), Offered(7.0, 8.0, None, CONFIG)]
+    offers = [
+        OfferedConfiguration(0.0, 0.0, 1, CONFIG),
+        OfferedConfiguration(5.0, 6.0, 2, moved),
+        OfferedConfiguration(7.0, 8.0, None, CONFIG),
+    ]
     for at, bad in ((4.0, False), (9.0, False), (9.6, False), (30.0, False)):
         assert bool(judge([copy.copy(o) for o in offers], [], [ran(at=at)])) == bad
     assert judge([copy.copy(o) for o in offers[:2]], [], [ran(at=9.6)])
-    later = [*offers, Offered(20.0, 21.0, 4, moved)]
+    later = [*offers, OfferedConfiguration(20.0, 21.0, 4, moved)]
     assert judge([copy.copy(o) for o in later], [], [ran(at=25.0)]) and not judge(
         [copy.copy(o) for o in later], [], [ran(at=24.0)]
     )
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -311,20 +311,23 @@
 def test_the_trials_check_looks_at_its_history_by_times_too():
     """A value that was read, gone, and read again: each read alone is as its revision says."""
     ops = [
-        history.Op("put", "k", "u", 1, 20, "ok", 10, "a"),
-        history.Op("put", "k", "v", 1, 20, "ok", 20, "b"),
-        history.Op("read", "k", "w", 2, 3, "ok", 25, "b", None, 20),
-        history.Op("read", "k", "w", 4, 5, "ok", 25, "a", None, 10),
+        history.CoordinationCall("put", "k", "u", 1, 20, "ok", 10, "a"),
+        history.CoordinationCall("put", "k", "v", 1, 20, "ok", 20, "b"),
+        history.CoordinationCall("read", "k", "w", 2, 3, "ok", 25, "b", None, 20),
+        history.CoordinationCall("read", "k", "w", 4, 5, "ok", 25, "a", None, 10),
     ]
-    h = history.History(ops[:3], [], [], [])
-    assert history.check(h) == []
+    h = history.CoordinationHistory(ops[:3], [], [], [])
+    assert history.check_history(h) == []
     h.ops.append(ops[3])
-    assert any(f.startswith("key k") for f in history.check(h))
+    assert any(f.startswith("key k") for f in history.check_history(h))
 
 
 def test_a_trials_lock_is_relied_on_to_the_end_of_its_hold():
-    ops = [history.Op("take", "l", "u", 1, 2, "ok", 4), history.Op("take", "l", "v", 3, 4, "ok", 9)]
-    h = history.History(ops, [history.Hold("l", "u", 2, 4.5, 4)], [], [])
-    assert any(f.startswith("lock l") for f in history.check(h))
+    ops = [
+        history.CoordinationCall("take", "l", "u", 1, 2, "ok", 4),
+        history.CoordinationCall("take", "l", "v", 3, 4, "ok", 9),
+    ]
+    h = history.CoordinationHistory(ops, [history.LockHold("l", "u", 2, 4.5, 4)], [], [])
+    assert any(f.startswith("lock l") for f in history.check_history(h))
     h.holds[0].end = 3.5
-    assert history.check(h) == []
+    assert history.check_history(h) == []
--- a/tests/test_localfleet.py
+++ b/tests/test_localfleet.py
@@ -6,23 +6,23 @@
 
 from mallowvalve.cli import main
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet, until
-from mallowvalve.localfleet.main import settle
+from mallowvalve.localfleet.fleet import LocalFleet, wait_until
+from mallowvalve.localfleet.main import wait_until_settled
 from tests.shapes import small
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with Fleet(small(), tmp_path_factory.mktemp("whole")) as f:
-        assert settle(f)
+    with LocalFleet(small(), tmp_path_factory.mktemp("whole")) as f:
+        assert wait_until_settled(f)
         yield f
 
 
 def test_clients_are_served_whole_and_nothing_runs_twice(fleet):
     fleet.start_clients(seed=7)
-    assert until(lambda: len(fleet.rows("asked.jsonl")) >= 100, 30)
+    assert wait_until(lambda: len(fleet.read_journal("asked.jsonl")) >= 100, 30)
     assert fleet.stop("clients", 30) == 0
-    asked, ran = fleet.rows("asked.jsonl"), fleet.rows("ran.jsonl")
+    asked, ran = fleet.read_journal("asked.jsonl"), fleet.read_journal("ran.jsonl")
     assert all(r["whole"] for r in asked if r["ok"])
     assert sum(r["ok"] for r in asked) >= 0.95 * len(asked)
     keys = [r["key"] for r in ran if r["key"]]
@@ -31,18 +31,18 @@
 
 
 def test_a_repeat_gets_the_stored_answer_and_another_body_a_conflict(fleet):
-    port = fleet.of("proxy")[0].web
+    port = fleet.with_role("proxy")[0].web_port
     h = {"Mallow-Tenant": "runner", "Mallow-Key": "one"}
     first = call(port, "POST", "/runs", {"a": 1}, h)
-    again = call(fleet.of("proxy")[1].web, "POST", "/runs", {"a": 1}, h)
+    again = call(fleet.with_role("proxy")[1].web_port, "POST", "/runs", {"a": 1}, h)
     other = call(port, "POST", "/runs", {"a": 2}, h)
     assert first[0] == again[0] == 200 and first[1] == again[1] and again[2]["mallow-repeat"] == "1"
     assert other[0] == 409
-    assert sum(r["key"] == "one" for r in fleet.rows("ran.jsonl")) == 1
+    assert sum(r["key"] == "one" for r in fleet.read_journal("ran.jsonl")) == 1
 
 
 def test_bad_requests_are_rejected_with_findings_and_never_reach_an_upstream(fleet):
-    port, before = fleet.of("proxy")[0].web, len(fleet.rows("ran.jsonl"))
+    port, before = fleet.with_role("proxy")[0].web_port, len(fleet.read_journal("ran.jsonl"))
     ok = {"Mallow-Tenant": "runner", "Mallow-Key": "k9"}
     cases = [
         ("POST", "/nowhere", {}, ok, 404),
@@ -60,11 +60,11 @@
         said = "undecided" if "Mallow-Key" in headers else "not-run"
         assert (status, h.get("mallow-outcome")) == (want, said), (path, status, data)
         assert data["findings"][0]["place"]
-    assert len(fleet.rows("ran.jsonl")) == before
+    assert len(fleet.read_journal("ran.jsonl")) == before
 
 
 def test_a_configuration_is_refused_whole_and_races_conflict(fleet):
-    ports = [p.web for p in fleet.of("control")]
+    ports = [p.web_port for p in fleet.with_role("control")]
     status, was, _ = call(ports[0], "GET", "/config")
     assert status == 200
     bad = {**was["doc"], "routes": {"x": {"cell": "no", "match": "??", "kind": "read", "service": "no"}}}
@@ -74,11 +74,11 @@
     assert call(ports[1], "PUT", "/config", {"doc": good, "base": was["revision"]})[0] == 200
     assert call(ports[2], "PUT", "/config", {"doc": was["doc"], "base": was["revision"]})[0] == 409
     assert call(ports[2], "GET", "/config")[1]["doc"] == good
-    assert all(call(p.web, "GET", "/-/counts")[1]["gauges"]["fresh"] for p in fleet.of("proxy"))
+    assert all(call(p.web_port, "GET", "/-/counts")[1]["gauges"]["fresh"] for p in fleet.with_role("proxy"))
 
 
 def test_locks_numbers_and_watches(fleet):
-    a, b = (p.web for p in fleet.of("control")[:2])
+    a, b = (p.web_port for p in fleet.with_role("control")[:2])
     got = call(a, "POST", "/locks/l/take", {"holder": "x", "ttl_ms": 60000}, {"Mallow-Key": "q"})
     again = call(b, "POST", "/locks/l/take", {"holder": "x", "ttl_ms": 60000}, {"Mallow-Key": "q"})
     other = call(b, "POST", "/locks/l/take", {"holder": "y", "ttl_ms": 60000})
@@ -97,7 +97,7 @@
 
 
 def test_patches_carry_plans_and_are_refused_when_stale(fleet):
-    port = fleet.of("control")[0].web
+    port = fleet.with_role("control")[0].web_port
     base = call(port, "GET", "/config")[1]["revision"]
     patch = [{"op": "replace", "path": "/regions/eu/policy", "value": "limit 3s"}]
     status, got, _ = call(port, "POST", "/plan", {"patch": patch, "base": base})
@@ -119,41 +119,47 @@
 
 
 def test_a_large_configuration_comes_in_force_and_traffic_goes_on(fleet):
-    control, proxy = fleet.of("control")[0].web, fleet.of("proxy")[0].web
+    control, proxy = fleet.with_role("control")[0].web_port, fleet.with_role("proxy")[0].web_port
     was = call(control, "GET", "/config")[1]
     doc = was["doc"]
     more = {f"r{i}": {**doc["routes"]["rankings"], "match": f'method GET and path "/many/{i}/*"'} for i in range(3000)}
     large = {**doc, "routes": {**doc["routes"], **more}}
-    leaders = {call(p.web, "GET", "/leader")[1]["term"] for p in fleet.of("control")}
+    leaders = {call(p.web_port, "GET", "/leader")[1]["term"] for p in fleet.with_role("control")}
     assert call(control, "PUT", "/config", {"doc": large, "base": was["revision"]})[0] == 200
     assert call(proxy, "GET", "/many/2999/x", None, {"Mallow-Tenant": "overlay"})[0] == 200
-    assert {call(p.web, "GET", "/leader")[1]["term"] for p in fleet.of("control")} == leaders
+    assert {call(p.web_port, "GET", "/leader")[1]["term"] for p in fleet.with_role("control")} == leaders
     assert call(control, "PUT", "/config", {"doc": doc})[0] == 200
     assert call(proxy, "GET", "/many/2999/x", None, {"Mallow-Tenant": "overlay"})[0] == 404
 
 
 def test_a_hasty_client_is_held_through_all_proxies_and_others_are_served(fleet):
-    ports, boards = [p.web for p in fleet.of("proxy")], [p for p in fleet.of("upstream") if p.args[3] == "boards"]
+    ports, boards = (
+        [p.web_port for p in fleet.with_role("proxy")],
+        [p for p in fleet.with_role("upstream") if p.args[3] == "boards"],
+    )
     tenant = {"Mallow-Tenant": "overlay"}
     for b in boards:
-        assert call(b.web, "POST", "/-/faults", {"fault": "garbage", "share": 1.0})[0] == 200
+        assert call(b.web_port, "POST", "/-/faults", {"fault": "garbage", "share": 1.0})[0] == 200
     got = [call(ports[i % 3], "GET", "/rankings/hasty", None, tenant) for i in range(60)]
     for b in boards:
-        call(b.web, "POST", "/-/faults", {"fault": "", "share": 0})
+        call(b.web_port, "POST", "/-/faults", {"fault": "", "share": 0})
     assert all(status in (502, 503) and h["mallow-outcome"] and h["retry-after"] for status, _, h in got)
-    assert sum(r["path"] == "/rankings/hasty" for r in fleet.rows("ran.jsonl")) <= 10
-    assert until(lambda: call(ports[0], "GET", "/rankings/other", None, tenant)[0] == 200, 20)
+    assert sum(r["path"] == "/rankings/hasty" for r in fleet.read_journal("ran.jsonl")) <= 10
+    assert wait_until(lambda: call(ports[0], "GET", "/rankings/other", None, tenant)[0] == 200, 20)
 
 
 def test_an_outage_in_which_nothing_was_sent_leaves_no_debt(fleet):
-    port, boards = fleet.of("proxy")[0].web, [p for p in fleet.of("upstream") if p.args[3] == "boards"]
+    port, boards = (
+        fleet.with_role("proxy")[0].web_port,
+        [p for p in fleet.with_role("upstream") if p.args[3] == "boards"],
+    )
     for b in boards:
         fleet.kill(b.name)
     got = [call(port, "GET", "/rankings/empty", None, {"Mallow-Tenant": "overlay"}) for _ in range(20)]
     assert {(s, h["mallow-outcome"]) for s, _, h in got} <= {(503, "not-run"), (502, "unknown")}
     for b in boards:
         fleet.start(b.name)
-    assert until(lambda: call(port, "GET", "/rankings/empty", None, {"Mallow-Tenant": "overlay"})[0] == 200, 20)
+    assert wait_until(lambda: call(port, "GET", "/rankings/empty", None, {"Mallow-Tenant": "overlay"})[0] == 200, 20)
 
 
 def ready_at(port):
@@ -161,8 +167,8 @@
 
 
 def test_a_request_whose_body_is_slow_goes_by_the_settings_in_force_at_its_first_byte(fleet):
-    control, proxy = fleet.of("control")[0].web, fleet.of("proxy")[0].web
-    assert until(lambda: ready_at(proxy) == len(fleet.of("upstream")), 20)
+    control, proxy = fleet.with_role("control")[0].web_port, fleet.with_role("proxy")[0].web_port
+    assert wait_until(lambda: ready_at(proxy) == len(fleet.with_role("upstream")), 20)
     was = call(control, "GET", "/config")[1]["doc"]
     patient = {**was["routes"]["submit"], "policy": "limit 30s"}
     assert call(control, "PUT", "/config", {"doc": {**was, "routes": {**was["routes"], "submit": patient}}})[0] == 200
@@ -176,16 +182,16 @@
         r = http.client.HTTPResponse(s)
         r.begin()
         assert r.status == 200
-    ran = [x["service"] for x in fleet.rows("ran.jsonl") if x["key"] == "slow"]
+    ran = [x["service"] for x in fleet.read_journal("ran.jsonl") if x["key"] == "slow"]
     assert call(control, "PUT", "/config", {"doc": was})[0] == 200
     assert ran == ["boards"]
 
 
 def test_the_fleet_explains_what_it_decided(fleet):
-    control, proxy = fleet.of("control")[0].web, fleet.of("proxy")[0]
+    control, proxy = fleet.with_role("control")[0].web_port, fleet.with_role("proxy")[0]
     was = call(control, "GET", "/config")[1]
     got = call(control, "PUT", "/config", {"doc": was["doc"], "base": was["revision"]}, {"Mallow-Key": "why-1"})
-    assert call(proxy.web, "GET", "/nowhere", None, {"Mallow-Tenant": "overlay"})[0] == 404
+    assert call(proxy.web_port, "GET", "/nowhere", None, {"Mallow-Tenant": "overlay"})[0] == 404
 
     def explained(thing):
         r = CliRunner().invoke(main, ["admin", "--at", f"127.0.0.1:{control}", "explain", thing])
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,8 +8,8 @@
 
 from mallowvalve.cli import main
 from mallowvalve.localfleet.call import call
-from mallowvalve.localfleet.fleet import Fleet
-from mallowvalve.localfleet.main import settle
+from mallowvalve.localfleet.fleet import LocalFleet
+from mallowvalve.localfleet.main import wait_until_settled
 from tests.shapes import small
 
 DOCS = Path(__file__).parent.parent / "docs"
@@ -19,8 +19,8 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with Fleet(small(), tmp_path_factory.mktemp("pages")) as f:
-        assert settle(f)
+    with LocalFleet(small(), tmp_path_factory.mktemp("pages")) as f:
+        assert wait_until_settled(f)
         yield f
 
 
@@ -39,8 +39,11 @@
 
 @pytest.mark.parametrize("page,line", commands())
 def test_each_command_on_the_pages_works(fleet, tmp_path, page, line):
-    control, proxy = f"127.0.0.1:{fleet.of('control')[0].web}", f"127.0.0.1:{fleet.of('proxy')[0].web}"
-    now = call(fleet.of("control")[0].web, "GET", "/config")[1]
+    control, proxy = (
+        f"127.0.0.1:{fleet.with_role('control')[0].web_port}",
+        f"127.0.0.1:{fleet.with_role('proxy')[0].web_port}",
+    )
+    now = call(fleet.with_role("control")[0].web_port, "GET", "/config")[1]
     (tmp_path / "next.json").write_text(json.dumps(now["doc"]))
     (tmp_path / "change.json").write_text(json.dumps([{"op": "add", "path": "/services/more", "value": {}}]))
     words = shlex.split(line.partition(">")[0])
--- a/tests/test_out_of_touch.py
+++ b/tests/test_out_of_touch.py
@@ -5,7 +5,7 @@
 from falcon import testing
 
 from mallowvalve import web
-from mallowvalve.admin.call import call_at
+from mallowvalve.admin.call import http_call
 from mallowvalve.control import http_operators, http_plain, lease
 from mallowvalve.control.lease import Answer
 from mallowvalve.metrics import Counts
@@ -94,5 +94,5 @@
     app.add_route("/there", there)
     with web.Server(Address("127.0.0.1", 0), app, Counts(), 8) as server:
         port.append(server.server_port)
-        answer = gevent.get_hub().threadpool.apply(call_at, ("127.0.0.1", port[0], "PUT", "/here", {"a": 1}))
+        answer = gevent.get_hub().threadpool.apply(http_call, ("127.0.0.1", port[0], "PUT", "/here", {"a": 1}))
     assert answer[:2] == (200, {"ok": True}) and there.got == [("moved=1", b'{"a": 1}')]
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -3,8 +3,8 @@
 import msgspec
 import pytest
 
-from mallowvalve.localfleet.history import Op
-from mallowvalve.localfleet.judge import Offered
+from mallowvalve.localfleet.history import CoordinationCall
+from mallowvalve.localfleet.judge import OfferedConfiguration
 from sim.config import config
 from sim.history import Emptied, History, Left, Ran
 from sim.serving import check, cold_share
@@ -32,7 +32,7 @@
 
 def clean() -> History:
     h = History()
-    h.offers = [Offered(0.0, 1.0, 1, doc()), Offered(20.0, 21.0, 2, doc("spare", ("us",)))]
+    h.offers = [OfferedConfiguration(0.0, 1.0, 1, doc()), OfferedConfiguration(20.0, 21.0, 2, doc("spare", ("us",)))]
     h.served = [
         ran(5.0),
         order(6.0),
@@ -63,7 +63,10 @@
         ran(5 + i * 0.025, id=f"x{i - i % 2}", instance="b") for i in range(600)
     ),
     "had ended before": lambda h: h.coord.ops.extend(
-        [Op("put", "c", "u", 1, 2, "ok", 9, "a"), Op("read", "c", "u", 3, 4, "ok", 5, None, None, 0)]
+        [
+            CoordinationCall("put", "c", "u", 1, 2, "ok", 9, "a"),
+            CoordinationCall("read", "c", "u", 3, 4, "ok", 5, None, None, 0),
+        ]
     ),
 }
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -9,7 +9,7 @@
 
 from mallowvalve.cli import main
 from mallowvalve.localfleet import schedule, soak, soak_judge
-from mallowvalve.localfleet.fleet import Fleet, Shape
+from mallowvalve.localfleet.fleet import FleetShape, LocalFleet
 from mallowvalve.localfleet.schedule import PLANNED, VERSION, Act, Kind, Schedule, draw, load, names, save
 from mallowvalve.localfleet.soak_judge import Event, Levels, Spans, What
 
@@ -18,12 +18,12 @@
 
 @pytest.fixture
 def shape():
-    return msgspec.json.decode(SHAPE.read_bytes(), type=Shape)
+    return msgspec.json.decode(SHAPE.read_bytes(), type=FleetShape)
 
 
 @pytest.fixture
 def fleet(shape, tmp_path):
-    return Fleet(shape, tmp_path)
+    return LocalFleet(shape, tmp_path)
 
 
 def test_a_seed_draws_the_same_schedule_and_another_one_another(shape):
@@ -61,7 +61,7 @@
     ],
 )
 def test_a_schedule_that_cannot_be_played_is_refused_before_anything_starts(saved, place, tmp_path, monkeypatch):
-    monkeypatch.setattr(Fleet, "__enter__", lambda self: pytest.fail("started"))
+    monkeypatch.setattr(LocalFleet, "__enter__", lambda self: pytest.fail("started"))
     (tmp_path / "s.json").write_bytes(msgspec.json.encode(saved))
     ended = CliRunner().invoke(main, ["soak", str(SHAPE), "--acts", str(tmp_path / "s.json")])
     assert ended.exit_code == 2 and place in ended.output
@@ -78,8 +78,8 @@
 
 
 def proxy(fleet, n):
-    found = fleet.of("proxy")[n]
-    return found, f"127.0.0.1:{found.web}"
+    found = fleet.with_role("proxy")[n]
+    return found, f"127.0.0.1:{found.web_port}"
 
 
 def row(by, status=200, outcome=None, began=100.0, ended=100.1, where="eu/eu-a", tenant="overlay"):
@@ -94,7 +94,7 @@
 
 
 def test_a_request_that_was_cut_while_it_ran_is_found(fleet):
-    (who, by), proxies = proxy(fleet, 0), {f"127.0.0.1:{p.web}": p for p in fleet.of("proxy")}
+    (who, by), proxies = proxy(fleet, 0), {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     cut = row(by, 0, "ConnectionResetError")
     found = soak_judge.cut_while_run(spans((99.0, What.TOLD, who.name)), proxies, [cut], RAN)
     assert len(found) == 1 and "while it stopped" in found[0]
@@ -104,7 +104,7 @@
 
 
 def test_a_request_led_elsewhere_while_one_at_home_was_steady_is_found(fleet):
-    proxies = {f"127.0.0.1:{p.web}": p for p in fleet.of("proxy")}
+    proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     (eu, _), (eu_b, _), (_, us) = proxy(fleet, 0), proxy(fleet, 1), proxy(fleet, 2)
     homes_of = soak_judge.homes(fleet)
     assert homes_of["steward"] == {"eu"}
@@ -121,7 +121,7 @@
 
 
 def test_a_stall_of_the_machine_is_trouble_and_an_unready_proxy_is_not_steady(fleet):
-    proxies = {f"127.0.0.1:{p.web}": p for p in fleet.of("proxy")}
+    proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     (eu, _), (eu_b, _), (_, us) = proxy(fleet, 0), proxy(fleet, 1), proxy(fleet, 2)
     for events in (
         [(96.0, What.STALL, "machine")],
