--- a/mallowvalve/admin/call.py
+++ b/mallowvalve/admin/call.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import urlsplit
 
-Answer = tuple[int, Any, dict[str, str]]
+HttpAnswer = tuple[int, Any, dict[str, str]]
 """Status, body (JSON decoded where it is JSON), headers by lower-case name."""
 
 
@@ -25,7 +25,7 @@
     body: Any = None,
     headers: Mapping[str, str] | None = None,
     timeout_s: float = 10.0,
-) -> Answer:
+) -> HttpAnswer:
     """The answer to one call; `body` is bytes or text as it is, else encoded as JSON. Redirections are followed.
 
     `limit` is the longest wait for each step of each connection (s). Without an answer the status is 0 and the body
@@ -33,7 +33,7 @@
     """
     data = body if body is None or isinstance(body, (bytes, str)) else json.dumps(body)
     kind = {"Content-Type": "application/json"} if body is not None else {}
-    answer: Answer = (0, "", {})
+    answer: HttpAnswer = (0, "", {})
     for _ in range(REDIRECTS + 1):
         answer = _call_once(host, port, method, path, data, {**kind, **(headers or {})}, timeout_s)
         to = urlsplit(answer[2].get("location", ""))
@@ -46,7 +46,7 @@
 
 def _call_once(
     host: str, port: int, method: str, path: str, data: bytes | str | None, headers: Mapping[str, str], timeout_s: float
-) -> Answer:
+) -> HttpAnswer:
     connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
         connection.request(method, path, body=data, headers=dict(headers))
--- a/mallowvalve/localfleet/__init__.py
+++ b/mallowvalve/localfleet/__init__.py
@@ -1,1 +1,1 @@
-"""A whole fleet on one machine, for development: started, hurt, and judged by what clients and upstreams wrote."""
+"""A development tool: runs a whole fleet on one machine, injects faults, and checks the journals of its clients."""
--- a/mallowvalve/localfleet/acknowledged.py
+++ b/mallowvalve/localfleet/acknowledged.py
@@ -1,4 +1,4 @@
-"""An act of a trial: whoever acknowledged something is killed at once, and what it said must still hold."""
+"""An act of a trial: kills a process right after its acknowledgement, whose effect must survive."""
 
 from __future__ import annotations
 
@@ -8,102 +8,117 @@
 
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import FleetProcess, LocalFleet, wait_until
-from mallowvalve.localfleet.judge import after_leaving
+from mallowvalve.localfleet.judge import runs_after_leaving
 from mallowvalve.localfleet.mishaps import evacuate
 
 
-def after_acks(f: LocalFleet) -> list[str]:
-    """The process that acknowledged is killed at once; what it said must still hold."""
-    rng, out = random.Random(11), []
+def after_acks(fleet: LocalFleet) -> list[str]:
+    """Kills the acknowledging process right after each acknowledgement and checks that the effect survives."""
+    rng, findings = random.Random(11), []
 
-    def hit(p: FleetProcess) -> None:
-        f.kill(p.name)
+    def restart(process: FleetProcess) -> None:
+        fleet.kill(process.name)
         time.sleep(2)
-        f.start(p.name)
-        wait_until(lambda: call(p.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200, 15)
+        fleet.start(process.name)
+        wait_until(lambda: call(process.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200, 15)
 
-    def at_control(method: str, path: str, body) -> tuple[FleetProcess, dict] | None:
-        p = rng.choice(f.with_role("control"))
-        status, data, _ = call(p.web_port, method, path, body, {"Mallow-Key": uuid.uuid4().hex}, 10)
-        return (p, data) if status == 200 else None
+    def send_to_control(method: str, path: str, body) -> tuple[FleetProcess, dict] | None:
+        process = rng.choice(fleet.with_role("control"))
+        status, data, _ = call(process.web_port, method, path, body, {"Mallow-Key": uuid.uuid4().hex}, 10)
+        return (process, data) if status == 200 else None
 
     def read(path: str) -> dict:
         return (
             wait_until(
-                lambda: next((d for s, d, _ in [call(f.operators.control(), "GET", path)] if s == 200), None), 15
+                lambda: next(
+                    (
+                        data
+                        for status, data, _ in [call(fleet.operators.pick_control_port(), "GET", path)]
+                        if status == 200
+                    ),
+                    None,
+                ),
+                15,
             )
             or {}
         )
 
-    for i in range(2):
-        got = at_control("PUT", "/keys/acked", {"value": f"v{i}"})
-        if got:
-            hit(got[0])
-            out += [] if read("/keys/acked").get("value") == f"v{i}" else ["an acknowledged key is missing"]
-        got = at_control("POST", "/numbers/acked", {})
-        if got:
-            hit(got[0])
-            again = wait_until(lambda: at_control("POST", "/numbers/acked", {}), 15)
-            out += [] if again and again[1]["number"] > got[1]["number"] else ["a number fell or came again"]
-    got = at_control("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
-    if got:
-        hit(got[0])
+    for number in range(2):
+        acknowledged = send_to_control("PUT", "/keys/acked", {"value": f"v{number}"})
+        if acknowledged:
+            restart(acknowledged[0])
+            findings += [] if read("/keys/acked").get("value") == f"v{number}" else ["an acknowledged key is missing"]
+        acknowledged = send_to_control("POST", "/numbers/acked", {})
+        if acknowledged:
+            restart(acknowledged[0])
+            again = wait_until(lambda: send_to_control("POST", "/numbers/acked", {}), 15)
+            findings += (
+                [] if again and again[1]["number"] > acknowledged[1]["number"] else ["a number fell or came again"]
+            )
+    acknowledged = send_to_control("POST", "/locks/acked/take", {"holder": "x", "ttl_ms": 60000})
+    if acknowledged:
+        restart(acknowledged[0])
         again = wait_until(
             lambda: next(
                 (
-                    s
-                    for s, _, _ in [call(f.operators.control(), "POST", "/locks/acked/take", {"holder": "y"})]
-                    if s < 500
+                    status
+                    for status, _, _ in [
+                        call(fleet.operators.pick_control_port(), "POST", "/locks/acked/take", {"holder": "y"})
+                    ]
+                    if status < 500
                 ),
                 None,
             ),
             15,
         )
-        out += [] if again == 409 else [f"a held lock answered {again}"]
-    got = at_control("POST", "/evacuations", {"zone": "ap-b", "evacuated": True})
-    if got:
-        hit(got[0])
-        out += [] if "ap-b" in read("/config").get("evacuated", []) else ["an acknowledged evacuation is missing"]
-    evacuate(f, "ap-b", False)
-    out += _after_order(f, rng, hit) + _after_notice(f, hit)
-    return out
+        findings += [] if again == 409 else [f"a held lock answered {again}"]
+    acknowledged = send_to_control("POST", "/evacuations", {"zone": "ap-b", "evacuated": True})
+    if acknowledged:
+        restart(acknowledged[0])
+        findings += [] if "ap-b" in read("/config").get("evacuated", []) else ["an acknowledged evacuation is missing"]
+    evacuate(fleet, "ap-b", False)
+    findings += _after_order(fleet, rng, restart) + _after_notice(fleet, restart)
+    return findings
 
 
-def _after_order(f: LocalFleet, rng: random.Random, hit) -> list[str]:
-    share = next(s for s in f.shape.shares if s[3])
+def _after_order(fleet: LocalFleet, rng: random.Random, restart) -> list[str]:
+    """Kills a proxy right after it answered an order; a repeat must not run the order again."""
+    share = next(share for share in fleet.shape.shares if share[3])
     key = uuid.uuid4().hex
-    h = {"Mallow-Tenant": share[0], "Mallow-Key": key}
-    p = rng.choice(f.with_role("proxy"))
-    first = call(p.web_port, share[1], share[2], {"a": 1}, h)
+    headers = {"Mallow-Tenant": share[0], "Mallow-Key": key}
+    process = rng.choice(fleet.with_role("proxy"))
+    first = call(process.web_port, share[1], share[2], {"a": 1}, headers)
     if first[0] != 200:
         return []
-    hit(p)
-    again = call(f.with_role("proxy")[-1].web_port, share[1], share[2], {"a": 1}, h)
-    n = sum(r["key"] == key for r in f.read_journal("ran.jsonl"))
+    restart(process)
+    again = call(fleet.with_role("proxy")[-1].web_port, share[1], share[2], {"a": 1}, headers)
+    runs = sum(row["key"] == key for row in fleet.read_journal("ran.jsonl"))
     return (
         []
-        if n == 1 and (again[0] != 200 or again[1] == first[1])
-        else [f"an answered order ran {n} times, again {again[0]}"]
+        if runs == 1 and (again[0] != 200 or again[1] == first[1])
+        else [f"an answered order ran {runs} times, again {again[0]}"]
     )
 
 
-def _after_notice(f: LocalFleet, hit) -> list[str]:
-    """An upstream says it is leaving; the node that took the notice dies with it on its lips."""
-    u = next(p for p in f.with_role("upstream") if p.is_running)
-    p = f.with_role("proxy")[0]
-    status, data, _ = call(p.web_port, "GET", "/-/upstreams")
-    row = next((r for r in data["upstreams"] if r["instance"] == u.name), None) if status == 200 else None
+def _after_notice(fleet: LocalFleet, restart) -> list[str]:
+    """Kills a proxy right after it acknowledged a leaving notice; no later request may reach the upstream."""
+    upstream = next(process for process in fleet.with_role("upstream") if process.is_running)
+    process = fleet.with_role("proxy")[0]
+    status, data, _ = call(process.web_port, "GET", "/-/upstreams")
+    row = next((row for row in data["upstreams"] if row["instance"] == upstream.name), None) if status == 200 else None
     if row is None:
         return []
-    heartbeat = {k: row[k] for k in ("service", "instance", "incarnation", "locality", "address")}
-    status, _, _ = call(p.web_port, "POST", "/-/heartbeats", heartbeat | {"sequence": 1 << 40, "state": "leaving"})
-    left = time.time()
+    heartbeat = {field: row[field] for field in ("service", "instance", "incarnation", "locality", "address")}
+    status, _, _ = call(
+        process.web_port, "POST", "/-/heartbeats", heartbeat | {"sequence": 1 << 40, "state": "leaving"}
+    )
+    left_at = time.time()
     if status != 200:
         return []
-    hit(p)
+    restart(process)
     time.sleep(4)
-    out = after_leaving(u.name, left, f.read_journal("ran.jsonl"))
-    f.kill(u.name)
-    f.start(u.name)
+    findings = runs_after_leaving(upstream.name, left_at, fleet.read_journal("ran.jsonl"))
+    fleet.kill(upstream.name)
+    fleet.start(upstream.name)
     time.sleep(2)
-    return out
+    return findings
--- a/mallowvalve/localfleet/fleet.py
+++ b/mallowvalve/localfleet/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet on this machine: started, stopped, killed, frozen, cut off."""
+"""Starts, stops, kills and suspends the processes of a fleet on this machine, and injects faults into them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class NodePlacement(msgspec.Struct):
-    """A process of a role at REGION/ZONE."""
+    """A process of a role and its locality, REGION/ZONE."""
 
     role: str
     locality: str
@@ -32,9 +32,9 @@
 
 
 class FleetShape(msgspec.Struct):
-    """A fleet: its processes, upstreams and configuration, and the load of its clients (`rate` requests a second).
+    """The description of a fleet: its processes, upstreams, configuration and client load.
 
-    `shares` are kinds of requests: [tenant, method, path, once, weight].
+    `shares` are the kinds of requests: [tenant, method, path, once, weight]. `rate` is in requests per second.
     """
 
     nodes: list[NodePlacement]
@@ -46,9 +46,20 @@
 
 
 class FleetProcess:
-    """A process: its command line, ports and files; `job` while it runs."""
-
-    __slots__ = ("name", "role", "args", "web_port", "transport_port", "data", "job", "log", "locality", "tell")
+    """A process with its command line, ports and files; `popen` is set once it was started."""
+
+    __slots__ = (
+        "name",
+        "role",
+        "args",
+        "web_port",
+        "transport_port",
+        "data",
+        "popen",
+        "log",
+        "locality",
+        "heartbeat_targets",
+    )
 
     def __init__(
         self,
@@ -61,48 +72,48 @@
         log: Path,
         data: Path | None = None,
     ):
-        """One that is not started yet."""
+        """Creates a process that is not started yet."""
         self.name, self.role, self.args, self.web_port, self.transport_port = name, role, args, web_port, transport_port
         self.locality, self.log, self.data = locality, log, data
-        self.job: subprocess.Popen | None = None
-        self.tell: list[str] = []
+        self.popen: subprocess.Popen | None = None
+        self.heartbeat_targets: list[str] = []
 
     @property
     def is_running(self) -> bool:
-        """Whether it runs."""
-        return self.job is not None and self.job.poll() is None
+        """Whether the process runs."""
+        return self.popen is not None and self.popen.poll() is None
 
 
 class LocalFleet:
-    """All processes by name. While it is entered those of the shape run; `wish` are the faults put in."""
+    """All processes by name; entering the context starts them. `faults` are the faults currently injected."""
 
-    def __init__(self, shape: FleetShape, folder: Path, polite: float = 4.0):
-        """Plan the processes with free ports, their files in `folder`; a polite stop may take `polite` seconds."""
-        self.shape, self.folder, self.polite = shape, folder, polite
+    def __init__(self, shape: FleetShape, folder: Path, stop_grace_s: float = 4.0):
+        """Plans the processes on free ports with their files in `folder`; a graceful stop may take `stop_grace_s`."""
+        self.shape, self.folder, self.stop_grace_s = shape, folder, stop_grace_s
         self.processes: dict[str, FleetProcess] = {}
-        self.wish: dict = {}
+        self.faults: dict = {}
         self.operators = None
         folder.mkdir(parents=True, exist_ok=True)
         self._plan()
 
     def _plan(self) -> None:
-        ports = iter(free_ports(2 * len(self.shape.nodes) + sum(len(p.localities) for p in self.shape.upstreams)))
-        spots = [(n, f"{n.role}{i}", next(ports), next(ports)) for i, n in enumerate(self.shape.nodes)]
-        self.seeds = [f"{HOST}:{m}" for n, _, _, m in spots if n.role == "control"][:3]
-        for n, name, web_port, transport_port in spots:
-            self._node(n, name, web_port, transport_port)
+        ports = iter(free_ports(2 * len(self.shape.nodes) + sum(len(pool.localities) for pool in self.shape.upstreams)))
+        planned = [(node, f"{node.role}{i}", next(ports), next(ports)) for i, node in enumerate(self.shape.nodes)]
+        self.seeds = [f"{HOST}:{port}" for node, _, _, port in planned if node.role == "control"][:3]
+        for node, name, web_port, transport_port in planned:
+            self._plan_node(node, name, web_port, transport_port)
         nodes = list(self.processes.values())
-        tell = [x for p in nodes if p.role != "control" for x in ("--tell", f"{HOST}:{p.web_port}")]
-        for p in self.shape.upstreams:
-            for i, loc in enumerate(p.localities):
-                self.upstream(p.service, f"{p.service}-{i}", loc, next(ports), tell)
+        targets = [word for node in nodes if node.role != "control" for word in ("--tell", f"{HOST}:{node.web_port}")]
+        for pool in self.shape.upstreams:
+            for i, locality in enumerate(pool.localities):
+                self.add_upstream(pool.service, f"{pool.service}-{i}", locality, next(ports), targets)
 
-    def _node(self, n: NodePlacement, name: str, web_port: int, transport_port: int) -> FleetProcess:
-        data = self.folder / name / "data" if n.role == "control" else None
+    def _plan_node(self, node: NodePlacement, name: str, web_port: int, transport_port: int) -> FleetProcess:
+        data = self.folder / name / "data" if node.role == "control" else None
         (self.folder / name).mkdir(exist_ok=True)
         log = self.folder / name / "log"
         args = [
-            n.role,
+            node.role,
             "--fleet",
             FLEET,
             "--faults",
@@ -110,7 +121,7 @@
             "--name",
             name,
             "--locality",
-            n.locality,
+            node.locality,
             "--transport",
             f"{HOST}:{transport_port}",
             "--web",
@@ -118,15 +129,22 @@
             "--log",
             str(log),
             "--polite",
-            str(self.polite),
+            str(self.stop_grace_s),
         ]
-        args += [x for s in self.seeds for x in ("--seeds", s)]
+        args += [word for seed in self.seeds for word in ("--seeds", seed)]
         args += ["--data", str(data)] if data else []
-        p = self.processes[name] = FleetProcess(name, n.role, args, web_port, transport_port, n.locality, log, data)
-        return p
+        process = self.processes[name] = FleetProcess(
+            name, node.role, args, web_port, transport_port, node.locality, log, data
+        )
+        return process
+
+    def add_upstream(
+        self, service: str, instance: str, locality: str, port: int, heartbeat_targets: list[str]
+    ) -> FleetProcess:
+        """Plans one more upstream, which sends its heartbeats to the `--tell` options in `heartbeat_targets`.
 
-    def upstream(self, service: str, instance: str, locality: str, port: int, tell: list[str]) -> FleetProcess:
-        """Plan one more upstream; nodes of `tell` take its heartbeats."""
+        `args[3]` of an upstream's process is its service.
+        """
         (self.folder / instance).mkdir(exist_ok=True)
         args = [
             "standins",
@@ -141,20 +159,20 @@
             locality,
             "--journal",
             str(self.folder / "ran.jsonl"),
-            *tell,
+            *heartbeat_targets,
         ]
-        p = self.processes[instance] = FleetProcess(
+        process = self.processes[instance] = FleetProcess(
             instance, "upstream", args, port, 0, locality, self.folder / instance / "log"
         )
-        p.tell = tell
-        return p
+        process.heartbeat_targets = heartbeat_targets
+        return process
 
     def add_node(self, role: str, locality: str, name: str) -> FleetProcess:
-        """Start one more process of a role."""
+        """Starts one more process of a role."""
         web_port, transport_port = free_ports(2)
-        p = self._node(NodePlacement(role, locality), name, web_port, transport_port)
+        process = self._plan_node(NodePlacement(role, locality), name, web_port, transport_port)
         self.start(name)
-        return p
+        return process
 
     def start_clients(
         self,
@@ -164,17 +182,17 @@
         relentless: bool = False,
         clinging: bool = False,
     ) -> FleetProcess:
-        """Start stand-in clients, `rate` requests a second or the shape's own."""
-        s = self.shape
+        """Starts stand-in clients that send `rate` requests per second in total, by default the rate of the shape."""
+        shape = self.shape
         args = [
             "standins",
             "clients",
             "--shares",
-            json.dumps(s.shares),
+            json.dumps(shape.shares),
             "--clients",
-            str(s.clients),
+            str(shape.clients),
             "--rate",
-            str(rate or s.rate),
+            str(rate or shape.rate),
             "--journal",
             str(self.folder / "asked.jsonl"),
             "--seed",
@@ -182,105 +200,115 @@
         ]
         args += ["--relentless"] if relentless else []
         args += ["--clinging"] if clinging else []
-        args += [x for p in self.with_role("directory") for x in ("--directory", f"{HOST}:{p.web_port}")]
-        args += [x for loc in sorted({n.locality for n in s.nodes}) for x in ("--locality", loc)]
+        args += [
+            word
+            for directory in self.with_role("directory")
+            for word in ("--directory", f"{HOST}:{directory.web_port}")
+        ]
+        args += [
+            word for locality in sorted({node.locality for node in shape.nodes}) for word in ("--locality", locality)
+        ]
         self.processes[name] = FleetProcess(name, "clients", args, 0, 0, "", self.folder / f"{name}.log")
         return self.start(name)
 
     def with_role(self, role: str) -> list[FleetProcess]:
-        """The processes of a role."""
-        return [p for p in self.processes.values() if p.role == role]
+        """Returns the processes of a role."""
+        return [process for process in self.processes.values() if process.role == role]
 
     def start(self, name: str) -> FleetProcess:
-        """Start a process that does not run."""
-        p = self.processes[name]
-        with open(p.log.parent / f"{p.name}.err", "ab") as err:
-            p.job = subprocess.Popen([sys.executable, "-m", "mallowvalve", *p.args], stderr=err, stdout=err)
-        return p
+        """Starts a process that does not run."""
+        process = self.processes[name]
+        with open(process.log.parent / f"{process.name}.err", "ab") as err:
+            process.popen = subprocess.Popen(
+                [sys.executable, "-m", "mallowvalve", *process.args], stderr=err, stdout=err
+            )
+        return process
 
     def __enter__(self) -> LocalFleet:
-        """Start all processes."""
-        for n in list(self.processes):
-            self.start(n)
+        """Starts all processes."""
+        for name in list(self.processes):
+            self.start(name)
         return self
 
     def __exit__(self, *_) -> None:
-        """Kill all processes."""
-        for p in self.processes.values():
-            if p.is_running:
-                p.job.send_signal(signal.SIGCONT)
-                p.job.kill()
-        for p in self.processes.values():
-            if p.job is not None:
-                p.job.wait()
+        """Kills all processes."""
+        for process in self.processes.values():
+            if process.is_running:
+                process.popen.send_signal(signal.SIGCONT)
+                process.popen.kill()
+        for process in self.processes.values():
+            if process.popen is not None:
+                process.popen.wait()
 
     def kill(self, name: str) -> None:
-        """Kill a process at once (SIGKILL)."""
-        self.processes[name].job.kill()
-        self.processes[name].job.wait()
+        """Kills a process with SIGKILL and waits for its end."""
+        self.processes[name].popen.kill()
+        self.processes[name].popen.wait()
 
     def stop(self, name: str, timeout_s: float = 10.0) -> int:
-        """Ask a process to stop; its exit code. After `limit` seconds subprocess.TimeoutExpired is raised."""
-        j = self.processes[name].job
-        j.terminate()
-        return j.wait(timeout=timeout_s)
+        """Sends SIGTERM and returns the exit code; raises subprocess.TimeoutExpired after `timeout_s`."""
+        popen = self.processes[name].popen
+        popen.terminate()
+        return popen.wait(timeout=timeout_s)
 
     def freeze(self, name: str) -> None:
-        """Let a process stand still (SIGSTOP)."""
-        os.kill(self.processes[name].job.pid, signal.SIGSTOP)
+        """Suspends a process with SIGSTOP."""
+        os.kill(self.processes[name].popen.pid, signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
-        """Let it go on (SIGCONT)."""
-        os.kill(self.processes[name].job.pid, signal.SIGCONT)
+    def resume(self, name: str) -> None:
+        """Resumes a suspended process with SIGCONT."""
+        os.kill(self.processes[name].popen.pid, signal.SIGCONT)
 
     def delete_data(self, name: str) -> None:
-        """Delete its folder."""
+        """Deletes the data folder of a process."""
         shutil.rmtree(self.processes[name].data, ignore_errors=True)
 
-    def cut(self, pairs: list[tuple[FleetProcess, FleetProcess]], one_way: bool = False) -> None:
-        """Cuts the transport from each first to each second, and back unless it is one way."""
-        both = pairs if one_way else pairs + [(b, a) for a, b in pairs]
-        self.wish["cuts"] = [(f"{HOST}:{a.transport_port}", f"{HOST}:{b.transport_port}") for a, b in both]
-        self._wish()
+    def cut_links(self, pairs: list[tuple[FleetProcess, FleetProcess]], one_way: bool = False) -> None:
+        """Drops transport messages from the first to the second of each pair, and back unless `one_way`."""
+        both = pairs if one_way else pairs + [(receiver, sender) for sender, receiver in pairs]
+        self.faults["cuts"] = [
+            (f"{HOST}:{sender.transport_port}", f"{HOST}:{receiver.transport_port}") for sender, receiver in both
+        ]
+        self._write_faults()
 
-    def split(self, left: list[FleetProcess], right: list[FleetProcess], one_way: bool = False) -> None:
-        """Cut every process of one side from every one of the other."""
-        self.cut([(a, b) for a in left for b in right], one_way)
+    def partition(self, left: list[FleetProcess], right: list[FleetProcess], one_way: bool = False) -> None:
+        """Cuts every process of `left` off from every process of `right`."""
+        self.cut_links([(a, b) for a in left for b in right], one_way)
 
-    def disk(self, full: list[str] = (), stalls: dict[str, float] | None = None) -> None:
-        """From now on these disks are full, and writes of those processes stall (s)."""
-        self.wish |= {"full": list(full), "stalls": stalls or {}}
-        self._wish()
+    def set_disk_faults(self, full: list[str] = (), stalls: dict[str, float] | None = None) -> None:
+        """Makes the disks of the processes in `full` refuse writes, and delays each write of those in `stalls` (s)."""
+        self.faults |= {"full": list(full), "stalls": stalls or {}}
+        self._write_faults()
 
-    def heal(self) -> None:
-        """Take out all faults."""
-        self.wish = {}
-        self._wish()
+    def clear_faults(self) -> None:
+        """Removes all injected faults."""
+        self.faults = {}
+        self._write_faults()
 
-    def _wish(self) -> None:
+    def _write_faults(self) -> None:
         new = self.folder / "faults.new"
-        new.write_text(json.dumps(self.wish))
+        new.write_text(json.dumps(self.faults))
         new.rename(self.folder / "faults.json")
 
     def read_journal(self, file: str) -> list[dict]:
-        """The lines of a journal that are whole."""
+        """Returns the complete rows of a journal; skips a line that is still being written."""
         path = self.folder / file
         if not path.exists():
             return []
-        out = []
+        rows = []
         for line in path.read_text().splitlines():
             try:
-                out.append(json.loads(line))
+                rows.append(json.loads(line))
             except ValueError:
                 continue
-        return out
+        return rows
 
 
-def wait_until(test, timeout_s: float, every: float = 0.1):
-    """What `test` says once that is true, or at last after `limit` seconds; asked `every` so many seconds."""
+def wait_until(test, timeout_s: float, interval_s: float = 0.1):
+    """Polls `test` every `interval_s` until its result is true or `timeout_s` have passed; returns the last result."""
     end = time.monotonic() + timeout_s
     while True:
-        v = test()
-        if v or time.monotonic() > end:
-            return v
-        time.sleep(every)
+        result = test()
+        if result or time.monotonic() > end:
+            return result
+        time.sleep(interval_s)
--- a/mallowvalve/localfleet/history.py
+++ b/mallowvalve/localfleet/history.py
@@ -1,4 +1,4 @@
-"""Judges what coordination calls were told, by their revisions and by who ended before whom began."""
+"""Checks the recorded coordination calls by their revisions and by the order in which they ended and began."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class CoordinationCall(msgspec.Struct):
-    """`said` is ok, a refusal's code, or undecided; revision, base and at are the store's own."""
+    """A call and its outcome.
+
+    `said` is ok, the code of a refusal, or undecided; `revision`, `base` and `at` are revisions of the store.
+    """
 
     kind: str
     name: str
@@ -26,6 +29,8 @@
 
 
 class LockHold(msgspec.Struct):
+    """The span in which a client relied on its lock, with the lock's fencing token."""
+
     name: str
     who: str
     start: float
@@ -34,6 +39,8 @@
 
 
 class WatchEvent(msgspec.Struct):
+    """A change of a key that a watcher received."""
+
     watcher: str
     revision: int
     name: str
@@ -41,136 +48,189 @@
 
 
 class CoordinationHistory(msgspec.Struct):
+    """All recorded calls, lock holds and watch events; `gaps` are watches whose revision was compacted."""
+
     ops: list[CoordinationCall] = []
     holds: list[LockHold] = []
     events: list[WatchEvent] = []
     gaps: list[str] = []
 
 
-def check_history(h: CoordinationHistory) -> list[str]:
-    return [*in_order(h), *reads(h), *bases(h), *refused(h), *one_holder(h), *watches(h), *orders(h)]
+def check_history(history: CoordinationHistory) -> list[str]:
+    """Runs all checks of this module and returns their findings."""
+    return [
+        *check_revision_order(history),
+        *check_reads(history),
+        *check_put_bases(history),
+        *check_refused_values(history),
+        *check_lock_exclusion(history),
+        *check_watches(history),
+        *check_linearizability(history),
+    ]
 
 
-def orders(h: CoordinationHistory) -> list[str]:
-    """Whether each key, number and lock answered as a single one would have, by the times of its calls alone."""
-    return linearizability.check(operations(h)).findings()
+def check_linearizability(history: CoordinationHistory) -> list[str]:
+    """Checks that each key, number and lock is linearizable, by the times of its calls alone."""
+    return linearizability.check(to_operations(history)).findings()
 
 
-def operations(h: CoordinationHistory) -> list[Operation]:
-    """Return the calls as the checker of histories takes them; a lock is relied on to the end of its hold."""
-    ends = {(x.name, x.token): x.end for x in h.holds}
-    return [_operation(o, ends) for o in h.ops]
+def to_operations(history: CoordinationHistory) -> list[Operation]:
+    """Converts the calls for the linearizability checker; a lock counts as held until the end of its hold."""
+    hold_ends = {(hold.name, hold.token): hold.end for hold in history.holds}
+    return [_operation(call, hold_ends) for call in history.ops]
 
 
-def _operation(o: CoordinationCall, ends: dict[tuple[str, int], float]) -> Operation:
+def _operation(recorded: CoordinationCall, hold_ends: dict[tuple[str, int], float]) -> Operation:
     kind: Kind
     call: histories.Call
-    match o.kind:
+    match recorded.kind:
         case "take":
-            kind, call = Kind.LOCK, Take(o.who, ends.get((o.name, o.revision), o.begun))
+            hold_end = hold_ends.get((recorded.name, recorded.revision), recorded.begun)
+            kind, call = Kind.LOCK, Take(recorded.who, hold_end)
         case "number":
             kind, call = Kind.NUMBER, Draw()
         case "put":
-            kind, call = Kind.KEY, Put(o.value, o.base)
+            kind, call = Kind.KEY, Put(recorded.value, recorded.base)
         case _:
             kind, call = Kind.KEY, Read()
-    outcome = outcome_of(o.said)
-    number = o.at if o.kind == "read" else o.revision
-    value = o.value if o.kind == "read" else None
-    ended = None if outcome is Outcome.UNKNOWN else o.ended
-    return Operation(kind, o.name, o.who, call, o.begun, ended, outcome, number, value)
-
-
-def _made(h: CoordinationHistory) -> list[CoordinationCall]:
-    return [o for o in h.ops if o.said == "ok" and o.kind in ("put", "number", "take")]
-
-
-def _puts(h: CoordinationHistory, name: str) -> list[CoordinationCall]:
-    return sorted((o for o in _made(h) if o.kind == "put" and o.name == name), key=lambda o: o.revision)
-
-
-def in_order(h: CoordinationHistory) -> list[str]:
-    made, out = _made(h), []
-    seen: dict[int, CoordinationCall] = {}
-    for o in made:
-        if o.revision in seen:
-            out.append(f"revision {o.revision} was given twice: {seen[o.revision].kind} and {o.kind}")
-        seen[o.revision] = o
-    ends, newest, i = sorted(made, key=lambda o: o.ended), 0, 0
-    said = [*made, *(o for o in h.ops if o.kind == "read" and o.said == "ok")]
-    for o in sorted(said, key=lambda o: o.begun):
-        while i < len(ends) and ends[i].ended < o.begun:
-            newest, i = max(newest, ends[i].revision), i + 1
-        if o.revision < newest or o.kind != "read" and o.revision == newest:
-            out.append(f"{o.kind} {o.name} begun at {o.begun:.2f} got {o.revision}, {newest} had ended before")
-    return out
-
-
-def reads(h: CoordinationHistory) -> list[str]:
-    out = []
-    maybe = [o for o in h.ops if o.kind == "put" and o.said == "undecided"]
-    for r in (o for o in h.ops if o.kind == "read" and o.said == "ok"):
-        last = max((p for p in _puts(h, r.name) if p.revision <= r.revision), key=lambda p: p.revision, default=None)
-        if last is not None and (r.at, r.value) == (last.revision, last.value) or last is None and r.value is None:
+    outcome = outcome_of(recorded.said)
+    number = recorded.at if recorded.kind == "read" else recorded.revision
+    value = recorded.value if recorded.kind == "read" else None
+    ended = None if outcome is Outcome.UNKNOWN else recorded.ended
+    return Operation(kind, recorded.name, recorded.who, call, recorded.begun, ended, outcome, number, value)
+
+
+def _successful_writes(history: CoordinationHistory) -> list[CoordinationCall]:
+    return [call for call in history.ops if call.said == "ok" and call.kind in ("put", "number", "take")]
+
+
+def _successful_puts(history: CoordinationHistory, name: str) -> list[CoordinationCall]:
+    return sorted(
+        (call for call in _successful_writes(history) if call.kind == "put" and call.name == name),
+        key=lambda call: call.revision,
+    )
+
+
+def check_revision_order(history: CoordinationHistory) -> list[str]:
+    """Checks that revisions are unique and that no call gets one below that of a call that ended before it began."""
+    writes, findings = _successful_writes(history), []
+    by_revision: dict[int, CoordinationCall] = {}
+    for call in writes:
+        if call.revision in by_revision:
+            findings.append(
+                f"revision {call.revision} was given twice: {by_revision[call.revision].kind} and {call.kind}"
+            )
+        by_revision[call.revision] = call
+    by_end, newest, index = sorted(writes, key=lambda call: call.ended), 0, 0
+    successful = [*writes, *(call for call in history.ops if call.kind == "read" and call.said == "ok")]
+    for call in sorted(successful, key=lambda call: call.begun):
+        while index < len(by_end) and by_end[index].ended < call.begun:
+            newest, index = max(newest, by_end[index].revision), index + 1
+        if call.revision < newest or call.kind != "read" and call.revision == newest:
+            findings.append(
+                f"{call.kind} {call.name} begun at {call.begun:.2f} got {call.revision}, {newest} had ended before"
+            )
+    return findings
+
+
+def check_reads(history: CoordinationHistory) -> list[str]:
+    """Checks that each read returns the last put of its key up to its revision, or an undecided put."""
+    findings = []
+    undecided = [call for call in history.ops if call.kind == "put" and call.said == "undecided"]
+    for read in (call for call in history.ops if call.kind == "read" and call.said == "ok"):
+        last = max(
+            (put for put in _successful_puts(history, read.name) if put.revision <= read.revision),
+            key=lambda put: put.revision,
+            default=None,
+        )
+        if (
+            last is not None
+            and (read.at, read.value) == (last.revision, last.value)
+            or last is None
+            and read.value is None
+        ):
             continue
-        if last is not None and last.value is None and r.value is None:
+        if last is not None and last.value is None and read.value is None:
             continue
-        if any(p.name == r.name and p.value == r.value and p.begun < r.ended for p in maybe) and r.at >= (
-            last.revision if last else 0
-        ):
+        if any(
+            put.name == read.name and put.value == read.value and put.begun < read.ended for put in undecided
+        ) and read.at >= (last.revision if last else 0):
             continue
-        if r.value is None and any(p.name == r.name and p.value is None for p in maybe):
+        if read.value is None and any(put.name == read.name and put.value is None for put in undecided):
             continue
-        want = (last.revision, last.value) if last else None
-        out.append(f"read of {r.name} at {r.begun:.2f} by {r.revision} shows {(r.at, r.value)}, want {want}")
-    return out
-
-
-def bases(h: CoordinationHistory) -> list[str]:
-    out = []
-    for name in {o.name for o in h.ops}:
-        before = 0
-        for p in _puts(h, name):
-            if p.base is not None and before > p.base:
-                out.append(f"put of {name} at {p.revision} on base {p.base} was taken over {before}")
-            before = p.revision
-    return out
-
-
-def refused(h: CoordinationHistory) -> list[str]:
-    """What was told refused must be seen nowhere; each value is written once."""
-    no = {o.value for o in h.ops if o.kind == "put" and o.said not in ("ok", "undecided") and o.value is not None}
-    shown = {e.value for e in h.events} | {o.value for o in h.ops if o.kind == "read"}
-    return [f"value {v} was told refused and is there" for v in sorted(no & shown)]
-
-
-def one_holder(h: CoordinationHistory) -> list[str]:
-    out, last = [], {}
-    for x in sorted(h.holds, key=lambda x: x.start):
-        y = last.get(x.name)
-        if y is not None and x.start < y.end and x.who != y.who:
-            out.append(f"{x.who} holds {x.name} from {x.start:.2f} while {y.who} holds it until {y.end:.2f}")
-        if y is not None and x.token <= y.token:
-            out.append(f"token {x.token} of {x.name} after {y.token}")
-        if y is None or x.end > y.end:
-            last[x.name] = x
-    return out
-
-
-def watches(h: CoordinationHistory) -> list[str]:
-    out = [f"a watcher was told compacted: {g}" for g in h.gaps]
-    by: dict[str, list[WatchEvent]] = defaultdict(list)
-    for e in h.events:
-        by[e.watcher].append(e)
-    puts = {p.revision: p for p in _made(h) if p.kind == "put"}
-    for who, es in by.items():
-        revisions = [e.revision for e in es]
+        expected = (last.revision, last.value) if last else None
+        findings.append(
+            f"read of {read.name} at {read.begun:.2f} by {read.revision} shows {(read.at, read.value)}, want {expected}"
+        )
+    return findings
+
+
+def check_put_bases(history: CoordinationHistory) -> list[str]:
+    """Checks that no conditional put succeeded although its key was newer than its base."""
+    findings = []
+    for name in {call.name for call in history.ops}:
+        previous_revision = 0
+        for put in _successful_puts(history, name):
+            if put.base is not None and previous_revision > put.base:
+                findings.append(
+                    f"put of {name} at {put.revision} on base {put.base} was taken over {previous_revision}"
+                )
+            previous_revision = put.revision
+    return findings
+
+
+def check_refused_values(history: CoordinationHistory) -> list[str]:
+    """Checks that the value of a refused put appears nowhere; each value is written only once."""
+    refused = {
+        call.value
+        for call in history.ops
+        if call.kind == "put" and call.said not in ("ok", "undecided") and call.value is not None
+    }
+    seen = {event.value for event in history.events} | {call.value for call in history.ops if call.kind == "read"}
+    return [f"value {value} was told refused and is there" for value in sorted(refused & seen)]
+
+
+def check_lock_exclusion(history: CoordinationHistory) -> list[str]:
+    """Checks that holds of a lock by different clients do not overlap and that their tokens increase."""
+    findings, latest = [], {}
+    for hold in sorted(history.holds, key=lambda hold: hold.start):
+        previous = latest.get(hold.name)
+        if previous is not None and hold.start < previous.end and hold.who != previous.who:
+            findings.append(
+                f"{hold.who} holds {hold.name} from {hold.start:.2f} "
+                f"while {previous.who} holds it until {previous.end:.2f}"
+            )
+        if previous is not None and hold.token <= previous.token:
+            findings.append(f"token {hold.token} of {hold.name} after {previous.token}")
+        if previous is None or hold.end > previous.end:
+            latest[hold.name] = hold
+    return findings
+
+
+def check_watches(history: CoordinationHistory) -> list[str]:
+    """Checks that each watcher receives every put once, in order and with its value, without compaction gaps."""
+    findings = [f"a watcher was told compacted: {gap}" for gap in history.gaps]
+    events_by_watcher: dict[str, list[WatchEvent]] = defaultdict(list)
+    for event in history.events:
+        events_by_watcher[event.watcher].append(event)
+    puts = {call.revision: call for call in _successful_writes(history) if call.kind == "put"}
+    for watcher, events in events_by_watcher.items():
+        revisions = [event.revision for event in events]
         if revisions != sorted(set(revisions)):
-            out.append(f"{who} saw events twice or out of order")
+            findings.append(f"{watcher} saw events twice or out of order")
         seen = set(revisions)
-        out += [f"{who} missed {r}" for r in puts if revisions[0] < r < revisions[-1] and r not in seen]
+        findings += [
+            f"{watcher} missed {revision}"
+            for revision in puts
+            if revisions[0] < revision < revisions[-1] and revision not in seen
+        ]
         wrong = [
-            e for e in es if e.revision in puts and (puts[e.revision].name, puts[e.revision].value) != (e.name, e.value)
+            event
+            for event in events
+            if event.revision in puts
+            and (puts[event.revision].name, puts[event.revision].value) != (event.name, event.value)
+        ]
+        findings += [
+            f"{watcher} saw {event.value} at {event.revision}, it was {puts[event.revision].value}" for event in wrong
         ]
-        out += [f"{who} saw {e.value} at {e.revision}, it was {puts[e.revision].value}" for e in wrong]
-    return out
+    return findings
--- a/mallowvalve/localfleet/jobs.py
+++ b/mallowvalve/localfleet/jobs.py
@@ -1,4 +1,4 @@
-"""Threads that run while a trial does."""
+"""Background threads of a trial."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from threading import Event, Thread
 
 
-class Jobs:
-    """Threads of a stand-in that run while it is entered."""
+class BackgroundThreads:
+    """Threads that run while the context is entered."""
 
-    def __init__(self, jobs: list[tuple[Callable, tuple]]):
-        """Functions with their arguments; each ends soon after `stop` is set."""
+    def __init__(self, functions: list[tuple[Callable, tuple]]):
+        """Takes functions with their arguments; each must return soon after `stop` is set."""
         self.stop = Event()
-        self._jobs = [Thread(target=j, args=args) for j, args in jobs]
+        self._threads = [Thread(target=function, args=args) for function, args in functions]
 
     def __enter__(self):
-        """Start them."""
-        for j in self._jobs:
-            j.start()
+        """Starts the threads."""
+        for thread in self._threads:
+            thread.start()
         return self
 
     def __exit__(self, *_) -> None:
-        """Stop them and wait for their end."""
+        """Stops the threads and waits for their end."""
         self.stop.set()
-        for j in self._jobs:
-            j.join()
+        for thread in self._threads:
+            thread.join()
--- a/mallowvalve/localfleet/judge.py
+++ b/mallowvalve/localfleet/judge.py
@@ -1,4 +1,4 @@
-"""What clients and upstreams wrote, judged by the rules; each finding is a line. Times are s of the wall clock."""
+"""Checks the journals of clients and upstreams; each violation is a line of text. Times are wall clock seconds."""
 
 from __future__ import annotations
 
@@ -12,14 +12,21 @@
 from mallowvalve.configuration.model import Tree
 from mallowvalve.routing.model import RouteRequest
 
-IN_FORCE = 3.5
-LEFT = 3.5
-EVACUATED = 5.0
-SHARE = 0.2
+IN_FORCE_GRACE_S = 3.5
+"""How long an older configuration may still be in force after a newer one is acknowledged."""
+
+LEAVING_GRACE_S = 3.5
+"""How long requests may still reach an upstream after its leaving notice."""
+
+EVACUATION_GRACE_S = 5.0
+"""How long requests may still run in a zone after its evacuation is acknowledged."""
+
+MAX_REPEAT_SHARE = 0.2
+"""The maximum ratio of repeated runs to first runs."""
 
 
 class OfferedConfiguration(msgspec.Struct):
-    """A configuration that an operator offered; without a revision nobody knows whether it was taken."""
+    """A configuration that an operator submitted; without a revision it is unknown whether it was accepted."""
 
     begun: float
     ended: float
@@ -27,152 +34,170 @@
     doc: object
 
 
-def in_force_at(offers: list[OfferedConfiguration], at: float, grace: float = IN_FORCE) -> list[OfferedConfiguration]:
-    """Those that may have been in force at that moment."""
-    sure = [o for o in offers if o.revision is not None and o.ended <= at - grace]
-    newest = max(sure, key=lambda o: o.revision, default=None)
-    out = []
-    for o in offers:
-        if o.begun > at:
+def in_force_at(
+    offers: list[OfferedConfiguration], at: float, grace_s: float = IN_FORCE_GRACE_S
+) -> list[OfferedConfiguration]:
+    """Returns the configurations that may have been in force at a moment."""
+    certain = [offer for offer in offers if offer.revision is not None and offer.ended <= at - grace_s]
+    newest = max(certain, key=lambda offer: offer.revision, default=None)
+    possible = []
+    for offer in offers:
+        if offer.begun > at:
             continue
-        if o.revision is not None and (newest is None or o.revision >= newest.revision):
-            out.append(o)
-        if o.revision is None and not any(s.begun > o.ended for s in sure):
-            out.append(o)
-    return out
+        if offer.revision is not None and (newest is None or offer.revision >= newest.revision):
+            possible.append(offer)
+        if offer.revision is None and not any(later.begun > offer.ended for later in certain):
+            possible.append(offer)
+    return possible
 
 
-def judge(offers: list[OfferedConfiguration], asked: list[dict], ran: list[dict]) -> list[str]:
-    """All that must hold of any trial."""
-    return [*runs_once(ran), *whole_answers(asked), *not_run_is_true(asked, ran), *allowed(offers, ran)]
+def check_journals(offers: list[OfferedConfiguration], asked_rows: list[dict], ran_rows: list[dict]) -> list[str]:
+    """Runs the checks that apply to every trial."""
+    return [
+        *check_single_runs(ran_rows),
+        *check_complete_answers(asked_rows),
+        *check_reported_outcomes(asked_rows, ran_rows),
+        *check_routing(offers, ran_rows),
+    ]
 
 
-def runs_once(ran: list[dict]) -> list[str]:
-    """No key ran twice."""
-    c = Counter((r["tenant"], r["key"]) for r in ran if r["key"])
-    return [f"key {k} ran {n} times" for k, n in c.items() if n > 1]
+def check_single_runs(ran_rows: list[dict]) -> list[str]:
+    """Checks that no idempotency key ran twice."""
+    runs = Counter((row["tenant"], row["key"]) for row in ran_rows if row["key"])
+    return [f"key {key} ran {count} times" for key, count in runs.items() if count > 1]
 
 
-def whole_answers(asked: list[dict]) -> list[str]:
-    """A success is the request's own whole answer."""
+def check_complete_answers(asked_rows: list[dict]) -> list[str]:
+    """Checks that each success carries the complete answer of its own request."""
     return [
-        f"request {r['id']} got a success that is not its own whole answer" for r in asked if r["ok"] and not r["whole"]
+        f"request {row['id']} got a success that is not its own whole answer"
+        for row in asked_rows
+        if row["ok"] and not row["whole"]
     ]
 
 
-def not_run_is_true(asked: list[dict], ran: list[dict]) -> list[str]:
-    """What was told done ran once, and what was told not-run did not run."""
+def check_reported_outcomes(asked_rows: list[dict], ran_rows: list[dict]) -> list[str]:
+    """Checks that requests reported as done ran once, and that requests reported as not run did not run."""
     runs = defaultdict(int)
-    for r in ran:
-        runs[r["key"] or r["request"]] += 1
-    out = []
-    for r in asked:
-        n = runs.get(r["key"] or r["id"], 0)
-        if r["key"] and r["ok"] and n != 1:
-            out.append(f"key {r['key']} told done, ran {n} times")
-        if len(r["tries"]) == 1 and r["tries"][0][1] == "not-run" and n:
-            out.append(f"request {r['id']} told not-run, ran {n} times")
-        if r["key"] and r["tries"][-1][1] == "not-run" and n:
-            out.append(f"key {r['key']} told not-run at last, ran {n} times")
-    return out
-
-
-def allowed(offers: list[OfferedConfiguration], ran: list[dict]) -> list[str]:
-    """Everything ran by a configuration that may have been in force."""
-    out, trees = [], {}
-    for o in offers:
-        key = repr(o.doc)
-        trees[key] = trees.get(key) or build(o.doc).unwrap()
-        o.doc = key
-    points = sorted({t for o in offers for t in (o.begun, o.ended + IN_FORCE)})
-    known: dict[int, set[str]] = {}
-    for r in ran:
-        i = bisect_right(points, r["at"])
-        docs = known.get(i)
+    for row in ran_rows:
+        runs[row["key"] or row["request"]] += 1
+    findings = []
+    for row in asked_rows:
+        count = runs.get(row["key"] or row["id"], 0)
+        if row["key"] and row["ok"] and count != 1:
+            findings.append(f"key {row['key']} told done, ran {count} times")
+        if len(row["tries"]) == 1 and row["tries"][0][1] == "not-run" and count:
+            findings.append(f"request {row['id']} told not-run, ran {count} times")
+        if row["key"] and row["tries"][-1][1] == "not-run" and count:
+            findings.append(f"key {row['key']} told not-run at last, ran {count} times")
+    return findings
+
+
+def check_routing(offers: list[OfferedConfiguration], ran_rows: list[dict]) -> list[str]:
+    """Checks that each run was allowed by a configuration that may have been in force at its time."""
+    findings, trees = [], {}
+    for offer in offers:
+        key = repr(offer.doc)
+        trees[key] = trees.get(key) or build(offer.doc).unwrap()
+        offer.doc = key
+    boundaries = sorted({at for offer in offers for at in (offer.begun, offer.ended + IN_FORCE_GRACE_S)})
+    docs_by_interval: dict[int, set[str]] = {}
+    for row in ran_rows:
+        interval = bisect_right(boundaries, row["at"])
+        docs = docs_by_interval.get(interval)
         if docs is None:
-            docs = known[i] = {o.doc for o in in_force_at(offers, r["at"])}
-        whys = [_refused(trees[d], r) for d in docs]
-        if all(whys):
-            what = f"{r['method']} {r['path']} for {r['tenant']}"
-            out.append(f"{r['service']} in {r['locality']} ran {what}: {sorted(set(whys))}")
-    return out
-
-
-def _refused(t: Tree, r: dict) -> str | None:
-    plan = t.choose(r["tenant"], RouteRequest(r["method"], r["path"], {})) if r["tenant"] in t.cell_of else None
-    if plan is None or plan.service != r["service"]:
+            docs = docs_by_interval[interval] = {offer.doc for offer in in_force_at(offers, row["at"])}
+        violations = [_violation(trees[doc], row) for doc in docs]
+        if all(violations):
+            request = f"{row['method']} {row['path']} for {row['tenant']}"
+            findings.append(f"{row['service']} in {row['locality']} ran {request}: {sorted(set(violations))}")
+    return findings
+
+
+def _violation(tree: Tree, row: dict) -> str | None:
+    """Returns why a configuration does not allow a run, or None if it does."""
+    plan = (
+        tree.choose(row["tenant"], RouteRequest(row["method"], row["path"], {}))
+        if row["tenant"] in tree.cell_of
+        else None
+    )
+    if plan is None or plan.service != row["service"]:
         return "no configuration allows it"
-    homes = t.homes(r["tenant"])
-    if homes is not None and r["locality"].partition("/")[0] not in homes:
+    homes = tree.homes(row["tenant"])
+    if homes is not None and row["locality"].partition("/")[0] not in homes:
         return f"its homes are {sorted(homes)}"
     return None
 
 
-def after_evacuation(zone: str, start: float, end: float, ran: list[dict]) -> list[str]:
-    """Nothing ran in an evacuated zone, from a few seconds after it was acknowledged."""
-    n = sum(start + EVACUATED < r["at"] < end and r["locality"].partition("/")[2] == zone for r in ran)
-    return [f"{n} requests ran in evacuated {zone}"] if n else []
+def runs_after_evacuation(zone: str, start: float, end: float, ran_rows: list[dict]) -> list[str]:
+    """Checks that no request runs in an evacuated zone after the grace period."""
+    count = sum(
+        start + EVACUATION_GRACE_S < row["at"] < end and row["locality"].partition("/")[2] == zone for row in ran_rows
+    )
+    return [f"{count} requests ran in evacuated {zone}"] if count else []
 
 
-def after_leaving(instance: str, left: float, ran: list[dict]) -> list[str]:
-    """Nothing reached an upstream a few seconds after it said that it leaves."""
-    n = sum(r["instance"] == instance and r["at"] > left + LEFT for r in ran)
-    return [f"{n} requests reached {instance} after it left"] if n else []
+def runs_after_leaving(instance: str, left_at: float, ran_rows: list[dict]) -> list[str]:
+    """Checks that no request reaches an upstream once the grace period after its leaving notice is over."""
+    count = sum(row["instance"] == instance and row["at"] > left_at + LEAVING_GRACE_S for row in ran_rows)
+    return [f"{count} requests reached {instance} after it left"] if count else []
 
 
-def dropped(start: float, end: float, asked: list[dict]) -> list[str]:
-    """Connections broken without an answer while only planned stops went on; a refused connection is none."""
-    out = [
-        f"request {r['id']} lost its connection: {t[1]}"
-        for r in asked
-        if start < r["at"] < end
-        for t in r["tries"]
-        if t[0] == 0 and t[1] not in ("ConnectionRefusedError", "no proxy")
+def dropped_connections(start: float, end: float, asked_rows: list[dict]) -> list[str]:
+    """Returns connections that broke without an answer during planned stops; a refused connection is allowed."""
+    findings = [
+        f"request {row['id']} lost its connection: {attempt[1]}"
+        for row in asked_rows
+        if start < row["at"] < end
+        for attempt in row["tries"]
+        if attempt[0] == 0 and attempt[1] not in ("ConnectionRefusedError", "no proxy")
     ]
-    return [f"{len(out)} connections dropped, first: {out[0]}"] if out else []
+    return [f"{len(findings)} connections dropped, first: {findings[0]}"] if findings else []
 
 
-def repeat_share(ran: list[dict], span: float = 10.0) -> tuple[float, list[str]]:
-    """The largest share of repeated work over first work that a service saw in any span of 10 s."""
-    return worst_repeat_share(((r["at"], r["service"], r["request"]) for r in ran), span)
+def repeat_share(ran_rows: list[dict], span_s: float = 10.0) -> tuple[float, list[str]]:
+    """Returns the largest ratio of repeats to first runs at a service in any span, and a finding if it is excessive."""
+    return worst_repeat_share(((row["at"], row["service"], row["request"]) for row in ran_rows), span_s)
 
 
 def worst_repeat_share(
-    runs: Iterable[tuple[float, str, str]], span: float = 10.0, least: int = 150
+    runs: Iterable[tuple[float, str, str]], span_s: float = 10.0, min_first_runs: int = 150
 ) -> tuple[float, list[str]]:
-    """The largest share of repeats of first runs in any `span` seconds with `least` first ones.
+    """Returns the largest ratio of repeats to first runs in any span, and a finding if it is excessive.
 
-    A run is (at, service, request).
+    A run is (at, service, request). Only spans of `span_s` with at least `min_first_runs` first runs count.
     """
-    by: dict[str, list[tuple[float, bool]]] = defaultdict(list)
+    runs_by_service: dict[str, list[tuple[float, bool]]] = defaultdict(list)
     seen: set[str] = set()
-    for at, service, id in sorted(runs):
-        by[service].append((at, id in seen))
-        seen.add(id)
+    for at, service, request in sorted(runs):
+        runs_by_service[service].append((at, request in seen))
+        seen.add(request)
     worst = 0.0
-    for marks in by.values():
-        lo = again = 0
-        for hi, (at, repeated) in enumerate(marks):
-            again += repeated
-            while marks[lo][0] < at - span:
-                again -= marks[lo][1]
-                lo += 1
-            first = hi - lo + 1 - again
-            if first >= least and at - marks[0][0] >= span:
-                worst = max(worst, again / first)
-    return worst, [f"repeats reached {worst:.3f} of first tries over {span:.0f} s"] if worst > SHARE else []
-
-
-def figures(asked: list[dict], ran: list[dict]) -> dict:
-    """Counts and times of what was asked."""
-    took = sorted(r["took"] for r in asked if r["ok"])
-    outcomes = Counter(str(t[1]) for r in asked for t in r["tries"] if t[0] != 200)
+    for marked_runs in runs_by_service.values():
+        start = repeats = 0
+        for end, (at, repeated) in enumerate(marked_runs):
+            repeats += repeated
+            while marked_runs[start][0] < at - span_s:
+                repeats -= marked_runs[start][1]
+                start += 1
+            first_runs = end - start + 1 - repeats
+            if first_runs >= min_first_runs and at - marked_runs[0][0] >= span_s:
+                worst = max(worst, repeats / first_runs)
+    return worst, [
+        f"repeats reached {worst:.3f} of first tries over {span_s:.0f} s"
+    ] if worst > MAX_REPEAT_SHARE else []
+
+
+def journal_statistics(asked_rows: list[dict], ran_rows: list[dict]) -> dict:
+    """Returns counts and durations of the requests, as printed at the end of a trial."""
+    durations_s = sorted(row["took"] for row in asked_rows if row["ok"])
+    outcomes = Counter(str(attempt[1]) for row in asked_rows for attempt in row["tries"] if attempt[0] != 200)
     return {
-        "asked": len(asked),
-        "ok": sum(r["ok"] for r in asked),
-        "ran": len(ran),
-        "tries": sum(len(r["tries"]) for r in asked),
-        "median_ms": round(took[len(took) // 2] * 1000, 1) if took else None,
-        "p99_ms": round(took[int(len(took) * 0.99)] * 1000, 1) if took else None,
+        "asked": len(asked_rows),
+        "ok": sum(row["ok"] for row in asked_rows),
+        "ran": len(ran_rows),
+        "tries": sum(len(row["tries"]) for row in asked_rows),
+        "median_ms": round(durations_s[len(durations_s) // 2] * 1000, 1) if durations_s else None,
+        "p99_ms": round(durations_s[int(len(durations_s) * 0.99)] * 1000, 1) if durations_s else None,
         "not_200": dict(outcomes),
     }
--- a/mallowvalve/localfleet/main.py
+++ b/mallowvalve/localfleet/main.py
@@ -17,63 +17,80 @@
 
 
 def load_shape(path: str) -> FleetShape:
-    """A fleet's file, TOML or JSON; findings end the program with code 2."""
+    """Reads the description of a fleet from a TOML or JSON file; ends the program with code 2 on findings."""
     try:
         data = (
             msgspec.toml.decode(Path(path).read_bytes())
             if path.endswith(".toml")
             else msgspec.json.decode(Path(path).read_bytes())
         )
-    except (OSError, msgspec.DecodeError) as e:
-        click.echo(f"mallowvalve: {path}: {e}", err=True)
+    except (OSError, msgspec.DecodeError) as error:
+        click.echo(f"mallowvalve: {path}: {error}", err=True)
         sys.exit(2)
-    r = finding.read(FleetShape, data)
-    if r.is_err():
-        for f in r.err_value:
-            click.echo(f"mallowvalve: {path}: {f}", err=True)
+    result = finding.read(FleetShape, data)
+    if result.is_err():
+        for one in result.err_value:
+            click.echo(f"mallowvalve: {path}: {one}", err=True)
         sys.exit(2)
-    return r.ok_value
+    return result.ok_value
 
 
 def wait_until_settled(fleet: LocalFleet, timeout_s: float = 40.0) -> bool:
-    """Whether the configuration is in force, all processes ready, all upstreams known, within `limit` seconds each."""
+    """Applies the configuration and waits until all processes are ready and all upstreams known to each proxy.
 
-    def applied() -> bool:
+    Each of the three steps may take `timeout_s`. Returns whether all of them succeeded.
+    """
+
+    def is_applied() -> bool:
         return any(
-            call(p.web_port, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200
-            for p in fleet.with_role("control")
-            if p.is_running
+            call(process.web_port, "PUT", "/config", {"doc": fleet.shape.config})[0] == 200
+            for process in fleet.with_role("control")
+            if process.is_running
         )
 
-    def all_ready() -> bool:
-        ps = [p for r in ("control", "proxy", "directory") for p in fleet.with_role(r) if p.is_running]
-        return all(call(p.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200 for p in ps)
+    def are_nodes_ready() -> bool:
+        nodes = [
+            process
+            for role in ("control", "proxy", "directory")
+            for process in fleet.with_role(role)
+            if process.is_running
+        ]
+        return all(call(node.web_port, "GET", "/-/ready", timeout_s=2)[0] == 200 for node in nodes)
 
-    def all_upstreams() -> bool:
-        want = len(fleet.with_role("upstream"))
+    def are_upstreams_known() -> bool:
+        expected = len(fleet.with_role("upstream"))
         return all(
-            sum(u["status"] == "ready" for u in call(p.web_port, "GET", "/-/upstreams", timeout_s=2)[1]["upstreams"])
-            >= want
-            for p in fleet.with_role("proxy")
-            if p.is_running
+            sum(
+                upstream["status"] == "ready"
+                for upstream in call(proxy.web_port, "GET", "/-/upstreams", timeout_s=2)[1]["upstreams"]
+            )
+            >= expected
+            for proxy in fleet.with_role("proxy")
+            if proxy.is_running
         )
 
     return bool(
-        wait_until(applied, timeout_s) and wait_until(all_ready, timeout_s) and wait_until(all_upstreams, timeout_s)
+        wait_until(is_applied, timeout_s)
+        and wait_until(are_nodes_ready, timeout_s)
+        and wait_until(are_upstreams_known, timeout_s)
     )
 
 
 @click.command()
 @click.argument("shape")
-@click.option("--folder", help="where logs and data go; a new one if not given")
+@click.option("--folder", help="folder for logs and data; a new temporary folder by default")
 @click.option("--seconds", default=0.0, help="stop after this long; 0 runs until interrupted")
 @click.option(
-    "--trial", "acts", multiple=True, type=click.Choice(sorted(trial.ACTS)), help="provoke this under load, then judge"
+    "--trial",
+    "acts",
+    multiple=True,
+    type=click.Choice(sorted(trial.ACTS)),
+    help="play this act under load, then check the journals",
 )
 @click.option("--seed", default=1)
-@click.option("--rate", type=float, help="requests a second in a trial; the shape's own if not given")
-@click.option("--coordination", default=40.0, help="coordination calls a second in a trial")
-@click.option("--load/--no-load", default=True, help="stand-in clients")
+@click.option("--rate", type=float, help="requests per second in a trial; by default the rate of the shape")
+@click.option("--coordination", default=40.0, help="coordination calls per second in a trial")
+@click.option("--load/--no-load", default=True, help="run stand-in clients")
 def localfleet(
     shape: str,
     folder: str | None,
@@ -85,29 +102,32 @@
     load: bool,
 ) -> None:
     """Run a fleet on this machine from one settings file: a development tool."""
-    where = Path(folder or tempfile.mkdtemp(prefix="whole-"))
-    with LocalFleet(load_shape(shape), where) as f:
-        click.echo(f"folder {where}")
-        ok = wait_until_settled(f)
-        click.echo("settled" if ok else "not settled")
-        for p in f.processes.values():
-            click.echo(f"{p.name:24} {p.locality:12} web 127.0.0.1:{p.web_port} pid {p.job.pid}")
-        if acts and ok:
-            found, fig = trial.run(f, list(acts), seed, rate, coordination)
-            for x in found:
-                click.echo(f"finding: {x}")
-            click.echo(msgspec.json.encode(fig).decode())
-            sys.exit(1 if found else 0)
-        if load and f.shape.shares:
-            f.start_clients()
+    fleet_folder = Path(folder or tempfile.mkdtemp(prefix="whole-"))
+    with LocalFleet(load_shape(shape), fleet_folder) as fleet:
+        click.echo(f"folder {fleet_folder}")
+        is_settled = wait_until_settled(fleet)
+        click.echo("settled" if is_settled else "not settled")
+        for process in fleet.processes.values():
+            click.echo(
+                f"{process.name:24} {process.locality:12} web 127.0.0.1:{process.web_port} pid {process.popen.pid}"
+            )
+        if acts and is_settled:
+            findings, statistics = trial.run_trial(fleet, list(acts), seed, rate, coordination)
+            for one in findings:
+                click.echo(f"finding: {one}")
+            click.echo(msgspec.json.encode(statistics).decode())
+            sys.exit(1 if findings else 0)
+        if load and fleet.shape.shares:
+            fleet.start_clients()
         end = time.monotonic() + (seconds or 1e9)
         try:
             while time.monotonic() < end:
                 time.sleep(0.5)
         except KeyboardInterrupt:
             pass
-        rows = f.read_journal("asked.jsonl")
+        rows = fleet.read_journal("asked.jsonl")
         click.echo(
-            f"asked {len(rows)}, answered whole {sum(r['whole'] for r in rows)}, ran {len(f.read_journal('ran.jsonl'))}"
+            f"asked {len(rows)}, answered whole {sum(row['whole'] for row in rows)}, "
+            f"ran {len(fleet.read_journal('ran.jsonl'))}"
         )
-    sys.exit(0 if ok else 1)
+    sys.exit(0 if is_settled else 1)
--- a/mallowvalve/localfleet/mishaps.py
+++ b/mallowvalve/localfleet/mishaps.py
@@ -1,4 +1,4 @@
-"""Acts that need the fleet's faults, other configurations, or machines that come and go."""
+"""Acts that inject faults, change the configuration, or replace processes."""
 
 from __future__ import annotations
 
@@ -9,299 +9,365 @@
 
 from mallowvalve.localfleet.call import call, is_ok
 from mallowvalve.localfleet.fleet import FleetProcess, LocalFleet, wait_until
-from mallowvalve.localfleet.judge import after_evacuation, after_leaving
+from mallowvalve.localfleet.judge import runs_after_evacuation, runs_after_leaving
 from mallowvalve.localfleet.ports import HOST, free_ports
 
 
-def _nodes(f: LocalFleet) -> list[FleetProcess]:
-    return [p for r in ("control", "directory", "proxy") for p in f.with_role(r)]
+def _nodes(fleet: LocalFleet) -> list[FleetProcess]:
+    return [process for role in ("control", "directory", "proxy") for process in fleet.with_role(role)]
 
 
-def _leader(f: LocalFleet) -> FleetProcess | None:
-    def lead() -> FleetProcess | None:
-        return next((p for p in f.with_role("control") if p.is_running and _role(p) == "leader"), None)
+def _find_leader(fleet: LocalFleet) -> FleetProcess | None:
+    def running_leader() -> FleetProcess | None:
+        return next(
+            (process for process in fleet.with_role("control") if process.is_running and _role(process) == "leader"),
+            None,
+        )
 
-    return wait_until(lead, 15)
+    return wait_until(running_leader, 15)
 
 
-def _role(p: FleetProcess) -> str:
-    status, data, _ = call(p.web_port, "GET", "/leader", timeout_s=2)
+def _role(process: FleetProcess) -> str:
+    status, data, _ = call(process.web_port, "GET", "/leader", timeout_s=2)
     return data.get("role", "") if status == 200 else ""
 
 
-def _served(f: LocalFleet) -> int:
-    return sum(r["ok"] for r in f.read_journal("asked.jsonl"))
+def _count_answered(fleet: LocalFleet) -> int:
+    return sum(row["ok"] for row in fleet.read_journal("asked.jsonl"))
 
 
-def _goes_on(f: LocalFleet, seconds: float, what: str) -> list[str]:
-    before = _served(f)
+def _check_service(fleet: LocalFleet, seconds: float, what: str) -> list[str]:
+    """Returns a finding if no request succeeds within `seconds`."""
+    before = _count_answered(fleet)
     time.sleep(seconds)
-    return [] if _served(f) > before else [f"service stopped while {what}"]
+    return [] if _count_answered(fleet) > before else [f"service stopped while {what}"]
 
 
-def core_split(f: LocalFleet) -> list[str]:
-    """The leader and as many as stay a minority on one side, everybody else on the other."""
-    lead = _leader(f)
-    controls = [lead, *(p for p in f.with_role("control") if p is not lead)]
-    left = controls[: max(1, (min(5, len(controls)) - 1) // 2)]
-    f.split(left, [p for p in _nodes(f) if p not in left])
+def core_split(fleet: LocalFleet) -> list[str]:
+    """Partitions the fleet: the leader with a minority on one side, all other processes on the other side."""
+    leader = _find_leader(fleet)
+    controls = [leader, *(process for process in fleet.with_role("control") if process is not leader)]
+    minority = controls[: max(1, (min(5, len(controls)) - 1) // 2)]
+    fleet.partition(minority, [process for process in _nodes(fleet) if process not in minority])
     time.sleep(4)
-    new = _leader(f) if _role(lead) != "leader" else None
-    out = [] if new is not None else ["no other leader within 4 s, or the cut-off one still leads"]
-    out += _goes_on(f, 3, "the core was split")
-    f.heal()
+    successor = _find_leader(fleet) if _role(leader) != "leader" else None
+    findings = [] if successor is not None else ["no other leader within 4 s, or the cut-off one still leads"]
+    findings += _check_service(fleet, 3, "the core was split")
+    fleet.clear_faults()
     time.sleep(3)
-    return out
+    return findings
 
 
-def core_cut_off(f: LocalFleet) -> list[str]:
-    """Proxies and directories that see each other serve reads on without any core machine."""
-    f.split(f.with_role("control"), f.with_role("directory") + f.with_role("proxy"))
+def core_cut_off(fleet: LocalFleet) -> list[str]:
+    """Cuts all control processes off; proxies and directories, which reach each other, must continue to serve reads."""
+    fleet.partition(fleet.with_role("control"), fleet.with_role("directory") + fleet.with_role("proxy"))
     time.sleep(3)
-    out = _goes_on(f, 4, "the core was cut off")
-    f.heal()
+    findings = _check_service(fleet, 4, "the core was cut off")
+    fleet.clear_faults()
     time.sleep(3)
-    return out
+    return findings
 
 
-def isolated(f: LocalFleet) -> list[str]:
-    """A proxy alone stops admitting; its clients are told to come back."""
-    p, share = f.with_role("proxy")[0], next(s for s in f.shape.shares if not s[3])
-    f.split([p], [x for x in _nodes(f) if x is not p])
+def isolated(fleet: LocalFleet) -> list[str]:
+    """Isolates a proxy, which must stop admitting requests and answer that they were not run."""
+    process, share = fleet.with_role("proxy")[0], next(share for share in fleet.shape.shares if not share[3])
+    fleet.partition([process], [node for node in _nodes(fleet) if node is not process])
     time.sleep(2.6)
-    status, _, h = call(p.web_port, share[1], share[2].replace("{n}", "1"), None, {"Mallow-Tenant": share[0]})
-    out = [] if (status, h.get("mallow-outcome")) == (503, "not-run") else [f"an isolated proxy answered {status}"]
+    status, _, response_headers = call(
+        process.web_port, share[1], share[2].replace("{n}", "1"), None, {"Mallow-Tenant": share[0]}
+    )
+    findings = (
+        []
+        if (status, response_headers.get("mallow-outcome")) == (503, "not-run")
+        else [f"an isolated proxy answered {status}"]
+    )
     time.sleep(2)
-    f.heal()
-    back = wait_until(lambda: call(p.web_port, "GET", "/-/ready", timeout_s=1)[0] == 200, 6)
-    return out if back else [*out, "the proxy did not come back"]
+    fleet.clear_faults()
+    recovered = wait_until(lambda: call(process.web_port, "GET", "/-/ready", timeout_s=1)[0] == 200, 6)
+    return findings if recovered else [*findings, "the proxy did not come back"]
 
 
-def one_way(f: LocalFleet) -> list[str]:
-    """Processes of each role are not heard by the others, but hear them."""
-    for p in (_leader(f), f.with_role("proxy")[1], f.with_role("directory")[0]):
-        f.split([p], [x for x in _nodes(f) if x is not p], one_way=True)
+def one_way(fleet: LocalFleet) -> list[str]:
+    """Drops what a process of each role sends, one role after the other, while it still receives from the others."""
+    for process in (_find_leader(fleet), fleet.with_role("proxy")[1], fleet.with_role("directory")[0]):
+        fleet.partition([process], [node for node in _nodes(fleet) if node is not process], one_way=True)
         time.sleep(4)
-        f.heal()
+        fleet.clear_faults()
         time.sleep(3)
-    return _goes_on(f, 2, "one-way cuts were healed")
-
-
-def full_disk(f: LocalFleet) -> list[str]:
-    """The leader's disk is full: it says so, and service goes on."""
-    lead = _leader(f)
-    f.disk(full=[lead.name])
-    said = wait_until(lambda: call(lead.web_port, "GET", "/leader", timeout_s=2)[1].get("disk") == "refuses", 6)
-    out = [] if said else ["the full disk was not said"]
-    out += _goes_on(f, 4, "the leader's disk was full")
-    f.disk()
-    well = wait_until(lambda: call(lead.web_port, "GET", "/leader", timeout_s=2)[1].get("disk") == "well", 6)
-    return out if well else [*out, "the disk was not taken up again"]
-
-
-def stalled_disk(f: LocalFleet) -> list[str]:
-    """Each write of the leader takes 2.5 s longer; service goes on."""
-    lead = _leader(f)
-    f.disk(stalls={lead.name: 2.5})
-    out = _goes_on(f, 6, "the leader's disk stalled")
-    f.disk()
+    return _check_service(fleet, 2, "one-way cuts were healed")
+
+
+def full_disk(fleet: LocalFleet) -> list[str]:
+    """Fills the leader's disk; the leader must report it, and service must continue."""
+    leader = _find_leader(fleet)
+    fleet.set_disk_faults(full=[leader.name])
+    is_reported = wait_until(
+        lambda: call(leader.web_port, "GET", "/leader", timeout_s=2)[1].get("disk") == "refuses", 6
+    )
+    findings = [] if is_reported else ["the full disk was not said"]
+    findings += _check_service(fleet, 4, "the leader's disk was full")
+    fleet.set_disk_faults()
+    is_writable = wait_until(lambda: call(leader.web_port, "GET", "/leader", timeout_s=2)[1].get("disk") == "well", 6)
+    return findings if is_writable else [*findings, "the disk was not taken up again"]
+
+
+def stalled_disk(fleet: LocalFleet) -> list[str]:
+    """Delays each write of the leader by 2.5 s; service must continue."""
+    leader = _find_leader(fleet)
+    fleet.set_disk_faults(stalls={leader.name: 2.5})
+    findings = _check_service(fleet, 6, "the leader's disk stalled")
+    fleet.set_disk_faults()
     time.sleep(3)
-    return out
-
-
-def pool_replaced(f: LocalFleet) -> list[str]:
-    """Each upstream of a service leaves, and another at a new address takes its place, one by one."""
-    service = f.shape.upstreams[0].service
-    out = []
-    for i, p in enumerate([p for p in f.with_role("upstream") if p.args[3] == service][:6]):
-        new = f.upstream(service, f"{service}-new{i}", p.locality, free_ports(1)[0], p.tell)
-        f.start(new.name)
-        left = time.time()
-        f.stop(p.name, 12)
+    return findings
+
+
+def pool_replaced(fleet: LocalFleet) -> list[str]:
+    """Replaces the upstreams of a service by others at new addresses, one by one."""
+    service = fleet.shape.upstreams[0].service
+    findings = []
+    for number, process in enumerate(
+        [process for process in fleet.with_role("upstream") if process.args[3] == service][:6]
+    ):
+        replacement = fleet.add_upstream(
+            service, f"{service}-new{number}", process.locality, free_ports(1)[0], process.heartbeat_targets
+        )
+        fleet.start(replacement.name)
+        left_at = time.time()
+        fleet.stop(process.name, 12)
         time.sleep(1)
-        out += after_leaving(p.name, left, f.read_journal("ran.jsonl"))
-        del f.processes[p.name]
-    used = {r["instance"] for r in f.read_journal("ran.jsonl")}
-    return out if any(n.startswith(f"{service}-new") for n in used) else [*out, "the new upstreams were not used"]
-
-
-def service_removed(f: LocalFleet) -> list[str]:
-    """A service is taken out under load, its upstreams vanish, and another service gets their addresses."""
-    was = f.shape.config
-    service = f.shape.upstreams[-1].service
-    other = f.shape.upstreams[0].service
-    now = copy.deepcopy(was)
-    del now["services"][service]
-    now["routes"] = {n: r for n, r in now["routes"].items() if r["service"] != service}
-    if not f.operators.settle(now, "removed"):
+        findings += runs_after_leaving(process.name, left_at, fleet.read_journal("ran.jsonl"))
+        del fleet.processes[process.name]
+    instances = {row["instance"] for row in fleet.read_journal("ran.jsonl")}
+    return (
+        findings
+        if any(name.startswith(f"{service}-new") for name in instances)
+        else [*findings, "the new upstreams were not used"]
+    )
+
+
+def service_removed(fleet: LocalFleet) -> list[str]:
+    """Removes a service under load, kills its upstreams and gives their addresses to another service."""
+    original = fleet.shape.config
+    service = fleet.shape.upstreams[-1].service
+    other = fleet.shape.upstreams[0].service
+    changed = copy.deepcopy(original)
+    del changed["services"][service]
+    changed["routes"] = {name: route for name, route in changed["routes"].items() if route["service"] != service}
+    if not fleet.operators.apply_base(changed, "removed"):
         return ["the change was not acknowledged"]
-    gone = time.time()
-    old = [p for p in f.with_role("upstream") if p.args[3] == service]
+    acknowledged_at = time.time()
+    removed = [process for process in fleet.with_role("upstream") if process.args[3] == service]
     strangers = []
-    for i, p in enumerate(old):
-        f.kill(p.name)
-        q = f.upstream(other, f"{other}-moved{i}", p.locality, p.web_port, p.tell)
-        f.start(q.name)
-        strangers.append(q)
+    for number, process in enumerate(removed):
+        fleet.kill(process.name)
+        stranger = fleet.add_upstream(
+            other, f"{other}-moved{number}", process.locality, process.web_port, process.heartbeat_targets
+        )
+        fleet.start(stranger.name)
+        strangers.append(stranger)
     time.sleep(5)
-    out = [
-        f"{service} still ran at {r['at'] - gone:.1f} s"
-        for r in f.read_journal("ran.jsonl")
-        if r["service"] == service and r["at"] > gone + 3.5
+    findings = [
+        f"{service} still ran at {row['at'] - acknowledged_at:.1f} s"
+        for row in fleet.read_journal("ran.jsonl")
+        if row["service"] == service and row["at"] > acknowledged_at + 3.5
     ][:2]
-    if not any(r["instance"].startswith(f"{other}-moved") for r in f.read_journal("ran.jsonl")):
-        out.append("the addresses were not used for the other service")
-    for p, q in zip(old, strangers, strict=True):
-        f.kill(q.name)
-        del f.processes[q.name]
-        f.start(p.name)
-    if not f.operators.settle(was, "back"):
-        out.append("the service was not taken back")
-    back = wait_until(
-        lambda: any(r["service"] == service and r["at"] > time.time() - 2 for r in f.read_journal("ran.jsonl")), 15
+    if not any(row["instance"].startswith(f"{other}-moved") for row in fleet.read_journal("ran.jsonl")):
+        findings.append("the addresses were not used for the other service")
+    for process, stranger in zip(removed, strangers, strict=True):
+        fleet.kill(stranger.name)
+        del fleet.processes[stranger.name]
+        fleet.start(process.name)
+    if not fleet.operators.apply_base(original, "back"):
+        findings.append("the service was not taken back")
+    recovered = wait_until(
+        lambda: any(
+            row["service"] == service and row["at"] > time.time() - 2 for row in fleet.read_journal("ran.jsonl")
+        ),
+        15,
+    )
+    return findings if recovered else [*findings, f"{service} was not used again"]
+
+
+def homes_moved(fleet: LocalFleet) -> list[str]:
+    """Moves a tenant's homes to another region and back under load.
+
+    The trial checks each run against the configurations that were in force at its time.
+    """
+    original = fleet.shape.config
+    cell, tenant = next(
+        (cell_name, tenant_name)
+        for cell_name, cell_doc in original["cells"].items()
+        for tenant_name, tenant_doc in cell_doc["tenants"].items()
+        if tenant_doc.get("homes")
     )
-    return out if back else [*out, f"{service} was not used again"]
-
-
-def homes_moved(f: LocalFleet) -> list[str]:
-    """A tenant's homes move to another region and back while it works; the judge knows what was in force when."""
-    was = f.shape.config
-    cell, tenant = next((c, t) for c, d in was["cells"].items() for t, v in d["tenants"].items() if v.get("homes"))
-    old, out = was["cells"][cell]["tenants"][tenant]["homes"], []
-    new = [r for r in (was["cells"][cell].get("regions") or was["regions"]) if r not in old][:1]
-    for homes in (new, old):
-        now = copy.deepcopy(f.shape.config)
-        now["cells"][cell]["tenants"][tenant]["homes"] = homes
-        if not f.operators.settle(now, "homes"):
+    old_homes, findings = original["cells"][cell]["tenants"][tenant]["homes"], []
+    new_homes = [
+        region for region in (original["cells"][cell].get("regions") or original["regions"]) if region not in old_homes
+    ][:1]
+    for homes in (new_homes, old_homes):
+        changed = copy.deepcopy(fleet.shape.config)
+        changed["cells"][cell]["tenants"][tenant]["homes"] = homes
+        if not fleet.operators.apply_base(changed, "homes"):
             return ["the homes were not acknowledged"]
-        at = time.time()
+        moved_at = time.time()
         time.sleep(7)
-        rows = [r for r in f.read_journal("ran.jsonl") if r["tenant"] == tenant and r["at"] > at + 3.5]
-        out += [
-            f"{tenant} ran in {r['locality']}, its homes are {homes}"
-            for r in rows
-            if r["locality"].partition("/")[0] not in homes
+        rows = [
+            row for row in fleet.read_journal("ran.jsonl") if row["tenant"] == tenant and row["at"] > moved_at + 3.5
+        ]
+        findings += [
+            f"{tenant} ran in {row['locality']}, its homes are {homes}"
+            for row in rows
+            if row["locality"].partition("/")[0] not in homes
         ][:1]
-        out += [] if rows else [f"{tenant} was not served in {homes}"]
-    return out
-
-
-def bad_changes(f: LocalFleet) -> list[str]:
-    """Invalid, ill-typed, stale and large configurations beside the two operators that race."""
-    out, control = [], f.operators.control
-    was = f.shape.config
-    bad = {**was, "routes": {**was["routes"], "x": {"cell": "no", "match": "??", "kind": "read", "service": "no"}}}
-    for body, want in (
-        ({"doc": bad}, 422),
+        findings += [] if rows else [f"{tenant} was not served in {homes}"]
+    return findings
+
+
+def bad_changes(fleet: LocalFleet) -> list[str]:
+    """Submits invalid, ill-typed, stale and large configurations beside the two operators that race."""
+    findings, control_port = [], fleet.operators.pick_control_port
+    original = fleet.shape.config
+    invalid = {
+        **original,
+        "routes": {**original["routes"], "x": {"cell": "no", "match": "??", "kind": "read", "service": "no"}},
+    }
+    for body, expected in (
+        ({"doc": invalid}, 422),
         ({"doc": 3}, 400),
-        ({"doc": was, "base": 1}, 409),
+        ({"doc": original, "base": 1}, 409),
         (b"{", 400),
         (b"null", 400),
-        ({"doc": {**was, "cells": {}}}, 422),
+        ({"doc": {**original, "cells": {}}}, 422),
     ):
-        status, data, _ = call(control(), "PUT", "/config", body)
-        if status != want or not data["findings"]:
-            out.append(f"a bad change got {status}, want {want}")
-    status, data, _ = call(control(), "POST", "/evacuations", {"zone": 4, "evacuated": "yes"})
+        status, data, _ = call(control_port(), "PUT", "/config", body)
+        if status != expected or not data["findings"]:
+            findings.append(f"a bad change got {status}, want {expected}")
+    status, data, _ = call(control_port(), "POST", "/evacuations", {"zone": 4, "evacuated": "yes"})
     if status != 400 or len(data["findings"]) != 2:
-        out.append(f"an ill-typed evacuation got {status}")
-    large = copy.deepcopy(was)
-    name, route = next(iter(was["routes"].items()))
-    large["routes"] |= {f"{name}-{i}": {**route, "match": f'method GET and path "/many/{i}/*"'} for i in range(3000)}
-    if not f.operators.settle(large, "large"):
-        out.append("a large configuration was not acknowledged")
+        findings.append(f"an ill-typed evacuation got {status}")
+    large = copy.deepcopy(original)
+    name, route = next(iter(original["routes"].items()))
+    large["routes"] |= {
+        f"{name}-{number}": {**route, "match": f'method GET and path "/many/{number}/*"'} for number in range(3000)
+    }
+    if not fleet.operators.apply_base(large, "large"):
+        findings.append("a large configuration was not acknowledged")
     time.sleep(3)
-    if not f.operators.settle(was, "small"):
-        out.append("the configuration was not taken back")
-    return out
+    if not fleet.operators.apply_base(original, "small"):
+        findings.append("the configuration was not taken back")
+    return findings
 
 
-def evacuate(f: LocalFleet, zone: str, on: bool) -> float | None:
-    """Repeated under one key until it is acknowledged; the time of that."""
+def evacuate(fleet: LocalFleet, zone: str, on: bool) -> float | None:
+    """Evacuates a zone or gives it back; repeats the call under one idempotency key until it is acknowledged.
+
+    Returns the wall clock time of the acknowledgement (s), or None after 25 s without one.
+    """
     key = {"Mallow-Key": uuid.uuid4().hex}
     body = {"zone": zone, "evacuated": on}
-    ok = wait_until(lambda: call(f.operators.control(), "POST", "/evacuations", body, key, 10)[0] == 200, 25)
-    return time.time() if ok else None
+    is_acknowledged = wait_until(
+        lambda: call(fleet.operators.pick_control_port(), "POST", "/evacuations", body, key, 10)[0] == 200, 25
+    )
+    return time.time() if is_acknowledged else None
 
 
-def evacuation_raced(f: LocalFleet) -> list[str]:
-    """A zone is emptied while a region is lost, then while proxies restart; a second operator gives it back."""
-    out, zone = [], "eu-b"
+def evacuation_raced(fleet: LocalFleet) -> list[str]:
+    """Evacuates a zone while a region is down, and again while proxies restart; gives it back each time."""
+    findings, zone = [], "eu-b"
     for act in ("region", "rolling"):
-        down = [p for p in f.processes.values() if p.locality.startswith("ap/")] if act == "region" else []
-        for p in down:
-            f.kill(p.name)
-        at = evacuate(f, zone, True)
-        if at is None:
-            return [*out, "the evacuation was not acknowledged"]
+        down = (
+            [process for process in fleet.processes.values() if process.locality.startswith("ap/")]
+            if act == "region"
+            else []
+        )
+        for process in down:
+            fleet.kill(process.name)
+        evacuated_at = evacuate(fleet, zone, True)
+        if evacuated_at is None:
+            return [*findings, "the evacuation was not acknowledged"]
         if act == "rolling":
-            for p in f.with_role("proxy")[:3]:
-                f.stop(p.name, f.polite + 3)
-                f.start(p.name)
+            for process in fleet.with_role("proxy")[:3]:
+                fleet.stop(process.name, fleet.stop_grace_s + 3)
+                fleet.start(process.name)
                 time.sleep(1)
         time.sleep(8)
         end = time.time()
-        for p in down:
-            f.start(p.name)
-        if evacuate(f, zone, False) is None:
-            out.append("the zone was not given back")
-        out += after_evacuation(zone, at, end, f.read_journal("ran.jsonl"))
+        for process in down:
+            fleet.start(process.name)
+        if evacuate(fleet, zone, False) is None:
+            findings.append("the zone was not given back")
+        findings += runs_after_evacuation(zone, evacuated_at, end, fleet.read_journal("ran.jsonl"))
         time.sleep(5)
-    if not any(r["at"] > end and r["locality"].endswith(zone) for r in f.read_journal("ran.jsonl")):
-        out.append("no request came back to the zone")
-    return out
-
-
-def core_replaced(f: LocalFleet) -> list[str]:
-    """Every core machine is replaced by an empty one at a new address, one after the other, while clients run."""
-    out, many = [], len(_voters(_leader(f)))
-    for i, p in enumerate(list(f.with_role("control"))):
-        f.kill(p.name)
-        del f.processes[p.name]
-        f.seeds = [f"{HOST}:{x.transport_port}" for x in (*f.with_role("control")[-1:], *f.with_role("proxy")[:2])]
-        new = f.add_node("control", p.locality, f"core{i}-{uuid.uuid4().hex[:4]}")
-        taken = wait_until(partial(_is_member, f, f"{HOST}:{new.transport_port}"), 20)
-        whole = wait_until(partial(_is_whole, f, many, f"{HOST}:{p.transport_port}"), 25)
-        if not taken or not whole:
-            out.append(f"{new.name} in place of {p.name}: taken {bool(taken)}, {many} voters again {bool(whole)}")
-        wait_until(partial(is_ok, new.web_port, "/-/ready"), 10)
-    return out
+    if not any(row["at"] > end and row["locality"].endswith(zone) for row in fleet.read_journal("ran.jsonl")):
+        findings.append("no request came back to the zone")
+    return findings
+
+
+def core_replaced(fleet: LocalFleet) -> list[str]:
+    """Replaces every control process by an empty one at a new address, one after the other, while clients run."""
+    findings, voter_count = [], len(_voters(_find_leader(fleet)))
+    for number, process in enumerate(list(fleet.with_role("control"))):
+        fleet.kill(process.name)
+        del fleet.processes[process.name]
+        fleet.seeds = [
+            f"{HOST}:{seed.transport_port}"
+            for seed in (*fleet.with_role("control")[-1:], *fleet.with_role("proxy")[:2])
+        ]
+        replacement = fleet.add_node("control", process.locality, f"core{number}-{uuid.uuid4().hex[:4]}")
+        is_member = wait_until(partial(_is_member, fleet, f"{HOST}:{replacement.transport_port}"), 20)
+        is_complete = wait_until(partial(_has_voters, fleet, voter_count, f"{HOST}:{process.transport_port}"), 25)
+        if not is_member or not is_complete:
+            findings.append(
+                f"{replacement.name} in place of {process.name}: taken {bool(is_member)}, "
+                f"{voter_count} voters again {bool(is_complete)}"
+            )
+        wait_until(partial(is_ok, replacement.web_port, "/-/ready"), 10)
+    return findings
 
 
-def _is_member(f: LocalFleet, transport_port: str) -> bool:
-    return any(transport_port in _members(p) for p in f.with_role("control"))
+def _is_member(fleet: LocalFleet, address: str) -> bool:
+    return any(address in _members(process) for process in fleet.with_role("control"))
 
 
-def _is_whole(f: LocalFleet, many: int, without: str) -> bool:
-    """Whether there are so many voters again, the lost one not among them."""
-    return any(len(voters) == many and without not in voters for voters in map(_voters, f.with_role("control")))
+def _has_voters(fleet: LocalFleet, voter_count: int, lost: str) -> bool:
+    """Whether a leader reports `voter_count` voters without the lost one."""
+    return any(len(voters) == voter_count and lost not in voters for voters in map(_voters, fleet.with_role("control")))
 
 
-def _voters(p: FleetProcess) -> list[str]:
-    status, data, _ = call(p.web_port, "GET", "/leader", timeout_s=2)
+def _voters(process: FleetProcess) -> list[str]:
+    """Returns the voters' transport addresses if the process leads, else an empty list."""
+    status, data, _ = call(process.web_port, "GET", "/leader", timeout_s=2)
     return data.get("voters", []) if status == 200 and data.get("role") == "leader" else []
 
 
-def _members(p: FleetProcess) -> list[str]:
-    status, data, _ = call(p.web_port, "GET", "/leader", timeout_s=2)
+def _members(process: FleetProcess) -> list[str]:
+    status, data, _ = call(process.web_port, "GET", "/leader", timeout_s=2)
     return data.get("voters", []) + data.get("learners", []) if status == 200 else []
 
 
-def seeds_gone(f: LocalFleet) -> list[str]:
-    """After the first start, nodes come back with seeds that are down, wrong, or only a proxy."""
-    out, dead = [], [f"{HOST}:{x}" for x in free_ports(2)]
-    for p in (f.with_role("proxy")[0], f.with_role("directory")[0], f.with_role("control")[0]):
-        was = list(p.args)
-        f.stop(p.name, f.polite + 3)
-        i = p.args.index("--seeds")
-        kept = [x for j, x in enumerate(p.args) if x != "--seeds" and p.args[j - 1] != "--seeds"]
-        p.args = [
-            *kept[:i],
-            *(y for s in (*dead, f"{HOST}:{f.with_role('proxy')[-1].transport_port}") for y in ("--seeds", s)),
-            *kept[i:],
+def seeds_gone(fleet: LocalFleet) -> list[str]:
+    """Restarts nodes with seeds that no process listens at, and a proxy as the only working seed."""
+    findings, dead_seeds = [], [f"{HOST}:{port}" for port in free_ports(2)]
+    for process in (fleet.with_role("proxy")[0], fleet.with_role("directory")[0], fleet.with_role("control")[0]):
+        original_args = list(process.args)
+        fleet.stop(process.name, fleet.stop_grace_s + 3)
+        first_seed = process.args.index("--seeds")
+        kept = [
+            word
+            for index, word in enumerate(process.args)
+            if word != "--seeds" and process.args[index - 1] != "--seeds"
+        ]
+        process.args = [
+            *kept[:first_seed],
+            *(
+                word
+                for seed in (*dead_seeds, f"{HOST}:{fleet.with_role('proxy')[-1].transport_port}")
+                for word in ("--seeds", seed)
+            ),
+            *kept[first_seed:],
         ]
-        f.start(p.name)
-        if not wait_until(partial(is_ok, p.web_port, "/-/ready"), 20):
-            out.append(f"{p.name} is not ready with other seeds")
-        p.args = was
-    return out
+        fleet.start(process.name)
+        if not wait_until(partial(is_ok, process.web_port, "/-/ready"), 20):
+            findings.append(f"{process.name} is not ready with other seeds")
+        process.args = original_args
+    return findings
--- a/mallowvalve/localfleet/schedule.py
+++ b/mallowvalve/localfleet/schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a soak: series of stops, restarts and changes that overlap, drawn from a seed, saved and read."""
+"""The schedule of a soak: overlapping series of stops, restarts and changes, drawn from a seed or read from a file."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.localfleet.fleet import FleetShape
 
-VERSION = 1
-QUIET_BEFORE_S, QUIET_AFTER_S = 3.0, 12.0
-"""Seconds without acts at the beginning, and at the end for the last ones to come round."""
+SCHEDULE_VERSION = 1
+QUIET_START_S = 3.0
+QUIET_END_S = 12.0
+"""The time without acts at the end, in which the effects of the last acts settle."""
 
 CONTROL_GAP_S = 9.0
-"""Between two control processes of a series: each is ready again before the next one stops, so a majority is."""
+"""The interval between stops of control processes: each is ready again before the next stops, so a majority runs."""
 
-EVACUATED_S = 8.0
-FROZEN_S = 2.0
+EVACUATION_S = 8.0
+FREEZE_S = 2.0
 
 
-class Kind(enum.StrEnum):
-    """What is done to a process, or to the settings."""
+class ActKind(enum.StrEnum):
+    """An operation on a process or on the configuration."""
 
     STOP = "stop"
     KILL = "kill"
@@ -34,30 +35,30 @@
     HOMES = "homes"
 
 
-PLANNED = frozenset({Kind.STOP, Kind.RELOAD, Kind.EVACUATE, Kind.HOMES})
-"""What operators do by plan; everything else is trouble."""
+PLANNED_KINDS = frozenset({ActKind.STOP, ActKind.RELOAD, ActKind.EVACUATE, ActKind.HOMES})
+"""The operations of planned maintenance; all others are faults."""
 
 
-class Act(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Something done at a moment (s from the beginning) to a process, a zone or a tenant, which may last (s)."""
+class ScheduledAct(msgspec.Struct, frozen=True, omit_defaults=True):
+    """An operation on a process, a zone or a tenant: `at` seconds after the start, for `lasts` seconds."""
 
     at: float
-    kind: Kind
+    kind: ActKind
     target: str
     lasts: float = 0.0
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """All acts of a run, the first first."""
+    """All acts of a run in the order of their times."""
 
     version: int
     seed: int
     seconds: float
-    acts: list[Act]
+    acts: list[ScheduledAct]
 
 
-class Names(msgspec.Struct, frozen=True):
-    """What a schedule may name: processes by role, upstreams, each at its locality; zones, and tenants with homes."""
+class ScheduleTargets(msgspec.Struct, frozen=True):
+    """The possible targets: processes of each role and upstreams, with their localities; zones; tenants with homes."""
 
     proxies: dict[str, str]
     directories: dict[str, str]
@@ -67,104 +68,124 @@
     tenants: list[str]
 
     def known(self) -> set[str]:
-        """All of them."""
+        """Returns the names of all targets."""
         processes = {*self.proxies, *self.directories, *self.controls, *self.upstreams}
         return processes | set(self.zones) | set(self.tenants)
 
 
-def names(shape: FleetShape) -> Names:
-    """The names of a shape's processes, as `localfleet.fleet` gives them."""
+def schedule_targets(shape: FleetShape) -> ScheduleTargets:
+    """Returns the targets of a shape, with the process names that `localfleet.fleet` assigns."""
     by_role: dict[str, dict[str, str]] = {"proxy": {}, "directory": {}, "control": {}}
-    for i, node in enumerate(shape.nodes):
-        by_role[node.role][f"{node.role}{i}"] = node.locality
-    upstreams = {f"{pool.service}-{i}": at for pool in shape.upstreams for i, at in enumerate(pool.localities)}
+    for index, node in enumerate(shape.nodes):
+        by_role[node.role][f"{node.role}{index}"] = node.locality
+    upstreams = {
+        f"{pool.service}-{index}": locality
+        for pool in shape.upstreams
+        for index, locality in enumerate(pool.localities)
+    }
     cells = shape.config.get("cells", {}).values()
     tenants = [name for cell in cells for name, tenant in cell["tenants"].items() if tenant.get("homes")]
-    zones = sorted({at.partition("/")[2] for at in upstreams.values()})
-    return Names(by_role["proxy"], by_role["directory"], by_role["control"], upstreams, zones, sorted(tenants))
+    zones = sorted({locality.partition("/")[2] for locality in upstreams.values()})
+    return ScheduleTargets(
+        by_role["proxy"], by_role["directory"], by_role["control"], upstreams, zones, sorted(tenants)
+    )
 
 
-def draw(shape: FleetShape, seed: int, seconds: float, trouble: bool) -> Schedule:
-    """A schedule of series that overlap; with `trouble` processes are killed and frozen too."""
+def draw_schedule(shape: FleetShape, seed: int, seconds: float, trouble: bool) -> Schedule:
+    """Draws overlapping series of planned acts; with `trouble` also kills and freezes."""
     rng = random.Random(f"soak/{seed}")
-    named = names(shape)
-    series = [_in_turn, _in_turn, _region_at_once, _directories, _controls, _reload, _release, _evacuation, _homes]
+    targets = schedule_targets(shape)
+    generators = [
+        _stop_proxies,
+        _stop_proxies,
+        _stop_region,
+        _stop_directories,
+        _stop_controls,
+        _reload_all,
+        _stop_upstreams,
+        _evacuate_zone,
+        _move_homes,
+    ]
     if trouble:
-        series += [_kills, _freezes]
-    acts: list[Act] = []
-    first, last = QUIET_BEFORE_S, seconds - QUIET_AFTER_S
-    for one in series:
-        acts += one(rng, named, rng.uniform(first, max(first, 0.6 * last)))
+        generators += [_kill_processes, _freeze_proxy]
+    acts: list[ScheduledAct] = []
+    first, last = QUIET_START_S, seconds - QUIET_END_S
+    for generator in generators:
+        acts += generator(rng, targets, rng.uniform(first, max(first, 0.6 * last)))
     kept = sorted((act for act in acts if act.at <= last), key=lambda act: (act.at, act.target))
-    return Schedule(VERSION, seed, seconds, kept)
+    return Schedule(SCHEDULE_VERSION, seed, seconds, kept)
 
 
-def _stops(rng: random.Random, targets: list[str], at: float, gap: float) -> list[Act]:
+def _stop_in_turn(rng: random.Random, targets: list[str], at: float, gap_s: float) -> list[ScheduledAct]:
     rng.shuffle(targets)
-    return [Act(round(at + i * gap, 3), Kind.STOP, target) for i, target in enumerate(targets)]
+    return [ScheduledAct(round(at + i * gap_s, 3), ActKind.STOP, target) for i, target in enumerate(targets)]
 
 
-def _in_turn(rng: random.Random, named: Names, at: float) -> list[Act]:
-    return _stops(rng, list(named.proxies), at, rng.uniform(0.2, 4.0))
+def _stop_proxies(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    return _stop_in_turn(rng, list(targets.proxies), at, rng.uniform(0.2, 4.0))
 
 
-def _region_at_once(rng: random.Random, named: Names, at: float) -> list[Act]:
-    region = rng.choice(sorted({place.partition("/")[0] for place in named.proxies.values()}))
-    here = [name for name, place in named.proxies.items() if place.partition("/")[0] == region]
-    return _stops(rng, here, at, 0.0)
+def _stop_region(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    region = rng.choice(sorted({locality.partition("/")[0] for locality in targets.proxies.values()}))
+    in_region = [name for name, locality in targets.proxies.items() if locality.partition("/")[0] == region]
+    return _stop_in_turn(rng, in_region, at, 0.0)
 
 
-def _directories(rng: random.Random, named: Names, at: float) -> list[Act]:
-    return _stops(rng, list(named.directories), at, rng.uniform(1.0, 5.0))
+def _stop_directories(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    return _stop_in_turn(rng, list(targets.directories), at, rng.uniform(1.0, 5.0))
 
 
-def _controls(rng: random.Random, named: Names, at: float) -> list[Act]:
-    return _stops(rng, list(named.controls), at, CONTROL_GAP_S)
+def _stop_controls(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    return _stop_in_turn(rng, list(targets.controls), at, CONTROL_GAP_S)
 
 
-def _reload(rng: random.Random, named: Names, at: float) -> list[Act]:
-    everybody = [*named.proxies, *named.directories, *named.controls]
-    gap = rng.uniform(0.0, 0.5)
-    return [Act(round(at + i * gap, 3), Kind.RELOAD, name) for i, name in enumerate(everybody)]
+def _reload_all(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    everything = [*targets.proxies, *targets.directories, *targets.controls]
+    gap_s = rng.uniform(0.0, 0.5)
+    return [ScheduledAct(round(at + i * gap_s, 3), ActKind.RELOAD, name) for i, name in enumerate(everything)]
 
 
-def _release(rng: random.Random, named: Names, at: float) -> list[Act]:
-    some = rng.sample(sorted(named.upstreams), max(1, len(named.upstreams) // 2))
-    return _stops(rng, some, at, rng.uniform(0.5, 2.0))
+def _stop_upstreams(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    released = rng.sample(sorted(targets.upstreams), max(1, len(targets.upstreams) // 2))
+    return _stop_in_turn(rng, released, at, rng.uniform(0.5, 2.0))
 
 
-def _evacuation(rng: random.Random, named: Names, at: float) -> list[Act]:
-    return [Act(round(at, 3), Kind.EVACUATE, rng.choice(named.zones), EVACUATED_S)]
+def _evacuate_zone(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    return [ScheduledAct(round(at, 3), ActKind.EVACUATE, rng.choice(targets.zones), EVACUATION_S)]
 
 
-def _homes(rng: random.Random, named: Names, at: float) -> list[Act]:
-    return [Act(round(at, 3), Kind.HOMES, rng.choice(named.tenants), EVACUATED_S)] if named.tenants else []
+def _move_homes(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    return (
+        [ScheduledAct(round(at, 3), ActKind.HOMES, rng.choice(targets.tenants), EVACUATION_S)]
+        if targets.tenants
+        else []
+    )
 
 
-def _kills(rng: random.Random, named: Names, at: float) -> list[Act]:
-    targets = [rng.choice(sorted(group)) for group in (named.proxies, named.controls, named.upstreams)]
-    return [Act(round(at + 4.0 * i, 3), Kind.KILL, target, 1.0) for i, target in enumerate(targets)]
+def _kill_processes(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    killed = [rng.choice(sorted(group)) for group in (targets.proxies, targets.controls, targets.upstreams)]
+    return [ScheduledAct(round(at + 4.0 * i, 3), ActKind.KILL, target, 1.0) for i, target in enumerate(killed)]
 
 
-def _freezes(rng: random.Random, named: Names, at: float) -> list[Act]:
-    return [Act(round(at, 3), Kind.FREEZE, rng.choice(sorted(named.proxies)), FROZEN_S)]
+def _freeze_proxy(rng: random.Random, targets: ScheduleTargets, at: float) -> list[ScheduledAct]:
+    return [ScheduledAct(round(at, 3), ActKind.FREEZE, rng.choice(sorted(targets.proxies)), FREEZE_S)]
 
 
-def save(schedule: Schedule, path: Path) -> None:
-    """Write a schedule as JSON."""
+def save_schedule(schedule: Schedule, path: Path) -> None:
+    """Writes a schedule as JSON."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(schedule), indent=1))
 
 
-def load(path: Path, shape: FleetShape) -> Result[Schedule, Findings]:
-    """A saved schedule, or what is wrong with it for this shape."""
+def load_schedule(path: Path, shape: FleetShape) -> Result[Schedule, Findings]:
+    """Reads a saved schedule, or returns findings if it is malformed or does not fit the shape."""
     try:
         schedule = msgspec.json.decode(path.read_bytes(), type=Schedule)
-    except (OSError, msgspec.DecodeError) as e:
-        return Err([Finding(str(path), str(e))])
-    if schedule.version != VERSION:
-        return Err([Finding("version", f"{schedule.version}, this program plays {VERSION}")])
-    known = names(shape).known()
-    strange = sorted({act.target for act in schedule.acts} - known)
-    if strange:
-        return Err([Finding(f"acts.{name}", "the shape has no such process, zone or tenant") for name in strange])
+    except (OSError, msgspec.DecodeError) as error:
+        return Err([Finding(str(path), str(error))])
+    if schedule.version != SCHEDULE_VERSION:
+        return Err([Finding("version", f"{schedule.version}, this program plays {SCHEDULE_VERSION}")])
+    known = schedule_targets(shape).known()
+    unknown = sorted({act.target for act in schedule.acts} - known)
+    if unknown:
+        return Err([Finding(f"acts.{name}", "the shape has no such process, zone or tenant") for name in unknown])
     return Ok(schedule)
--- a/mallowvalve/localfleet/soak_judge.py
+++ b/mallowvalve/localfleet/soak_judge.py
@@ -1,4 +1,4 @@
-"""What must hold of a soak, judged by what clients and upstreams wrote and what became of each act."""
+"""Checks a soak by the journals of clients and upstreams and by the events that the acts caused."""
 
 from __future__ import annotations
 
@@ -13,24 +13,27 @@
 
 from mallowvalve.localfleet.fleet import FleetProcess, LocalFleet
 
-SETTLED_S = 4.0
-"""A proxy counts as steady after so long without any act on it: every directory knows it, clients hold it (s)."""
+STEADY_S = 4.0
+"""The time without acts after which a proxy counts as steady: every directory knows it, clients use it."""
 
-HELD_S = 9.0
-"""For how long a client may go by an answer: three times its life (s)."""
+ANSWER_USED_S = 9.0
+"""How long a client may use an answer of a directory: three times the answer's lifetime."""
 
 AFTER_TROUBLE_S = 15.0
-"""For how long after trouble in the fleet planned work is not judged for where it led clients (s)."""
+"""The time after a fault in which cut requests and requests to other regions are not findings."""
 
-LEAKED = 40
-"""Descriptors by which a process may end above the highest of its role at the beginning: its peers reconnect."""
+DESCRIPTOR_SLACK = 40
+"""How many more descriptors a process may have at the end than the maximum of its role at the start.
 
-NO_ANSWER = 0
-NOT_TAKEN = ("ConnectionRefusedError", "no proxy")
+The allowance is for peers that reconnect.
+"""
 
+STATUS_NO_ANSWER = 0
+NOT_SENT_ERRORS = ("ConnectionRefusedError", "no proxy")
 
-class What(enum.StrEnum):
-    """What became of an act."""
+
+class SoakEventKind(enum.StrEnum):
+    """An effect of an act, or a stall of the machine."""
 
     TOLD = "told"
     ENDED = "ended"
@@ -45,167 +48,193 @@
     GIVEN_BACK = "given back"
 
 
-class Event(msgspec.Struct, frozen=True):
-    """Something that became of an act, at a moment of the wall clock (s); `value` is seconds or an exit code."""
+class SoakEvent(msgspec.Struct, frozen=True):
+    """An effect of an act on the process or zone `who` at a wall clock time (s); `value` is seconds or an exit code."""
 
     at: float
-    what: What
+    what: SoakEventKind
     who: str
     value: float = 0.0
 
 
-class Levels(msgspec.Struct, frozen=True):
-    """Open descriptors by process, before the load and after it."""
+class DescriptorCounts(msgspec.Struct, frozen=True):
+    """Open descriptors of each process before the load and after it."""
 
     before: dict[str, int]
     after: dict[str, int]
 
 
-class Spans:
-    """When each process was disturbed: told, killed, frozen or unready, until it was ready again; zones alike.
+class Disturbances:
+    """The time spans in which a process was stopped, killed, suspended or unready, or a zone evacuated.
 
-    A stall of the whole machine is trouble, as a kill is: it stops every process, and the judge's own thread.
+    A stall of the whole machine counts as a fault like a kill, since it suspends every process, and this one too.
     """
 
-    def __init__(self, events: Iterable[Event]):
-        """Read the events; a process that never became ready is disturbed to the end."""
-        self.by: dict[str, list[tuple[float, float]]] = defaultdict(list)
+    def __init__(self, events: Iterable[SoakEvent]):
+        """Reads the events; a process that never becomes ready again is disturbed until the end."""
+        self.spans_by_name: dict[str, list[tuple[float, float]]] = defaultdict(list)
         self.trouble: list[float] = []
         open_at: dict[str, float] = {}
-        for event in sorted(events, key=lambda e: e.at):
-            if event.what in (What.TOLD, What.TROUBLE, What.EVACUATED, What.UNREADY):
+        for event in sorted(events, key=lambda event: event.at):
+            if event.what in (
+                SoakEventKind.TOLD,
+                SoakEventKind.TROUBLE,
+                SoakEventKind.EVACUATED,
+                SoakEventKind.UNREADY,
+            ):
                 open_at.setdefault(event.who, event.at)
-            if event.what in (What.TROUBLE, What.STALL):
+            if event.what in (SoakEventKind.TROUBLE, SoakEventKind.STALL):
                 self.trouble.append(event.at)
-            if event.what in (What.READY, What.GIVEN_BACK) and event.who in open_at:
-                self.by[event.who].append((open_at.pop(event.who), event.at))
+            if event.what in (SoakEventKind.READY, SoakEventKind.GIVEN_BACK) and event.who in open_at:
+                self.spans_by_name[event.who].append((open_at.pop(event.who), event.at))
         for who, at in open_at.items():
-            self.by[who].append((at, float("inf")))
-
-    def steady(self, process: FleetProcess, begin: float, end: float) -> bool:
-        """Whether nothing was done to a process or its zone between two moments, nor shortly before."""
-        disturbed = [*self.by.get(process.name, []), *self.by.get(process.locality.partition("/")[2], [])]
-        return not any(a <= end and b >= begin - SETTLED_S for a, b in disturbed)
-
-    def stopping(self, name: str, at: float) -> bool:
-        """Whether a process was being stopped or started at a moment."""
-        return any(a <= at <= b for a, b in self.by.get(name, []))
-
-    def calm(self, at: float) -> bool:
-        """Whether there was no trouble anywhere lately."""
-        i = bisect_right(self.trouble, at)
-        return i == 0 or self.trouble[i - 1] < at - AFTER_TROUBLE_S
-
-
-def judge_soak(fleet: LocalFleet, events: list[Event], asked: list[dict], ran: list[dict], levels: Levels) -> list[str]:
-    """All that must hold of a soak beside what holds of any trial."""
-    spans = Spans([*events, *unready(Path(fleet.folder), [p.name for p in fleet.with_role("proxy")])])
-    proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
+            self.spans_by_name[who].append((at, float("inf")))
+
+    def was_steady(self, process: FleetProcess, begin: float, end: float) -> bool:
+        """Whether a process and its zone were undisturbed from STEADY_S before `begin` until `end`."""
+        disturbed = [
+            *self.spans_by_name.get(process.name, []),
+            *self.spans_by_name.get(process.locality.partition("/")[2], []),
+        ]
+        return not any(start <= end and stop >= begin - STEADY_S for start, stop in disturbed)
+
+    def was_disturbed(self, name: str, at: float) -> bool:
+        """Whether a process was disturbed at a moment."""
+        return any(start <= at <= stop for start, stop in self.spans_by_name.get(name, []))
+
+    def is_calm(self, at: float) -> bool:
+        """Whether no fault was injected anywhere in the last AFTER_TROUBLE_S."""
+        earlier = bisect_right(self.trouble, at)
+        return earlier == 0 or self.trouble[earlier - 1] < at - AFTER_TROUBLE_S
+
+
+def check_soak(
+    fleet: LocalFleet,
+    events: list[SoakEvent],
+    asked_rows: list[dict],
+    ran_rows: list[dict],
+    descriptors: DescriptorCounts,
+) -> list[str]:
+    """Runs the checks that apply to soaks in addition to those of every trial."""
+    proxy_names = [process.name for process in fleet.with_role("proxy")]
+    disturbances = Disturbances([*events, *readiness_events(Path(fleet.folder), proxy_names)])
+    proxies = {f"127.0.0.1:{process.web_port}": process for process in fleet.with_role("proxy")}
     return [
-        *ends(events),
-        *cut_while_run(spans, proxies, asked, ran),
-        *led_elsewhere(spans, proxies, homes(fleet), asked),
-        *cried(Path(fleet.folder)),
-        *leaks(levels, {p.name: p.role for p in fleet.processes.values()}),
+        *check_stops(events),
+        *check_cut_requests(disturbances, proxies, asked_rows, ran_rows),
+        *check_regions(disturbances, proxies, tenant_homes(fleet), asked_rows),
+        *check_logs(Path(fleet.folder)),
+        *check_descriptors(descriptors, {process.name: process.role for process in fleet.processes.values()}),
     ]
 
 
-def unready(folder: Path, names: Iterable[str]) -> list[Event]:
-    """When processes said that they take no work, and when they did again, by their own logs."""
-    kinds = {"unready": What.UNREADY, "ready": What.READY}
-    out = []
+def readiness_events(folder: Path, names: Iterable[str]) -> list[SoakEvent]:
+    """Returns from the logs of processes when they became unready and ready."""
+    kinds = {"unready": SoakEventKind.UNREADY, "ready": SoakEventKind.READY}
+    events = []
     for name in names:
         path = folder / name / "log"
         for line in path.read_bytes().splitlines() if path.exists() else []:
             with suppress(msgspec.DecodeError):
                 row = msgspec.json.decode(line)
                 if row.get("message_type") in kinds:
-                    out.append(Event(row["timestamp"], kinds[row["message_type"]], name))
-    return out
+                    events.append(SoakEvent(row["timestamp"], kinds[row["message_type"]], name))
+    return events
 
 
-def homes(fleet: LocalFleet) -> dict[str, set[str]]:
-    """The homes of each tenant that has any, by the shape's configuration."""
-    tenants = [one for cell in fleet.shape.config["cells"].values() for one in cell["tenants"].items()]
+def tenant_homes(fleet: LocalFleet) -> dict[str, set[str]]:
+    """Returns the home regions of each tenant that has any in the shape's configuration."""
+    tenants = [item for cell in fleet.shape.config["cells"].values() for item in cell["tenants"].items()]
     return {name: set(tenant["homes"]) for name, tenant in tenants if tenant.get("homes")}
 
 
-def ends(events: Iterable[Event]) -> list[str]:
-    """Each process that was told to stop ends by itself, in its grace, with code 0, and its next life becomes ready."""
-    said = {
-        What.FAILED: "ended with code {:.0f}",
-        What.OVERDUE: "had not ended {:.1f} s after it was told to",
-        What.NOT_READY: "was not ready again",
+def check_stops(events: Iterable[SoakEvent]) -> list[str]:
+    """Checks that each stopped process ends within its grace period with code 0 and becomes ready after its restart."""
+    messages = {
+        SoakEventKind.FAILED: "ended with code {:.0f}",
+        SoakEventKind.OVERDUE: "had not ended {:.1f} s after it was told to",
+        SoakEventKind.NOT_READY: "was not ready again",
     }
-    return [f"{e.who} {said[e.what].format(e.value)}" for e in events if e.what in said]
+    return [f"{event.who} {messages[event.what].format(event.value)}" for event in events if event.what in messages]
 
 
-def cut_while_run(spans: Spans, proxies: dict[str, FleetProcess], asked: list[dict], ran: list[dict]) -> list[str]:
-    """No connection ends without an answer after an upstream began to work on its request, but in trouble."""
+def check_cut_requests(
+    disturbances: Disturbances, proxies: dict[str, FleetProcess], asked_rows: list[dict], ran_rows: list[dict]
+) -> list[str]:
+    """Checks that no connection ends without an answer while an upstream runs its request, except after a fault."""
     runs: dict[str, list[float]] = defaultdict(list)
-    for row in ran:
+    for row in ran_rows:
         runs[row["request"]].append(row["at"])
-    out = []
-    for row in asked:
+    findings = []
+    for row in asked_rows:
         times = sorted(runs.get(row["id"], []))
-        for status, error, began, ended, by in row["tries"]:
-            if status != NO_ANSWER or error in NOT_TAKEN or not spans.calm(ended):
+        for status, error, began, ended, address in row["tries"]:
+            if status != STATUS_NO_ANSWER or error in NOT_SENT_ERRORS or not disturbances.is_calm(ended):
                 continue
-            i = bisect_left(times, began)
-            if i < len(times) and times[i] <= ended:
-                who = proxies[by].name if by in proxies else by
-                stop = "while it stopped" if spans.stopping(who, ended) else "while nothing was done to it"
-                out.append(f"request {row['id']} ran and was cut by {who} {stop}: {error} after {ended - began:.2f} s")
-    return _few(out, "requests were cut while an upstream ran them")
-
-
-def led_elsewhere(
-    spans: Spans, proxies: dict[str, FleetProcess], homes_of: dict[str, set[str]], asked: list[dict]
+            first_run = bisect_left(times, began)
+            if first_run < len(times) and times[first_run] <= ended:
+                who = proxies[address].name if address in proxies else address
+                stop = "while it stopped" if disturbances.was_disturbed(who, ended) else "while nothing was done to it"
+                findings.append(
+                    f"request {row['id']} ran and was cut by {who} {stop}: {error} after {ended - began:.2f} s"
+                )
+    return _summarize(findings, "requests were cut while an upstream ran them")
+
+
+def check_regions(
+    disturbances: Disturbances, proxies: dict[str, FleetProcess], homes_of: dict[str, set[str]], asked_rows: list[dict]
 ) -> list[str]:
-    """Planned work leads nobody to another region while one that may serve was steady as long as answers are held."""
-    out = []
-    for row in asked:
-        for _, _, began, _, by in row["tries"]:
-            if by not in proxies or not spans.calm(began):
+    """Checks that planned work leads no request to another region while an allowed region has a steady proxy.
+
+    The proxy must have been steady for as long as clients use an answer.
+    """
+    findings = []
+    for row in asked_rows:
+        for _, _, began, _, address in row["tries"]:
+            if address not in proxies or not disturbances.is_calm(began):
                 continue
             allowed = {row["from"].partition("/")[0], *homes_of.get(row["tenant"], ())}
-            if _region(proxies[by]) in allowed:
+            if _region(proxies[address]) in allowed:
                 continue
-            there = [p for p in proxies.values() if _region(p) in allowed]
-            steady = [p.name for p in there if spans.steady(p, began - HELD_S, began)]
+            candidates = [process for process in proxies.values() if _region(process) in allowed]
+            steady = [
+                process.name for process in candidates if disturbances.was_steady(process, began - ANSWER_USED_S, began)
+            ]
             if steady:
-                out.append(f"{row['id']} from {row['from']} went to {proxies[by].name}, {steady[0]} was steady")
-    return _few(out, "requests were led to another region")
+                findings.append(
+                    f"{row['id']} from {row['from']} went to {proxies[address].name}, {steady[0]} was steady"
+                )
+    return _summarize(findings, "requests were led to another region")
 
 
 def _region(process: FleetProcess) -> str:
     return process.locality.partition("/")[0]
 
 
-def cried(folder: Path) -> list[str]:
-    """Nothing wrote a traceback, and no vital task died."""
-    out = []
+def check_logs(folder: Path) -> list[str]:
+    """Checks that no process wrote a traceback and no vital task died."""
+    findings = []
     for path in sorted(folder.rglob("*.err")):
         if "Traceback" in path.read_text(errors="replace"):
-            out.append(f"a traceback in {path.name}")
+            findings.append(f"a traceback in {path.name}")
     for path in sorted(folder.glob("*/log")):
         if '"task_died"' in path.read_text(errors="replace"):
-            out.append(f"a task died: {path}")
-    return out
+            findings.append(f"a task died: {path}")
+    return findings
 
 
-def leaks(levels: Levels, roles: dict[str, str]) -> list[str]:
-    """Descriptors are level at the end."""
-    most: dict[str, int] = {}
-    for name, count in levels.before.items():
-        most[roles[name]] = max(count, most.get(roles[name], 0))
+def check_descriptors(counts: DescriptorCounts, roles: dict[str, str]) -> list[str]:
+    """Checks that no process leaks descriptors."""
+    highest: dict[str, int] = {}
+    for name, count in counts.before.items():
+        highest[roles[name]] = max(count, highest.get(roles[name], 0))
     return [
-        f"{name} holds {count} descriptors, its role {most[roles[name]]} at the beginning"
-        for name, count in levels.after.items()
-        if roles[name] in most and count > most[roles[name]] + LEAKED
+        f"{name} holds {count} descriptors, its role {highest[roles[name]]} at the beginning"
+        for name, count in counts.after.items()
+        if roles[name] in highest and count > highest[roles[name]] + DESCRIPTOR_SLACK
     ]
 
 
-def _few(found: list[str], what: str) -> list[str]:
-    """A count and the first of many alike."""
-    return [f"{len(found)} {what}, first: {found[0]}"] if found else []
+def _summarize(findings: list[str], what: str) -> list[str]:
+    """Merges findings of a kind into one with their count and the first of them."""
+    return [f"{len(findings)} {what}, first: {findings[0]}"] if findings else []
--- a/mallowvalve/localfleet/trial.py
+++ b/mallowvalve/localfleet/trial.py
@@ -1,21 +1,21 @@
-"""A trial: acts under load, and the judgement of all that was written down."""
+"""A trial: plays acts under load and checks the journals of clients and upstreams."""
 
 from __future__ import annotations
 
 import time
 
 from mallowvalve.localfleet import acknowledged, acts, history, mishaps
+from mallowvalve.localfleet.users import CoordinationClients
 from mallowvalve.localfleet.fleet import LocalFleet
-from mallowvalve.localfleet.judge import dropped, figures, judge
-from mallowvalve.localfleet.operators import Operators
-from mallowvalve.localfleet.users import Coordinators
+from mallowvalve.localfleet.judge import check_journals, dropped_connections, journal_statistics
+from mallowvalve.localfleet.operators import ConfigurationOperators
 from verification import histories
 
-RECORDED = "history.jsonl"
+HISTORY_FILE = "history.jsonl"
 
 ACTS = {
-    a.__name__: a
-    for a in (
+    act.__name__: act
+    for act in (
         acts.rolling,
         acts.upstream_crashes,
         acts.leaving,
@@ -48,44 +48,51 @@
         acknowledged.after_acks,
     )
 }
-PLANNED = ("rolling", "evacuation", "leaving", "pool_replaced", "homes_moved", "bad_changes", "service_removed")
+PLANNED_ACTS = ("rolling", "evacuation", "leaving", "pool_replaced", "homes_moved", "bad_changes", "service_removed")
 
 
-def run(
-    f: LocalFleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
+def run_trial(
+    fleet: LocalFleet, names: list[str], seed: int = 1, rate: float | None = None, coordination: float = 40.0
 ) -> tuple[list[str], dict]:
-    """Play the acts named, one after the other; findings, and figures."""
-    found: list[str] = []
-    f.start_clients(seed=seed, rate=rate)
+    """Plays the named acts one after the other; returns the findings and the statistics."""
+    findings: list[str] = []
+    fleet.start_clients(seed=seed, rate=rate)
     time.sleep(3)
-    begun = time.time()
-    with Operators(f, seed) as ops, Coordinators(f, seed, coordination) as users:
-        f.operators = ops
-        for a in names:
-            t = time.time()
-            got = ACTS[a](f)
-            if a in PLANNED:
-                got += dropped(t, time.time(), f.read_journal("asked.jsonl"))
-            found += [f"{a}: {g}" for g in got]
-            print(f"{a}: {time.time() - t:.1f} s, {len(got)} findings", flush=True)
+    started_at = time.time()
+    with (
+        ConfigurationOperators(fleet, seed) as operators,
+        CoordinationClients(fleet, seed, coordination) as coordination_clients,
+    ):
+        fleet.operators = operators
+        for name in names:
+            act_started_at = time.time()
+            act_findings = ACTS[name](fleet)
+            if name in PLANNED_ACTS:
+                act_findings += dropped_connections(act_started_at, time.time(), fleet.read_journal("asked.jsonl"))
+            findings += [f"{name}: {finding}" for finding in act_findings]
+            print(f"{name}: {time.time() - act_started_at:.1f} s, {len(act_findings)} findings", flush=True)
         time.sleep(2)
-    seconds = time.time() - begun
-    f.stop("clients", 30)
-    asked, ran = f.read_journal("asked.jsonl"), f.read_journal("ran.jsonl")
-    histories.write(f.folder / RECORDED, history.operations(users.history))
-    found += ops.findings() + judge(ops.offers, asked, ran) + history.check_history(users.history)
-    ts = sorted(ops.ack_times)
-    more = {
+    seconds = time.time() - started_at
+    fleet.stop("clients", 30)
+    asked_rows, ran_rows = fleet.read_journal("asked.jsonl"), fleet.read_journal("ran.jsonl")
+    histories.write(fleet.folder / HISTORY_FILE, history.to_operations(coordination_clients.history))
+    findings += (
+        operators.findings()
+        + check_journals(operators.offers, asked_rows, ran_rows)
+        + history.check_history(coordination_clients.history)
+    )
+    ack_times_s = sorted(operators.ack_times_s)
+    statistics = {
         "seconds": round(seconds),
-        "changes": len(ops.acked),
-        "changes_failed": ops.failed,
-        "conflicts": ops.refused,
-        "coordination_calls": users.calls,
-        "undecided": users.unsure,
-        "operations": len(users.history.ops),
-        "holds": len(users.history.holds),
-        "events": len(users.history.events),
-        "ack_median_ms": round(ts[len(ts) // 2] * 1000) if ts else None,
-        "ack_max_ms": round(ts[-1] * 1000) if ts else None,
+        "changes": len(operators.acknowledged),
+        "changes_failed": operators.failed,
+        "conflicts": operators.conflicts,
+        "coordination_calls": coordination_clients.call_count,
+        "undecided": coordination_clients.undecided,
+        "operations": len(coordination_clients.history.ops),
+        "holds": len(coordination_clients.history.holds),
+        "events": len(coordination_clients.history.events),
+        "ack_median_ms": round(ack_times_s[len(ack_times_s) // 2] * 1000) if ack_times_s else None,
+        "ack_max_ms": round(ack_times_s[-1] * 1000) if ack_times_s else None,
     }
-    return found, figures(asked, ran) | more
+    return findings, journal_statistics(asked_rows, ran_rows) | statistics
--- a/mallowvalve/localfleet/users.py
+++ b/mallowvalve/localfleet/users.py
@@ -1,4 +1,4 @@
-"""Stand-in applications that use coordination while a trial runs."""
+"""Stand-in applications that use the coordination service while a trial runs."""
 
 from __future__ import annotations
 
@@ -8,106 +8,108 @@
 
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import LocalFleet
-from mallowvalve.localfleet.history import CoordinationCall, CoordinationHistory, LockHold
-from mallowvalve.localfleet.history import WatchEvent as Seen
-from mallowvalve.localfleet.jobs import Jobs
+from mallowvalve.localfleet.history import CoordinationCall, CoordinationHistory, LockHold, WatchEvent
+from mallowvalve.localfleet.jobs import BackgroundThreads
 
-TRIES = 8
-SAID = {200: "ok", 404: "missing", 409: "conflict", 410: "lost"}
+MAX_TRIES = 8
+OUTCOME_OF_STATUS = {200: "ok", 404: "missing", 409: "conflict", 410: "lost"}
 
 
-class Coordinators(Jobs):
-    """Applications that keep keys, locks and numbers while a trial runs; each call goes again under its key."""
+class CoordinationClients(BackgroundThreads):
+    """Applications that use keys, locks, numbers and watches; each call is retried under its idempotency key."""
 
     def __init__(self, fleet: LocalFleet, seed: int, rate: float = 40.0):
-        """`rate` calls a second, all together."""
+        """Sends `rate` calls per second in total."""
         self.fleet, self.history = fleet, CoordinationHistory([], [], [], [])
-        self.calls = self.unsure = 0
+        self.call_count = self.undecided = 0
         jobs = [
-            self._keep,
-            self._keep,
-            self._keep,
-            self._lock,
-            self._lock,
-            self._number,
-            self._number,
-            self._watch,
-            self._watch,
+            self._use_keys,
+            self._use_keys,
+            self._use_keys,
+            self._use_lock,
+            self._use_lock,
+            self._draw_numbers,
+            self._draw_numbers,
+            self._watch_keys,
+            self._watch_keys,
         ]
-        self.pause = 6 / rate
-        super().__init__([(j, (f"u{i}", random.Random(f"{seed}/{i}"))) for i, j in enumerate(jobs)])
+        self.mean_pause_s = 6 / rate
+        super().__init__([(job, (f"u{index}", random.Random(f"{seed}/{index}"))) for index, job in enumerate(jobs)])
 
-    def _control(self, rng: random.Random) -> int:
+    def _pick_control_port(self, rng: random.Random) -> int:
         controls = self.fleet.with_role("control")
-        return rng.choice([p for p in controls if p.is_running] or controls).web_port
+        return rng.choice([process for process in controls if process.is_running] or controls).web_port
 
-    def _ask(self, rng: random.Random, method: str, path: str, body=None) -> tuple[int, dict]:
-        """The same call under one key until it is decided."""
+    def _call_until_decided(self, rng: random.Random, method: str, path: str, body=None) -> tuple[int, dict]:
+        """Repeats a call under one idempotency key until its outcome is known; status 0 after MAX_TRIES."""
         key = {"Mallow-Key": uuid.uuid4().hex}
-        for _ in range(TRIES):
-            status, data, h = call(self._control(rng), method, path, body, key, 5)
-            self.calls += 1
+        for _ in range(MAX_TRIES):
+            status, data, _headers = call(self._pick_control_port(rng), method, path, body, key, 5)
+            self.call_count += 1
             if status and status < 500:
                 return status, data
             if self.stop.wait(0.2):
                 break
-        self.unsure += 1
+        self.undecided += 1
         return 0, {}
 
-    def _rest(self, rng: random.Random) -> bool:
-        return self.stop.wait(rng.expovariate(1 / self.pause))
+    def _pause(self, rng: random.Random) -> bool:
+        """Waits for a random time; returns True once the thread shall end."""
+        return self.stop.wait(rng.expovariate(1 / self.mean_pause_s))
 
-    def _keep(self, who: str, rng: random.Random) -> None:
-        n = 0
-        while not self._rest(rng):
-            n += 1
-            name, value, begun = f"k{rng.randrange(3)}", f"{who}.{n}", time.monotonic()
-            status, data = self._ask(rng, "GET", f"/keys/{name}")
+    def _use_keys(self, who: str, rng: random.Random) -> None:
+        number = 0
+        while not self._pause(rng):
+            number += 1
+            name, value, begun = f"k{rng.randrange(3)}", f"{who}.{number}", time.monotonic()
+            status, data = self._call_until_decided(rng, "GET", f"/keys/{name}")
             if status not in (200, 404):
                 continue
-            said = CoordinationCall(
+            read = CoordinationCall(
                 "read", name, who, begun, time.monotonic(), "ok", data["revision"], data["value"], None, data["at"]
             )
-            self.history.ops.append(said)
-            base, begun = rng.choice((said.at, said.at, None)), time.monotonic()
-            status, data = self._ask(rng, "PUT", f"/keys/{name}", {"value": value, "base": base})
-            end = time.monotonic()
-            ok = SAID.get(status, "undecided")
+            self.history.ops.append(read)
+            base, begun = rng.choice((read.at, read.at, None)), time.monotonic()
+            status, data = self._call_until_decided(rng, "PUT", f"/keys/{name}", {"value": value, "base": base})
+            ended = time.monotonic()
+            outcome = OUTCOME_OF_STATUS.get(status, "undecided")
             self.history.ops.append(
-                CoordinationCall("put", name, who, begun, end, ok, data.get("number", 0), value, base)
+                CoordinationCall("put", name, who, begun, ended, outcome, data.get("number", 0), value, base)
             )
 
-    def _lock(self, who: str, rng: random.Random) -> None:
-        ttl = 3.0
-        while not self._rest(rng):
+    def _use_lock(self, who: str, rng: random.Random) -> None:
+        ttl_s = 3.0
+        while not self._pause(rng):
             begun = time.monotonic()
-            status, data = self._ask(rng, "POST", "/locks/l/take", {"holder": who, "ttl_ms": int(ttl * 1000)})
-            got = time.monotonic()
-            if status != 200 or got > begun + ttl - 0.5:
+            status, data = self._call_until_decided(
+                rng, "POST", "/locks/l/take", {"holder": who, "ttl_ms": int(ttl_s * 1000)}
+            )
+            acquired_at = time.monotonic()
+            if status != 200 or acquired_at > begun + ttl_s - 0.5:
                 continue
-            self.history.ops.append(CoordinationCall("take", "l", who, begun, got, "ok", data["number"]))
-            self.stop.wait(min(rng.random() * 0.3, begun + ttl - got - 0.2))
-            self.history.holds.append(LockHold("l", who, got, time.monotonic(), data["number"]))
-            self._ask(rng, "POST", "/locks/l/free", {"holder": who, "token": data["number"]})
+            self.history.ops.append(CoordinationCall("take", "l", who, begun, acquired_at, "ok", data["number"]))
+            self.stop.wait(min(rng.random() * 0.3, begun + ttl_s - acquired_at - 0.2))
+            self.history.holds.append(LockHold("l", who, acquired_at, time.monotonic(), data["number"]))
+            self._call_until_decided(rng, "POST", "/locks/l/free", {"holder": who, "token": data["number"]})
 
-    def _number(self, who: str, rng: random.Random) -> None:
-        while not self._rest(rng):
+    def _draw_numbers(self, who: str, rng: random.Random) -> None:
+        while not self._pause(rng):
             begun = time.monotonic()
-            status, data = self._ask(rng, "POST", "/numbers/n", {})
+            status, data = self._call_until_decided(rng, "POST", "/numbers/n", {})
             if status == 200:
                 self.history.ops.append(
                     CoordinationCall("number", "n", who, begun, time.monotonic(), "ok", data["number"])
                 )
 
-    def _watch(self, who: str, rng: random.Random) -> None:
+    def _watch_keys(self, who: str, rng: random.Random) -> None:
         since = None
         while not self.stop.is_set():
             if since is None:
-                status, data, _ = call(self._control(rng), "GET", "/keys/k0", None, None, 5)
+                status, data, _ = call(self._pick_control_port(rng), "GET", "/keys/k0", None, None, 5)
                 since = data["revision"] if status in (200, 404) else None
                 continue
             status, data, _ = call(
-                self._control(rng), "GET", f"/watch?since={since}&prefix=k&wait_ms=1000", None, None, 6
+                self._pick_control_port(rng), "GET", f"/watch?since={since}&prefix=k&wait_ms=1000", None, None, 6
             )
             if status == 410:
                 self.history.gaps.append(f"{who} since {since}")
@@ -116,4 +118,6 @@
                 self.stop.wait(0.1)
                 continue
             since = data["revision"]
-            self.history.events += [Seen(who, e["revision"], e["name"], e["value"]) for e in data["events"]]
+            self.history.events += [
+                WatchEvent(who, event["revision"], event["name"], event["value"]) for event in data["events"]
+            ]
--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -26,7 +26,7 @@
 SHARES = [["overlay", "GET", "/rankings/{n}", False, 5], ["runner", "POST", "/runs", True, 1]]
 
 
-def small() -> FleetShape:
+def small_shape() -> FleetShape:
     return FleetShape(
         nodes=[NodePlacement("control", z) for z in ZONES[::2]]
         + [NodePlacement("directory", z) for z in ZONES[:2]]
@@ -52,7 +52,7 @@
     }
 
 
-def trinacria() -> FleetShape:
+def leaderboard_shape() -> FleetShape:
     config = {
         "services": {s: {} for s in ("boards", "runs", "awards", "media")},
         "regions": CONFIG["regions"],
@@ -99,7 +99,7 @@
     )
 
 
-def cycles() -> FleetShape:
+def shop_shape() -> FleetShape:
     config = {
         "services": {s: {} for s in ("stock", "prices", "orders", "catalogue")},
         "regions": CONFIG["regions"],
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -4,11 +4,11 @@
 
 from mallowvalve.localfleet.judge import (
     OfferedConfiguration,
-    after_evacuation,
-    after_leaving,
-    dropped,
-    judge,
+    check_journals,
+    dropped_connections,
     repeat_share,
+    runs_after_evacuation,
+    runs_after_leaving,
 )
 from tests.shapes import CONFIG
 
@@ -45,16 +45,16 @@
         OfferedConfiguration(7.0, 8.0, None, CONFIG),
     ]
     for at, bad in ((4.0, False), (9.0, False), (9.6, False), (30.0, False)):
-        assert bool(judge([copy.copy(o) for o in offers], [], [ran(at=at)])) == bad
-    assert judge([copy.copy(o) for o in offers[:2]], [], [ran(at=9.6)])
+        assert bool(check_journals([copy.copy(o) for o in offers], [], [ran(at=at)])) == bad
+    assert check_journals([copy.copy(o) for o in offers[:2]], [], [ran(at=9.6)])
     later = [*offers, OfferedConfiguration(20.0, 21.0, 4, moved)]
-    assert judge([copy.copy(o) for o in later], [], [ran(at=25.0)]) and not judge(
+    assert check_journals([copy.copy(o) for o in later], [], [ran(at=25.0)]) and not check_journals(
         [copy.copy(o) for o in later], [], [ran(at=24.0)]
     )
 
 
 def test_clean_journals_have_no_findings():
-    assert judge(in_force(), [asked()], [ran()]) == []
+    assert check_journals(in_force(), [asked()], [ran()]) == []
 
 
 @pytest.mark.parametrize(
@@ -71,17 +71,19 @@
     ],
 )
 def test_each_breach_is_found(text, a, r):
-    assert any(text in f for f in judge(in_force(), a, r))
+    assert any(text in f for f in check_journals(in_force(), a, r))
 
 
 def test_breaches_of_planned_acts_are_found():
     assert (
-        after_evacuation("eu-a", 0.0, 10.0, [ran(at=4.9)]) == [] != after_evacuation("eu-a", 0.0, 10.0, [ran(at=5.1)])
+        runs_after_evacuation("eu-a", 0.0, 10.0, [ran(at=4.9)])
+        == []
+        != runs_after_evacuation("eu-a", 0.0, 10.0, [ran(at=5.1)])
     )
-    assert after_leaving("u", 0.0, [ran(at=3.4)]) == [] != after_leaving("u", 0.0, [ran(at=3.6)])
+    assert runs_after_leaving("u", 0.0, [ran(at=3.4)]) == [] != runs_after_leaving("u", 0.0, [ran(at=3.6)])
     refused = asked(tries=((0, "ConnectionRefusedError"), (200, None)))
     broken = asked(tries=((0, "HTTPParseError"), (200, None)))
-    assert dropped(0.0, 2.0, [refused]) == [] != dropped(0.0, 2.0, [broken])
+    assert dropped_connections(0.0, 2.0, [refused]) == [] != dropped_connections(0.0, 2.0, [broken])
 
 
 def test_repeats_over_a_fifth_are_found():
--- a/tests/test_localfleet.py
+++ b/tests/test_localfleet.py
@@ -8,12 +8,12 @@
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import LocalFleet, wait_until
 from mallowvalve.localfleet.main import wait_until_settled
-from tests.shapes import small
+from tests.shapes import small_shape
 
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with LocalFleet(small(), tmp_path_factory.mktemp("whole")) as f:
+    with LocalFleet(small_shape(), tmp_path_factory.mktemp("whole")) as f:
         assert wait_until_settled(f)
         yield f
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -10,7 +10,7 @@
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import LocalFleet
 from mallowvalve.localfleet.main import wait_until_settled
-from tests.shapes import small
+from tests.shapes import small_shape
 
 DOCS = Path(__file__).parent.parent / "docs"
 PAGES = sorted((DOCS / "operators").glob("*.md")) + [DOCS / "first-hour.md"]
@@ -19,7 +19,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with LocalFleet(small(), tmp_path_factory.mktemp("pages")) as f:
+    with LocalFleet(small_shape(), tmp_path_factory.mktemp("pages")) as f:
         assert wait_until_settled(f)
         yield f
 
--- a/tests/test_partfleet.py
+++ b/tests/test_partfleet.py
@@ -48,12 +48,12 @@
     code, said = call(controls[0].web_port, "POST", "/evacuations/eu-a")[:2]
     assert code == 200 and all(gauge(p) >= said["revision"] for p in proxies)
 
-    fleet.cut(list(itertools.combinations(controls, 2)))
+    fleet.cut_links(list(itertools.combinations(controls, 2)))
     assert wait_until(lambda: not any(call(p.web_port, "GET", "/leader")[1].get("leader") for p in controls), 20)
     fleet.kill(proxies[0].name)
     fleet.start(proxies[0].name)
     assert wait_until(lambda: gauge(proxies[0]) >= said["revision"], 20)
-    fleet.heal()
+    fleet.clear_faults()
     assert wait_until(lambda: amend(controls[0], [route("r0", 8)])[0] == 200, 20)
 
     for p in controls:
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -3,29 +3,29 @@
 import subprocess
 import sys
 
-from mallowvalve.localfleet.ports import FIRST, Ports, _end, free_ports
+from mallowvalve.localfleet.ports import FIRST_PORT, PortAllocator, _first_ephemeral_port, free_ports
 
-ASK = "from mallowvalve.localfleet.ports import free_ports; print(free_ports(40)); input()"
+ALLOCATE = "from mallowvalve.localfleet.ports import free_ports; print(free_ports(40)); input()"
 
 
-def test_two_processes_never_plan_the_same_ports_and_none_an_outgoing_connection_may_get():
-    mine = free_ports(40)
-    jobs = [
-        subprocess.Popen([sys.executable, "-c", ASK], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
+def test_processes_allocate_distinct_ports_below_the_ephemeral_range():
+    own_ports = free_ports(40)
+    processes = [
+        subprocess.Popen([sys.executable, "-c", ALLOCATE], stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
         for _ in range(3)
     ]
-    theirs = [json.loads(j.stdout.readline()) for j in jobs]
-    for j in jobs:
-        j.communicate("\n")
-    every = [*mine, *(p for t in theirs for p in t)]
-    assert len(set(every)) == 160 and all(FIRST <= p < _end() for p in every)
+    other_ports = [json.loads(process.stdout.readline()) for process in processes]
+    for process in processes:
+        process.communicate("\n")
+    ports = [*own_ports, *(port for allocated in other_ports for port in allocated)]
+    assert len(set(ports)) == 160 and all(FIRST_PORT <= port < _first_ephemeral_port() for port in ports)
 
 
-def test_a_block_is_free_again_once_its_process_is_gone():
-    a = Ports()
-    had = a.take(1)
-    b = Ports()
-    assert b.take(1) != had
-    for fd in a._locks:
-        os.close(fd)
-    assert Ports().take(1) <= had
+def test_a_block_is_available_again_after_its_lock_is_released():
+    first = PortAllocator()
+    allocated = first.allocate(1)
+    second = PortAllocator()
+    assert second.allocate(1) != allocated
+    for descriptor in first._lock_descriptors:
+        os.close(descriptor)
+    assert PortAllocator().allocate(1) <= allocated
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -4,12 +4,12 @@
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import LocalFleet, wait_until
 from mallowvalve.localfleet.main import wait_until_settled
-from tests.shapes import CONFIG, small
+from tests.shapes import CONFIG, small_shape
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    with LocalFleet(small(), tmp_path) as f:
+    with LocalFleet(small_shape(), tmp_path) as f:
         assert wait_until_settled(f)
         yield f
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Schedules of soaks, what is refused before anything starts, and that each judgement catches a planted breach."""
+"""Tests the schedules of soaks, the input that is refused before the start, and that each check finds a violation."""
 
 import json
 from pathlib import Path
@@ -10,8 +10,18 @@
 from mallowvalve.cli import main
 from mallowvalve.localfleet import schedule, soak, soak_judge
 from mallowvalve.localfleet.fleet import FleetShape, LocalFleet
-from mallowvalve.localfleet.schedule import PLANNED, VERSION, Act, Kind, Schedule, draw, load, names, save
-from mallowvalve.localfleet.soak_judge import Event, Levels, Spans, What
+from mallowvalve.localfleet.schedule import (
+    PLANNED_KINDS,
+    SCHEDULE_VERSION,
+    ActKind,
+    Schedule,
+    ScheduledAct,
+    draw_schedule,
+    load_schedule,
+    save_schedule,
+    schedule_targets,
+)
+from mallowvalve.localfleet.soak_judge import DescriptorCounts, Disturbances, SoakEvent, SoakEventKind
 
 SHAPE = Path(__file__).parent.parent / "examples" / "soak.json"
 
@@ -27,34 +37,41 @@
 
 
 def test_a_seed_draws_the_same_schedule_and_another_one_another(shape):
-    first = draw(shape, 1, 60.0, trouble=True)
-    assert first == draw(shape, 1, 60.0, trouble=True) != draw(shape, 2, 60.0, trouble=True)
+    first = draw_schedule(shape, 1, 60.0, trouble=True)
+    assert first == draw_schedule(shape, 1, 60.0, trouble=True) != draw_schedule(shape, 2, 60.0, trouble=True)
     assert [act.at for act in first.acts] == sorted(act.at for act in first.acts)
-    assert {act.target for act in first.acts} <= names(shape).known()
+    assert {act.target for act in first.acts} <= schedule_targets(shape).known()
 
 
 def test_planned_work_holds_no_trouble_and_series_overlap(shape):
     for seed in range(1, 30):
-        planned = draw(shape, seed, 60.0, trouble=False)
-        assert {act.kind for act in planned.acts} <= PLANNED
-        stops = [act for act in planned.acts if act.kind is Kind.STOP]
+        planned = draw_schedule(shape, seed, 60.0, trouble=False)
+        assert {act.kind for act in planned.acts} <= PLANNED_KINDS
+        stops = [act for act in planned.acts if act.kind is ActKind.STOP]
         assert len({act.target for act in stops}) > 6
-        assert {Kind.KILL, Kind.FREEZE} & {act.kind for act in draw(shape, seed, 60.0, trouble=True).acts}
+        assert {ActKind.KILL, ActKind.FREEZE} & {
+            act.kind for act in draw_schedule(shape, seed, 60.0, trouble=True).acts
+        }
 
 
 def test_a_saved_schedule_is_played_again_without_the_generator(shape, tmp_path):
-    drawn = draw(shape, 3, 60.0, trouble=True)
-    save(drawn, tmp_path / "s.json")
-    assert load(tmp_path / "s.json", shape).unwrap() == drawn
+    drawn = draw_schedule(shape, 3, 60.0, trouble=True)
+    save_schedule(drawn, tmp_path / "s.json")
+    assert load_schedule(tmp_path / "s.json", shape).unwrap() == drawn
 
 
 @pytest.mark.parametrize(
     ("saved", "place"),
     [
-        (Schedule(VERSION, 1, 9.0, [Act(1.0, Kind.STOP, "nobody")]), "acts.nobody"),
-        (Schedule(VERSION + 1, 1, 9.0, []), "version"),
+        (Schedule(SCHEDULE_VERSION, 1, 9.0, [ScheduledAct(1.0, ActKind.STOP, "nobody")]), "acts.nobody"),
+        (Schedule(SCHEDULE_VERSION + 1, 1, 9.0, []), "version"),
         (
-            {"version": VERSION, "seed": 1, "seconds": 9.0, "acts": [{"at": 1, "kind": "melt", "target": "proxy5"}]},
+            {
+                "version": SCHEDULE_VERSION,
+                "seed": 1,
+                "seconds": 9.0,
+                "acts": [{"at": 1, "kind": "melt", "target": "proxy5"}],
+            },
             "s.json",
         ),
         ("no schedule", "s.json"),
@@ -68,11 +85,11 @@
 
 
 def test_a_shape_that_does_not_fit_the_machine_is_refused(shape, monkeypatch):
-    assert soak.fits(shape) == []
-    monkeypatch.setattr(soak, "PROCESS_BYTES", 1 << 40)
-    assert "memory" in soak.fits(shape)[0].text
-    monkeypatch.setattr(soak, "MOST_PROCESSES", 3)
-    assert "processes" in soak.fits(shape)[0].text
+    assert soak.check_fits(shape) == []
+    monkeypatch.setattr(soak, "MEMORY_PER_PROCESS_BYTES", 1 << 40)
+    assert "memory" in soak.check_fits(shape)[0].text
+    monkeypatch.setattr(soak, "MAX_PROCESSES", 3)
+    assert "processes" in soak.check_fits(shape)[0].text
     ended = CliRunner().invoke(main, ["soak", str(SHAPE)])
     assert ended.exit_code == 2
 
@@ -90,32 +107,46 @@
 
 
 def spans(*events):
-    return Spans([Event(*event) for event in events])
+    return Disturbances([SoakEvent(*event) for event in events])
 
 
 def test_a_request_that_was_cut_while_it_ran_is_found(fleet):
     (who, by), proxies = proxy(fleet, 0), {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     cut = row(by, 0, "ConnectionResetError")
-    found = soak_judge.cut_while_run(spans((99.0, What.TOLD, who.name)), proxies, [cut], RAN)
+    found = soak_judge.check_cut_requests(spans((99.0, SoakEventKind.TOLD, who.name)), proxies, [cut], RAN)
     assert len(found) == 1 and "while it stopped" in found[0]
-    assert soak_judge.cut_while_run(spans(), proxies, [cut], [{"request": "q", "at": 99.0}]) == []
-    assert soak_judge.cut_while_run(spans((95.0, What.TROUBLE, "proxy8")), proxies, [cut], RAN) == []
-    assert soak_judge.cut_while_run(spans(), proxies, [row(by, 0, "ConnectionRefusedError")], RAN) == []
+    assert soak_judge.check_cut_requests(spans(), proxies, [cut], [{"request": "q", "at": 99.0}]) == []
+    assert soak_judge.check_cut_requests(spans((95.0, SoakEventKind.TROUBLE, "proxy8")), proxies, [cut], RAN) == []
+    assert soak_judge.check_cut_requests(spans(), proxies, [row(by, 0, "ConnectionRefusedError")], RAN) == []
 
 
 def test_a_request_led_elsewhere_while_one_at_home_was_steady_is_found(fleet):
     proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     (eu, _), (eu_b, _), (_, us) = proxy(fleet, 0), proxy(fleet, 1), proxy(fleet, 2)
-    homes_of = soak_judge.homes(fleet)
+    homes_of = soak_judge.tenant_homes(fleet)
     assert homes_of["steward"] == {"eu"}
 
     def found(*events, **how):
-        return soak_judge.led_elsewhere(spans(*events), proxies, homes_of, [row(us, **how)])
-
-    assert len(found()) == 1 and len(found((99.0, What.TOLD, eu.name))) == 1
-    assert found((99.0, What.TOLD, eu.name), (92.0, What.TOLD, eu_b.name), (98.0, What.READY, eu_b.name)) == []
-    assert found((99.0, What.TOLD, eu.name), (90.0, What.EVACUATED, "eu-b"), (97.0, What.GIVEN_BACK, "eu-b")) == []
-    assert found((95.0, What.TROUBLE, "control0")) == []
+        return soak_judge.check_regions(spans(*events), proxies, homes_of, [row(us, **how)])
+
+    assert len(found()) == 1 and len(found((99.0, SoakEventKind.TOLD, eu.name))) == 1
+    assert (
+        found(
+            (99.0, SoakEventKind.TOLD, eu.name),
+            (92.0, SoakEventKind.TOLD, eu_b.name),
+            (98.0, SoakEventKind.READY, eu_b.name),
+        )
+        == []
+    )
+    assert (
+        found(
+            (99.0, SoakEventKind.TOLD, eu.name),
+            (90.0, SoakEventKind.EVACUATED, "eu-b"),
+            (97.0, SoakEventKind.GIVEN_BACK, "eu-b"),
+        )
+        == []
+    )
+    assert found((95.0, SoakEventKind.TROUBLE, "control0")) == []
     assert found(tenant="runner") == [] and found(where="us/us-a") == []
     assert len(found(tenant="steward")) == 1
 
@@ -124,39 +155,46 @@
     proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
     (eu, _), (eu_b, _), (_, us) = proxy(fleet, 0), proxy(fleet, 1), proxy(fleet, 2)
     for events in (
-        [(96.0, What.STALL, "machine")],
-        [(95.0, What.UNREADY, eu.name), (97.0, What.UNREADY, eu_b.name)],
+        [(96.0, SoakEventKind.STALL, "machine")],
+        [(95.0, SoakEventKind.UNREADY, eu.name), (97.0, SoakEventKind.UNREADY, eu_b.name)],
     ):
-        assert soak_judge.led_elsewhere(spans(*events), proxies, {}, [row(us)]) == []
+        assert soak_judge.check_regions(spans(*events), proxies, {}, [row(us)]) == []
     (fleet.folder / eu.name / "log").write_text(
         'noise\n{"message_type":"unready","timestamp":90.0}\n{"message_type":"ready","timestamp":99.0}\n'
     )
-    found = soak_judge.unready(fleet.folder, [eu.name, "nobody"])
-    assert found == [Event(90.0, What.UNREADY, eu.name), Event(99.0, What.READY, eu.name)]
+    found = soak_judge.readiness_events(fleet.folder, [eu.name, "nobody"])
+    assert found == [SoakEvent(90.0, SoakEventKind.UNREADY, eu.name), SoakEvent(99.0, SoakEventKind.READY, eu.name)]
 
 
 def test_a_stop_that_does_not_end_or_ends_badly_is_found():
-    events = [Event(1.0, What.ENDED, "a", 2.0), Event(1.0, What.READY, "a")]
-    assert soak_judge.ends(events) == []
-    for what, said in ((What.FAILED, "code 70"), (What.OVERDUE, "had not ended 70.0 s"), (What.NOT_READY, "not ready")):
-        assert said in soak_judge.ends([Event(1.0, what, "a", 70.0)])[0]
+    events = [SoakEvent(1.0, SoakEventKind.ENDED, "a", 2.0), SoakEvent(1.0, SoakEventKind.READY, "a")]
+    assert soak_judge.check_stops(events) == []
+    for what, said in (
+        (SoakEventKind.FAILED, "code 70"),
+        (SoakEventKind.OVERDUE, "had not ended 70.0 s"),
+        (SoakEventKind.NOT_READY, "not ready"),
+    ):
+        assert said in soak_judge.check_stops([SoakEvent(1.0, what, "a", 70.0)])[0]
 
 
 def test_a_traceback_a_task_that_died_and_a_leak_are_found(tmp_path):
     (tmp_path / "proxy5").mkdir()
     (tmp_path / "proxy5" / "log").write_text('{"message_type":"ready"}')
     (tmp_path / "proxy5" / "proxy5.err").write_text("")
-    assert soak_judge.cried(tmp_path) == []
+    assert soak_judge.check_logs(tmp_path) == []
     (tmp_path / "proxy5" / "log").write_text('{"message_type":"task_died"}')
     (tmp_path / "proxy5" / "proxy5.err").write_text("Traceback (most recent call last)")
-    assert len(soak_judge.cried(tmp_path)) == 2
+    assert len(soak_judge.check_logs(tmp_path)) == 2
     roles = {"proxy5": "proxy", "proxy6": "proxy"}
-    assert soak_judge.leaks(Levels({"proxy5": 50, "proxy6": 60}, {"proxy5": 99}), roles) == []
-    assert "proxy5 holds 101" in soak_judge.leaks(Levels({"proxy5": 50, "proxy6": 60}, {"proxy5": 101}), roles)[0]
+    assert soak_judge.check_descriptors(DescriptorCounts({"proxy5": 50, "proxy6": 60}, {"proxy5": 99}), roles) == []
+    assert (
+        "proxy5 holds 101"
+        in soak_judge.check_descriptors(DescriptorCounts({"proxy5": 50, "proxy6": 60}, {"proxy5": 101}), roles)[0]
+    )
 
 
 def test_the_shape_of_the_short_run_has_two_proxies_a_region_and_homes(shape):
-    named = names(shape)
+    named = schedule_targets(shape)
     regions = [place.partition("/")[0] for place in named.proxies.values()]
     assert min(regions.count(region) for region in regions) >= 2 and len(named.tenants) >= 2
-    assert json.loads(SHAPE.read_text())["rate"] > 0 and schedule.QUIET_AFTER_S > 0
+    assert json.loads(SHAPE.read_text())["rate"] > 0 and schedule.QUIET_END_S > 0
