--- a/mallowvalve/admin/__init__.py
+++ b/mallowvalve/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line tool of operators."""
--- a/mallowvalve/admin/call.py
+++ b/mallowvalve/admin/call.py
@@ -1,4 +1,4 @@
-"""One HTTP call with the standard library, for tools that need no event loop."""
+"""HTTP calls with the standard library, for tools that need no event loop."""
 
 from __future__ import annotations
 
@@ -9,12 +9,11 @@
 from urllib.parse import urlsplit
 
 HttpAnswer = tuple[int, Any, dict[str, str]]
-"""Status, body (JSON decoded where it is JSON), headers by lower-case name."""
+"""Status, body (decoded if it is JSON), and headers by lower-case name."""
 
-
-REDIRECTED = 307
-REDIRECTS = 2
-"""How often a call is sent on: a control process out of touch with a majority names another one."""
+STATUS_REDIRECT = 307
+MAX_REDIRECTS = 2
+"""A control process that has lost contact to a majority redirects calls to another one."""
 
 
 def http_call(
@@ -26,21 +25,21 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = 10.0,
 ) -> HttpAnswer:
-    """The answer to one call; `body` is bytes or text as it is, else encoded as JSON. Redirections are followed.
+    """Sends a request, follows redirects and returns the answer; a body other than bytes or text is sent as JSON.
 
-    `limit` is the longest wait for each step of each connection (s). Without an answer the status is 0 and the body
-    says what went wrong.
+    `timeout_s` limits each blocking step of each connection. Without an answer the status is 0 and the body is a
+    description of the error.
     """
     data = body if body is None or isinstance(body, (bytes, str)) else json.dumps(body)
-    kind = {"Content-Type": "application/json"} if body is not None else {}
+    content_type = {"Content-Type": "application/json"} if body is not None else {}
     answer: HttpAnswer = (0, "", {})
-    for _ in range(REDIRECTS + 1):
-        answer = _call_once(host, port, method, path, data, {**kind, **(headers or {})}, timeout_s)
-        to = urlsplit(answer[2].get("location", ""))
-        if answer[0] != REDIRECTED or to.hostname is None or to.port is None:
+    for _ in range(MAX_REDIRECTS + 1):
+        answer = _call_once(host, port, method, path, data, {**content_type, **(headers or {})}, timeout_s)
+        location = urlsplit(answer[2].get("location", ""))
+        if answer[0] != STATUS_REDIRECT or location.hostname is None or location.port is None:
             break
-        host, port = to.hostname, to.port
-        path = to._replace(scheme="", netloc="").geturl()
+        host, port = location.hostname, location.port
+        path = location._replace(scheme="", netloc="").geturl()
     return answer
 
 
@@ -52,12 +51,12 @@
         connection.request(method, path, body=data, headers=dict(headers))
         answer = connection.getresponse()
         raw = answer.read()
-    except (OSError, http.client.HTTPException) as e:
-        return 0, repr(e), {}
+    except (OSError, http.client.HTTPException) as error:
+        return 0, repr(error), {}
     finally:
         connection.close()
-    said = {name.lower(): value for name, value in answer.getheaders()}
+    answer_headers = {name.lower(): value for name, value in answer.getheaders()}
     try:
-        return answer.status, json.loads(raw), said
+        return answer.status, json.loads(raw), answer_headers
     except ValueError:
-        return answer.status, raw, said
+        return answer.status, raw, answer_headers
--- a/mallowvalve/standins/__init__.py
+++ b/mallowvalve/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in clients and upstreams, for trying and testing a fleet."""
+"""Stand-in clients and upstreams for testing a fleet."""
--- a/mallowvalve/standins/client.py
+++ b/mallowvalve/standins/client.py
@@ -1,4 +1,4 @@
-"""Stand-in clients: they ask a directory, keep a connection to a proxy, try again, and write down what came of it."""
+"""Stand-in clients: ask a directory for proxies, keep a connection to one, retry, and write outcomes to a journal."""
 
 from __future__ import annotations
 
@@ -18,37 +18,44 @@
 
 from mallowvalve.types import Address
 
-AVOID = 10.0
-"""Seconds for which a proxy that refused is named to directories as one to avoid."""
+AVOID_S = 10.0
+"""How long a client asks directories to avoid a proxy that failed to answer."""
 
-TRIES, RELENTLESS_TRIES = 6, 60
-LIMIT = 8.0
-"""Seconds after which no further try is made."""
+MAX_TRIES = 6
+MAX_RELENTLESS_TRIES = 60
+RETRY_PERIOD_S = 8.0
+"""The time after the start of a request from which on no further try is made."""
 
-LIMIT_MS = 4000
-"""What a request says that it may take."""
+REQUEST_TIMEOUT_MS = 4000
+"""The time limit that a request states in its Mallow-Limit header."""
 
-NEAREST = 3
-"""Proxies of a directory's answer among which a client chooses."""
+PROXY_CHOICES = 3
+"""The number of leading proxies in a directory's answer among which a client chooses."""
 
-CLINGS = 3
-"""How many times the life of an answer a clinging client goes by it."""
+CLINGING_LIFETIMES = 3
+"""How many times the lifetime of an answer a clinging client uses it."""
 
-ASK_AGAIN = 0.3
-"""Seconds until directories are asked again, if none answered."""
+DIRECTORY_RETRY_S = 0.3
+"""The time until directories are asked again after none answered."""
 
-BEHIND = 1.0
-"""Seconds that a client may be behind its own rate before it lets requests go."""
+MAX_BACKLOG_S = 1.0
+"""How far a client may fall behind its rate before it skips requests."""
 
-GRACE = 12.0
-"""Seconds that requests under way may take once the clients are to stop."""
+STOP_GRACE_S = 12.0
+"""How long active requests may take after the clients are told to stop."""
 
-OK, SERVER_ERROR, NOT_FOUND, UNAVAILABLE = 200, 500, 404, 503
-NO_ANSWER = 0
+STATUS_OK = 200
+STATUS_SERVER_ERROR = 500
+STATUS_NOT_FOUND = 404
+STATUS_UNAVAILABLE = 503
+STATUS_NO_ANSWER = 0
 
 
-class Share(msgspec.Struct, array_like=True):
-    """A kind of request and its weight among all; `{n}` in the path becomes a number, `once` gives each a key."""
+class RequestShare(msgspec.Struct, array_like=True):
+    """A kind of request and its weight.
+
+    `{n}` in the path is replaced by a random number; with `once` each request gets an idempotency key.
+    """
 
     tenant: str
     method: str
@@ -57,48 +64,49 @@
     weight: float
 
 
-class Told(msgspec.Struct):
-    """What came of one try; status 0 is no answer, `after` how long to wait (s).
+class TryResult(msgspec.Struct):
+    """The result of one try; status 0 means that there was no answer.
 
-    `began` and `ended` are of the wall clock (s), `by` the proxy that was asked, if any.
+    `began` and `ended` are wall clock times (s), `proxy` is the address of the proxy, if there was one.
     """
 
     status: int
     outcome: str | None
     body: bytes
-    after: float
+    retry_after_s: float
     began: float = 0.0
     ended: float = 0.0
-    by: str = ""
+    proxy: str = ""
 
 
-class Request(msgspec.Struct):
-    """One request, whatever tries it takes."""
+class StandinRequest(msgspec.Struct):
+    """A request, which all its tries share."""
 
-    share: Share
+    share: RequestShare
     path: str
-    id: str
-    key: str
+    request_id: str
+    idempotency_key: str
 
 
-class Client:
-    """One client, which sends requests one after the other at a mean rate (1/s)."""
+class StandinClient:
+    """A client that sends requests one after the other at a mean rate (requests per second)."""
 
     def __init__(
         self,
         name: str,
         directories: list[Address],
         locality: str,
-        shares: list[Share],
+        shares: list[RequestShare],
         rate: float,
         journal: IO[str],
         seed: int,
         relentless: bool = False,
         clinging: bool = False,
     ) -> None:
-        """Write a line of JSON for each request to `journal`; a relentless one tries at once, unmarked, without end.
+        """Creates a client that writes a line of JSON to `journal` for each request.
 
-        A clinging one goes by what directories said for three times its life, and uses its connection while it stands.
+        A relentless client retries without delay and does not mark its retries. A clinging client uses a
+        directory's answer for CLINGING_LIFETIMES times its lifetime, and its connection until it breaks.
         """
         self.name = name
         self.directories = directories
@@ -110,153 +118,168 @@
         self.relentless = relentless
         self.clinging = clinging
         self.proxies: list[Address] = []
-        self.until = 0.0
-        self.refused: dict[Address, float] = {}
+        self.answer_expires_at = 0.0
+        self.refused_at: dict[Address, float] = {}
         self.connection: Any = None
-        self.at: Address | None = None
+        self.address: Address | None = None
 
     def run(self, stop: Event) -> None:
-        """Send requests until `stop` is set."""
-        due = time.monotonic()
+        """Sends requests until `stop` is set."""
+        due_at = time.monotonic()
         while not stop.is_set():
             share = self.rng.choices(self.shares, [share.weight for share in self.shares])[0]
-            self.ask(share, stop)
-            due = max(due + self.rng.expovariate(self.rate), time.monotonic() - BEHIND)
-            gevent.sleep(max(0.0, due - time.monotonic()))
+            self.send_request(share, stop)
+            due_at = max(due_at + self.rng.expovariate(self.rate), time.monotonic() - MAX_BACKLOG_S)
+            gevent.sleep(max(0.0, due_at - time.monotonic()))
 
-    def ask(self, share: Share, stop: Event) -> None:
-        """Send one request, again as long as that makes sense, and write down what was told."""
+    def send_request(self, share: RequestShare, stop: Event) -> None:
+        """Sends a request, retries it where that is safe and useful, and writes the outcome to the journal."""
         identity = uuid.UUID(int=self.rng.getrandbits(128)).hex
         path = share.path.replace("{n}", str(self.rng.randrange(1000)))
-        request = Request(share, path, identity, f"k{identity}" if share.once else "")
+        request = StandinRequest(share, path, identity, f"k{identity}" if share.once else "")
         start = time.time()
-        tries: list[Told] = []
-        while len(tries) < (RELENTLESS_TRIES if self.relentless else TRIES) and time.time() < start + LIMIT:
+        tries: list[TryResult] = []
+        while (
+            len(tries) < (MAX_RELENTLESS_TRIES if self.relentless else MAX_TRIES)
+            and time.time() < start + RETRY_PERIOD_S
+        ):
             began = time.time()
-            told = self.try_once(request, len(tries))
-            told.began, told.ended = began, time.time()
-            tries.append(told)
-            if self._is_final(request, told):
+            result = self.try_once(request, len(tries))
+            result.began, result.ended = began, time.time()
+            tries.append(result)
+            if self._is_final(request, result):
                 break
-            gevent.sleep(min(2.0, told.after or 0.1) if not stop.is_set() and not self.relentless else 0)
-        self._write(request, start, tries)
+            gevent.sleep(min(2.0, result.retry_after_s or 0.1) if not stop.is_set() and not self.relentless else 0)
+        self._write_journal(request, start, tries)
 
-    def _is_final(self, request: Request, told: Told) -> bool:
-        """Whether another try would be wrong or pointless: an answer, or a failure that may have run without a key."""
-        if told.status and told.status < SERVER_ERROR and told.status != NOT_FOUND:
+    def _is_final(self, request: StandinRequest, result: TryResult) -> bool:
+        """Whether no retry follows: after an answer, or a failure after which a request without a key may have run."""
+        if result.status and result.status < STATUS_SERVER_ERROR and result.status != STATUS_NOT_FOUND:
             return True
-        may_go_again = told.outcome in ("not-run", "undecided") or request.key or told.status == NO_ANSWER
-        return not (may_go_again or not request.share.once)
+        may_retry = (
+            result.outcome in ("not-run", "undecided") or request.idempotency_key or result.status == STATUS_NO_ANSWER
+        )
+        return not (may_retry or not request.share.once)
 
-    def _write(self, request: Request, start: float, tries: list[Told]) -> None:
+    def _write_journal(self, request: StandinRequest, start: float, tries: list[TryResult]) -> None:
         last = tries[-1]
         row = {
             "at": start,
             "took": time.time() - start,
             "tenant": request.share.tenant,
-            "key": request.key,
-            "id": request.id,
+            "key": request.idempotency_key,
+            "id": request.request_id,
             "path": request.path,
             "once": request.share.once,
             "from": self.locality,
-            "tries": [[told.status, told.outcome, told.began, told.ended, told.by] for told in tries],
-            "whole": last.status == OK and self.is_own(last.body, request),
-            "ok": last.status == OK,
+            "tries": [[result.status, result.outcome, result.began, result.ended, result.proxy] for result in tries],
+            "whole": last.status == STATUS_OK and self.is_complete_answer(last.body, request),
+            "ok": last.status == STATUS_OK,
         }
         self.journal.write(json.dumps(row) + "\n")
 
-    def is_own(self, body: bytes, request: Request) -> bool:
-        """Whether an answer is to this request."""
+    def is_complete_answer(self, body: bytes, request: StandinRequest) -> bool:
+        """Whether an answer is complete and belongs to this request."""
         try:
-            said = json.loads(body)
+            answer = json.loads(body)
         except ValueError:
             return False
-        return (said.get("id"), said.get("key", ""), said.get("path")) == (request.id, request.key, request.path)
+        return (answer.get("id"), answer.get("key", ""), answer.get("path")) == (
+            request.request_id,
+            request.idempotency_key,
+            request.path,
+        )
 
-    def try_once(self, request: Request, tries: int) -> Told:
-        """One try, after so many earlier ones."""
+    def try_once(self, request: StandinRequest, tries: int) -> TryResult:
+        """Sends a request once, after `tries` earlier tries."""
         if not self.connect():
-            return Told(NO_ANSWER, "no proxy", b"", ASK_AGAIN)
-        body = json.dumps({"id": request.id}).encode() if request.share.method == "POST" else b""
+            return TryResult(STATUS_NO_ANSWER, "no proxy", b"", DIRECTORY_RETRY_S)
+        body = json.dumps({"id": request.request_id}).encode() if request.share.method == "POST" else b""
         headers = self._headers(request, tries)
         try:
             answer = self.connection.request(request.share.method, request.path, body=body, headers=headers)
             data = bytes(answer.read())
-            told = Told(answer.status_code, answer.get("mallow-outcome"), data, float(answer.get("retry-after") or 0))
-            told.by = str(self.at)
-            says_close = (answer.get("connection") or "").lower() == "close"
-            if not self.clinging and (says_close or told.status == UNAVAILABLE):
-                self.drop(told.status == UNAVAILABLE)
-            return told
-        except Exception as e:
-            self.drop(False)
-            if isinstance(e, OSError) and self.at is not None:
-                self.refused[self.at] = time.monotonic()
-            self.proxies = [proxy for proxy in self.proxies if proxy != self.at]
-            return Told(NO_ANSWER, type(e).__name__, b"", 0.05, by=str(self.at))
-
-    def _headers(self, request: Request, tries: int) -> dict[str, str]:
-        headers = {"Mallow-Tenant": request.share.tenant, "Play-Id": request.id, "Mallow-Limit": str(LIMIT_MS)}
-        if request.key:
-            headers["Mallow-Key"] = request.key
+            result = TryResult(
+                answer.status_code, answer.get("mallow-outcome"), data, float(answer.get("retry-after") or 0)
+            )
+            result.proxy = str(self.address)
+            must_close = (answer.get("connection") or "").lower() == "close"
+            if not self.clinging and (must_close or result.status == STATUS_UNAVAILABLE):
+                self.close_connection(result.status == STATUS_UNAVAILABLE)
+            return result
+        except Exception as error:
+            self.close_connection(False)
+            if isinstance(error, OSError) and self.address is not None:
+                self.refused_at[self.address] = time.monotonic()
+            self.proxies = [proxy for proxy in self.proxies if proxy != self.address]
+            return TryResult(STATUS_NO_ANSWER, type(error).__name__, b"", 0.05, proxy=str(self.address))
+
+    def _headers(self, request: StandinRequest, tries: int) -> dict[str, str]:
+        headers = {
+            "Mallow-Tenant": request.share.tenant,
+            "Play-Id": request.request_id,
+            "Mallow-Limit": str(REQUEST_TIMEOUT_MS),
+        }
+        if request.idempotency_key:
+            headers["Mallow-Key"] = request.idempotency_key
         if tries and not self.relentless:
             headers["Mallow-Again"] = str(tries)
         if request.share.method == "POST":
             headers["Content-Type"] = "application/json"
         return headers
 
-    def drop(self, ask: bool) -> None:
-        """Close the connection; a directory is asked next if `ask`."""
+    def close_connection(self, send_request: bool) -> None:
+        """Closes the connection; with `ask` the next request asks a directory first."""
         if self.connection is not None:
             self.connection.close()
         self.connection = None
-        if ask:
-            self.until = 0.0
+        if send_request:
+            self.answer_expires_at = 0.0
 
-    def dead(self, now: float) -> list[Address]:
-        """Proxies that refused lately; a directory may not know yet."""
-        self.refused = {proxy: at for proxy, at in self.refused.items() if now - at < AVOID}
-        return sorted(self.refused)
+    def avoided_proxies(self, now: float) -> list[Address]:
+        """Returns the proxies that recently failed to answer; directories may not know of the failure yet."""
+        self.refused_at = {proxy: at for proxy, at in self.refused_at.items() if now - at < AVOID_S}
+        return sorted(self.refused_at)
 
     def connect(self) -> bool:
-        """Whether there is a connection, or a proxy to open one to."""
+        """Prepares a connection to a proxy if there is none; returns False if no proxy is known."""
         now = time.monotonic()
-        if now >= self.until or not self.proxies:
-            self.ask_directory(now)
-        if self.connection is not None and self.at in self.proxies:
+        if now >= self.answer_expires_at or not self.proxies:
+            self.refresh_proxies(now)
+        if self.connection is not None and self.address in self.proxies:
             return True
         if not self.proxies:
             return False
-        self.drop(False)
-        self.at = self.rng.choice(self.proxies[:NEAREST])
+        self.close_connection(False)
+        self.address = self.rng.choice(self.proxies[:PROXY_CHOICES])
         self.connection = HTTPClient(
-            self.at.host, self.at.port, connection_timeout=1.0, network_timeout=5.0, concurrency=1
+            self.address.host, self.address.port, connection_timeout=1.0, network_timeout=5.0, concurrency=1
         )
         return True
 
-    def ask_directory(self, now: float) -> None:
-        """Take the proxies that the first directory names that answers."""
-        query = f"/connect?locality={self.locality}" + "".join(f"&avoid={proxy}" for proxy in self.dead(now))
+    def refresh_proxies(self, now: float) -> None:
+        """Takes the proxies from the first directory that answers, in random order of the directories."""
+        query = f"/connect?locality={self.locality}" + "".join(f"&avoid={proxy}" for proxy in self.avoided_proxies(now))
         for directory in self.rng.sample(self.directories, len(self.directories)):
             connection = HTTPClient(directory.host, directory.port, connection_timeout=1.0, network_timeout=2.0)
             try:
                 answer = connection.get(query)
-                said = json.loads(bytes(answer.read()))
-                if answer.status_code == OK:
-                    self.proxies = [Address.read(proxy["web"]).unwrap() for proxy in said["proxies"]]
-                    self.until = now + said["life_ms"] / 1000 * (CLINGS if self.clinging else 1)
+                data = json.loads(bytes(answer.read()))
+                if answer.status_code == STATUS_OK:
+                    self.proxies = [Address.read(proxy["web"]).unwrap() for proxy in data["proxies"]]
+                    self.answer_expires_at = now + data["life_ms"] / 1000 * (CLINGING_LIFETIMES if self.clinging else 1)
                     return
             except Exception:
                 continue
             finally:
                 connection.close()
-        self.until = now + ASK_AGAIN
+        self.answer_expires_at = now + DIRECTORY_RETRY_S
 
 
 def serve(
     directories: list[Address],
     localities: list[str],
-    shares: list[Share],
+    shares: list[RequestShare],
     clients: int,
     rate: float,
     journal: str,
@@ -265,16 +288,18 @@
     relentless: bool = False,
     clinging: bool = False,
 ) -> None:
-    """Run clients for some seconds or until a signal, `rate` requests a second all together."""
+    """Runs clients for `seconds` or until SIGTERM or SIGINT, with `rate` requests per second in total."""
     stop = Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(signum, stop.set)
     with Path(journal).open("a", buffering=1) as out:
         group = Group()
-        for i in range(clients):
-            locality = localities[i % len(localities)]
-            one = Client(f"c{i}", directories, locality, shares, rate / clients, out, seed, relentless, clinging)
-            group.spawn(one.run, stop)
+        for index in range(clients):
+            locality = localities[index % len(localities)]
+            client = StandinClient(
+                f"c{index}", directories, locality, shares, rate / clients, out, seed, relentless, clinging
+            )
+            group.spawn(client.run, stop)
         stop.wait(timeout=seconds)
         stop.set()
-        group.join(timeout=GRACE)
+        group.join(timeout=STOP_GRACE_S)
--- a/mallowvalve/standins/main.py
+++ b/mallowvalve/standins/main.py
@@ -14,20 +14,20 @@
 
 
 def address(_ctx: click.Context, _param: click.Parameter, value: str | tuple[str, ...]) -> Any:
-    """An option HOST:PORT read, or each of several, for click."""
+    """Parses an option HOST:PORT, or each of a repeatable option, for click."""
     texts = value if isinstance(value, tuple) else (value,)
-    read = []
+    addresses = []
     for text in texts:
         result = Address.read(text)
         if isinstance(result, Err):
             raise click.BadParameter(f"{text}: {result.err_value}")
-        read.append(result.ok_value)
-    return read if isinstance(value, tuple) else read[0]
+        addresses.append(result.ok_value)
+    return addresses if isinstance(value, tuple) else addresses[0]
 
 
 @click.group()
 def standins() -> None:
-    """Stand-in clients and upstreams, for trying and testing a fleet."""
+    """Stand-in clients and upstreams for testing a fleet."""
 
 
 @standins.command("upstream")
@@ -35,14 +35,14 @@
 @click.option("--instance", required=True)
 @click.option("--at", required=True, callback=address)
 @click.option("--locality", required=True)
-@click.option("--tell", multiple=True, callback=address, help="web addresses of nodes that take heartbeats")
+@click.option("--tell", multiple=True, callback=address, help="web addresses of nodes that receive heartbeats")
 @click.option("--journal", default="/dev/null")
-@click.option("--work", default=0.005, help="seconds a request takes on average")
+@click.option("--work", default=0.005, help="mean duration of a request in seconds")
 def upstream_command(
     service: str, instance: str, at: Address, locality: str, tell: list[Address], journal: str, work: float
 ) -> None:
-    """An upstream that heartbeats, answers, journals what it ran and signs off."""
-    upstream.serve(upstream.Upstream(service, instance, at, locality, tell, journal, work))
+    """Run an upstream that sends heartbeats, answers requests and writes a journal of what it ran."""
+    upstream.serve(upstream.StandinUpstream(service, instance, at, locality, tell, journal, work))
 
 
 @standins.command("clients")
@@ -50,12 +50,16 @@
 @click.option("--locality", multiple=True, required=True)
 @click.option("--shares", required=True, help="JSON list of [tenant, method, path, once, weight]")
 @click.option("--clients", default=20)
-@click.option("--rate", default=50.0, help="requests a second, all clients together")
+@click.option("--rate", default=50.0, help="requests per second of all clients in total")
 @click.option("--journal", default="/dev/null")
 @click.option("--seed", default=1)
 @click.option("--seconds", default=1e9)
-@click.option("--relentless", is_flag=True, help="retry at once, again and again, without marking it")
-@click.option("--clinging", is_flag=True, help="hold answers of directories thrice, and connections while they stand")
+@click.option("--relentless", is_flag=True, help="retry without delay and without marking retries")
+@click.option(
+    "--clinging",
+    is_flag=True,
+    help="use answers of directories for three times their lifetime, and connections until they break",
+)
 def clients_command(
     directory: list[Address],
     locality: tuple[str, ...],
@@ -68,10 +72,10 @@
     relentless: bool,
     clinging: bool,
 ) -> None:
-    """Clients that ask a directory, keep connections open and retry within a limit."""
+    """Run clients that ask a directory, keep connections open and retry within a time limit."""
     try:
-        rows = msgspec.json.decode(shares, type=list[client.Share])
-    except msgspec.DecodeError as e:
-        click.echo(f"shares: {e}", err=True)
+        rows = msgspec.json.decode(shares, type=list[client.RequestShare])
+    except msgspec.DecodeError as error:
+        click.echo(f"shares: {error}", err=True)
         sys.exit(2)
     client.serve(directory, list(locality), rows, clients, rate, journal, seed, seconds, relentless, clinging)
--- a/mallowvalve/standins/upstream.py
+++ b/mallowvalve/standins/upstream.py
@@ -1,4 +1,4 @@
-"""A stand-in upstream: it heartbeats, answers, writes down what it ran, signs off, and misbehaves when told to."""
+"""A stand-in upstream: sends heartbeats, answers requests, writes a journal, and misbehaves on request."""
 
 from __future__ import annotations
 
@@ -19,38 +19,45 @@
 from mallowvalve.metrics import Counts
 from mallowvalve.types import Address
 
-EVERY = 1.5
-"""Seconds between two heartbeats, at least; up to one more at random."""
+HEARTBEAT_INTERVAL_S = 1.5
+"""The minimum time between heartbeats, to which up to one second is added at random."""
 
-TOLD_AT_ONCE = 2
-"""Nodes that each heartbeat goes to."""
+HEARTBEAT_FANOUT = 2
+"""The number of nodes that each heartbeat is sent to."""
 
-LEAVE = 3.2
-"""Seconds from the notice that it leaves until it refuses."""
+LEAVING_S = 3.2
+"""The time between the leaving notice and the end of service."""
 
-LATE = 6.0
-"""Seconds by which a late answer is late."""
+LATE_S = 6.0
+"""The delay of the fault `late`."""
 
-CONNECTIONS = 4096
+MAX_CONNECTIONS = 4096
 
 
-class Upstream:
-    """What an upstream does; `serve` gives it a server."""
+class StandinUpstream:
+    """The request handlers and heartbeats of an upstream, for `serve` to run."""
 
     def __init__(
-        self, service: str, instance: str, at: Address, locality: str, tell: list[Address], journal: str, work: float
+        self,
+        service: str,
+        instance: str,
+        address: Address,
+        locality: str,
+        heartbeat_targets: list[Address],
+        journal: str,
+        mean_work_s: float,
     ) -> None:
-        """Heartbeat to nodes of `tell`, take `work` s for a request on average, write lines of JSON to `journal`."""
+        """Creates an upstream; a request takes `mean_work_s` on average and adds a JSON line to `journal`."""
         self.service = service
         self.instance = instance
-        self.at = at
+        self.address = address
         self.locality = locality
-        self.tell = tell
-        self.work = work
+        self.heartbeat_targets = heartbeat_targets
+        self.mean_work_s = mean_work_s
         self.incarnation = int(time.time() * 1000)
         self.sequence = 0
         self.state = "ready"
-        self.busy = 0
+        self.active_requests = 0
         self.journal = open(journal, "a", buffering=1)
         self.stopping = Event()
         self.rng = random.Random(f"{service}/{instance}")
@@ -58,7 +65,7 @@
         self.fault_share = 0.0
 
     def heartbeat(self) -> None:
-        """Say how it is to some of the nodes; those that do not answer are let be."""
+        """Sends the current state to some nodes and ignores those that do not answer."""
         self.sequence += 1
         body = json.dumps(
             {
@@ -66,32 +73,32 @@
                 "instance": self.instance,
                 "incarnation": self.incarnation,
                 "sequence": self.sequence,
-                "usage": float(self.busy),
+                "usage": float(self.active_requests),
                 "state": self.state,
                 "locality": self.locality,
-                "address": str(self.at),
+                "address": str(self.address),
             }
         )
-        for node in self.rng.sample(self.tell, min(TOLD_AT_ONCE, len(self.tell))):
+        for node in self.rng.sample(self.heartbeat_targets, min(HEARTBEAT_FANOUT, len(self.heartbeat_targets))):
             with contextlib.suppress(Exception):
                 connection = HTTPClient(node.host, node.port, connection_timeout=1.0, network_timeout=1.0)
                 connection.post("/-/heartbeats", body=body, headers={"Content-Type": "application/json"}).read()
                 connection.close()
 
     def status(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
-        """Who it is, for proxies that open a connection."""
+        """Reports the identity, for proxies that open a connection."""
         web.say(
             resp,
             {"service": self.service, "instance": self.instance, "incarnation": self.incarnation, "state": self.state},
         )
 
     def run(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
-        """Answer a request after some time, or misbehave."""
-        self.busy += 1
+        """Answers a request after its work time, or misbehaves."""
+        self.active_requests += 1
         try:
             body = req.bounded_stream.read()
-            self._write(req)
-            gevent.sleep(self.work * (0.5 + self.rng.random()))
+            self._write_journal(req)
+            gevent.sleep(self.mean_work_s * (0.5 + self.rng.random()))
             if self.fault and self.rng.random() < self.fault_share:
                 self._misbehave(req)
                 return
@@ -107,9 +114,9 @@
                 },
             )
         finally:
-            self.busy -= 1
+            self.active_requests -= 1
 
-    def _write(self, req: falcon.Request) -> None:
+    def _write_journal(self, req: falcon.Request) -> None:
         row = {
             "at": time.time(),
             "service": self.service,
@@ -125,7 +132,7 @@
         self.journal.write(json.dumps(row) + "\n")
 
     def _misbehave(self, req: falcon.Request) -> None:
-        """Send garbage, half an answer, or none late, and break off."""
+        """Sends garbage, half an answer, or nothing (after a delay if `late`), and closes the connection."""
         connection = req.env["mallow.socket"]
         if self.fault == "garbage":
             connection.sendall(b"\x00\x01garbage\r\n\r\n")
@@ -133,51 +140,51 @@
             head = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 1000\r\n\r\n"
             connection.sendall(head + b'{"by":')
         elif self.fault == "late":
-            gevent.sleep(LATE)
+            gevent.sleep(LATE_S)
         with contextlib.suppress(OSError):
             connection.shutdown(socket.SHUT_RDWR)
         connection.close()
 
     def faults(self, req: falcon.Request, resp: falcon.Response, **_: object) -> None:
-        """From now on misbehave for a share of the requests."""
-        said = req.get_media()
-        self.fault = said["fault"]
-        self.fault_share = float(said["share"])
+        """Sets a fault that applies to a share of the following requests."""
+        body = req.get_media()
+        self.fault = body["fault"]
+        self.fault_share = float(body["share"])
         web.say(resp, {"ok": True})
 
 
 class StandinHandler(web.Handler):
-    """Hands the socket to the application, so that it can break off."""
+    """Passes the socket to the application, so that it can break the connection."""
 
     def get_environ(self) -> dict[str, Any]:
-        """The environment with `mallow.socket`."""
+        """Returns the WSGI environment with `mallow.socket`."""
         environ: dict[str, Any] = super().get_environ()
         environ["mallow.socket"] = self.socket
         return environ
 
 
 class StandinServer(web.Server):
-    """A server whose application may break off."""
+    """A server whose application can break its connections."""
 
     handler_class = StandinHandler
 
 
-def serve(upstream: Upstream) -> None:
-    """Run an upstream until a signal; then it says that it leaves, drains, and says that it is gone."""
+def serve(upstream: StandinUpstream) -> None:
+    """Runs an upstream until SIGTERM or SIGINT; then announces that it leaves, drains, and announces its end."""
     app = web.make_app()
     app.add_sink(upstream.run, "/")
     app.add_sink(upstream.status, "/health")
     app.add_sink(upstream.faults, "/-/faults")
     for signum in (signal.SIGTERM, signal.SIGINT):
         gevent.signal_handler(signum, upstream.stopping.set)
-    server = StandinServer(upstream.at, app, Counts(), CONNECTIONS)
+    server = StandinServer(upstream.address, app, Counts(), MAX_CONNECTIONS)
     with server:
         while not upstream.stopping.is_set():
             upstream.heartbeat()
-            upstream.stopping.wait(timeout=EVERY + upstream.rng.random())
+            upstream.stopping.wait(timeout=HEARTBEAT_INTERVAL_S + upstream.rng.random())
         upstream.state = "leaving"
         upstream.heartbeat()
-        gevent.sleep(LEAVE)
+        gevent.sleep(LEAVING_S)
         server.drain(0.0, 1.0)
         upstream.state = "gone"
         upstream.heartbeat()
