--- a/mallowvalve/localfleet/fleet.py
+++ b/mallowvalve/localfleet/fleet.py
@@ -98,15 +98,17 @@
 
     def _plan(self) -> None:
         ports = iter(free_ports(2 * len(self.shape.nodes) + sum(len(pool.localities) for pool in self.shape.upstreams)))
-        planned = [(node, f"{node.role}{i}", next(ports), next(ports)) for i, node in enumerate(self.shape.nodes)]
+        planned = [
+            (node, f"{node.role}{index}", next(ports), next(ports)) for index, node in enumerate(self.shape.nodes)
+        ]
         self.seeds = [f"{HOST}:{port}" for node, _, _, port in planned if node.role == "control"][:3]
         for node, name, web_port, transport_port in planned:
             self._plan_node(node, name, web_port, transport_port)
         nodes = list(self.processes.values())
         targets = [word for node in nodes if node.role != "control" for word in ("--tell", f"{HOST}:{node.web_port}")]
         for pool in self.shape.upstreams:
-            for i, locality in enumerate(pool.localities):
-                self.add_upstream(pool.service, f"{pool.service}-{i}", locality, next(ports), targets)
+            for index, locality in enumerate(pool.localities):
+                self.add_upstream(pool.service, f"{pool.service}-{index}", locality, next(ports), targets)
 
     def _plan_node(self, node: NodePlacement, name: str, web_port: int, transport_port: int) -> FleetProcess:
         data = self.folder / name / "data" if node.role == "control" else None
--- a/mallowvalve/localfleet/soak.py
+++ b/mallowvalve/localfleet/soak.py
@@ -17,12 +17,12 @@
 from mallowvalve.finding import Finding, Findings
 from mallowvalve.localfleet import history
 from mallowvalve.localfleet.call import call, is_ok
-from mallowvalve.localfleet.users import CoordinationClients
 from mallowvalve.localfleet.fleet import FleetProcess, FleetShape, LocalFleet, wait_until
 from mallowvalve.localfleet.judge import check_journals, journal_statistics
 from mallowvalve.localfleet.operators import ConfigurationOperators
 from mallowvalve.localfleet.schedule import ActKind, Schedule, ScheduledAct
 from mallowvalve.localfleet.soak_judge import DescriptorCounts, SoakEvent, SoakEventKind, check_soak
+from mallowvalve.localfleet.users import CoordinationClients
 
 MAX_PROCESSES = 300
 MAX_MEMORY_SHARE = 0.5
--- a/mallowvalve/localfleet/trial.py
+++ b/mallowvalve/localfleet/trial.py
@@ -5,10 +5,10 @@
 import time
 
 from mallowvalve.localfleet import acknowledged, acts, history, mishaps
-from mallowvalve.localfleet.users import CoordinationClients
 from mallowvalve.localfleet.fleet import LocalFleet
 from mallowvalve.localfleet.judge import check_journals, dropped_connections, journal_statistics
 from mallowvalve.localfleet.operators import ConfigurationOperators
+from mallowvalve.localfleet.users import CoordinationClients
 from verification import histories
 
 HISTORY_FILE = "history.jsonl"
