--- a/mallowvalve/localfleet/acts.py
+++ b/mallowvalve/localfleet/acts.py
@@ -63,16 +63,16 @@
     """Evacuates a zone and gives it back."""
     zone, control = "eu-a", fleet.with_role("control")[0]
     status, data, _ = call(control.web_port, "POST", "/evacuations", {"zone": zone, "evacuated": True})
-    start = time.time()
+    started_at = time.time()
     if status != 200:
         return [f"evacuation not acknowledged: {data}"]
     time.sleep(9)
-    end = time.time()
+    ended_at = time.time()
     status, data, _ = call(control.web_port, "POST", "/evacuations", {"zone": zone, "evacuated": False})
     time.sleep(4)
     rows = fleet.read_journal("ran.jsonl")
-    findings = runs_after_evacuation(zone, start, end, rows)
-    if not any(row["at"] > end and row["locality"].endswith(zone) for row in rows):
+    findings = runs_after_evacuation(zone, started_at, ended_at, rows)
+    if not any(row["at"] > ended_at and row["locality"].endswith(zone) for row in rows):
         findings.append("no request came back to the zone")
     return findings
 
@@ -109,14 +109,14 @@
         fleet.delete_data(process.name)
     for process in fleet.with_role("control"):
         fleet.start(process.name)
-    start = time.time()
+    started_at = time.time()
     recovered = wait_until(
         lambda: any(
             call(process.web_port, "GET", "/config", timeout_s=3)[0] == 200 for process in fleet.with_role("control")
         ),
         30,
     )
-    outage_s = time.time() - start
+    outage_s = time.time() - started_at
     return [] if recovered and outage_s < 15 else [f"control not back within 15 s: {outage_s:.1f}"]
 
 
@@ -161,18 +161,18 @@
     upstreams = fleet.with_role("upstream")
     process = upstreams[0]
     other = next(upstream for upstream in upstreams if upstream.args[3] != process.args[3])
-    stranger = fleet.add_upstream(
+    replacement = fleet.add_upstream(
         other.args[3], "stranger", process.locality, process.web_port, process.heartbeat_targets
     )
     fleet.kill(process.name)
-    fleet.start(stranger.name)
-    wait_until(lambda: call(stranger.web_port, "GET", "/health", timeout_s=1)[0] == 200, 5)
+    fleet.start(replacement.name)
+    wait_until(lambda: call(replacement.web_port, "GET", "/health", timeout_s=1)[0] == 200, 5)
     time.sleep(12)
-    fleet.stop(stranger.name, 12)
+    fleet.stop(replacement.name, 12)
     fleet.start(process.name)
     time.sleep(3)
-    stranger_rows = [row for row in fleet.read_journal("ran.jsonl") if row["instance"] == "stranger"]
-    return [] if stranger_rows else ["the stranger was never used for its own service"]
+    replacement_rows = [row for row in fleet.read_journal("ran.jsonl") if row["instance"] == "stranger"]
+    return [] if replacement_rows else ["the stranger was never used for its own service"]
 
 
 def emptied(fleet: LocalFleet) -> list[str]:
@@ -207,7 +207,7 @@
         findings.append(f"a final answer took {max(durations_s):.1f} s")
     for process in upstreams:
         fleet.start(process.name)
-    start = time.time()
+    started_at = time.time()
     recovered = wait_until(
         lambda: (
             call(
@@ -217,7 +217,7 @@
         ),
         20,
     )
-    print(f"served again {time.time() - start:.1f} s after the pool's restart", flush=True)
+    print(f"served again {time.time() - started_at:.1f} s after the pool's restart", flush=True)
     time.sleep(5)
     return findings if recovered else [*findings, "the pool never came back"]
 
@@ -229,13 +229,15 @@
     time.sleep(1)
     fleet.start(process.name)
     wait_until(lambda: call(process.web_port, "GET", "/health", timeout_s=1)[0] == 200, 5)
-    start = time.time()
+    started_at = time.time()
     time.sleep(14)
-    rows = [row for row in fleet.read_journal("ran.jsonl") if row["at"] > start and row["service"] == process.args[3]]
+    rows = [
+        row for row in fleet.read_journal("ran.jsonl") if row["at"] > started_at and row["service"] == process.args[3]
+    ]
     peers = {upstream.name for upstream in fleet.with_role("upstream") if upstream.args[3] == process.args[3]}
     shares = []
     for begin_s, end_s in ((0, 2), (2, 5), (5, 9), (9, 14)):
-        instances = [row["instance"] for row in rows if begin_s <= row["at"] - start < end_s]
+        instances = [row["instance"] for row in rows if begin_s <= row["at"] - started_at < end_s]
         mean = len(instances) / max(1, len(peers))
         shares.append(round(instances.count(process.name) / mean, 2) if mean else 0.0)
     print(f"cold upstream's work over the mean of its pool, 0-2, 2-5, 5-9, 9-14 s: {shares}", flush=True)
--- a/mallowvalve/localfleet/mishaps.py
+++ b/mallowvalve/localfleet/mishaps.py
@@ -157,14 +157,14 @@
         return ["the change was not acknowledged"]
     acknowledged_at = time.time()
     removed = [process for process in fleet.with_role("upstream") if process.args[3] == service]
-    strangers = []
+    replacements = []
     for number, process in enumerate(removed):
         fleet.kill(process.name)
-        stranger = fleet.add_upstream(
+        replacement = fleet.add_upstream(
             other, f"{other}-moved{number}", process.locality, process.web_port, process.heartbeat_targets
         )
-        fleet.start(stranger.name)
-        strangers.append(stranger)
+        fleet.start(replacement.name)
+        replacements.append(replacement)
     time.sleep(5)
     findings = [
         f"{service} still ran at {row['at'] - acknowledged_at:.1f} s"
@@ -173,9 +173,9 @@
     ][:2]
     if not any(row["instance"].startswith(f"{other}-moved") for row in fleet.read_journal("ran.jsonl")):
         findings.append("the addresses were not used for the other service")
-    for process, stranger in zip(removed, strangers, strict=True):
-        fleet.kill(stranger.name)
-        del fleet.processes[stranger.name]
+    for process, replacement in zip(removed, replacements, strict=True):
+        fleet.kill(replacement.name)
+        del fleet.processes[replacement.name]
         fleet.start(process.name)
     if not fleet.operators.apply_base(original, "back"):
         findings.append("the service was not taken back")
--- a/mallowvalve/localfleet/schedule.py
+++ b/mallowvalve/localfleet/schedule.py
@@ -67,7 +67,7 @@
     zones: list[str]
     tenants: list[str]
 
-    def known(self) -> set[str]:
+    def names(self) -> set[str]:
         """Returns the names of all targets."""
         processes = {*self.proxies, *self.directories, *self.controls, *self.upstreams}
         return processes | set(self.zones) | set(self.tenants)
@@ -184,7 +184,7 @@
         return Err([Finding(str(path), str(error))])
     if schedule.version != SCHEDULE_VERSION:
         return Err([Finding("version", f"{schedule.version}, this program plays {SCHEDULE_VERSION}")])
-    known = schedule_targets(shape).known()
+    known = schedule_targets(shape).names()
     unknown = sorted({act.target for act in schedule.acts} - known)
     if unknown:
         return Err([Finding(f"acts.{name}", "the shape has no such process, zone or tenant") for name in unknown])
--- a/mallowvalve/localfleet/soak.py
+++ b/mallowvalve/localfleet/soak.py
@@ -27,7 +27,7 @@
 MAX_PROCESSES = 300
 MAX_MEMORY_SHARE = 0.5
 MEMORY_PER_PROCESS_BYTES = 80 << 20
-"""An estimate with a margin."""
+"""The expected memory of a process, with a margin."""
 
 ROLES = ("proxy", "directory", "control")
 STOP_SLACK_S = 2.0
@@ -63,7 +63,7 @@
         self.events: list[SoakEvent] = []
         self.peak_bytes = 0
         self._lock = Lock()
-        self._busy: set[str] = set()
+        self._reserved: set[str] = set()
 
     def run(self, rate: float | None = None) -> tuple[list[str], dict[str, object]]:
         """Plays the whole schedule under load; returns the findings and the statistics."""
@@ -144,8 +144,8 @@
     def _reserve(self, name: str) -> bool:
         """Reserves a process for one act; returns False if another act has reserved it."""
         with self._lock:
-            free = name not in self._busy
-            self._busy.add(name)
+            free = name not in self._reserved
+            self._reserved.add(name)
             return free
 
     def _signal(self, name: str, number: int) -> None:
@@ -193,7 +193,7 @@
         ready = wait_until(is_ready, READY_S, 0.05)
         self._record(SoakEventKind.READY if ready else SoakEventKind.NOT_READY, process.name)
         with self._lock:
-            self._busy.discard(process.name)
+            self._reserved.discard(process.name)
 
     def _freeze(self, name: str, duration_s: float) -> None:
         if not self._reserve(name):
@@ -204,7 +204,7 @@
         self.fleet.resume(name)
         self._record(SoakEventKind.READY, name)
         with self._lock:
-            self._busy.discard(name)
+            self._reserved.discard(name)
 
     def _evacuate(self, zone: str, duration_s: float) -> None:
         self._record(SoakEventKind.EVACUATED, zone)
--- a/mallowvalve/localfleet/soak_judge.py
+++ b/mallowvalve/localfleet/soak_judge.py
@@ -73,7 +73,7 @@
     def __init__(self, events: Iterable[SoakEvent]):
         """Reads the events; a process that never becomes ready again is disturbed until the end."""
         self.spans_by_name: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self.trouble: list[float] = []
+        self.fault_times: list[float] = []
         open_at: dict[str, float] = {}
         for event in sorted(events, key=lambda event: event.at):
             if event.what in (
@@ -84,7 +84,7 @@
             ):
                 open_at.setdefault(event.who, event.at)
             if event.what in (SoakEventKind.TROUBLE, SoakEventKind.STALL):
-                self.trouble.append(event.at)
+                self.fault_times.append(event.at)
             if event.what in (SoakEventKind.READY, SoakEventKind.GIVEN_BACK) and event.who in open_at:
                 self.spans_by_name[event.who].append((open_at.pop(event.who), event.at))
         for who, at in open_at.items():
@@ -104,8 +104,8 @@
 
     def is_calm(self, at: float) -> bool:
         """Whether no fault was injected anywhere in the last AFTER_TROUBLE_S."""
-        earlier = bisect_right(self.trouble, at)
-        return earlier == 0 or self.trouble[earlier - 1] < at - AFTER_TROUBLE_S
+        earlier = bisect_right(self.fault_times, at)
+        return earlier == 0 or self.fault_times[earlier - 1] < at - AFTER_TROUBLE_S
 
 
 def check_soak(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -40,7 +40,7 @@
     first = draw_schedule(shape, 1, 60.0, trouble=True)
     assert first == draw_schedule(shape, 1, 60.0, trouble=True) != draw_schedule(shape, 2, 60.0, trouble=True)
     assert [act.at for act in first.acts] == sorted(act.at for act in first.acts)
-    assert {act.target for act in first.acts} <= schedule_targets(shape).known()
+    assert {act.target for act in first.acts} <= schedule_targets(shape).names()
 
 
 def test_planned_work_holds_no_trouble_and_series_overlap(shape):
