--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -1,3 +1,5 @@
+"""Shapes of test fleets with their configurations and request shares."""
+
 from __future__ import annotations
 
 from mallowvalve.localfleet.fleet import FleetShape, NodePlacement, UpstreamPool
@@ -28,9 +30,9 @@
 
 def small_shape() -> FleetShape:
     return FleetShape(
-        nodes=[NodePlacement("control", z) for z in ZONES[::2]]
-        + [NodePlacement("directory", z) for z in ZONES[:2]]
-        + [NodePlacement("proxy", z) for z in ZONES[::2]],
+        nodes=[NodePlacement("control", zone) for zone in ZONES[::2]]
+        + [NodePlacement("directory", zone) for zone in ZONES[:2]]
+        + [NodePlacement("proxy", zone) for zone in ZONES[::2]],
         upstreams=[
             UpstreamPool("boards", ["eu/eu-a", "us/us-a"]),
             UpstreamPool("runs", ["eu/eu-a", "eu/eu-b", "us/us-a"]),
@@ -42,19 +44,19 @@
     )
 
 
-SERVING = [ZONES[i % 6] for i in range(12)]
+PROXY_ZONES = [ZONES[index % 6] for index in range(12)]
 
 
 def _routes(cell: str, rows) -> dict:
     return {
-        name: {"cell": cell, "match": f'method {m} and path "{path}"', "kind": kind, "service": service}
-        for name, m, path, kind, service in rows
+        name: {"cell": cell, "match": f'method {method} and path "{path}"', "kind": kind, "service": service}
+        for name, method, path, kind, service in rows
     }
 
 
 def leaderboard_shape() -> FleetShape:
     config = {
-        "services": {s: {} for s in ("boards", "runs", "awards", "media")},
+        "services": {service: {} for service in ("boards", "runs", "awards", "media")},
         "regions": CONFIG["regions"],
         "cells": {
             "public": {"region": "eu", "tenants": {"overlay": {}}, "policy": "retry 1; limit 4s"},
@@ -88,10 +90,10 @@
         ["runner", "POST", "/runs", True, 4],
     ]
     return FleetShape(
-        nodes=[NodePlacement("control", z) for z in ZONES]
-        + [NodePlacement("directory", z) for z in ZONES[::2]]
-        + [NodePlacement("proxy", z) for z in SERVING[:9]],
-        upstreams=[UpstreamPool(s, SERVING) for s in config["services"]],
+        nodes=[NodePlacement("control", zone) for zone in ZONES]
+        + [NodePlacement("directory", zone) for zone in ZONES[::2]]
+        + [NodePlacement("proxy", zone) for zone in PROXY_ZONES[:9]],
+        upstreams=[UpstreamPool(service, PROXY_ZONES) for service in config["services"]],
         config=config,
         shares=shares,
         rate=400.0,
@@ -101,7 +103,7 @@
 
 def shop_shape() -> FleetShape:
     config = {
-        "services": {s: {} for s in ("stock", "prices", "orders", "catalogue")},
+        "services": {service: {} for service in ("stock", "prices", "orders", "catalogue")},
         "regions": CONFIG["regions"],
         "cells": {
             "shops": {
@@ -130,15 +132,15 @@
         ["sync", "GET", "/catalogue/{n}", False, 10],
     ]
     pools = [
-        UpstreamPool("stock", SERVING + ZONES[:1]),
-        UpstreamPool("prices", SERVING + ZONES[1:2]),
-        UpstreamPool("orders", SERVING + ZONES[2:4]),
-        UpstreamPool("catalogue", SERVING + ZONES[4:5]),
+        UpstreamPool("stock", PROXY_ZONES + ZONES[:1]),
+        UpstreamPool("prices", PROXY_ZONES + ZONES[1:2]),
+        UpstreamPool("orders", PROXY_ZONES + ZONES[2:4]),
+        UpstreamPool("catalogue", PROXY_ZONES + ZONES[4:5]),
     ]
     return FleetShape(
-        nodes=[NodePlacement("control", z) for z in ZONES]
-        + [NodePlacement("directory", z) for z in ZONES[::2]]
-        + [NodePlacement("proxy", z) for z in SERVING],
+        nodes=[NodePlacement("control", zone) for zone in ZONES]
+        + [NodePlacement("directory", zone) for zone in ZONES[::2]]
+        + [NodePlacement("proxy", zone) for zone in PROXY_ZONES],
         upstreams=pools,
         config=config,
         shares=shares,
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,3 +1,5 @@
+"""Tests that the checks of coordination histories find each kind of violation."""
+
 import pytest
 
 from mallowvalve.localfleet.history import CoordinationCall, CoordinationHistory, LockHold, WatchEvent, check_history
@@ -11,7 +13,7 @@
     return CoordinationCall("read", "k", "u", begun, ended, "ok", revision, value, None, at)
 
 
-def clean() -> CoordinationHistory:
+def correct_history() -> CoordinationHistory:
     return CoordinationHistory(
         [
             put(1, 2, 10, "a"),
@@ -30,29 +32,29 @@
     )
 
 
-BREACHES = {
-    "given twice": lambda h: h.ops.append(put(10, 11, 20, "z")),
-    "had ended before": lambda h: h.ops.append(CoordinationCall("number", "n", "u", 20, 21, "ok", 15)),
-    "read k begun": lambda h: h.ops.append(read(20, 21, 12, "a", 10)),
-    "read of k": lambda h: h.ops.append(read(10, 11, 45, "a", 10)),
-    "by 70 shows": lambda h: h.ops.append(read(20, 21, 70, "invented", 65)),
-    "was taken over": lambda h: h.ops.append(put(20, 21, 80, "late", 10)),
-    "told refused and is there": lambda h: h.events.append(WatchEvent("v", 70, "k", "c")),
-    "while x holds it": lambda h: h.holds.append(LockHold("l", "z", 8.5, 8.9, 41)),
-    "token 3": lambda h: h.holds.append(LockHold("l", "z", 20, 21, 3)),
-    "missed 20": lambda h: h.events.pop(1),
-    "out of order": lambda h: h.events.append(WatchEvent("w", 20, "k", "b")),
-    "it was b": lambda h: h.events.append(WatchEvent("v", 20, "k", "x")),
-    "compacted": lambda h: h.gaps.append("w since 3"),
+VIOLATIONS = {
+    "given twice": lambda history: history.ops.append(put(10, 11, 20, "z")),
+    "had ended before": lambda history: history.ops.append(CoordinationCall("number", "n", "u", 20, 21, "ok", 15)),
+    "read k begun": lambda history: history.ops.append(read(20, 21, 12, "a", 10)),
+    "read of k": lambda history: history.ops.append(read(10, 11, 45, "a", 10)),
+    "by 70 shows": lambda history: history.ops.append(read(20, 21, 70, "invented", 65)),
+    "was taken over": lambda history: history.ops.append(put(20, 21, 80, "late", 10)),
+    "told refused and is there": lambda history: history.events.append(WatchEvent("v", 70, "k", "c")),
+    "while x holds it": lambda history: history.holds.append(LockHold("l", "z", 8.5, 8.9, 41)),
+    "token 3": lambda history: history.holds.append(LockHold("l", "z", 20, 21, 3)),
+    "missed 20": lambda history: history.events.pop(1),
+    "out of order": lambda history: history.events.append(WatchEvent("w", 20, "k", "b")),
+    "it was b": lambda history: history.events.append(WatchEvent("v", 20, "k", "x")),
+    "compacted": lambda history: history.gaps.append("w since 3"),
 }
 
 
-def test_a_clean_history_has_no_findings():
-    assert check_history(clean()) == []
+def test_a_correct_history_has_no_findings():
+    assert check_history(correct_history()) == []
 
 
-@pytest.mark.parametrize("finding", BREACHES)
-def test_each_planted_breach_is_found(finding):
-    h = clean()
-    BREACHES[finding](h)
-    assert any(finding in f for f in check_history(h)), check_history(h)
+@pytest.mark.parametrize("finding", VIOLATIONS)
+def test_each_violation_is_found(finding):
+    history = correct_history()
+    VIOLATIONS[finding](history)
+    assert any(finding in found for found in check_history(history)), check_history(history)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,3 +1,5 @@
+"""Runs each admin and planner command that the operators' pages show against a small fleet."""
+
 import json
 import re
 import shlex
@@ -19,17 +21,17 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory):
-    with LocalFleet(small_shape(), tmp_path_factory.mktemp("pages")) as f:
-        assert wait_until_settled(f)
-        yield f
+    with LocalFleet(small_shape(), tmp_path_factory.mktemp("pages")) as local_fleet:
+        assert wait_until_settled(local_fleet)
+        yield local_fleet
 
 
 def commands():
-    return [(p.stem, c.strip()) for p in PAGES for c in COMMAND.findall(p.read_text())]
+    return [(page.stem, command.strip()) for page in PAGES for command in COMMAND.findall(page.read_text())]
 
 
 def test_the_pages_show_commands():
-    assert len(commands()) > 25 and {p for p, _ in commands()} >= {
+    assert len(commands()) > 25 and {page for page, _ in commands()} >= {
         "agreement",
         "configuration",
         "draining",
@@ -43,20 +45,20 @@
         f"127.0.0.1:{fleet.with_role('control')[0].web_port}",
         f"127.0.0.1:{fleet.with_role('proxy')[0].web_port}",
     )
-    now = call(fleet.with_role("control")[0].web_port, "GET", "/config")[1]
-    (tmp_path / "next.json").write_text(json.dumps(now["doc"]))
+    current = call(fleet.with_role("control")[0].web_port, "GET", "/config")[1]
+    (tmp_path / "next.json").write_text(json.dumps(current["doc"]))
     (tmp_path / "change.json").write_text(json.dumps([{"op": "add", "path": "/services/more", "value": {}}]))
     words = shlex.split(line.partition(">")[0])
-    put = {
+    substitutions = {
         "CONTROL": control,
         "PROXY": proxy,
         "NEW": control,
-        "R": str(now["revision"]),
-        "REVISION": str(now["revision"]),
+        "R": str(current["revision"]),
+        "REVISION": str(current["revision"]),
     }
-    words = [str(tmp_path / w) if w.endswith(".json") else put.get(w, w) for w in words]
-    r = CliRunner().invoke(main, words, env={"MALLOWVALVE_AT": control})
+    words = [str(tmp_path / word) if word.endswith(".json") else substitutions.get(word, word) for word in words]
+    result = CliRunner().invoke(main, words, env={"MALLOWVALVE_AT": control})
     if "found-anew" in words:
-        assert r.exit_code == 1 and "ask one that is blank" in r.stderr
+        assert result.exit_code == 1 and "ask one that is blank" in result.stderr
         return
-    assert r.exit_code == 0, (line, r.output, r.stderr)
+    assert result.exit_code == 0, (line, result.output, result.stderr)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -36,14 +36,14 @@
     return LocalFleet(shape, tmp_path)
 
 
-def test_a_seed_draws_the_same_schedule_and_another_one_another(shape):
+def test_a_seed_determines_the_schedule(shape):
     first = draw_schedule(shape, 1, 60.0, trouble=True)
     assert first == draw_schedule(shape, 1, 60.0, trouble=True) != draw_schedule(shape, 2, 60.0, trouble=True)
     assert [act.at for act in first.acts] == sorted(act.at for act in first.acts)
     assert {act.target for act in first.acts} <= schedule_targets(shape).names()
 
 
-def test_planned_work_holds_no_trouble_and_series_overlap(shape):
+def test_planned_schedules_contain_no_faults(shape):
     for seed in range(1, 30):
         planned = draw_schedule(shape, seed, 60.0, trouble=False)
         assert {act.kind for act in planned.acts} <= PLANNED_KINDS
@@ -54,7 +54,7 @@
         }
 
 
-def test_a_saved_schedule_is_played_again_without_the_generator(shape, tmp_path):
+def test_a_saved_schedule_is_read_back_unchanged(shape, tmp_path):
     drawn = draw_schedule(shape, 3, 60.0, trouble=True)
     save_schedule(drawn, tmp_path / "s.json")
     assert load_schedule(tmp_path / "s.json", shape).unwrap() == drawn
@@ -77,14 +77,14 @@
         ("no schedule", "s.json"),
     ],
 )
-def test_a_schedule_that_cannot_be_played_is_refused_before_anything_starts(saved, place, tmp_path, monkeypatch):
+def test_an_invalid_schedule_is_refused_before_any_process_starts(saved, place, tmp_path, monkeypatch):
     monkeypatch.setattr(LocalFleet, "__enter__", lambda self: pytest.fail("started"))
     (tmp_path / "s.json").write_bytes(msgspec.json.encode(saved))
     ended = CliRunner().invoke(main, ["soak", str(SHAPE), "--acts", str(tmp_path / "s.json")])
     assert ended.exit_code == 2 and place in ended.output
 
 
-def test_a_shape_that_does_not_fit_the_machine_is_refused(shape, monkeypatch):
+def test_a_shape_that_exceeds_the_limits_of_the_machine_is_refused(shape, monkeypatch):
     assert soak.check_fits(shape) == []
     monkeypatch.setattr(soak, "MEMORY_PER_PROCESS_BYTES", 1 << 40)
     assert "memory" in soak.check_fits(shape)[0].text
@@ -94,44 +94,52 @@
     assert ended.exit_code == 2
 
 
-def proxy(fleet, n):
-    found = fleet.with_role("proxy")[n]
-    return found, f"127.0.0.1:{found.web_port}"
+def proxy_and_address(fleet, index):
+    process = fleet.with_role("proxy")[index]
+    return process, f"127.0.0.1:{process.web_port}"
 
 
-def row(by, status=200, outcome=None, began=100.0, ended=100.1, where="eu/eu-a", tenant="overlay"):
-    return {"id": "q", "tenant": tenant, "from": where, "tries": [[status, outcome, began, ended, by]]}
+def proxies_by_address(fleet):
+    return {f"127.0.0.1:{process.web_port}": process for process in fleet.with_role("proxy")}
 
 
-RAN = [{"request": "q", "at": 100.05}]
+def row(address, status=200, outcome=None, began=100.0, ended=100.1, where="eu/eu-a", tenant="overlay"):
+    return {"id": "q", "tenant": tenant, "from": where, "tries": [[status, outcome, began, ended, address]]}
 
 
-def spans(*events):
+RUNS = [{"request": "q", "at": 100.05}]
+
+
+def disturbances(*events):
     return Disturbances([SoakEvent(*event) for event in events])
 
 
-def test_a_request_that_was_cut_while_it_ran_is_found(fleet):
-    (who, by), proxies = proxy(fleet, 0), {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
-    cut = row(by, 0, "ConnectionResetError")
-    found = soak_judge.check_cut_requests(spans((99.0, SoakEventKind.TOLD, who.name)), proxies, [cut], RAN)
+def test_a_request_that_is_cut_while_it_runs_is_found(fleet):
+    (process, address), proxies = proxy_and_address(fleet, 0), proxies_by_address(fleet)
+    cut = row(address, 0, "ConnectionResetError")
+    found = soak_judge.check_cut_requests(disturbances((99.0, SoakEventKind.TOLD, process.name)), proxies, [cut], RUNS)
     assert len(found) == 1 and "while it stopped" in found[0]
-    assert soak_judge.check_cut_requests(spans(), proxies, [cut], [{"request": "q", "at": 99.0}]) == []
-    assert soak_judge.check_cut_requests(spans((95.0, SoakEventKind.TROUBLE, "proxy8")), proxies, [cut], RAN) == []
-    assert soak_judge.check_cut_requests(spans(), proxies, [row(by, 0, "ConnectionRefusedError")], RAN) == []
+    assert soak_judge.check_cut_requests(disturbances(), proxies, [cut], [{"request": "q", "at": 99.0}]) == []
+    assert (
+        soak_judge.check_cut_requests(disturbances((95.0, SoakEventKind.TROUBLE, "proxy8")), proxies, [cut], RUNS) == []
+    )
+    assert (
+        soak_judge.check_cut_requests(disturbances(), proxies, [row(address, 0, "ConnectionRefusedError")], RUNS) == []
+    )
 
 
-def test_a_request_led_elsewhere_while_one_at_home_was_steady_is_found(fleet):
-    proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
-    (eu, _), (eu_b, _), (_, us) = proxy(fleet, 0), proxy(fleet, 1), proxy(fleet, 2)
+def test_a_request_to_another_region_is_found_if_an_allowed_region_has_a_steady_proxy(fleet):
+    proxies = proxies_by_address(fleet)
+    (eu, _), (eu_b, _), (_, us) = proxy_and_address(fleet, 0), proxy_and_address(fleet, 1), proxy_and_address(fleet, 2)
     homes_of = soak_judge.tenant_homes(fleet)
     assert homes_of["steward"] == {"eu"}
 
-    def found(*events, **how):
-        return soak_judge.check_regions(spans(*events), proxies, homes_of, [row(us, **how)])
+    def check(*events, **how):
+        return soak_judge.check_regions(disturbances(*events), proxies, homes_of, [row(us, **how)])
 
-    assert len(found()) == 1 and len(found((99.0, SoakEventKind.TOLD, eu.name))) == 1
+    assert len(check()) == 1 and len(check((99.0, SoakEventKind.TOLD, eu.name))) == 1
     assert (
-        found(
+        check(
             (99.0, SoakEventKind.TOLD, eu.name),
             (92.0, SoakEventKind.TOLD, eu_b.name),
             (98.0, SoakEventKind.READY, eu_b.name),
@@ -139,45 +147,45 @@
         == []
     )
     assert (
-        found(
+        check(
             (99.0, SoakEventKind.TOLD, eu.name),
             (90.0, SoakEventKind.EVACUATED, "eu-b"),
             (97.0, SoakEventKind.GIVEN_BACK, "eu-b"),
         )
         == []
     )
-    assert found((95.0, SoakEventKind.TROUBLE, "control0")) == []
-    assert found(tenant="runner") == [] and found(where="us/us-a") == []
-    assert len(found(tenant="steward")) == 1
+    assert check((95.0, SoakEventKind.TROUBLE, "control0")) == []
+    assert check(tenant="runner") == [] and check(where="us/us-a") == []
+    assert len(check(tenant="steward")) == 1
 
 
-def test_a_stall_of_the_machine_is_trouble_and_an_unready_proxy_is_not_steady(fleet):
-    proxies = {f"127.0.0.1:{p.web_port}": p for p in fleet.with_role("proxy")}
-    (eu, _), (eu_b, _), (_, us) = proxy(fleet, 0), proxy(fleet, 1), proxy(fleet, 2)
+def test_a_stall_of_the_machine_counts_as_a_fault_and_an_unready_proxy_is_not_steady(fleet):
+    proxies = proxies_by_address(fleet)
+    (eu, _), (eu_b, _), (_, us) = proxy_and_address(fleet, 0), proxy_and_address(fleet, 1), proxy_and_address(fleet, 2)
     for events in (
         [(96.0, SoakEventKind.STALL, "machine")],
         [(95.0, SoakEventKind.UNREADY, eu.name), (97.0, SoakEventKind.UNREADY, eu_b.name)],
     ):
-        assert soak_judge.check_regions(spans(*events), proxies, {}, [row(us)]) == []
+        assert soak_judge.check_regions(disturbances(*events), proxies, {}, [row(us)]) == []
     (fleet.folder / eu.name / "log").write_text(
         'noise\n{"message_type":"unready","timestamp":90.0}\n{"message_type":"ready","timestamp":99.0}\n'
     )
-    found = soak_judge.readiness_events(fleet.folder, [eu.name, "nobody"])
-    assert found == [SoakEvent(90.0, SoakEventKind.UNREADY, eu.name), SoakEvent(99.0, SoakEventKind.READY, eu.name)]
+    events = soak_judge.readiness_events(fleet.folder, [eu.name, "nobody"])
+    assert events == [SoakEvent(90.0, SoakEventKind.UNREADY, eu.name), SoakEvent(99.0, SoakEventKind.READY, eu.name)]
 
 
-def test_a_stop_that_does_not_end_or_ends_badly_is_found():
+def test_overdue_and_failed_stops_are_found():
     events = [SoakEvent(1.0, SoakEventKind.ENDED, "a", 2.0), SoakEvent(1.0, SoakEventKind.READY, "a")]
     assert soak_judge.check_stops(events) == []
-    for what, said in (
+    for kind, text in (
         (SoakEventKind.FAILED, "code 70"),
         (SoakEventKind.OVERDUE, "had not ended 70.0 s"),
         (SoakEventKind.NOT_READY, "not ready"),
     ):
-        assert said in soak_judge.check_stops([SoakEvent(1.0, what, "a", 70.0)])[0]
+        assert text in soak_judge.check_stops([SoakEvent(1.0, kind, "a", 70.0)])[0]
 
 
-def test_a_traceback_a_task_that_died_and_a_leak_are_found(tmp_path):
+def test_tracebacks_dead_tasks_and_descriptor_leaks_are_found(tmp_path):
     (tmp_path / "proxy5").mkdir()
     (tmp_path / "proxy5" / "log").write_text('{"message_type":"ready"}')
     (tmp_path / "proxy5" / "proxy5.err").write_text("")
@@ -193,8 +201,8 @@
     )
 
 
-def test_the_shape_of_the_short_run_has_two_proxies_a_region_and_homes(shape):
-    named = schedule_targets(shape)
-    regions = [place.partition("/")[0] for place in named.proxies.values()]
-    assert min(regions.count(region) for region in regions) >= 2 and len(named.tenants) >= 2
+def test_the_soak_example_has_two_proxies_per_region_and_tenants_with_homes(shape):
+    targets = schedule_targets(shape)
+    regions = [locality.partition("/")[0] for locality in targets.proxies.values()]
+    assert min(regions.count(region) for region in regions) >= 2 and len(targets.tenants) >= 2
     assert json.loads(SHAPE.read_text())["rate"] > 0 and schedule.QUIET_END_S > 0
