--- a/mallowvalve/admin/main.py
+++ b/mallowvalve/admin/main.py
@@ -39,21 +39,21 @@
     """
     status = 0
     data: Any = "no address given"
-    for at in ctx.obj["at"]:
-        status, data = _call_or_leader(at, method, path, body)
+    for address in ctx.obj["at"]:
+        status, data = _call_or_leader(address, method, path, body)
         if status not in (0, STATUS_UNAVAILABLE):
             break
     if status != STATUS_OK:
         findings = data.get("findings", []) if isinstance(data, dict) else [{"place": "call", "text": str(data)}]
-        for one in findings:
-            click.echo(f"{one['place']}: {one['text']}", err=True)
+        for finding in findings:
+            click.echo(f"{finding['place']}: {finding['text']}", err=True)
         sys.exit(1)
     return data
 
 
-def _call_or_leader(at: Address, method: str, path: str, body: Any) -> tuple[int, Any]:
+def _call_or_leader(address: Address, method: str, path: str, body: Any) -> tuple[int, Any]:
     """Calls one process, and the leader that it names if it answers 503."""
-    status, data, headers = http_call(*at.pair, method, path, body, timeout_s=CONTROL_TIMEOUT_S)
+    status, data, headers = http_call(*address.pair, method, path, body, timeout_s=CONTROL_TIMEOUT_S)
     leader = Address.read(headers.get("mallow-leader", "")) if status == STATUS_UNAVAILABLE else None
     if leader is not None and leader.is_ok():
         status, data, _ = http_call(*leader.unwrap().pair, method, path, body, timeout_s=CONTROL_TIMEOUT_S)
@@ -181,19 +181,19 @@
     nodes = {
         node["web"] for node in call_control(ctx, "GET", "/-/nodes")["nodes"] if node["status"] in ("alive", "leaving")
     }
-    rows = [row for at in sorted(nodes) for row in node_history(Address.read(at).unwrap(), thing)]
+    rows = [row for address in sorted(nodes) for row in node_history(Address.read(address).unwrap(), thing)]
     for ago, line in sorted(rows, reverse=True)[-most:]:
         click.echo(f"{ago / 1000:9.1f} s ago  {line}")
     if not rows:
         click.echo(f"nothing is remembered about {thing!r}")
 
 
-def node_history(at: Address, thing: str) -> list[tuple[int, str]]:
+def node_history(address: Address, thing: str) -> list[tuple[int, str]]:
     """Returns the recent changes and rejections of a node that concern a thing: age (ms) and a line of text."""
     about = quote(thing, safe="")
     history = []
-    status, data, _ = http_call(*at.pair, "GET", f"/-/changes?about={about}", timeout_s=HISTORY_TIMEOUT_S)
-    name = data["name"] if status == STATUS_OK else str(at)
+    status, data, _ = http_call(*address.pair, "GET", f"/-/changes?about={about}", timeout_s=HISTORY_TIMEOUT_S)
+    name = data["name"] if status == STATUS_OK else str(address)
     for change in data["changes"] if status == STATUS_OK else []:
         fields = [
             f"{key} {value}"
@@ -201,10 +201,12 @@
             if key not in ("ago_ms", "what") and value not in ("", None)
         ]
         history.append((change["ago_ms"], f"{name:10} {change['what']}: {', '.join(fields)}"))
-    status, data, _ = http_call(*at.pair, "GET", f"/-/rejections?about={about}", timeout_s=HISTORY_TIMEOUT_S)
-    for one in data["rejections"] if status == STATUS_OK and isinstance(data, dict) else []:
-        verdict = f"{one['status']} {one['outcome']}, {one['why']}"
-        history.append((one["ago_ms"], f"{name:10} rejected {one['target']} of {one['tenant']}: {verdict}"))
+    status, data, _ = http_call(*address.pair, "GET", f"/-/rejections?about={about}", timeout_s=HISTORY_TIMEOUT_S)
+    for rejection in data["rejections"] if status == STATUS_OK and isinstance(data, dict) else []:
+        verdict = f"{rejection['status']} {rejection['outcome']}, {rejection['why']}"
+        history.append(
+            (rejection["ago_ms"], f"{name:10} rejected {rejection['target']} of {rejection['tenant']}: {verdict}")
+        )
     return history
 
 
--- a/mallowvalve/localfleet/main.py
+++ b/mallowvalve/localfleet/main.py
@@ -29,8 +29,8 @@
         sys.exit(2)
     result = finding.read(FleetShape, data)
     if result.is_err():
-        for one in result.err_value:
-            click.echo(f"mallowvalve: {path}: {one}", err=True)
+        for problem in result.err_value:
+            click.echo(f"mallowvalve: {path}: {problem}", err=True)
         sys.exit(2)
     return result.ok_value
 
@@ -113,8 +113,8 @@
             )
         if acts and is_settled:
             findings, statistics = trial.run_trial(fleet, list(acts), seed, rate, coordination)
-            for one in findings:
-                click.echo(f"finding: {one}")
+            for line in findings:
+                click.echo(f"finding: {line}")
             click.echo(msgspec.json.encode(statistics).decode())
             sys.exit(1 if findings else 0)
         if load and fleet.shape.shares:
--- a/mallowvalve/localfleet/mishaps.py
+++ b/mallowvalve/localfleet/mishaps.py
@@ -36,11 +36,11 @@
     return sum(row["ok"] for row in fleet.read_journal("asked.jsonl"))
 
 
-def _check_service(fleet: LocalFleet, seconds: float, what: str) -> list[str]:
+def _check_service(fleet: LocalFleet, seconds: float, situation: str) -> list[str]:
     """Returns a finding if no request succeeds within `seconds`."""
     before = _count_answered(fleet)
     time.sleep(seconds)
-    return [] if _count_answered(fleet) > before else [f"service stopped while {what}"]
+    return [] if _count_answered(fleet) > before else [f"service stopped while {situation}"]
 
 
 def core_split(fleet: LocalFleet) -> list[str]:
--- a/mallowvalve/localfleet/soak.py
+++ b/mallowvalve/localfleet/soak.py
@@ -122,9 +122,9 @@
         for thread in threads:
             thread.join()
 
-    def _record(self, what: SoakEventKind, name: str, value: float = 0.0) -> None:
+    def _record(self, kind: SoakEventKind, name: str, value: float = 0.0) -> None:
         with self._lock:
-            self.events.append(SoakEvent(time.time(), what, name, value))
+            self.events.append(SoakEvent(time.time(), kind, name, value))
 
     def _play_act(self, act: ScheduledAct) -> None:
         match act.kind:
--- a/mallowvalve/localfleet/soak_judge.py
+++ b/mallowvalve/localfleet/soak_judge.py
@@ -87,8 +87,8 @@
                 self.fault_times.append(event.at)
             if event.what in (SoakEventKind.READY, SoakEventKind.GIVEN_BACK) and event.who in open_at:
                 self.spans_by_name[event.who].append((open_at.pop(event.who), event.at))
-        for who, at in open_at.items():
-            self.spans_by_name[who].append((at, float("inf")))
+        for name, at in open_at.items():
+            self.spans_by_name[name].append((at, float("inf")))
 
     def was_steady(self, process: FleetProcess, begin: float, end: float) -> bool:
         """Whether a process and its zone were undisturbed from STEADY_S before `begin` until `end`."""
@@ -173,10 +173,13 @@
                 continue
             first_run = bisect_left(times, began)
             if first_run < len(times) and times[first_run] <= ended:
-                who = proxies[address].name if address in proxies else address
-                stop = "while it stopped" if disturbances.was_disturbed(who, ended) else "while nothing was done to it"
+                proxy = proxies[address].name if address in proxies else address
+                circumstance = (
+                    "while it stopped" if disturbances.was_disturbed(proxy, ended) else "while nothing was done to it"
+                )
                 findings.append(
-                    f"request {row['id']} ran and was cut by {who} {stop}: {error} after {ended - began:.2f} s"
+                    f"request {row['id']} ran and was cut by {proxy} {circumstance}: "
+                    f"{error} after {ended - began:.2f} s"
                 )
     return _summarize(findings, "requests were cut while an upstream ran them")
 
@@ -235,6 +238,6 @@
     ]
 
 
-def _summarize(findings: list[str], what: str) -> list[str]:
+def _summarize(findings: list[str], description: str) -> list[str]:
     """Merges findings of a kind into one with their count and the first of them."""
-    return [f"{len(findings)} {what}, first: {findings[0]}"] if findings else []
+    return [f"{len(findings)} {description}, first: {findings[0]}"] if findings else []
--- a/mallowvalve/localfleet/soak_main.py
+++ b/mallowvalve/localfleet/soak_main.py
@@ -20,13 +20,13 @@
 def read_or_draw_schedule(shape: FleetShape, seed: int, seconds: float, trouble: bool, saved: str | None) -> Schedule:
     """Returns the saved or a drawn schedule; ends the program with code 2 on findings, before anything starts."""
     findings = check_fits(shape)
-    read = Ok(draw_schedule(shape, seed, seconds, trouble)) if saved is None else load_schedule(Path(saved), shape)
-    findings += read.err_value if isinstance(read, Err) else []
-    for one in findings:
-        click.echo(f"mallowvalve: {one}", err=True)
+    loaded = Ok(draw_schedule(shape, seed, seconds, trouble)) if saved is None else load_schedule(Path(saved), shape)
+    findings += loaded.err_value if isinstance(loaded, Err) else []
+    for problem in findings:
+        click.echo(f"mallowvalve: {problem}", err=True)
     if findings:
         sys.exit(2)
-    return read.unwrap()
+    return loaded.unwrap()
 
 
 @click.command()
@@ -59,8 +59,8 @@
         soak_run = Soak(fleet, schedule)
         findings, statistics = soak_run.run(rate)
         write_timeline(soak_run.events, started_at, fleet_folder)
-    for one in findings:
-        click.echo(f"finding: seed {schedule.seed}: {one}")
+    for line in findings:
+        click.echo(f"finding: seed {schedule.seed}: {line}")
     if findings:
         click.echo(f"again: mallowvalve soak {shape} --acts {fleet_folder / 'schedule.json'}")
     click.echo(msgspec.json.encode(statistics).decode())
--- a/mallowvalve/localfleet/users.py
+++ b/mallowvalve/localfleet/users.py
@@ -57,16 +57,16 @@
         """Waits for a random time; returns True once the thread shall end."""
         return self.stop.wait(rng.expovariate(1 / self.mean_pause_s))
 
-    def _use_keys(self, who: str, rng: random.Random) -> None:
+    def _use_keys(self, client: str, rng: random.Random) -> None:
         number = 0
         while not self._pause(rng):
             number += 1
-            name, value, begun = f"k{rng.randrange(3)}", f"{who}.{number}", time.monotonic()
+            name, value, begun = f"k{rng.randrange(3)}", f"{client}.{number}", time.monotonic()
             status, data = self._call_until_decided(rng, "GET", f"/keys/{name}")
             if status not in (200, 404):
                 continue
             read = CoordinationCall(
-                "read", name, who, begun, time.monotonic(), "ok", data["revision"], data["value"], None, data["at"]
+                "read", name, client, begun, time.monotonic(), "ok", data["revision"], data["value"], None, data["at"]
             )
             self.history.ops.append(read)
             base, begun = rng.choice((read.at, read.at, None)), time.monotonic()
@@ -74,34 +74,34 @@
             ended = time.monotonic()
             outcome = OUTCOME_OF_STATUS.get(status, "undecided")
             self.history.ops.append(
-                CoordinationCall("put", name, who, begun, ended, outcome, data.get("number", 0), value, base)
+                CoordinationCall("put", name, client, begun, ended, outcome, data.get("number", 0), value, base)
             )
 
-    def _use_lock(self, who: str, rng: random.Random) -> None:
+    def _use_lock(self, client: str, rng: random.Random) -> None:
         ttl_s = 3.0
         while not self._pause(rng):
             begun = time.monotonic()
             status, data = self._call_until_decided(
-                rng, "POST", "/locks/l/take", {"holder": who, "ttl_ms": int(ttl_s * 1000)}
+                rng, "POST", "/locks/l/take", {"holder": client, "ttl_ms": int(ttl_s * 1000)}
             )
             acquired_at = time.monotonic()
             if status != 200 or acquired_at > begun + ttl_s - 0.5:
                 continue
-            self.history.ops.append(CoordinationCall("take", "l", who, begun, acquired_at, "ok", data["number"]))
+            self.history.ops.append(CoordinationCall("take", "l", client, begun, acquired_at, "ok", data["number"]))
             self.stop.wait(min(rng.random() * 0.3, begun + ttl_s - acquired_at - 0.2))
-            self.history.holds.append(LockHold("l", who, acquired_at, time.monotonic(), data["number"]))
-            self._call_until_decided(rng, "POST", "/locks/l/free", {"holder": who, "token": data["number"]})
+            self.history.holds.append(LockHold("l", client, acquired_at, time.monotonic(), data["number"]))
+            self._call_until_decided(rng, "POST", "/locks/l/free", {"holder": client, "token": data["number"]})
 
-    def _draw_numbers(self, who: str, rng: random.Random) -> None:
+    def _draw_numbers(self, client: str, rng: random.Random) -> None:
         while not self._pause(rng):
             begun = time.monotonic()
             status, data = self._call_until_decided(rng, "POST", "/numbers/n", {})
             if status == 200:
                 self.history.ops.append(
-                    CoordinationCall("number", "n", who, begun, time.monotonic(), "ok", data["number"])
+                    CoordinationCall("number", "n", client, begun, time.monotonic(), "ok", data["number"])
                 )
 
-    def _watch_keys(self, who: str, rng: random.Random) -> None:
+    def _watch_keys(self, client: str, rng: random.Random) -> None:
         since = None
         while not self.stop.is_set():
             if since is None:
@@ -112,12 +112,12 @@
                 self._pick_control_port(rng), "GET", f"/watch?since={since}&prefix=k&wait_ms=1000", None, None, 6
             )
             if status == 410:
-                self.history.gaps.append(f"{who} since {since}")
+                self.history.gaps.append(f"{client} since {since}")
                 since = None
             if status != 200:
                 self.stop.wait(0.1)
                 continue
             since = data["revision"]
             self.history.events += [
-                WatchEvent(who, event["revision"], event["name"], event["value"]) for event in data["events"]
+                WatchEvent(client, event["revision"], event["name"], event["value"]) for event in data["events"]
             ]
