--- a/mallowvalve/localfleet/fleet.py
+++ b/mallowvalve/localfleet/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a fleet on this machine: started, stopped, killed, frozen, cut off."""
+"""Starts, stops, kills and suspends the processes of a fleet on this machine, and injects faults into them."""
 
 from __future__ import annotations
 
@@ -17,92 +17,105 @@
 from mallowvalve.localfleet.ports import HOST, free_ports
 
 
-class Place(msgspec.Struct):
-    """A process of a role at REGION/ZONE."""
+class NodePlacement(msgspec.Struct):
+    """A process of a role and its locality, REGION/ZONE."""
 
     role: str
     locality: str
 
 
-class Pool(msgspec.Struct):
+class UpstreamPool(msgspec.Struct):
     """The upstreams of a service, one at each of the localities."""
 
     service: str
     localities: list[str]
 
 
-class Shape(msgspec.Struct):
-    """A fleet: its processes, upstreams and configuration, and the load of its clients (`rate` requests a second).
+class FleetShape(msgspec.Struct):
+    """The description of a fleet: its processes, upstreams, configuration and client load.
 
-    `shares` are kinds of requests: [tenant, method, path, once, weight].
+    `shares` are the kinds of requests: [tenant, method, path, once, weight]. `rate` is in requests per second.
     """
 
-    nodes: list[Place]
-    upstreams: list[Pool]
+    nodes: list[NodePlacement]
+    upstreams: list[UpstreamPool]
     config: dict
     shares: list[list] = []
     rate: float = 50.0
     clients: int = 20
 
 
-class Proc:
-    """A process: its command line, ports and files; `job` while it runs."""
+class FleetProcess:
+    """A process with its command line, ports and files; `popen` is set once it was started."""
 
-    __slots__ = ("name", "role", "args", "web", "transport", "data", "job", "log", "locality", "tell")
+    __slots__ = (
+        "name",
+        "role",
+        "args",
+        "web_port",
+        "transport_port",
+        "data",
+        "popen",
+        "log",
+        "locality",
+        "heartbeat_targets",
+    )
 
     def __init__(
         self,
         name: str,
         role: str,
         args: list[str],
-        web: int,
-        transport: int,
+        web_port: int,
+        transport_port: int,
         locality: str,
         log: Path,
         data: Path | None = None,
     ):
-        """One that is not started yet."""
-        self.name, self.role, self.args, self.web, self.transport = name, role, args, web, transport
+        """Creates a process that is not started yet."""
+        self.name, self.role, self.args, self.web_port, self.transport_port = name, role, args, web_port, transport_port
         self.locality, self.log, self.data = locality, log, data
-        self.job: subprocess.Popen | None = None
-        self.tell: list[str] = []
+        self.popen: subprocess.Popen | None = None
+        self.heartbeat_targets: list[str] = []
 
     @property
-    def up(self) -> bool:
-        """Whether it runs."""
-        return self.job is not None and self.job.poll() is None
+    def is_running(self) -> bool:
+        """Whether the process runs."""
+        return self.popen is not None and self.popen.poll() is None
 
 
-class Fleet:
-    """All processes by name. While it is entered those of the shape run; `wish` are the faults put in."""
+class LocalFleet:
+    """All processes by name; entering the context starts them. `faults` are the faults currently injected."""
 
-    def __init__(self, shape: Shape, folder: Path, polite: float = 4.0):
-        """Plan the processes with free ports, their files in `folder`; a polite stop may take `polite` seconds."""
-        self.shape, self.folder, self.polite = shape, folder, polite
-        self.procs: dict[str, Proc] = {}
-        self.wish: dict = {}
+    def __init__(self, shape: FleetShape, folder: Path, stop_grace_s: float = 4.0):
+        """Plans the processes on free ports with their files in `folder`; a graceful stop may take `stop_grace_s`."""
+        self.shape, self.folder, self.stop_grace_s = shape, folder, stop_grace_s
+        self.processes: dict[str, FleetProcess] = {}
+        self.faults: dict = {}
         self.operators = None
         folder.mkdir(parents=True, exist_ok=True)
         self._plan()
 
     def _plan(self) -> None:
-        ports = iter(free_ports(2 * len(self.shape.nodes) + sum(len(p.localities) for p in self.shape.upstreams)))
-        spots = [(n, f"{n.role}{i}", next(ports), next(ports)) for i, n in enumerate(self.shape.nodes)]
-        self.seeds = [f"{HOST}:{m}" for n, _, _, m in spots if n.role == "control"][:3]
-        for n, name, web, transport in spots:
-            self._node(n, name, web, transport)
-        nodes = list(self.procs.values())
-        tell = [x for p in nodes if p.role != "control" for x in ("--tell", f"{HOST}:{p.web}")]
-        for p in self.shape.upstreams:
-            for i, loc in enumerate(p.localities):
-                self.upstream(p.service, f"{p.service}-{i}", loc, next(ports), tell)
-
-    def _node(self, n: Place, name: str, web: int, transport: int) -> Proc:
-        data = self.folder / name / "data" if n.role == "control" else None
+        ports = iter(free_ports(2 * len(self.shape.nodes) + sum(len(pool.localities) for pool in self.shape.upstreams)))
+        planned = [
+            (node, f"{node.role}{index}", next(ports), next(ports)) for index, node in enumerate(self.shape.nodes)
+        ]
+        self.seeds = [f"{HOST}:{port}" for node, _, _, port in planned if node.role == "control"][:3]
+        for node, name, web_port, transport_port in planned:
+            self._plan_node(node, name, web_port, transport_port)
+        nodes = list(self.processes.values())
+        targets = [word for node in nodes if node.role != "control" for word in ("--tell", f"{HOST}:{node.web_port}")]
+        for pool in self.shape.upstreams:
+            for index, locality in enumerate(pool.localities):
+                self.add_upstream(pool.service, f"{pool.service}-{index}", locality, next(ports), targets)
+
+    def _plan_node(self, node: NodePlacement, name: str, web_port: int, transport_port: int) -> FleetProcess:
+        data = self.folder / name / "data" if node.role == "control" else None
         (self.folder / name).mkdir(exist_ok=True)
         log = self.folder / name / "log"
         args = [
-            n.role,
+            node.role,
             "--fleet",
             TRIAL_FLEET,
             "--faults",
@@ -110,23 +123,30 @@
             "--name",
             name,
             "--locality",
-            n.locality,
+            node.locality,
             "--transport",
-            f"{HOST}:{transport}",
+            f"{HOST}:{transport_port}",
             "--web",
-            f"{HOST}:{web}",
+            f"{HOST}:{web_port}",
             "--log",
             str(log),
             "--polite",
-            str(self.polite),
+            str(self.stop_grace_s),
         ]
-        args += [x for s in self.seeds for x in ("--seeds", s)]
+        args += [word for seed in self.seeds for word in ("--seeds", seed)]
         args += ["--data", str(data)] if data else []
-        p = self.procs[name] = Proc(name, n.role, args, web, transport, n.locality, log, data)
-        return p
-
-    def upstream(self, service: str, instance: str, locality: str, port: int, tell: list[str]) -> Proc:
-        """Plan one more upstream; nodes of `tell` take its heartbeats."""
+        process = self.processes[name] = FleetProcess(
+            name, node.role, args, web_port, transport_port, node.locality, log, data
+        )
+        return process
+
+    def add_upstream(
+        self, service: str, instance: str, locality: str, port: int, heartbeat_targets: list[str]
+    ) -> FleetProcess:
+        """Plans one more upstream, which sends its heartbeats to the `--tell` options in `heartbeat_targets`.
+
+        `args[3]` of an upstream's process is its service.
+        """
         (self.folder / instance).mkdir(exist_ok=True)
         args = [
             "standins",
@@ -141,18 +161,20 @@
             locality,
             "--journal",
             str(self.folder / "ran.jsonl"),
-            *tell,
+            *heartbeat_targets,
         ]
-        p = self.procs[instance] = Proc(instance, "upstream", args, port, 0, locality, self.folder / instance / "log")
-        p.tell = tell
-        return p
-
-    def add_node(self, role: str, locality: str, name: str) -> Proc:
-        """Start one more process of a role."""
-        web, transport = free_ports(2)
-        p = self._node(Place(role, locality), name, web, transport)
+        process = self.processes[instance] = FleetProcess(
+            instance, "upstream", args, port, 0, locality, self.folder / instance / "log"
+        )
+        process.heartbeat_targets = heartbeat_targets
+        return process
+
+    def add_node(self, role: str, locality: str, name: str) -> FleetProcess:
+        """Starts one more process of a role."""
+        web_port, transport_port = free_ports(2)
+        process = self._plan_node(NodePlacement(role, locality), name, web_port, transport_port)
         self.start(name)
-        return p
+        return process
 
     def start_clients(
         self,
@@ -161,18 +183,18 @@
         rate: float | None = None,
         relentless: bool = False,
         clinging: bool = False,
-    ) -> Proc:
-        """Start stand-in clients, `rate` requests a second or the shape's own."""
-        s = self.shape
+    ) -> FleetProcess:
+        """Starts stand-in clients that send `rate` requests per second in total, by default the rate of the shape."""
+        shape = self.shape
         args = [
             "standins",
             "clients",
             "--shares",
-            json.dumps(s.shares),
+            json.dumps(shape.shares),
             "--clients",
-            str(s.clients),
+            str(shape.clients),
             "--rate",
-            str(rate or s.rate),
+            str(rate or shape.rate),
             "--journal",
             str(self.folder / "asked.jsonl"),
             "--seed",
@@ -180,105 +202,115 @@
         ]
         args += ["--relentless"] if relentless else []
         args += ["--clinging"] if clinging else []
-        args += [x for p in self.of("directory") for x in ("--directory", f"{HOST}:{p.web}")]
-        args += [x for loc in sorted({n.locality for n in s.nodes}) for x in ("--locality", loc)]
-        self.procs[name] = Proc(name, "clients", args, 0, 0, "", self.folder / f"{name}.log")
+        args += [
+            word
+            for directory in self.with_role("directory")
+            for word in ("--directory", f"{HOST}:{directory.web_port}")
+        ]
+        args += [
+            word for locality in sorted({node.locality for node in shape.nodes}) for word in ("--locality", locality)
+        ]
+        self.processes[name] = FleetProcess(name, "clients", args, 0, 0, "", self.folder / f"{name}.log")
         return self.start(name)
 
-    def of(self, role: str) -> list[Proc]:
-        """The processes of a role."""
-        return [p for p in self.procs.values() if p.role == role]
-
-    def start(self, name: str) -> Proc:
-        """Start a process that does not run."""
-        p = self.procs[name]
-        with open(p.log.parent / f"{p.name}.err", "ab") as err:
-            p.job = subprocess.Popen([sys.executable, "-m", "mallowvalve", *p.args], stderr=err, stdout=err)
-        return p
-
-    def __enter__(self) -> Fleet:
-        """Start all processes."""
-        for n in list(self.procs):
-            self.start(n)
+    def with_role(self, role: str) -> list[FleetProcess]:
+        """Returns the processes of a role."""
+        return [process for process in self.processes.values() if process.role == role]
+
+    def start(self, name: str) -> FleetProcess:
+        """Starts a process that does not run."""
+        process = self.processes[name]
+        with open(process.log.parent / f"{process.name}.err", "ab") as err:
+            process.popen = subprocess.Popen(
+                [sys.executable, "-m", "mallowvalve", *process.args], stderr=err, stdout=err
+            )
+        return process
+
+    def __enter__(self) -> LocalFleet:
+        """Starts all processes."""
+        for name in list(self.processes):
+            self.start(name)
         return self
 
     def __exit__(self, *_) -> None:
-        """Kill all processes."""
-        for p in self.procs.values():
-            if p.up:
-                p.job.send_signal(signal.SIGCONT)
-                p.job.kill()
-        for p in self.procs.values():
-            if p.job is not None:
-                p.job.wait()
+        """Kills all processes."""
+        for process in self.processes.values():
+            if process.is_running:
+                process.popen.send_signal(signal.SIGCONT)
+                process.popen.kill()
+        for process in self.processes.values():
+            if process.popen is not None:
+                process.popen.wait()
 
     def kill(self, name: str) -> None:
-        """Kill a process at once (SIGKILL)."""
-        self.procs[name].job.kill()
-        self.procs[name].job.wait()
+        """Kills a process with SIGKILL and waits for its end."""
+        self.processes[name].popen.kill()
+        self.processes[name].popen.wait()
 
-    def stop(self, name: str, limit: float = 10.0) -> int:
-        """Ask a process to stop; its exit code. After `limit` seconds subprocess.TimeoutExpired is raised."""
-        j = self.procs[name].job
-        j.terminate()
-        return j.wait(timeout=limit)
+    def stop(self, name: str, timeout_s: float = 10.0) -> int:
+        """Sends SIGTERM and returns the exit code; raises subprocess.TimeoutExpired after `timeout_s`."""
+        popen = self.processes[name].popen
+        popen.terminate()
+        return popen.wait(timeout=timeout_s)
 
     def freeze(self, name: str) -> None:
-        """Let a process stand still (SIGSTOP)."""
-        os.kill(self.procs[name].job.pid, signal.SIGSTOP)
-
-    def thaw(self, name: str) -> None:
-        """Let it go on (SIGCONT)."""
-        os.kill(self.procs[name].job.pid, signal.SIGCONT)
-
-    def wipe(self, name: str) -> None:
-        """Delete its folder."""
-        shutil.rmtree(self.procs[name].data, ignore_errors=True)
-
-    def cut(self, pairs: list[tuple[Proc, Proc]], one_way: bool = False) -> None:
-        """Cuts the transport from each first to each second, and back unless it is one way."""
-        both = pairs if one_way else pairs + [(b, a) for a, b in pairs]
-        self.wish["cuts"] = [(f"{HOST}:{a.transport}", f"{HOST}:{b.transport}") for a, b in both]
-        self._wish()
-
-    def split(self, left: list[Proc], right: list[Proc], one_way: bool = False) -> None:
-        """Cut every process of one side from every one of the other."""
-        self.cut([(a, b) for a in left for b in right], one_way)
-
-    def disk(self, full: list[str] = (), stalls: dict[str, float] | None = None) -> None:
-        """From now on these disks are full, and writes of those processes stall (s)."""
-        self.wish |= {"full": list(full), "stalls": stalls or {}}
-        self._wish()
-
-    def heal(self) -> None:
-        """Take out all faults."""
-        self.wish = {}
-        self._wish()
-
-    def _wish(self) -> None:
+        """Suspends a process with SIGSTOP."""
+        os.kill(self.processes[name].popen.pid, signal.SIGSTOP)
+
+    def resume(self, name: str) -> None:
+        """Resumes a suspended process with SIGCONT."""
+        os.kill(self.processes[name].popen.pid, signal.SIGCONT)
+
+    def delete_data(self, name: str) -> None:
+        """Deletes the data folder of a process."""
+        shutil.rmtree(self.processes[name].data, ignore_errors=True)
+
+    def cut_links(self, pairs: list[tuple[FleetProcess, FleetProcess]], one_way: bool = False) -> None:
+        """Drops transport messages from the first to the second of each pair, and back unless `one_way`."""
+        both = pairs if one_way else pairs + [(receiver, sender) for sender, receiver in pairs]
+        self.faults["cuts"] = [
+            (f"{HOST}:{sender.transport_port}", f"{HOST}:{receiver.transport_port}") for sender, receiver in both
+        ]
+        self._write_faults()
+
+    def partition(self, left: list[FleetProcess], right: list[FleetProcess], one_way: bool = False) -> None:
+        """Cuts every process of `left` off from every process of `right`."""
+        self.cut_links([(a, b) for a in left for b in right], one_way)
+
+    def set_disk_faults(self, full: list[str] = (), stalls: dict[str, float] | None = None) -> None:
+        """Makes the disks of the processes in `full` refuse writes, and delays each write of those in `stalls` (s)."""
+        self.faults |= {"full": list(full), "stalls": stalls or {}}
+        self._write_faults()
+
+    def clear_faults(self) -> None:
+        """Removes all injected faults."""
+        self.faults = {}
+        self._write_faults()
+
+    def _write_faults(self) -> None:
         new = self.folder / "faults.new"
-        new.write_text(json.dumps(self.wish))
+        new.write_text(json.dumps(self.faults))
         new.rename(self.folder / "faults.json")
 
-    def rows(self, file: str) -> list[dict]:
-        """The lines of a journal that are whole."""
+    def read_journal(self, file: str) -> list[dict]:
+        """Returns the complete rows of a journal; skips a line that is still being written."""
         path = self.folder / file
         if not path.exists():
             return []
-        out = []
+        rows = []
         for line in path.read_text().splitlines():
             try:
-                out.append(json.loads(line))
+                rows.append(json.loads(line))
             except ValueError:
                 continue
-        return out
+        return rows
 
 
-def until(test, limit: float, every: float = 0.1):
-    """What `test` says once that is true, or at last after `limit` seconds; asked `every` so many seconds."""
-    end = time.monotonic() + limit
+def wait_until(test, timeout_s: float, interval_s: float = 0.1):
+    """Polls `test` every `interval_s` until its result is true or `timeout_s` have passed; returns the last result."""
+    end = time.monotonic() + timeout_s
     while True:
-        v = test()
-        if v or time.monotonic() > end:
-            return v
-        time.sleep(every)
+        result = test()
+        if result or time.monotonic() > end:
+            return result
+        time.sleep(interval_s)
--- a/tests/shapes.py
+++ b/tests/shapes.py
@@ -1,6 +1,8 @@
+"""Shapes of test fleets with their configurations and request shares."""
+
 from __future__ import annotations
 
-from mallowvalve.localfleet.fleet import Place, Pool, Shape
+from mallowvalve.localfleet.fleet import FleetShape, NodePlacement, UpstreamPool
 
 ZONES = ["eu/eu-a", "eu/eu-b", "us/us-a", "us/us-b", "ap/ap-a", "ap/ap-b"]
 CONFIG = {
@@ -26,12 +28,15 @@
 SHARES = [["overlay", "GET", "/rankings/{n}", False, 5], ["runner", "POST", "/runs", True, 1]]
 
 
-def small() -> Shape:
-    return Shape(
-        nodes=[Place("control", z) for z in ZONES[::2]]
-        + [Place("directory", z) for z in ZONES[:2]]
-        + [Place("proxy", z) for z in ZONES[::2]],
-        upstreams=[Pool("boards", ["eu/eu-a", "us/us-a"]), Pool("runs", ["eu/eu-a", "eu/eu-b", "us/us-a"])],
+def small_shape() -> FleetShape:
+    return FleetShape(
+        nodes=[NodePlacement("control", zone) for zone in ZONES[::2]]
+        + [NodePlacement("directory", zone) for zone in ZONES[:2]]
+        + [NodePlacement("proxy", zone) for zone in ZONES[::2]],
+        upstreams=[
+            UpstreamPool("boards", ["eu/eu-a", "us/us-a"]),
+            UpstreamPool("runs", ["eu/eu-a", "eu/eu-b", "us/us-a"]),
+        ],
         config=CONFIG,
         shares=SHARES,
         rate=40.0,
@@ -39,19 +44,19 @@
     )
 
 
-SERVING = [ZONES[i % 6] for i in range(12)]
+PROXY_ZONES = [ZONES[index % 6] for index in range(12)]
 
 
 def _routes(cell: str, rows) -> dict:
     return {
-        name: {"cell": cell, "match": f'method {m} and path "{path}"', "kind": kind, "service": service}
-        for name, m, path, kind, service in rows
+        name: {"cell": cell, "match": f'method {method} and path "{path}"', "kind": kind, "service": service}
+        for name, method, path, kind, service in rows
     }
 
 
-def trinacria() -> Shape:
+def leaderboard_shape() -> FleetShape:
     config = {
-        "services": {s: {} for s in ("boards", "runs", "awards", "media")},
+        "services": {service: {} for service in ("boards", "runs", "awards", "media")},
         "regions": CONFIG["regions"],
         "cells": {
             "public": {"region": "eu", "tenants": {"overlay": {}}, "policy": "retry 1; limit 4s"},
@@ -84,11 +89,11 @@
         ["moderator", "POST", "/awards", True, 3],
         ["runner", "POST", "/runs", True, 4],
     ]
-    return Shape(
-        nodes=[Place("control", z) for z in ZONES]
-        + [Place("directory", z) for z in ZONES[::2]]
-        + [Place("proxy", z) for z in SERVING[:9]],
-        upstreams=[Pool(s, SERVING) for s in config["services"]],
+    return FleetShape(
+        nodes=[NodePlacement("control", zone) for zone in ZONES]
+        + [NodePlacement("directory", zone) for zone in ZONES[::2]]
+        + [NodePlacement("proxy", zone) for zone in PROXY_ZONES[:9]],
+        upstreams=[UpstreamPool(service, PROXY_ZONES) for service in config["services"]],
         config=config,
         shares=shares,
         rate=400.0,
@@ -96,9 +101,9 @@
     )
 
 
-def cycles() -> Shape:
+def shop_shape() -> FleetShape:
     config = {
-        "services": {s: {} for s in ("stock", "prices", "orders", "catalogue")},
+        "services": {service: {} for service in ("stock", "prices", "orders", "catalogue")},
         "regions": CONFIG["regions"],
         "cells": {
             "shops": {
@@ -127,15 +132,15 @@
         ["sync", "GET", "/catalogue/{n}", False, 10],
     ]
     pools = [
-        Pool("stock", SERVING + ZONES[:1]),
-        Pool("prices", SERVING + ZONES[1:2]),
-        Pool("orders", SERVING + ZONES[2:4]),
-        Pool("catalogue", SERVING + ZONES[4:5]),
+        UpstreamPool("stock", PROXY_ZONES + ZONES[:1]),
+        UpstreamPool("prices", PROXY_ZONES + ZONES[1:2]),
+        UpstreamPool("orders", PROXY_ZONES + ZONES[2:4]),
+        UpstreamPool("catalogue", PROXY_ZONES + ZONES[4:5]),
     ]
-    return Shape(
-        nodes=[Place("control", z) for z in ZONES]
-        + [Place("directory", z) for z in ZONES[::2]]
-        + [Place("proxy", z) for z in SERVING],
+    return FleetShape(
+        nodes=[NodePlacement("control", zone) for zone in ZONES]
+        + [NodePlacement("directory", zone) for zone in ZONES[::2]]
+        + [NodePlacement("proxy", zone) for zone in PROXY_ZONES],
         upstreams=pools,
         config=config,
         shares=shares,
