--- a/mallowvalve/raft/election.py
+++ b/mallowvalve/raft/election.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.metrics import Counts
 from mallowvalve.raft.log import Log
-from mallowvalve.raft.messages import GroupId, Message, RequestVote, RequestVoteResponse
+from mallowvalve.raft.messages import GroupId, Message, RequestVote, VoteResponse
 from mallowvalve.raft.progress import CANDIDATE, FOLLOWER, LEADER, PRE_CANDIDATE, RaftTimings
 
 
@@ -97,17 +97,15 @@
         up_to_date = (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
         if message.pre_vote:
             granted = up_to_date and message.term > self.term and not self._trusts_leader(now)
-            self._after_save.append(
-                (sender, RequestVoteResponse(message.term if granted else self.term, True, granted))
-            )
+            self._after_save.append((sender, VoteResponse(message.term if granted else self.term, True, granted)))
             return
         granted = up_to_date and self.vote in ("", sender) and self.role in (FOLLOWER, PRE_CANDIDATE)
         if granted:
             self.vote = sender
             self._reset_election_timer(now)
-        self._after_save.append((sender, RequestVoteResponse(self.term, False, granted)))
+        self._after_save.append((sender, VoteResponse(self.term, False, granted)))
 
-    def _on_request_vote_response(self, sender: str, message: RequestVoteResponse, now: float) -> None:
+    def _on_request_vote_response(self, sender: str, message: VoteResponse, now: float) -> None:
         expected_term = self.term + 1 if message.pre_vote else self.term
         if not message.granted or message.term != expected_term:
             return
--- a/mallowvalve/raft/messages.py
+++ b/mallowvalve/raft/messages.py
@@ -128,7 +128,7 @@
     leader_transfer: bool = False
 
 
-class RequestVoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class VoteResponse(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """The response to `RequestVote`."""
 
     term: int
@@ -175,7 +175,7 @@
     term: int
 
 
-Message = RequestVote | RequestVoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | TimeoutNow
+Message = RequestVote | VoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | TimeoutNow
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
--- a/mallowvalve/raft/raft.py
+++ b/mallowvalve/raft/raft.py
@@ -23,8 +23,8 @@
     Message,
     RaftSnapshot,
     RequestVote,
-    RequestVoteResponse,
     TimeoutNow,
+    VoteResponse,
     encode,
 )
 from mallowvalve.raft.progress import FOLLOWER, LEADER, Progress, RaftTimings, Ready
@@ -138,7 +138,7 @@
         no_new_term = (
             isinstance(message, RequestVote)
             and message.pre_vote
-            or isinstance(message, RequestVoteResponse)
+            or isinstance(message, VoteResponse)
             and message.pre_vote
             and message.granted
         )
@@ -156,12 +156,12 @@
             if isinstance(message, AppendEntries | InstallSnapshot):
                 self._after_save.append((sender, AppendEntriesResponse(self.term, False, 0, message.round_number)))
             elif isinstance(message, RequestVote):
-                self._after_save.append((sender, RequestVoteResponse(self.term, message.pre_vote, False)))
+                self._after_save.append((sender, VoteResponse(self.term, message.pre_vote, False)))
             return
         match message:
             case RequestVote():
                 self._on_request_vote(sender, message, now)
-            case RequestVoteResponse():
+            case VoteResponse():
                 self._on_request_vote_response(sender, message, now)
             case AppendEntries():
                 self._on_append_entries(sender, message, now)
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -26,7 +26,7 @@
     GroupId,
     HardState,
     RequestVote,
-    RequestVoteResponse,
+    VoteResponse,
 )
 from mallowvalve.raft.raft import FIRST_ELECTION_TIMEOUT_RATIO, SUSPECTED_LEADER_TIMEOUT_RATIO, RaftTimings
 from mallowvalve.storage.log import DiskLog
@@ -191,9 +191,9 @@
 def rejects_pre_vote(core, now):
     """Whether the core rejects a pre-vote request because it has contact with a leader."""
     core.receive(Envelope(G, "b", "a", B, RequestVote(core.raft.term + 1, True, 9, 9)), now)
-    return [
-        message.granted for _, message in core.raft.ready(now).after_save if isinstance(message, RequestVoteResponse)
-    ] == [False]
+    return [message.granted for _, message in core.raft.ready(now).after_save if isinstance(message, VoteResponse)] == [
+        False
+    ]
 
 
 def test_a_follower_shortens_its_timeout_after_a_disconnect_until_the_leader_is_heard_again():
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -18,7 +18,7 @@
     GroupId,
     InstallSnapshot,
     RaftSnapshot,
-    RequestVoteResponse,
+    VoteResponse,
 )
 from mallowvalve.types import Address, Locality
 
@@ -152,7 +152,7 @@
     core.tick(now)
     core.saved(core.ready(now), now)
     for pre in (True, False):
-        core.receive(Envelope(G, "b", "a", B, RequestVoteResponse(core.raft.term + pre, pre, True)), now)
+        core.receive(Envelope(G, "b", "a", B, VoteResponse(core.raft.term + pre, pre, True)), now)
         core.saved(core.ready(now), now)
     assert core.raft.leads and not core.leads
     core.receive(
@@ -203,7 +203,7 @@
     core.tick(now)
     core.saved(core.ready(now), now)
     for pre in (True, False):
-        core.receive(Envelope(G, "b", "a", B, RequestVoteResponse(core.raft.term + pre, pre, True)), now)
+        core.receive(Envelope(G, "b", "a", B, VoteResponse(core.raft.term + pre, pre, True)), now)
         core.saved(core.ready(now), now)
     core.receive(
         Envelope(G, "b", "a", B, AppendEntriesResponse(core.raft.term, True, 4, core.raft.rounds.round_number)), now
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -22,7 +22,7 @@
     GroupId,
     RaftSnapshot,
     RequestVote,
-    RequestVoteResponse,
+    VoteResponse,
 )
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
@@ -154,8 +154,8 @@
 def test_delayed_votes_do_not_establish_contact():
     raft = Raft("a", Log(RaftSnapshot(G, 0, 0, ClusterConfiguration(ADDRESSES), []), []), 0, "", random.Random(1), 0.0)
     raft.tick(5.0)
-    raft.receive("b", RequestVoteResponse(1, True, True), 5.0)
-    raft.receive("b", RequestVoteResponse(1, False, True), 5.9)
+    raft.receive("b", VoteResponse(1, True, True), 5.0)
+    raft.receive("b", VoteResponse(1, False, True), 5.9)
     raft.ready(5.9)
     assert raft.leads and raft.last_quorum_contact() == NO_STAMP
     raft.receive("b", AppendEntriesResponse(1, True, 0, raft.rounds.round_number, 5.95), 7.0)
@@ -225,7 +225,7 @@
     core.tick(5.0)
     for pre in (True, False):
         core.saved(core.ready(5.0), 5.0)
-        core.receive(Envelope(G, "b", "a", ADDRESSES["b"], RequestVoteResponse(core.raft.term + pre, pre, True)), 5.0)
+        core.receive(Envelope(G, "b", "a", ADDRESSES["b"], VoteResponse(core.raft.term + pre, pre, True)), 5.0)
     core.saved(core.ready(5.0), 5.0)
     core.receive(
         Envelope(
@@ -266,9 +266,7 @@
     def votes_granted(now):
         raft.ready(now)
         raft.receive("c", RequestVote(2, True, 0, 0), now)
-        return [
-            message.granted for _, message in raft.ready(now).after_save if isinstance(message, RequestVoteResponse)
-        ]
+        return [message.granted for _, message in raft.ready(now).after_save if isinstance(message, VoteResponse)]
 
     assert votes_granted(1.1) == [False]
     raft.suspect_leader(1.1)
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -15,8 +15,8 @@
     GroupId,
     RaftSnapshot,
     RequestVote,
-    RequestVoteResponse,
     TimeoutNow,
+    VoteResponse,
     encode,
 )
 from mallowvalve.raft.raft import LEADER, Raft, RaftTimings
@@ -134,10 +134,10 @@
 def test_an_entry_of_an_earlier_term_commits_only_with_an_entry_of_the_current_term():
     member = make_member(entries=[entry(1, 1)], term=1)
     member.tick(9.0)
-    member.receive("n1", RequestVoteResponse(2, True, True), 9.0)
-    member.receive("n2", RequestVoteResponse(2, True, True), 9.0)
-    member.receive("n1", RequestVoteResponse(2, False, True), 9.0)
-    member.receive("n2", RequestVoteResponse(2, False, True), 9.0)
+    member.receive("n1", VoteResponse(2, True, True), 9.0)
+    member.receive("n2", VoteResponse(2, True, True), 9.0)
+    member.receive("n1", VoteResponse(2, False, True), 9.0)
+    member.receive("n2", VoteResponse(2, False, True), 9.0)
     assert member.role == LEADER and member.term == 2
     member.saved(member.ready(9.0))
     for member_id in ("n1", "n2"):
@@ -168,7 +168,7 @@
     member = make_member(voters=configuration_of("n0 n1 n2"))
     member.tick(9.0)
     for pre_vote in (True, False):
-        member.receive("n1", RequestVoteResponse(1, pre_vote, True), 9.0)
+        member.receive("n1", VoteResponse(1, pre_vote, True), 9.0)
     member.saved(member.ready(9.0))
     member.receive("n1", AppendEntriesResponse(1, True, 1, 1), 9.01)
     assert member.propose(COMMAND, b"x", 0) == 2
@@ -212,7 +212,7 @@
 
     member.tick(9.0)
     for pre_vote in (True, False):
-        member.receive("n1", RequestVoteResponse(1, pre_vote, True), 9.0)
+        member.receive("n1", VoteResponse(1, pre_vote, True), 9.0)
     assert send(9.0) == [("n2", 0), ("n1", 0)]
     member.propose(COMMAND, b"x", 0)
     assert send(9.02) == [("n1", 0)]
@@ -247,7 +247,7 @@
     for pre_vote in (True, False):
         for member_id in voters.all_voters():
             if member_id != "n0":
-                member.receive(member_id, RequestVoteResponse(term + 1, pre_vote, True), 9.0)
+                member.receive(member_id, VoteResponse(term + 1, pre_vote, True), 9.0)
     assert member.role == LEADER
     member.saved(member.ready(9.0))
     return member
@@ -281,14 +281,14 @@
     member.tick(9.0)
     assert {to for to, _ in member.ready(9.0).after_save} == {"n1", "n2", "n3", "n4"}
     for member_id in ("n1", "n2"):
-        member.receive(member_id, RequestVoteResponse(1, True, True), 9.0)
+        member.receive(member_id, VoteResponse(1, True, True), 9.0)
     assert member.term == 0
-    member.receive("n3", RequestVoteResponse(1, True, True), 9.0)
+    member.receive("n3", VoteResponse(1, True, True), 9.0)
     assert member.term == 1
     for member_id in ("n3", "n4"):
-        member.receive(member_id, RequestVoteResponse(1, False, True), 9.0)
+        member.receive(member_id, VoteResponse(1, False, True), 9.0)
     assert member.role != LEADER
-    member.receive("n1", RequestVoteResponse(1, False, True), 9.0)
+    member.receive("n1", VoteResponse(1, False, True), 9.0)
     assert member.role == LEADER
 
 
@@ -390,7 +390,7 @@
     member = make_member(voters=configuration_of("n0 n1 n2"))
     member.tick(9.0)
     for member_id in ("n3", "n4", "nobody"):
-        member.receive(member_id, RequestVoteResponse(1, True, True), 9.0)
+        member.receive(member_id, VoteResponse(1, True, True), 9.0)
     assert member.term == 0 and member.role != LEADER
     member = make_leader(configuration_of("n0 n1 n2"))
     for member_id in ("n3", "n4", "nobody"):
--- a/tests/test_raft_late.py
+++ b/tests/test_raft_late.py
@@ -4,7 +4,7 @@
     AppendEntries,
     AppendEntriesResponse,
     RequestVote,
-    RequestVoteResponse,
+    VoteResponse,
 )
 from tests.test_raft import FIVE, configuration_of, make_leader, make_member
 
@@ -28,7 +28,7 @@
         member.receive("n1", late, 5.9)
     member.ready(5.9)
     member.receive("n2", RequestVote(2, True, 0, 0), 6.1)
-    assert member.ready(6.1).after_save == [("n2", RequestVoteResponse(2, True, True))]
+    assert member.ready(6.1).after_save == [("n2", VoteResponse(2, True, True))]
     member.tick(7.1)
     assert member.role == "pre"
     member.receive("n1", AppendEntries(1, 0, 0, [], 0, 4), 7.1)
