--- a/mallowvalve/control/api.py
+++ b/mallowvalve/control/api.py
@@ -28,7 +28,7 @@
 
     def confirm(self, req: falcon.Request, resp: falcon.Response) -> ReplicatedSettings | None:
         """The settings, with all that was acknowledged before this call; None once the trouble was answered."""
-        if not page_offer.may_begin(self.task, req, resp):
+        if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
         t = self.task.read(2.0)
         state = self.task.core.state
@@ -39,7 +39,7 @@
 
     def offer(self, req: falcon.Request, resp: falcon.Response, c: Change | Evacuate | Strike) -> None:
         """Offers a command and answers with its outcome."""
-        if not page_offer.may_begin(self.task, req, resp):
+        if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
         t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
         if t.code != Code.OK:
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -16,8 +16,8 @@
 from mallowvalve.control import store, wire
 from mallowvalve.control.bootstrap import Decision, Found, Judge, Start, Wipe, decide, heard_enough, sources
 from mallowvalve.control.leave import Leave
-from mallowvalve.control.snapshot import founding
-from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS
+from mallowvalve.control.snapshot import initial_snapshot
+from mallowvalve.control.snapshot_fetch import BASE_SNAPSHOT, CURRENT_SNAPSHOT, SETTINGS_SNAPSHOT
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.membership.wire import ALIVE
 from mallowvalve.metrics import change
@@ -115,9 +115,9 @@
                 whole=v.base.holds_all if v.base else None,
                 settings=str(v.further.addr) if v.further else None,
             )
-            self._begin(founding(group, v.voters, base), None)
+            self._begin(initial_snapshot(group, v.voters, base), None)
         elif isinstance(v, Start):
-            r = self.control.puller.pull(v.source.addr, BASE)
+            r = self.control.snapshot_exchange.fetch(v.source.addr, BASE_SNAPSHOT)
             if r.is_ok():
                 self._begin(*r.ok_value)
         elif isinstance(v, Wipe):
@@ -142,7 +142,7 @@
             return Err(f"{v.base.addr} did not hand over its state")
         group = GroupId(v.generation, uuid.uuid4().hex[:ID])
         change("founding_by_operator", generation=v.generation, base=str(v.base.addr), index=base.index)
-        self._begin(founding(group, v.voters, base), None)
+        self._begin(initial_snapshot(group, v.voters, base), None)
         return Ok(v)
 
     def _fetch_state(self, v: Found) -> ReplicatedState | None:
@@ -155,8 +155,10 @@
     def _fetch_held(self, w: wire.ProcessStatus | None) -> ReplicatedState | None:
         if w is None:
             return None
-        what = NOW if w.holds_all else SETTINGS
-        r = self.control.puller.pull(w.addr, what, lambda offered: (offered.group, offered.index) >= (w.group, w.index))
+        what = CURRENT_SNAPSHOT if w.holds_all else SETTINGS_SNAPSHOT
+        r = self.control.snapshot_exchange.fetch(
+            w.addr, what, lambda offered: (offered.group, offered.index) >= (w.group, w.index)
+        )
         return r.ok_value[1] if r.is_ok() else None
 
     def _begin(self, p: RaftSnapshot, s: ReplicatedState | None) -> None:
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -17,7 +17,7 @@
 from mallowvalve.control.outcome import WITHOUT_EFFECT, Code
 from mallowvalve.control.replication import ParkedRequests, ReplicationSource
 from mallowvalve.control.settings_log import SettingsLog
-from mallowvalve.control.snapshot import cut, cut_settings, load
+from mallowvalve.control.snapshot import decode_snapshot, encode_pieces, encode_settings_pieces
 from mallowvalve.control.state import (
     UNDECODABLE_FINDINGS,
     Change,
@@ -143,7 +143,7 @@
         self.raft = Raft(
             self.id, Log(snapshot, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit_index
         )
-        self.state = loaded_state or load(snapshot.state, snapshot.group.generation)
+        self.state = loaded_state or decode_snapshot(snapshot.state, snapshot.group.generation)
         self.state.index = snapshot.index
         self._base_index = snapshot.index
         self._settings_log = SettingsLog(self.state.settings_index)
@@ -301,13 +301,13 @@
             return None
         if self.state.index < self.raft.log.snapshot_index:
             return self.raft.log.snapshot, iter(self.raft.log.snapshot.state)
-        return self._snapshot_header(), cut(self.state)
+        return self._snapshot_header(), encode_pieces(self.state)
 
     def settings_snapshot(self) -> tuple[RaftSnapshot, Iterator[bytes]] | None:
         """Returns a snapshot of the settings part of the current state, as `snapshot` does."""
         if self.raft is None or self.state.index < self.raft.log.snapshot_index:
             return None
-        return self._snapshot_header(), cut_settings(self.state)
+        return self._snapshot_header(), encode_settings_pieces(self.state)
 
     def _snapshot_header(self) -> RaftSnapshot:
         """Returns the header of a snapshot of the current state, without pieces."""
--- a/mallowvalve/control/fetched_state.py
+++ b/mallowvalve/control/fetched_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mallowvalve.control.snapshot import load
+from mallowvalve.control.snapshot import decode_snapshot
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.raft.messages import GroupId, RaftSnapshot
 
@@ -25,6 +25,6 @@
         group, index, state = self._kept or (None, 0, None)
         self._kept = None
         if state is None or (group, index) != (snapshot.group, snapshot.index):
-            state = load(snapshot.state, snapshot.group.generation)
+            state = decode_snapshot(snapshot.state, snapshot.group.generation)
         state.index = snapshot.index
         return state
--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -15,19 +15,19 @@
 from mallowvalve.coordination.state import KeyedResult, KeyedResultCode, Lock, Next, Put, Renew, Unlock
 from mallowvalve.finding import Finding
 
-LIMIT = 3.0
-WATCH_MOST = 25.0
-VALUE_MOST = 65536
-HOLDER_MOST = 200
-HOLD_LEAST_MS, HOLD_MOST_MS = 100, 600_000
-STATUS = {
+CALL_TIMEOUT_S = 3.0
+MAX_WATCH_WAIT_S = 25.0
+MAX_VALUE_CHARACTERS = 65536
+MAX_HOLDER_CHARACTERS = 200
+MIN_HOLD_MS, MAX_HOLD_MS = 100, 600_000
+HTTP_STATUS = {
     KeyedResultCode.OK: 200,
     KeyedResultCode.HELD: 409,
     KeyedResultCode.CONFLICT: 409,
     KeyedResultCode.LOST: 410,
     KeyedResultCode.MISSING: 404,
 }
-_said = msgspec.msgpack.Decoder(KeyedResult).decode
+_decode_result = msgspec.msgpack.Decoder(KeyedResult).decode
 
 
 class CoordinationDoc(msgspec.Struct):
@@ -40,27 +40,27 @@
     base: int | None = None
 
 
-class Coordination(Api):
+class KeyedResource(Api):
     """What these pages share."""
 
     def run(self, req, resp, c) -> None:
         """Offers a command and answers with what became of it."""
-        if not page_offer.may_begin(self.task, req, resp):
+        if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
+        t = page_offer.offer(self.task, req, encode(c), CALL_TIMEOUT_S, ATTEMPT)
         if not t.body:
             return self.reject(req, resp, t)
-        s = _said(t.body)
+        s = _decode_result(t.body)
         body = {"code": s.code, "revision": t.revision}
         if s.code is KeyedResultCode.HELD:
             body |= {"holder": s.holder, "retry_ms": s.number}
             resp.set_header("Retry-After", str(max(1, s.number // 1000)))
         else:
             body["number"] = s.number
-        web.say(resp, body, STATUS[s.code])
+        web.say(resp, body, HTTP_STATUS[s.code])
 
 
-class Locks(Coordination):
+class KeyedLocks(KeyedResource):
     """Take, renew and free locks."""
 
     def on_post(self, req, resp, name: str, act: str) -> None:
@@ -69,7 +69,7 @@
         key = self.key(req, resp) if d is not None and self.named(req, resp, name) else None
         if key is None:
             return
-        if not d.holder or len(d.holder) > HOLDER_MOST or not HOLD_LEAST_MS <= d.ttl_ms <= HOLD_MOST_MS:
+        if not d.holder or len(d.holder) > MAX_HOLDER_CHARACTERS or not MIN_HOLD_MS <= d.ttl_ms <= MAX_HOLD_MS:
             found = [Finding("holder, ttl_ms", "want a holder of at most 200 characters and 100 to 600000 ms")]
             return web.turn_away(req, resp, 400, found)
         match act:
@@ -83,7 +83,7 @@
                 web.turn_away(req, resp, 404, [Finding("path", "want take, renew or free")])
 
 
-class Numbers(Coordination):
+class KeyedNumbers(KeyedResource):
     """Numbers that only rise."""
 
     def on_post(self, req, resp, name: str) -> None:
@@ -93,7 +93,7 @@
             self.run(req, resp, Next(name, key))
 
 
-class Keys(Coordination):
+class KeyedValues(KeyedResource):
     """Keys with values."""
 
     def on_get(self, req, resp, name: str) -> None:
@@ -110,8 +110,10 @@
         d = web.read_as(CoordinationDoc, req, resp, 1 << 20)
         if d is None:
             return
-        if d.value is None or len(d.value) > VALUE_MOST:
-            return web.turn_away(req, resp, 400, [Finding("value", f"want text of at most {VALUE_MOST} characters")])
+        if d.value is None or len(d.value) > MAX_VALUE_CHARACTERS:
+            return web.turn_away(
+                req, resp, 400, [Finding("value", f"want text of at most {MAX_VALUE_CHARACTERS} characters")]
+            )
         self._put(req, resp, name, d.value, d.base)
 
     def on_delete(self, req, resp, name: str) -> None:
@@ -124,14 +126,14 @@
             self.run(req, resp, Put(name, value, base, key))
 
 
-class Watch(Api):
+class KeyedWatch(Api):
     """Changes of keys since a revision."""
 
     def on_get(self, req, resp) -> None:
         """Answers as soon as there are some, or after the caller's wait."""
         since = req.get_param_as_int("since", required=True, min_value=0)
         prefix = req.get_param("prefix") or ""
-        end = clock.now() + min(WATCH_MOST, (req.get_param_as_int("wait_ms") or 0) / 1000)
+        end = clock.now() + min(MAX_WATCH_WAIT_S, (req.get_param_as_int("wait_ms") or 0) / 1000)
         if self.confirm(req, resp) is None:
             return
         while True:
@@ -160,7 +162,7 @@
 
 def add_routes(app, task) -> None:
     """Adds these pages."""
-    app.add_route("/locks/{name}/{act}", Locks(task))
-    app.add_route("/numbers/{name}", Numbers(task))
-    app.add_route("/keys/{name}", Keys(task))
-    app.add_route("/watch", Watch(task))
+    app.add_route("/locks/{name}/{act}", KeyedLocks(task))
+    app.add_route("/numbers/{name}", KeyedNumbers(task))
+    app.add_route("/keys/{name}", KeyedValues(task))
+    app.add_route("/watch", KeyedWatch(task))
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -14,42 +14,42 @@
 from mallowvalve.control.state import Evacuate, encode
 from mallowvalve.finding import Finding, Findings
 
-CALL_BYTES = 8 << 20
-EFFECT = 1.0
+MAX_BODY_BYTES = 8 << 20
+EVACUATION_EFFECT_LIMIT_S = 1.0
 """Evacuations have no version: a caller that got no answer for this long (s) calls another process, and what it was
 answered there must not be undone by what it said here."""
-STANDS = 0.2
+CONNECTION_CHECK_DELAY_S = 0.2
 """How long (s) the caller's connection must have stood before an evacuation is offered for it. A call that lay on a
 silent link comes after its caller closed the connection, and the connection's end follows one round trip later."""
-_findings = msgspec.msgpack.Decoder(Findings).decode
+_decode_findings = msgspec.msgpack.Decoder(Findings).decode
 
 
-def _refusal(items: Items, c: Amend) -> tuple[int, Findings] | None:
+def _find_rejection(items: Items, c: Amend) -> tuple[int, Findings] | None:
     """The status and findings of a call that these items refuse."""
-    turn = items.evaluate(c)
-    if turn.found:
-        return 400, turn.found
-    return (409, turn.conflicts) if turn.conflicts else None
+    set_evacuated = items.evaluate(c)
+    if set_evacuated.found:
+        return 400, set_evacuated.found
+    return (409, set_evacuated.conflicts) if set_evacuated.conflicts else None
 
 
-class ItemApi(Api):
+class ItemResource(Api):
     """What these pages share."""
 
     def offer(self, req, resp, c: Amend | Evacuate, effect: float | None = None) -> None:
         """Offers a command; it takes effect within `effect` seconds or never, where that is given."""
-        if not page_offer.may_begin(self.task, req, resp):
+        if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
         t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT, effect)
         if t.code == Code.INVALID:
-            return web.turn_away(req, resp, 400, _findings(t.body))
+            return web.turn_away(req, resp, 400, _decode_findings(t.body))
         if t.code == Code.CONFLICT:
-            return web.turn_away(req, resp, 409, _findings(t.body))
+            return web.turn_away(req, resp, 409, _decode_findings(t.body))
         if t.code != Code.OK:
             return self.reject(req, resp, t)
         web.say(resp, {"revision": t.revision})
 
 
-class ItemsView(ItemApi):
+class ItemsView(ItemResource):
     """All items."""
 
     def on_get(self, req, resp) -> None:
@@ -57,26 +57,26 @@
         if self.confirm(req, resp) is None:
             return
         items = self.task.core.state.items
-        web.say(resp, {kind: self._laid_out(items, kind) for kind in items.kinds()})
+        web.say(resp, {kind: self._documents(items, kind) for kind in items.kinds()})
 
-    def _laid_out(self, items: Items, kind: str):
+    def _documents(self, items: Items, kind: str):
         held = items.current_documents(kind)
         alone = kind == LIMITS_KIND or (kind, "") in items.rows
         return held if not alone else held[0] if held else {}
 
     def on_patch(self, req, resp) -> None:
         """What this node finds wrong may only be news it has not heard yet; the leader's state has the last word."""
-        body = web.body_of(req, CALL_BYTES)
+        body = web.body_of(req, MAX_BODY_BYTES)
         if body is None:
-            return web.turn_away(req, resp, 413, [Finding("body", f"larger than {CALL_BYTES} bytes")])
+            return web.turn_away(req, resp, 413, [Finding("body", f"larger than {MAX_BODY_BYTES} bytes")])
         r = parse_amend(body)
         if r.is_err():
             return web.turn_away(req, resp, 400, r.err_value)
         c, s = r.ok_value, self.task.core.state
-        if s is not None and _refusal(s.items, c) is not None:
+        if s is not None and _find_rejection(s.items, c) is not None:
             if self.confirm(req, resp) is None:
                 return
-            refusal = _refusal(self.task.core.state.items, c)
+            refusal = _find_rejection(self.task.core.state.items, c)
             if refusal is not None:
                 return web.turn_away(req, resp, *refusal)
         elif s is not None and not s.items.has_newer(c):
@@ -84,18 +84,18 @@
         self.offer(req, resp, c)
 
 
-class EvacuatedZone(ItemApi):
+class EvacuatedZone(ItemResource):
     """One zone's evacuation."""
 
     def on_post(self, req, resp, zone: str) -> None:
         """Nothing more is to be sent to the zone."""
-        self.turn(req, resp, zone, True)
+        self.set_evacuated(req, resp, zone, True)
 
     def on_delete(self, req, resp, zone: str) -> None:
         """The zone is given back."""
-        self.turn(req, resp, zone, False)
+        self.set_evacuated(req, resp, zone, False)
 
-    def turn(self, req, resp, zone: str, on: bool) -> None:
+    def set_evacuated(self, req, resp, zone: str, on: bool) -> None:
         """Evacuates the zone or gives it back, if the caller still waits after `STANDS`."""
         if zone not in self.task.node.settings.zones:
             s = self.confirm(req, resp)
@@ -104,8 +104,8 @@
             known = {z for r in self.task.tree().doc.regions.values() for z in r.zones}
             if zone not in known and zone not in s.evacuated:
                 return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {zone[:200]!r}")])
-        gevent.sleep(STANDS)
-        self.offer(req, resp, Evacuate(zone, on), EFFECT - STANDS)
+        gevent.sleep(CONNECTION_CHECK_DELAY_S)
+        self.offer(req, resp, Evacuate(zone, on), EVACUATION_EFFECT_LIMIT_S - CONNECTION_CHECK_DELAY_S)
 
 
 def add_routes(app, task) -> None:
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -20,7 +20,7 @@
 from mallowvalve.planner.plan import Seen, plan
 from mallowvalve.types import Address
 
-CONFIG_BYTES = 8 << 20
+MAX_CONFIG_BYTES = 8 << 20
 
 
 class ConfigDoc(msgspec.Struct):
@@ -45,7 +45,7 @@
     base: int | None = None
 
 
-def patched(s: ReplicatedSettings, patch: list[dict]) -> Result[dict, Findings]:
+def apply_patch(s: ReplicatedSettings, patch: list[dict]) -> Result[dict, Findings]:
     """The document with the patch on it, or what is wrong with the patch."""
     try:
         doc = jsonpatch.apply_patch(msgspec.json.decode(s.doc), patch)
@@ -66,14 +66,14 @@
 
     def on_put(self, req, resp) -> None:
         """Replaces the document."""
-        d = web.read_as(ConfigDoc, req, resp, CONFIG_BYTES)
+        d = web.read_as(ConfigDoc, req, resp, MAX_CONFIG_BYTES)
         key = self.key(req, resp) if d is not None else None
         if key is not None:
             self.apply(req, resp, Change(d.base, msgspec.json.encode(d.doc), key), d.doc)
 
     def on_patch(self, req, resp) -> None:
         """Changes the document by a JSON patch."""
-        d = web.read_as(PatchDoc, req, resp, CONFIG_BYTES)
+        d = web.read_as(PatchDoc, req, resp, MAX_CONFIG_BYTES)
         key = self.key(req, resp) if d is not None else None
         s = self.confirm(req, resp) if key is not None else None
         if s is None:
@@ -84,7 +84,7 @@
             return self.offer(req, resp, c)
         if d.base != s.doc_revision:
             return self.reject(req, resp, CommandResponse(Code.CONFLICT, s.doc_revision))
-        doc = patched(s, d.patch)
+        doc = apply_patch(s, d.patch)
         if doc.is_err():
             return web.turn_away(req, resp, 422, doc.err_value)
         self.apply(req, resp, msgspec.structs.replace(c, doc=msgspec.json.encode(doc.ok_value)), doc.ok_value)
@@ -102,7 +102,7 @@
 
     def on_post(self, req, resp) -> None:
         """What the change would move."""
-        d = web.read_as(PlanDoc, req, resp, CONFIG_BYTES)
+        d = web.read_as(PlanDoc, req, resp, MAX_CONFIG_BYTES)
         if d is None:
             return
         if (d.doc is None) == (d.patch is None):
@@ -114,7 +114,7 @@
             return
         if d.base not in (None, s.doc_revision):
             return self.reject(req, resp, CommandResponse(Code.CONFLICT, s.doc_revision))
-        doc = Ok(d.doc) if d.patch is None else patched(s, d.patch)
+        doc = Ok(d.doc) if d.patch is None else apply_patch(s, d.patch)
         new = doc.and_then(self.task.check)
         if new.is_err():
             return web.turn_away(req, resp, 422, new.err_value)
@@ -172,7 +172,7 @@
         self.offer(req, resp, Strike(Address.read(d.proxy).ok_value, seat.boot, key))
 
 
-RISK = "changes acknowledged by voters that cannot be reached may be lost"
+RISK_STATEMENT = "changes acknowledged by voters that cannot be reached may be lost"
 
 
 class RiskDoc(msgspec.Struct):
@@ -181,7 +181,7 @@
     accept: str
 
 
-class FoundAnew(Api):
+class ForcedBootstrap(Api):
     """A founding by an operator's word, in place of proof that the old voters are gone for good."""
 
     def on_post(self, req, resp) -> None:
@@ -189,8 +189,8 @@
         d = web.read_as(RiskDoc, req, resp)
         if d is None:
             return
-        if d.accept != RISK:
-            return web.turn_away(req, resp, 400, [Finding("accept", f"must say: {RISK}")])
+        if d.accept != RISK_STATEMENT:
+            return web.turn_away(req, resp, 400, [Finding("accept", f"must say: {RISK_STATEMENT}")])
         r = self.task.founder.found_anew()
         if r.is_err():
             return web.turn_away(req, resp, 409, [Finding("control", r.err_value)])
@@ -234,6 +234,6 @@
     app.add_route("/evacuations", Evacuations(task))
     app.add_route("/leader", Leader(task))
     app.add_route("/strikes", Strikes(task))
-    app.add_route("/found-anew", FoundAnew(task))
+    app.add_route("/found-anew", ForcedBootstrap(task))
     http_items.add_routes(app, task)
     http_coordination.add_routes(app, task)
--- a/mallowvalve/control/http_plain.py
+++ b/mallowvalve/control/http_plain.py
@@ -27,13 +27,13 @@
 )
 from mallowvalve.finding import Finding, Findings
 
-LIMIT, ATTEMPT = 0.85, 0.6
-PAUSE, LOOK = 0.04, 0.01
-WATCH_MOST = 30.0
-NAME_MOST, VALUE_MOST, HOLD_MOST = 200, 64 << 10, 600_000
-BODY_MOST = 8 * VALUE_MOST
-NUMBER_MOST = 1 << 62
-_word = msgspec.msgpack.Decoder(PlainResult).decode
+CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S = 0.85, 0.6
+RETRY_PAUSE_S, WATCH_POLL_INTERVAL_S = 0.04, 0.01
+MAX_WATCH_WAIT_S = 30.0
+MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, MAX_HOLD_MS = 200, 64 << 10, 600_000
+MAX_BODY_BYTES = 8 * MAX_VALUE_BYTES
+NUMBER_UPPER_BOUND = 1 << 62
+decode_plain_result = msgspec.msgpack.Decoder(PlainResult).decode
 
 
 class TakeDoc(msgspec.Struct):
@@ -65,29 +65,29 @@
     base: int | None = None
 
 
-def names(text: str) -> bool:
+def is_valid_name(text: str) -> bool:
     """Whether the text may be a name."""
-    return 0 < len(text) <= NAME_MOST and text.isprintable()
+    return 0 < len(text) <= MAX_NAME_CHARACTERS and text.isprintable()
 
 
-def check(name: str, d: msgspec.Struct | None = None) -> Findings:
+def find_errors(name: str, d: msgspec.Struct | None = None) -> Findings:
     """What is wrong with a name and a body."""
     found = []
-    if not names(name):
-        found.append(Finding("name", f"want 1 to {NAME_MOST} printable characters"))
-    if not names(getattr(d, "holder", "x")):
-        found.append(Finding("holder", f"want 1 to {NAME_MOST} printable characters"))
-    if not 0 < getattr(d, "hold_ms", 1) <= HOLD_MOST:
-        found.append(Finding("hold_ms", f"want more than 0, at most {HOLD_MOST}"))
-    if len(getattr(d, "value", "").encode()) > VALUE_MOST:
-        found.append(Finding("value", f"want at most {VALUE_MOST} bytes"))
+    if not is_valid_name(name):
+        found.append(Finding("name", f"want 1 to {MAX_NAME_CHARACTERS} printable characters"))
+    if not is_valid_name(getattr(d, "holder", "x")):
+        found.append(Finding("holder", f"want 1 to {MAX_NAME_CHARACTERS} printable characters"))
+    if not 0 < getattr(d, "hold_ms", 1) <= MAX_HOLD_MS:
+        found.append(Finding("hold_ms", f"want more than 0, at most {MAX_HOLD_MS}"))
+    if len(getattr(d, "value", "").encode()) > MAX_VALUE_BYTES:
+        found.append(Finding("value", f"want at most {MAX_VALUE_BYTES} bytes"))
     for field in ("token", "base"):
-        if not 0 <= (getattr(d, field, 0) or 0) < NUMBER_MOST:
+        if not 0 <= (getattr(d, field, 0) or 0) < NUMBER_UPPER_BOUND:
             found.append(Finding(field, "out of range"))
     return found
 
 
-class Page:
+class PlainResource:
     """What these pages share."""
 
     def __init__(self, task: ControlTask):
@@ -96,32 +96,32 @@
 
     def read_as(self, kind: type, req, resp, name: str):
         """The checked body, or None once the findings were answered."""
-        d = web.read_as(kind, req, resp, BODY_MOST)
+        d = web.read_as(kind, req, resp, MAX_BODY_BYTES)
         if d is None:
             return None
-        found = check(name, d)
+        found = find_errors(name, d)
         return web.reject(resp, 400, web.NOT_RUN, found) if found else d
 
     def run(self, req, resp, c: Take | Extend | Free | Count | Write) -> PlainResult | None:
         """What was said to the command, or None once the trouble was answered; may offer it more than once."""
-        if not page_offer.may_begin(self.task, req, resp):
+        if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
-        return _word(t.body) if t.code == Code.OK else self.reject(resp, t)
+        t = page_offer.offer(self.task, req, encode(c), CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
+        return decode_plain_result(t.body) if t.code == Code.OK else self.reject(resp, t)
 
     def confirm(self, req, resp) -> PlainCoordination | None:
         """The state with all that was acknowledged before this call, or None once the trouble was answered."""
-        if not page_offer.may_begin(self.task, req, resp):
+        if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
-        end, t = clock.now() + LIMIT, CommandResponse(Code.LEADER)
+        end, t = clock.now() + CALL_TIMEOUT_S, CommandResponse(Code.LEADER)
         while (left := end - clock.now()) > 0:
-            t = self.task.read(min(left, ATTEMPT))
+            t = self.task.read(min(left, ATTEMPT_TIMEOUT_S))
             s: ReplicatedState | None = self.task.core.state
             if t.code == Code.OK and s is not None:
                 return s.plain
             if web.client_left(req):
                 break
-            gevent.sleep(min(PAUSE, max(0.0, end - clock.now())))
+            gevent.sleep(min(RETRY_PAUSE_S, max(0.0, end - clock.now())))
         return self.reject(resp, t)
 
     def reject(self, resp, t: CommandResponse) -> None:
@@ -131,7 +131,7 @@
         web.reject(resp, 504, web.UNDECIDED, [Finding("control", "not confirmed in time: say it again")], 1)
 
 
-class Locks(Page):
+class PlainLocks(PlainResource):
     """Locks by name."""
 
     def on_post(self, req, resp, name: str) -> None:
@@ -139,32 +139,32 @@
         d = self.read_as(TakeDoc, req, resp, name)
         w = self.run(req, resp, Take(name, d.holder, d.hold_ms)) if d is not None else None
         if w is not None:
-            self._say(resp, w, {"token": w.number})
+            self._answer(resp, w, {"token": w.number})
 
     def on_put(self, req, resp, name: str) -> None:
         """Holds a lock longer, under its token."""
         d = self.read_as(ExtendDoc, req, resp, name)
         w = self.run(req, resp, Extend(name, d.holder, d.token, d.hold_ms)) if d is not None else None
         if w is not None:
-            self._say(resp, w, {})
+            self._answer(resp, w, {})
 
     def on_delete(self, req, resp, name: str) -> None:
         """Gives a lock back; the answer is the same whether it was held or not."""
         d = self.read_as(FreeDoc, req, resp, name)
         w = self.run(req, resp, Free(name, d.holder, d.token)) if d is not None else None
         if w is not None:
-            self._say(resp, w, {})
+            self._answer(resp, w, {})
 
-    def _say(self, resp, w: PlainResult, body: dict) -> None:
+    def _answer(self, resp, w: PlainResult, body: dict) -> None:
         web.say(resp, body) if w.code is PlainResultCode.OK else web.say(resp, {"code": w.code}, 409)
 
 
-class Numbers(Page):
+class PlainNumbers(PlainResource):
     """Numbers that only rise."""
 
     def on_post(self, req, resp, name: str) -> None:
         """The next number of a name."""
-        found = check(name)
+        found = find_errors(name)
         if found:
             return web.reject(resp, 400, web.NOT_RUN, found)
         w = self.run(req, resp, Count(name))
@@ -172,12 +172,12 @@
             web.say(resp, {"value": w.number})
 
 
-class Cells(Page):
+class PlainCells(PlainResource):
     """Keys with values."""
 
     def on_get(self, req, resp, name: str) -> None:
         """A confirmed read."""
-        found = check(name)
+        found = find_errors(name)
         if found:
             return web.reject(resp, 400, web.NOT_RUN, found)
         plain = self.confirm(req, resp)
@@ -196,79 +196,79 @@
             web.say(resp, {"revision": w.number}, 200 if w.code is PlainResultCode.OK else 412)
 
 
-class Bell:
+class WatchNotifier:
     """Wakes watchers when a put was applied: one look each `LOOK` seconds for all of them, none while nobody waits."""
 
-    __slots__ = ("_task", "_waits", "_job")
+    __slots__ = ("_task", "_watchers", "_job")
 
     def __init__(self, task: ControlTask):
         """Nobody waits yet."""
         self._task = task
-        self._waits: dict[Event, tuple[str, int]] = {}
+        self._watchers: dict[Event, tuple[str, int]] = {}
         self._job = None
 
     def wait(self, group: str, after: int, limit: float) -> None:
         """Returns when the group is above `after`, at the limit (s), or when the control process stops."""
-        rung = Event()
-        self._waits[rung] = group, after
+        wakeup = Event()
+        self._watchers[wakeup] = group, after
         if self._job is None:
             self._job = gevent.spawn(self._run)
         try:
-            rung.wait(timeout=max(0.0, limit))
+            wakeup.wait(timeout=max(0.0, limit))
         finally:
-            del self._waits[rung]
+            del self._watchers[wakeup]
 
     def _run(self) -> None:
         seen = None
-        while self._waits:
+        while self._watchers:
             s = self._task.core.state
             now = (s, s.plain.write_count) if s is not None else None
             if now is None or self._task.node.stopping.is_set():
-                self._ring(lambda group, after: True)
+                self._notify(lambda group, after: True)
             elif now != seen:
-                self._ring(lambda group, after: s.plain.revision(group) > after)
+                self._notify(lambda group, after: s.plain.revision(group) > after)
             seen = now
-            gevent.sleep(LOOK)
+            gevent.sleep(WATCH_POLL_INTERVAL_S)
         self._job = None
 
-    def _ring(self, due) -> None:
-        for rung, (group, after) in self._waits.items():
+    def _notify(self, due) -> None:
+        for wakeup, (group, after) in self._watchers.items():
             if due(group, after):
-                rung.set()
+                wakeup.set()
 
 
-class Watch(Page):
+class PlainWatch(PlainResource):
     """The puts of a group after a revision."""
 
     def __init__(self, task: ControlTask):
         """Pages of one control process."""
         super().__init__(task)
-        self.bell = Bell(task)
+        self.notifier = WatchNotifier(task)
 
     def on_get(self, req, resp, name: str) -> None:
         """Answers as soon as there are some, or after the caller's wait."""
-        end = clock.now() + min(WATCH_MOST, req.get_param_as_int("wait_ms", min_value=0, default=0) / 1000)
-        after = req.get_param_as_int("after", min_value=0, max_value=NUMBER_MOST, default=0)
-        found = check(name)
+        end = clock.now() + min(MAX_WATCH_WAIT_S, req.get_param_as_int("wait_ms", min_value=0, default=0) / 1000)
+        after = req.get_param_as_int("after", min_value=0, max_value=NUMBER_UPPER_BOUND, default=0)
+        found = find_errors(name)
         if not found and group_of(name) != name:
             found = [Finding("name", "want a group: up to and including the first dot")]
         if found:
             return web.reject(resp, 400, web.NOT_RUN, found)
-        plain = self._plain(req, resp, after)
+        plain = self._local_or_confirmed(req, resp, after)
         if plain is None:
             return
         if after == 0 and plain.revision(name):
             return web.say(resp, {"events": [], "revision": plain.revision(name)})
         self._watch(req, resp, plain, name, after, end)
 
-    def _plain(self, req, resp, after: int) -> PlainCoordination | None:
+    def _local_or_confirmed(self, req, resp, after: int) -> PlainCoordination | None:
         """What is known here, unless it may lag behind what was acknowledged: then a quorum is asked first."""
         s: ReplicatedState | None = self.task.core.state
         if s is not None and after and self.task.core.current(clock.now()):
             return s.plain
         return self.confirm(req, resp)
 
-    def _sure(
+    def _confirmed_if_stale(
         self, req, resp, plain: PlainCoordination, group: str, after: int, over: bool
     ) -> PlainCoordination | None:
         """What is known here; where that is no news and some may be missing, a quorum is asked first.
@@ -282,7 +282,7 @@
     def _watch(self, req, resp, plain: PlainCoordination, group: str, after: int, end: float) -> None:
         while True:
             over = clock.now() >= end or self.task.node.stopping.is_set()
-            plain = self._sure(req, resp, plain, group, after, over)
+            plain = self._confirmed_if_stale(req, resp, plain, group, after, over)
             if plain is None:
                 return
             got = plain.events_since(group, after)
@@ -291,8 +291,8 @@
             if got[0] or over:
                 if got[1] < after:
                     return web.reject(resp, 503, web.NOT_RUN, [Finding("after", f"held here up to {got[1]} only")], 0.2)
-                return web.say(resp, {"events": list(map(event, got[0])), "revision": got[1]})
-            self.bell.wait(group, after, min(LEASE_BOUNDS[AnswerKind.WATCH].seconds, end - clock.now()))
+                return web.say(resp, {"events": list(map(event_document, got[0])), "revision": got[1]})
+            self.notifier.wait(group, after, min(LEASE_BOUNDS[AnswerKind.WATCH].seconds, end - clock.now()))
             if web.client_left(req):
                 return web.reject(resp, 503, web.NOT_RUN, [Finding("watch", "its caller has closed the connection")])
             s: ReplicatedState | None = self.task.core.state
@@ -301,7 +301,7 @@
             plain = s.plain
 
 
-def event(p: KeyRevision) -> dict:
+def event_document(p: KeyRevision) -> dict:
     """A put as watchers are told of it."""
     return {"name": p.name, "value": p.value, "revision": p.revision}
 
@@ -309,7 +309,7 @@
 def add_routes(app, task: ControlTask, at: str) -> None:
     """`at` is the path prefix, such as /coordination."""
     at = at.rstrip("/")
-    app.add_route(at + "/locks/{name}", Locks(task))
-    app.add_route(at + "/numbers/{name}", Numbers(task))
-    app.add_route(at + "/cells/{name}", Cells(task))
-    app.add_route(at + "/watch/{name}", Watch(task))
+    app.add_route(at + "/locks/{name}", PlainLocks(task))
+    app.add_route(at + "/numbers/{name}", PlainNumbers(task))
+    app.add_route(at + "/cells/{name}", PlainCells(task))
+    app.add_route(at + "/watch/{name}", PlainWatch(task))
--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -20,13 +20,13 @@
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.registry import Upstream
 
-BODY_BYTES = 16384
-NAME, COLD_MS, SLOTS, SEQUENCE = 200, 3_600_000, 1_000_000, 1 << 62
-NOWHERE = Address("0.0.0.0", 0)
-address_of = lru_cache(4096)(Address.read)
+MAX_BODY_BYTES = 16384
+MAX_NAME_CHARACTERS, MAX_COLD_MS, MAX_SLOTS, MAX_SEQUENCE = 200, 3_600_000, 1_000_000, 1 << 62
+UNKNOWN_ADDRESS = Address("0.0.0.0", 0)
+parse_address = lru_cache(4096)(Address.read)
 
 
-class HeartbeatDoc(msgspec.Struct):
+class UpstreamHeartbeatDoc(msgspec.Struct):
     """Times in ms; `cold_ms` is how much longer it stays cold."""
 
     service: str
@@ -38,34 +38,34 @@
     cold_ms: float = 0.0
 
 
-decode = msgspec.json.Decoder(HeartbeatDoc).decode
-KNOWN = {f.name for f in fields(HeartbeatDoc)}
+decode_heartbeat = msgspec.json.Decoder(UpstreamHeartbeatDoc).decode
+KNOWN_FIELDS = {f.name for f in fields(UpstreamHeartbeatDoc)}
 
 
-def read(instance: str, body: bytes, zones: dict[str, str]) -> Result[Upstream, tuple[int, Findings]]:
+def parse_heartbeat(instance: str, body: bytes, zones: dict[str, str]) -> Result[Upstream, tuple[int, Findings]]:
     """A heartbeat as a row to be; else the status and every finding. Fields that nobody knows are passed over."""
     try:
-        d = decode(body)
+        d = decode_heartbeat(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return Err((400, _findings(body)))
     found = []
     for place, text in (("instance", instance), ("service", d.service)):
-        if not 0 < len(text) <= NAME or not text.isprintable():
-            found.append(Finding(place, f"want 1 to {NAME} printable characters"))
+        if not 0 < len(text) <= MAX_NAME_CHARACTERS or not text.isprintable():
+            found.append(Finding(place, f"want 1 to {MAX_NAME_CHARACTERS} printable characters"))
     for place, v, least, most in (
-        ("slots", d.slots, 1, SLOTS),
-        ("cold_ms", d.cold_ms, 0, COLD_MS),
-        ("sequence", d.sequence, 0, SEQUENCE),
+        ("slots", d.slots, 1, MAX_SLOTS),
+        ("cold_ms", d.cold_ms, 0, MAX_COLD_MS),
+        ("sequence", d.sequence, 0, MAX_SEQUENCE),
     ):
         if not least <= v <= most:
             found.append(Finding(place, f"want {least} to {most}"))
-    addr, loc = address_of(d.address), locality(d.zone, zones)
+    addr, loc = parse_address(d.address), resolve_locality(d.zone, zones)
     if addr.is_err():
         found.append(Finding("address", addr.err_value))
     if found:
         return Err((400, found))
     if loc is None:
-        return Err((422, [Finding("zone", f"no zone {d.zone[:NAME]!r}")]))
+        return Err((422, [Finding("zone", f"no zone {d.zone[:MAX_NAME_CHARACTERS]!r}")]))
     return Ok(
         Upstream(
             instance,
@@ -86,7 +86,7 @@
     return Locality.read(zone).ok()
 
 
-def locality(zone: str, zones: dict[str, str]) -> Locality | None:
+def resolve_locality(zone: str, zones: dict[str, str]) -> Locality | None:
     """By the zones this node was told of; one that was told of none takes REGION/ZONE."""
     if zone in zones:
         return Locality(zones[zone], zone)
@@ -98,12 +98,14 @@
     if doc.is_err():
         return doc.err_value
     if isinstance(doc.ok_value, dict):
-        doc = Ok({k: v for k, v in doc.ok_value.items() if k in KNOWN})
-    r = finding.read(HeartbeatDoc, doc.ok_value)
+        doc = Ok({k: v for k, v in doc.ok_value.items() if k in KNOWN_FIELDS})
+    r = finding.read(UpstreamHeartbeatDoc, doc.ok_value)
     return r.err_value if r.is_err() else [Finding("body", "not understood")]
 
 
-def heartbeat_at(controls: list[MemberRecord], me: MemberRecord, at: Locality, instance: str) -> Address | None:
+def preferred_control_address(
+    controls: list[MemberRecord], me: MemberRecord, at: Locality, instance: str
+) -> Address | None:
     """Where this upstream had better heartbeat: a control process of its zone or else region; None if it is here."""
     controls = [r for r in controls if r.state == ALIVE and r.ready and r.addr != me.addr]
     for d in (0, 1):
@@ -115,7 +117,7 @@
     return None
 
 
-class Heartbeats:
+class UpstreamResource:
     """Heartbeats and the ends of single upstreams."""
 
     def __init__(self, task, registry):
@@ -125,30 +127,32 @@
     def on_put(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
         """A heartbeat or a notice of leaving."""
         node = self.task.node
-        body = web.body_of(req, BODY_BYTES)
+        body = web.body_of(req, MAX_BODY_BYTES)
         if body is None:
-            return web.reject(resp, 413, web.NOT_RUN, [Finding("body", f"larger than {BODY_BYTES} bytes")])
-        r = read(instance, body, node.settings.zones)
+            return web.reject(resp, 413, web.NOT_RUN, [Finding("body", f"larger than {MAX_BODY_BYTES} bytes")])
+        r = parse_heartbeat(instance, body, node.settings.zones)
         if r.is_err():
             node.counts.add("heartbeat_refused")
             status, found = r.err_value
             return web.reject(resp, status, web.NOT_RUN, found)
         u = r.ok_value
         if not self.registry.heartbeat(u):
-            return self._unsure(req, resp)
+            return self._reject_unconfirmed(req, resp)
         membership = node.membership
-        to = heartbeat_at(membership.alive("control"), membership.membership.me, u.locality, instance)
+        to = preferred_control_address(membership.alive("control"), membership.membership.me, u.locality, instance)
         web.say(resp, {} if to is None else {"heartbeat_at": str(to)})
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
         """The upstream's end; acknowledged for one that is not known, too."""
-        if not 0 < len(instance) <= NAME or not instance.isprintable():
-            return web.reject(resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {NAME} printable characters")])
-        if not self.registry.gone(Upstream(instance, "", NOWHERE, Locality("", ""), 0, "gone")):
-            return self._unsure(req, resp)
+        if not 0 < len(instance) <= MAX_NAME_CHARACTERS or not instance.isprintable():
+            return web.reject(
+                resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {MAX_NAME_CHARACTERS} printable characters")]
+            )
+        if not self.registry.gone(Upstream(instance, "", UNKNOWN_ADDRESS, Locality("", ""), 0, "gone")):
+            return self._reject_unconfirmed(req, resp)
         web.say(resp, {})
 
-    def _unsure(self, req: falcon.Request, resp: falcon.Response) -> None:
+    def _reject_unconfirmed(self, req: falcon.Request, resp: falcon.Response) -> None:
         """Not acknowledged; safe to repeat, and better said to another where this process is out of touch."""
         if not self.task.core.may_answer(AnswerKind.HEARTBEAT, clock.now()):
             return redirect.reject_out_of_touch(self.task, req, resp)
@@ -156,7 +160,7 @@
         web.reject(resp, 503, web.UNDECIDED, found, RETRY_AFTER_S)
 
 
-class All:
+class UpstreamCollection:
     """The registry as this node has it."""
 
     def __init__(self, task, registry):
@@ -190,5 +194,5 @@
 
 def add_routes(app: falcon.App, task, registry) -> None:
     """Adds these pages."""
-    app.add_route("/upstreams", All(task, registry))
-    app.add_route("/upstreams/{instance}", Heartbeats(task, registry))
+    app.add_route("/upstreams", UpstreamCollection(task, registry))
+    app.add_route("/upstreams/{instance}", UpstreamResource(task, registry))
--- a/mallowvalve/control/page_offer.py
+++ b/mallowvalve/control/page_offer.py
@@ -18,11 +18,11 @@
 from mallowvalve.control.task import ControlTask
 from mallowvalve.control.wire import CommandResponse
 
-LEFT = CommandResponse(Code.LEADER)
+CLIENT_LEFT = CommandResponse(Code.LEADER)
 """What is said to a caller who has gone: nothing was offered."""
 
 
-def may_begin(task: ControlTask, req: falcon.Request, resp: falcon.Response) -> bool:
+def accept_or_redirect(task: ControlTask, req: falcon.Request, resp: falcon.Response) -> bool:
     """Whether a call that needs a majority may begin here; otherwise it was answered: 307, or 503 and when to come.
 
     Nothing was offered; but of a call with a key, an earlier try elsewhere may have run.
@@ -39,5 +39,5 @@
 ) -> CommandResponse:
     """As `ControlTask.offer` (s), but nothing is offered for a caller whose connection has ended."""
     if web.client_left(req):
-        return LEFT
+        return CLIENT_LEFT
     return task.offer(command, limit, attempt) if effect is None else task.offer(command, limit, attempt, effect)
--- a/mallowvalve/control/replica.py
+++ b/mallowvalve/control/replica.py
@@ -9,8 +9,8 @@
 
 from mallowvalve.configuration.build import EMPTY_TREE, build
 from mallowvalve.configuration.model import Tree
-from mallowvalve.control.snapshot import cut, cut_settings
-from mallowvalve.control.snapshot_transfer import Label, label
+from mallowvalve.control.snapshot import encode_pieces, encode_settings_pieces
+from mallowvalve.control.snapshot_transfer import SnapshotLabel, label_of
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.control.wire import ReplicationRequest, ReplicationResponse, RevisionQuery, RevisionReply
 from mallowvalve.metrics import Counts
@@ -183,7 +183,7 @@
         """Whether the group is of an older generation than the held one."""
         return self.group is not None and group.generation < self.group.generation
 
-    def is_behind(self, offered: Label) -> bool:
+    def is_behind(self, offered: SnapshotLabel) -> bool:
         """Whether the labelled snapshot is newer than the held state; one of an older generation is counted."""
         if self.group is None or offered.group.generation != self.group.generation:
             newer = self.group is None or offered.group.generation > self.group.generation
@@ -193,7 +193,7 @@
 
     def install(self, snapshot: RaftSnapshot, state: ReplicatedState) -> None:
         """Replaces the held state by a fetched one, unless the held one is as new by now."""
-        if not self.is_behind(label(snapshot)):
+        if not self.is_behind(label_of(snapshot)):
             return
         before = self.revision if self.group == snapshot.group else -1
         self.group, self.voters, self.state = snapshot.group, snapshot.configuration, state
@@ -204,13 +204,13 @@
         """Returns a snapshot of the whole state and an iterator that encodes its pieces lazily; None if not held."""
         if self.state is None or self.scope != "all":
             return None
-        return RaftSnapshot(self.group, self.state.index, 0, self.voters, []), cut(self.state)
+        return RaftSnapshot(self.group, self.state.index, 0, self.voters, []), encode_pieces(self.state)
 
     def settings_snapshot(self) -> tuple[RaftSnapshot, Iterator[bytes]] | None:
         """Returns a snapshot of the settings part of the held state; None if nothing is held."""
         if self.state is None:
             return None
-        return RaftSnapshot(self.group, self.state.index, 0, self.voters, []), cut_settings(self.state)
+        return RaftSnapshot(self.group, self.state.index, 0, self.voters, []), encode_settings_pieces(self.state)
 
     def _is_newer(self, reply: RevisionReply) -> bool:
         if reply.group != self.group:
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -17,9 +17,9 @@
 from mallowvalve.control import wire
 from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.replica import DEFAULT_MAX_WAIT_S, Replica
-from mallowvalve.control.sessions import Call, Session
-from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS, Puller
-from mallowvalve.control.snapshot_transfer import Label
+from mallowvalve.control.sessions import Session, SessionCall
+from mallowvalve.control.snapshot_fetch import BASE_SNAPSHOT, CURRENT_SNAPSHOT, SETTINGS_SNAPSHOT, SnapshotExchange
+from mallowvalve.control.snapshot_transfer import SnapshotLabel
 from mallowvalve.control.state import Change, decode_command
 from mallowvalve.finding import Findings
 from mallowvalve.metrics import change, vital
@@ -45,7 +45,7 @@
     __slots__ = (
         "node",
         "replica",
-        "puller",
+        "snapshot_exchange",
         "_jobs",
         "_rng",
         "_fetching",
@@ -64,7 +64,9 @@
         self.replica = Replica(p.transport, node.boot, p.role, p.locality, self._settings, p.holds, max_wait_s)
         self._rng = random.Random()
         self._fetching = False
-        self.puller = Puller(node.transport, self.replica.snapshot, settings=self.replica.settings_snapshot)
+        self.snapshot_exchange = SnapshotExchange(
+            node.transport, self.replica.snapshot, settings=self.replica.settings_snapshot
+        )
         self._met: Address | None = None
         self._shunned: dict[Address, float] = {}
         self._sought = -1e9
@@ -120,23 +122,23 @@
     def offer(self, command: bytes, limit: float) -> wire.CommandResponse:
         """Offers a command in short attempts, for a dead leader's machine answers nothing; all limits in s."""
         end = clock.now() + limit
-        call = Call(self._session, command, end)
+        call = SessionCall(self._session, command, end)
         while (left := end - clock.now()) > 0:
             to = self.control()
             if to is None:
                 gevent.sleep(min(0.05, left))
                 continue
             left = min(left, ATTEMPT)
-            data = call.data(self.replica.clock(now := clock.now()), now)
+            data = call.sealed_command(self.replica.clock(now := clock.now()), now)
             r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
             if r.is_err():
-                call.heard(wire.CommandResponse(Code.UNDECIDED), clock.now())
+                call.on_response(wire.CommandResponse(Code.UNDECIDED), clock.now())
                 self._forget(to)
                 gevent.sleep(min(0.05, left))
                 continue
-            t = call.heard(wire.decode_command_response(r.ok_value), clock.now())
+            t = call.on_response(wire.decode_command_response(r.ok_value), clock.now())
             if t.code not in RETRYABLE:
-                return call.ended(t, RETRYABLE)
+                return call.final_response(t, RETRYABLE)
             self.replica.leader = t.leader
             gevent.sleep(min(0.05, left))
         return wire.CommandResponse(Code.UNDECIDED)
@@ -201,7 +203,9 @@
         if f.group is None:
             return
         self._met = of
-        if f.needs_snapshot and not self._fetch(of, SETTINGS if self.replica.scope == "settings" else BASE):
+        if f.needs_snapshot and not self._fetch(
+            of, SETTINGS_SNAPSHOT if self.replica.scope == "settings" else BASE_SNAPSHOT
+        ):
             gevent.sleep(0.05)
 
     def _seek(self) -> None:
@@ -252,7 +256,9 @@
         to = [*self._controls()[: 2 * SEEK_MOST], *self._rng.sample(proxies, min(len(proxies), SEEK_MOST))]
         known = self._known(to, wait)
         for w in sorted(known, key=lambda w: (w.group.generation, w.index), reverse=True):
-            if self.replica.is_behind(Label(w.group, w.index, 0, w.voters, 0)) and self._fetch(w.addr, self._now):
+            if self.replica.is_behind(SnapshotLabel(w.group, w.index, 0, w.voters, 0)) and self._fetch(
+                w.addr, self._now
+            ):
                 return
 
     def _known(self, to: list[Address], wait: float | None) -> list[wire.ProcessStatus]:
@@ -281,10 +287,10 @@
 
     @property
     def _now(self) -> bytes:
-        return SETTINGS if self.replica.scope == "settings" else NOW
+        return SETTINGS_SNAPSHOT if self.replica.scope == "settings" else CURRENT_SNAPSHOT
 
     def _fetch(self, a: Address, what: bytes) -> bool:
-        r = self.puller.pull(a, what, self.replica.is_behind)
+        r = self.snapshot_exchange.fetch(a, what, self.replica.is_behind)
         if r.is_err():
             return False
         p, s = r.ok_value
--- a/mallowvalve/control/state.py
+++ b/mallowvalve/control/state.py
@@ -9,7 +9,7 @@
 
 from mallowvalve.configuration.items import Amend, Items
 from mallowvalve.control.outcome import Code, Outcome
-from mallowvalve.control.sessions import Sessions, body_at, encode_clock, unseal
+from mallowvalve.control.sessions import Sessions, command_offset, encode_clock, split_origin
 from mallowvalve.coordination.plain import Count, Extend, Free, PlainCoordination, Take, Write
 from mallowvalve.coordination.state import (
     KeyedCoordination,
@@ -97,7 +97,7 @@
 
 def decode_command(data: bytes) -> Command:
     """Decodes a command, with an origin or without; raises msgspec.DecodeError if it is none."""
-    return _decode(unseal(data)[1])
+    return _decode(split_origin(data)[1])
 
 
 UNDECODABLE_FINDINGS = encode([Finding("command", "not understood")])
@@ -115,7 +115,7 @@
 
 def command_tag(data: bytes) -> bytes:
     """Returns the tag of an encoded command without decoding it."""
-    start = body_at(data)
+    start = command_offset(data)
     return data[start + 2 : start + 2 + (data[start + 1] & 0x1F)] if len(data) > start + 1 else b""
 
 
@@ -218,17 +218,17 @@
         self.clock = max(self.clock, at)
         if not data:
             return Outcome(Code.OK, self.revision)
-        origin, body = unseal(data)
+        origin, body = split_origin(data)
         command = _decode(body)
         if origin is None:
             return self._apply_keyed(command)
         sessions = self.settings_sessions if isinstance(command, SETTINGS_COMMANDS) else self.sessions
-        outcome = sessions.judge(origin, at)
+        outcome = sessions.deduplicate(origin, at)
         if isinstance(outcome, Code):
             return Outcome(outcome, self.settings.revision, encode_clock(sessions.latest))
         if outcome is None:
             outcome = self._apply_keyed(command)
-            sessions.keep(origin, outcome)
+            sessions.store_outcome(origin, outcome)
         return outcome
 
     def _apply_keyed(self, command: Command) -> Outcome:
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -20,9 +20,9 @@
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.core import Core
 from mallowvalve.control.outcome import RETRYABLE, Code
-from mallowvalve.control.sessions import Call, Session
-from mallowvalve.control.snapshot_fetch import BASE, Puller, fill
-from mallowvalve.control.snapshot_transfer import Fetching
+from mallowvalve.control.sessions import Session, SessionCall
+from mallowvalve.control.snapshot_fetch import BASE_SNAPSHOT, SnapshotExchange, collect_pieces
+from mallowvalve.control.snapshot_transfer import FetchProgress
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.finding import Findings
 from mallowvalve.membership.wire import FAILED, LEFT
@@ -51,7 +51,7 @@
         "stalled",
         "_role_said",
         "_tree",
-        "puller",
+        "snapshot_exchange",
         "_saving",
         "_fetching",
         "_stored",
@@ -82,9 +82,11 @@
         self.stalled = False
         self._role_said = ""
         self._tree: tuple[int, Tree] = (0, EMPTY_TREE)
-        self.puller = Puller(node.transport, self.core.snapshot, self.core.base_snapshot, self.core.settings_snapshot)
+        self.snapshot_exchange = SnapshotExchange(
+            node.transport, self.core.snapshot, self.core.base_snapshot, self.core.settings_snapshot
+        )
         self._saving = False
-        self._fetching = Fetching()
+        self._fetching = FetchProgress()
         self._stored: dict[tuple[GroupId, int], str] = {}
         self.disk = RLock()
         self._waits: set[AsyncResult] = set()
@@ -138,16 +140,16 @@
         begun = clock.now()
         end, call, t = (
             begun + limit,
-            Call(self._session, command, begun + (effect or limit)),
+            SessionCall(self._session, command, begun + (effect or limit)),
             wire.CommandResponse(Code.LEADER),
         )
         while t.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._over:
-            data = call.data(self.core.clock.estimate(now), now)
-            t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
-            if t.code not in RETRYABLE or call.is_over(clock.now()):
+            data = call.sealed_command(self.core.clock.estimate(now), now)
+            t = call.on_response(self._offer_once(data, min(left, attempt)), clock.now())
+            if t.code not in RETRYABLE or call.has_expired(clock.now()):
                 break
             gevent.sleep(min(0.05, max(0.0, end - clock.now())))
-        return call.ended(t, RETRYABLE)
+        return call.final_response(t, RETRYABLE)
 
     def _offer_once(self, command: bytes, limit: float) -> wire.CommandResponse:
         """A control process that is blank or whose disk refuses holds no command back: another one is asked."""
@@ -244,15 +246,17 @@
             and self.core.raft
             and e.group == self.core.raft.group
             and e.body.snapshot.index > self.core.raft.commit_index
-            and self._fetching.announced(e.body.snapshot.index)
+            and self._fetching.on_announcement(e.body.snapshot.index)
         ):
             gevent.spawn(self._install, e)
 
     def _install(self, e: Envelope) -> None:
         """Fetches an announced snapshot by pieces, stores it beside the log, and only then shows it to the machine."""
         try:
-            r = self.puller.pull(
-                e.address, BASE, lambda offered: offered.group == e.group and offered.index >= e.body.snapshot.index
+            r = self.snapshot_exchange.fetch(
+                e.address,
+                BASE_SNAPSHOT,
+                lambda offered: offered.group == e.group and offered.index >= e.body.snapshot.index,
             )
             if r.is_err():
                 return self.node.counts.add("snapshots_not_fetched")
@@ -325,7 +329,7 @@
             self.persist(lambda: store.save(self.disk_log, r, self.core.raft.hard_state(), stored))
             self._send(group, r.after_save)
             self.core.saved(r, clock.now())
-            if self.disk_log.snapshot_due() and not self._saving and not self.puller.holds():
+            if self.disk_log.snapshot_due() and not self._saving and not self.snapshot_exchange.retains_log():
                 self._saving = True
                 gevent.spawn(self._compact, *self.core.snapshot())
         replies, self.core.replies = self.core.replies, []
@@ -354,7 +358,7 @@
 
     def _compact(self, p: RaftSnapshot, pieces: Iterator[bytes]) -> None:
         """Makes and stores a snapshot while the machine goes on; the log turns to it once it is safe."""
-        p = fill(p, pieces)
+        p = collect_pieces(p, pieces)
         name = self._store(p)
         if name is None:
             gevent.sleep(STORE_AGAIN)
--- a/sim/capacity.py
+++ b/sim/capacity.py
@@ -18,9 +18,9 @@
 from mallowvalve.configuration.build import build
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import wire
-from mallowvalve.control.http_upstreams import Heartbeats
+from mallowvalve.control.http_upstreams import UpstreamResource
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.snapshot import Loader, cut_settings, load
+from mallowvalve.control.snapshot import SnapshotLoader, decode_snapshot, encode_settings_pieces
 from mallowvalve.control.state import Change, Enrol, Evacuate, ReplicatedState, Seat, encode
 from mallowvalve.control.wire import ReplicationResponse
 from mallowvalve.coordination.state import Lock
@@ -170,10 +170,13 @@
     """The settings part of a state, given out and taken in whole."""
     for p in (part / 10, part):
         e = replica_of(int(UPSTREAMS * p), int(ROUTES * p))
-        pieces = list(cut_settings(e.state))
-        w = Loader()
+        pieces = list(encode_settings_pieces(e.state))
+        w = SnapshotLoader()
         steps = [spent(lambda: w.feed(x).unwrap(), 1e-9) for x in pieces]
-        out, back = spent(lambda: list(cut_settings(e.state)), 0.01), spent(lambda: load(pieces), 0.01)
+        out, back = (
+            spent(lambda: list(encode_settings_pieces(e.state)), 0.01),
+            spent(lambda: decode_snapshot(pieces), 0.01),
+        )
         swept = spent(gc.collect, 0.01)
         click.echo(
             f"snapshot {int(ROUTES * p)} routes, {int(UPSTREAMS * p)} rows: {sum(map(len, pieces)) / 1e6:.1f} MB in {len(pieces)} pieces, "
@@ -281,7 +284,7 @@
     node = SimpleNamespace(
         settings=SimpleNamespace(zones={}), counts=Counts(), membership=SimpleNamespace(alive=b.alive, membership=b)
     )
-    page = Heartbeats(
+    page = UpstreamResource(
         SimpleNamespace(node=node), SimpleNamespace(heartbeat=lambda u: h.heartbeat(u, r, 86_400_000, 1.0) is None)
     )
     app = web.make_app()
--- a/sim/catch_up.py
+++ b/sim/catch_up.py
@@ -85,7 +85,7 @@
 
 def play(kind: str, made: int, seed: int = 1, rate: float = RATE, slow: float = 0.02, rows: int = SLICE) -> Row:
     """One member's return; `slow` is the longest way of a message (s), `rows` how many a piece of a snapshot has."""
-    with patch.object(snapshot, "SLICE", rows):
+    with patch.object(snapshot, "MAX_ROWS_PER_PIECE", rows):
         return _play(kind, made, seed, rate, slow)
 
 
--- a/sim/control.py
+++ b/sim/control.py
@@ -9,9 +9,9 @@
 from mallowvalve.control.bootstrap_task import LEAVE_AGAIN, LEAVE_ASK
 from mallowvalve.control.core import Core
 from mallowvalve.control.leave import Leave, Why
-from mallowvalve.control.snapshot import founding
-from mallowvalve.control.snapshot_fetch import BASE, NOW
-from mallowvalve.control.snapshot_transfer import Fetching, read_want
+from mallowvalve.control.snapshot import initial_snapshot
+from mallowvalve.control.snapshot_fetch import BASE_SNAPSHOT, CURRENT_SNAPSHOT
+from mallowvalve.control.snapshot_transfer import FetchProgress, decode_piece_request
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.control.task import announced
 from mallowvalve.raft.messages import (
@@ -63,7 +63,7 @@
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
         self._busy = self._saving = self._joining = False
-        self._fetching = Fetching()
+        self._fetching = FetchProgress()
         self.left: Why | None = None
         self.shelf = SimShelf()
         self._box: list = []
@@ -94,7 +94,7 @@
             case "label":
                 answer(wire.encode(self._label(body)))
             case "piece":
-                answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
+                answer(wire.encode(self.shelf.get_piece(decode_piece_request(body), self.now)))
 
     def broken(self, peer: Address) -> None:
         """A peer's connections ended: the machine is told, as the daemon tells it."""
@@ -102,7 +102,7 @@
         self._put(lambda: self.core.peer_disconnected(peer, self.now))
 
     def _label(self, what: bytes):
-        if what == NOW:
+        if what == CURRENT_SNAPSHOT:
             return self.shelf.offer(self.core.snapshot(), self.now)
         p = self.core.base_snapshot()
         return self.shelf.put(p, self.now) if p is not None else None
@@ -114,7 +114,7 @@
             or self.core.raft is None
             or e.group != self.core.raft.group
             or e.body.snapshot.index <= self.core.raft.commit_index
-            or not self._fetching.announced(e.body.snapshot.index)
+            or not self._fetching.on_announcement(e.body.snapshot.index)
         ):
             return
 
@@ -126,7 +126,7 @@
         pull(
             self,
             e.address,
-            BASE,
+            BASE_SNAPSHOT,
             came,
             lambda offered: offered.group == e.group and offered.index >= e.body.snapshot.index,
         )
@@ -175,7 +175,7 @@
         if self.core.raft is raft:
             self._send(raft.group, r.after_save)
             self.core.saved(r, self.now)
-            if self.disk_log.snapshot_due() and not self._saving and not self.shelf.holds(self.now):
+            if self.disk_log.snapshot_due() and not self._saving and not self.shelf.retains_log(self.now):
                 self._compact()
         self._reply()
 
@@ -298,19 +298,19 @@
     def _judge(self) -> None:
         v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.nothing_committed), self.now)
         if isinstance(v, Found) and v.base is None:
-            self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, None))
+            self._begin(initial_snapshot(GroupId(v.generation, self._fresh_id()), v.voters, None))
         elif isinstance(v, Found):
             answers = list(self._answers)
             pull(
                 self,
                 v.base.addr,
-                NOW,
+                CURRENT_SNAPSHOT,
                 lambda got: got and self._found_anew(v, got[1], answers),
                 lambda offered: (offered.group, offered.index) >= (v.base.group, v.base.index),
             )
         elif isinstance(v, Start) and not self._joining:
             self._joining = True
-            pull(self, v.source.addr, BASE, self._joined)
+            pull(self, v.source.addr, BASE_SNAPSHOT, self._joined)
         elif isinstance(v, Wipe):
             new = self._fresh_id()
             self._put(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
@@ -322,7 +322,7 @@
 
     def _found_anew(self, v: Found, base: ReplicatedState, answers: list) -> None:
         if heard_enough(base, answers):
-            self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, base))
+            self._begin(initial_snapshot(GroupId(v.generation, self._fresh_id()), v.voters, base))
 
     def _begin(self, p: RaftSnapshot) -> None:
         head = store.head(HardState(p.group, 0, ""), [])
--- a/sim/door.py
+++ b/sim/door.py
@@ -13,7 +13,7 @@
 from mallowvalve.control.api import ATTEMPT, LIMIT
 from mallowvalve.control.lease import AnswerKind as Lease
 from mallowvalve.control.outcome import NOT_APPLIED, RETRYABLE, Code
-from mallowvalve.control.sessions import Call, Session
+from mallowvalve.control.sessions import Session, SessionCall
 from mallowvalve.control.state import Evacuate
 from mallowvalve.control.state import encode as encode_command
 from mallowvalve.control.wire import CommandResponse
@@ -31,7 +31,7 @@
 READ_LIMIT = 2.0
 HEARTBEAT = 1.0
 AGAIN_AFTER, SLACK = 0.05, 0.5
-_word = http_plain._word
+_word = http_plain.decode_plain_result
 _heard = registry_task._heard
 Then = Callable[[CommandResponse], None]
 
@@ -75,7 +75,7 @@
             case pages.Coordinate():
                 self._coordinate(p.command, say)
             case pages.ReadCell():
-                self._confirmed_again(self.now + http_plain.LIMIT, say, lambda: self._cell(p.name))
+                self._confirmed_again(self.now + http_plain.CALL_TIMEOUT_S, say, lambda: self._cell(p.name))
             case pages.Watch():
                 self._watch(p, say)
             case pages.Beat():
@@ -84,7 +84,7 @@
                 self._end(p.upstream, say)
 
     def _may_begin(self, say: Callable[[Answer], None]) -> bool:
-        """As `page_offer.may_begin`: out of touch for long, it sends its callers on."""
+        """As `page_offer.accept_or_redirect`: out of touch for long, it sends its callers on."""
         if self.core.may_answer(Lease.CALL, self.now):
             return True
         others = [a for a in self.peers() if a in self.seeds and a != self.addr]
@@ -95,14 +95,14 @@
 
     def _patch(self, c: Amend, say) -> None:
         s = self.core.state
-        if s is not None and http_items._refusal(s.items, c) is not None:
+        if s is not None and http_items._find_rejection(s.items, c) is not None:
             return self._confirmed(READ_LIMIT, say, lambda: self._judged(c, say))
         if s is not None and not s.items.has_newer(c):
             c = Amend([])
         self._order(c, say)
 
     def _judged(self, c: Amend, say) -> Answer | None:
-        refusal = http_items._refusal(self.core.state.items, c)
+        refusal = http_items._find_rejection(self.core.state.items, c)
         return Answer(refusal[0]) if refusal is not None else self._order(c, say)
 
     def _order(self, c: Amend | Evacuate, say, effect: float | None = None) -> None:
@@ -122,13 +122,13 @@
         self.offer(encode_command(c), LIMIT, ATTEMPT, took, effect)
 
     def _turn_zone(self, c: Evacuate, say) -> None:
-        """As `http_items.EvacuatedZone.turn`: offered once the caller's connection has stood for a while."""
+        """As `http_items.EvacuatedZone.set_evacuated`: offered once the caller's connection has stood for a while."""
 
         def offered() -> None:
             if not _has_left(say):
-                self._order(c, say, http_items.EFFECT - http_items.STANDS)
+                self._order(c, say, http_items.EVACUATION_EFFECT_LIMIT_S - http_items.CONNECTION_CHECK_DELAY_S)
 
-        self.wake(http_items.STANDS, offered)
+        self.wake(http_items.CONNECTION_CHECK_DELAY_S, offered)
 
     def _rejected(self, t: CommandResponse) -> Answer:
         return Answer(UNAVAILABLE if t.code in NOT_APPLIED else UNDECIDED, b"", t.leader)
@@ -151,7 +151,7 @@
             w: PlainResult = _word(t.body)
             say(Answer(OK if w.code == "ok" else CONFLICT, t.body))
 
-        self.offer(encode_command(c), http_plain.LIMIT, http_plain.ATTEMPT, took)
+        self.offer(encode_command(c), http_plain.CALL_TIMEOUT_S, http_plain.ATTEMPT_TIMEOUT_S, took)
 
     def _cell(self, name: str) -> Answer:
         value, revision = self.core.state.plain.keys.get(name, (None, 0))
@@ -160,7 +160,7 @@
     def _watch(self, p: pages.Watch, say) -> None:
         if self.core.state is not None and p.after and self.core.current(self.now):
             return say(self._events(p))
-        self._confirmed_again(self.now + http_plain.LIMIT, say, lambda: self._events(p))
+        self._confirmed_again(self.now + http_plain.CALL_TIMEOUT_S, say, lambda: self._events(p))
 
     def _events(self, p: pages.Watch) -> Answer:
         plain = self.core.state.plain
@@ -269,21 +269,21 @@
 
     def offer(self, command: bytes, limit: float, attempt: float, then: Then, effect: float | None = None) -> None:
         """As `ControlTask.offer`: to whoever leads until the limit (s); what may have run never ends as refused."""
-        call = Call(self.session, command, self.now + (effect or limit))
+        call = SessionCall(self.session, command, self.now + (effect or limit))
         self._offer_again(call, self.now + limit, attempt, CommandResponse(Code.LEADER), then)
 
-    def _offer_again(self, call: Call, end: float, attempt: float, last: CommandResponse, then: Then) -> None:
+    def _offer_again(self, call: SessionCall, end: float, attempt: float, last: CommandResponse, then: Then) -> None:
         left = end - self.now
         if left <= 0:
-            return then(call.ended(last, RETRYABLE))
+            return then(call.final_response(last, RETRYABLE))
 
         def heard(answer: CommandResponse) -> None:
-            t = call.heard(answer, self.now)
-            if t.code not in RETRYABLE or call.is_over(self.now):
-                return then(call.ended(t, RETRYABLE))
+            t = call.on_response(answer, self.now)
+            if t.code not in RETRYABLE or call.has_expired(self.now):
+                return then(call.final_response(t, RETRYABLE))
             self.wake(AGAIN_AFTER, lambda: self._offer_again(call, end, attempt, t, then))
 
-        self._offer_once(call.data(self.core.clock.estimate(self.now), self.now), min(left, attempt), heard)
+        self._offer_once(call.sealed_command(self.core.clock.estimate(self.now), self.now), min(left, attempt), heard)
 
     def _offer_once(self, command: bytes, limit: float, heard: Then) -> None:
         body = wire.encode(wire.CommandRequest(command, limit))
@@ -340,7 +340,7 @@
         self._read_once(limit, took)
 
     def _confirmed_again(self, end: float, say, show: Callable[[], Answer]) -> None:
-        """As `http_plain.Page.confirm`: asked again until the limit."""
+        """As `http_plain.PlainResource.confirm`: asked again until the limit."""
         if not self._may_begin(say):
             return
         left = end - self.now
@@ -348,11 +348,11 @@
         def took(t: CommandResponse) -> None:
             if t.code == Code.OK and self.core.state is not None:
                 return say(show())
-            if end - self.now <= http_plain.PAUSE:
+            if end - self.now <= http_plain.RETRY_PAUSE_S:
                 return say(self._rejected(t))
-            self.wake(http_plain.PAUSE, lambda: self._confirmed_again(end, say, show))
+            self.wake(http_plain.RETRY_PAUSE_S, lambda: self._confirmed_again(end, say, show))
 
-        self._read_once(min(left, http_plain.ATTEMPT), took)
+        self._read_once(min(left, http_plain.ATTEMPT_TIMEOUT_S), took)
 
 
 class PageReply:
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -13,7 +13,7 @@
 from sim.users import Counter, Customer, Keeper, Locker, Operator, Reader, Watcher
 from sim.world import World
 
-snapshot.SLICE = 20
+snapshot.MAX_ROWS_PER_PIECE = 20
 ZONES = [Locality(r, f"{r}-{z}") for r in ("eu", "us", "ap") for z in "ab"]
 
 
--- a/sim/joiners.py
+++ b/sim/joiners.py
@@ -11,9 +11,9 @@
 import click
 
 from mallowvalve import clock
-from mallowvalve.control.snapshot import cut_settings
-from mallowvalve.control.snapshot_fetch import QUICK_TRIES, SETTINGS, Puller
-from mallowvalve.control.snapshot_transfer import Gather, read_want
+from mallowvalve.control.snapshot import encode_settings_pieces
+from mallowvalve.control.snapshot_fetch import SETTINGS_MAX_FAILURES, SETTINGS_SNAPSHOT, SnapshotExchange
+from mallowvalve.control.snapshot_transfer import PieceCollector, decode_piece_request
 from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.raft.messages import RaftSnapshot
 from sim.target import GROUP, items, registry, voters
@@ -22,13 +22,15 @@
 
 
 class Giver:
-    """A machine's own `Puller`, over a log that takes an entry each `every` seconds."""
+    """A machine's own `SnapshotExchange`, over a log that takes an entry each `every` seconds."""
 
     def __init__(self, every: float, rows: int):
         self.now, self.every, self.made = 0.0, every, 0
         self.state = ReplicatedState(GROUP.generation)
         self.state.items, self.state.registry = items(rows), registry(rows)
-        self.puller = Puller(SimpleNamespace(on=lambda *a, **k: None), lambda: None, settings=self.settings)
+        self.snapshot_exchange = SnapshotExchange(
+            SimpleNamespace(on=lambda *a, **k: None), lambda: None, settings=self.settings
+        )
 
     def settings(self):
         self.state.index = 1 + int(self.now / self.every)
@@ -36,22 +38,22 @@
 
     def pieces(self):
         self.made += 1
-        yield from cut_settings(self.state)
+        yield from encode_settings_pieces(self.state)
 
 
 def joiner(g: Giver, trip: float) -> Iterator[float]:
-    """One that fetches as `Puller.pull` does for a settings part; yields how long each step takes."""
+    """One that fetches as `SnapshotExchange.fetch` does for a settings part; yields how long each step takes."""
     while True:
         yield trip
-        got, failed = Gather(g.puller._label(SETTINGS)), 0
+        got, failed = PieceCollector(g.snapshot_exchange._label(SETTINGS_SNAPSHOT)), 0
         yield trip
-        while failed < QUICK_TRIES and (w := got.want()) is not None:
+        while failed < SETTINGS_MAX_FAILURES and (w := got.next_request()) is not None:
             yield trip
-            p = g.puller._shelf.cut(read_want(encode(w)), g.now)
+            p = g.snapshot_exchange._snapshot_cache.get_piece(decode_piece_request(encode(w)), g.now)
             yield trip
-            if p is None or got.take(p).is_err():
+            if p is None or got.accept(p).is_err():
                 failed += 1
-        if got.want() is None:
+        if got.next_request() is None:
             return
         yield AGAIN
 
--- a/sim/large.py
+++ b/sim/large.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from mallowvalve.control import store
-from mallowvalve.control.snapshot import dump
+from mallowvalve.control.snapshot import encode_snapshot
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.fault import FLEET
 from mallowvalve.ledger.ledger import DONE, ClaimRecord
@@ -48,7 +48,7 @@
     controls = f.of("control")[:3]
     ids = {uuid.uuid4().hex: p for p in controls}
     voters = ClusterConfiguration({i: Address("127.0.0.1", p.transport) for i, p in ids.items()})
-    pic = RaftSnapshot(GroupId(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
+    pic = RaftSnapshot(GroupId(7, uuid.uuid4().hex), s.index, 1, voters, encode_snapshot(s))
     for i, p in ids.items():
         with Folder(p.data) as d:
             store.turn(DiskLog.open(d, FLEET, i).unwrap(), pic, store.head(HardState(pic.group, 1, ""), []))
--- a/sim/replica.py
+++ b/sim/replica.py
@@ -8,8 +8,14 @@
 from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.replica import Replica
 from mallowvalve.control.replica_task import ATTEMPT
-from mallowvalve.control.snapshot_fetch import BASE, NOW
-from mallowvalve.control.snapshot_transfer import Gather, Shelf, read_label, read_piece, read_want
+from mallowvalve.control.snapshot_fetch import BASE_SNAPSHOT, CURRENT_SNAPSHOT
+from mallowvalve.control.snapshot_transfer import (
+    PieceCollector,
+    SnapshotCache,
+    decode_label,
+    decode_piece,
+    decode_piece_request,
+)
 from mallowvalve.types import Address, Locality
 from sim.world import Node, World
 
@@ -37,7 +43,7 @@
             case "label":
                 answer(wire.encode(self.shelf.offer(self.replica.snapshot(), self.now)))
             case "piece":
-                answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
+                answer(wire.encode(self.shelf.get_piece(decode_piece_request(body), self.now)))
             case "who":
                 e = self.replica
                 answer(
@@ -70,7 +76,11 @@
         self.replica.receive_response(f, self.now)
         if f.needs_snapshot:
             return pull(
-                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.replica.is_behind
+                self,
+                to,
+                BASE_SNAPSHOT,
+                lambda got: self._fetched(got) or self.wake(0.01, self._follow),
+                self.replica.is_behind,
             )
         self.wake(0.05 if f.group is None else 0.001, self._follow)
 
@@ -86,7 +96,7 @@
 
     def _told(self, a: Address, data: bytes | None) -> None:
         if data is not None and self.replica.receive_revision_reply(wire.decode_revision_reply(data)):
-            pull(self, a, NOW, self._fetched, self.replica.is_behind)
+            pull(self, a, CURRENT_SNAPSHOT, self._fetched, self.replica.is_behind)
 
     def _fetched(self, got) -> None:
         if got is not None:
@@ -96,7 +106,7 @@
         offer(self, command, self.now + limit, then)
 
 
-class SimShelf(Shelf):
+class SimShelf(SnapshotCache):
     def offer(self, made, now: float):
         return self.put(replace(made[0], state=list(made[1])), now) if made is not None else None
 
@@ -105,19 +115,19 @@
     """Fetches a snapshot by pieces; then(None) if it does not come."""
 
     def labelled(d: bytes | None) -> None:
-        offered = read_label(d) if d is not None else None
+        offered = decode_label(d) if d is not None else None
         if offered is None or not wanted(offered):
             return then(None)
-        ask(Gather(offered))
+        ask(PieceCollector(offered))
 
-    def ask(g: Gather) -> None:
-        w = g.want()
+    def ask(g: PieceCollector) -> None:
+        w = g.next_request()
         if w is None:
             return then(g.done().ok())
-        node.call(to, "piece", wire.encode(w), 0.5, lambda d: took(g, read_piece(d) if d is not None else None))
+        node.call(to, "piece", wire.encode(w), 0.5, lambda d: took(g, decode_piece(d) if d is not None else None))
 
-    def took(g: Gather, p) -> None:
-        if (p is None or g.take(p).is_err()) and g.lost():
+    def took(g: PieceCollector, p) -> None:
+        if (p is None or g.accept(p).is_err()) and g.record_failure():
             return then(None)
         ask(g)
 
--- a/sim/target.py
+++ b/sim/target.py
@@ -9,7 +9,7 @@
 from mallowvalve.configuration.items import Amend, HostRoute, Item, Items, ServiceItem, WeightedService
 from mallowvalve.control import wire
 from mallowvalve.control.core import Core
-from mallowvalve.control.snapshot import founding
+from mallowvalve.control.snapshot import initial_snapshot
 from mallowvalve.control.state import Enrol, Evacuate, ReplicatedState, Seat, Strike, encode
 from mallowvalve.control.wire import ReplicationRequest, ReplicationResponse
 from mallowvalve.membership.detector import Membership
@@ -233,7 +233,7 @@
         self.c = Core("a", addr(1), at(1), random.Random(1))
         s = ReplicatedState(GROUP.generation)
         s.settings.roster = {str(addr(i)): Seat(BOOT + i, at(i)) for i in range(100, 100 + n)}
-        self.c.start(founding(GROUP, ClusterConfiguration({"a": addr(1)}), s), None, [], 0.0, s)
+        self.c.start(initial_snapshot(GROUP, ClusterConfiguration({"a": addr(1)}), s), None, [], 0.0, s)
         self.batch, self.now, self.sent, self.fed_entries = batch, 5.0, 0, 0
         self.wants = {
             i: ReplicationRequest(addr(i), BOOT + i, "proxy", at(i), GROUP, 0, 0, 0.0, "settings", 1.0)
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -12,8 +12,8 @@
 from mallowvalve.control.core import Core
 from mallowvalve.control.lease import AnswerKind
 from mallowvalve.control.replica_task import ReplicaTask
-from mallowvalve.control.snapshot import founding, load
-from mallowvalve.control.snapshot_fetch import SETTINGS, Puller
+from mallowvalve.control.snapshot import decode_snapshot, initial_snapshot
+from mallowvalve.control.snapshot_fetch import SETTINGS_SNAPSHOT, SnapshotExchange
 from mallowvalve.control.state import encode
 from mallowvalve.localfleet.ports import free_ports
 from mallowvalve.metrics import Counts
@@ -49,7 +49,7 @@
         loaded = store.load(self.disk_log).unwrap()
         self.core = Core("a", A, EU, random.Random(1))
         if loaded.snapshot is None:
-            snapshot = founding(G, voters, None)
+            snapshot = initial_snapshot(G, voters, None)
             store.turn(self.disk_log, snapshot, store.head(HardState(G, 0, ""), []))
             self.core.start(snapshot, None, [], 0.0)
         else:
@@ -86,7 +86,7 @@
         and restarted.decided == []
     )
     snapshot, pieces = restarted.settings_snapshot()
-    assert snapshot.index == 3 and load(list(pieces)).items.services["s"].version == 3
+    assert snapshot.index == 3 and decode_snapshot(list(pieces)).items.services["s"].version == 3
     assert restarted.raft.log.last_index == 5 and restarted.raft.commit_index == 3
 
 
@@ -107,7 +107,7 @@
 
 
 def test_a_stored_commit_index_beyond_a_torn_log_is_limited_to_the_log():
-    snapshot = founding(G, AB, None)
+    snapshot = initial_snapshot(G, AB, None)
     core = Core("a", A, EU, random.Random(1))
     core.start(snapshot, HardState(G, 1, "", 9), entries(4), 0.0)
     assert core.raft.commit_index == core.state.index == 4
@@ -130,7 +130,7 @@
     election = RaftTimings().election_timeout
     cores = [Core("a", A, EU, random.Random(seed)) for seed in range(50)]
     for core in cores:
-        core.start(founding(G, AB, None), None, [], 10.0)
+        core.start(initial_snapshot(G, AB, None), None, [], 10.0)
     assert all(10 + FIRST_ELECTION_TIMEOUT_RATIO * election <= core.raft.timer() <= 10 + election for core in cores)
     core = started_core(AB)
     core.receive(Envelope(G, "b", "a", B, AppendEntries(1, 0, 0, [], 0, 1)), 1.0)
@@ -179,13 +179,13 @@
     asked = []
     answer_piece = third.transport._handlers["piece"][0]
     third.transport.on("piece", lambda sender, body: (asked.append(1), answer_piece(sender, body))[1])
-    puller = Puller(node.transport, lambda: None)
-    snapshot, state = puller.pull(third.addr, SETTINGS).unwrap()
+    snapshot_exchange = SnapshotExchange(node.transport, lambda: None)
+    snapshot, state = snapshot_exchange.fetch(third.addr, SETTINGS_SNAPSHOT).unwrap()
     assert (snapshot.index, state.items.services["s"].version, asked) == (3, 3, [])
-    monkeypatch.setattr(snapshot_fetch, "WHOLE", 10)
-    snapshot, state = puller.pull(third.addr, SETTINGS).unwrap()
+    monkeypatch.setattr(snapshot_fetch, "MAX_INLINE_SNAPSHOT_BYTES", 10)
+    snapshot, state = snapshot_exchange.fetch(third.addr, SETTINGS_SNAPSHOT).unwrap()
     assert (snapshot.index, state.items.services["s"].version) == (3, 3) and asked
-    assert puller.pull(third.addr, SETTINGS, lambda offered: False).is_err()
+    assert snapshot_exchange.fetch(third.addr, SETTINGS_SNAPSHOT, lambda offered: False).is_err()
 
 
 def rejects_pre_vote(core, now):
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -4,7 +4,7 @@
 from mallowvalve.control import wire
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.sessions import Session
-from mallowvalve.control.snapshot import dump, load
+from mallowvalve.control.snapshot import decode_snapshot, encode_snapshot
 from mallowvalve.control.state import Change, Evacuate, ReplicatedState, encode
 from mallowvalve.control.task import ControlTask
 from mallowvalve.control.wire import CommandResponse
@@ -75,7 +75,7 @@
 def test_a_snapshot_contains_the_outcomes_by_key():
     applied = AppliedState()
     first = applied.apply(Change(None, b"{}", "mine"))
-    applied.state = load(dump(applied.state))
+    applied.state = decode_snapshot(encode_snapshot(applied.state))
     assert applied.apply(Change(None, b"{}", "mine")) == first
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -81,6 +81,6 @@
 
 
 def test_many_joiners_at_once_all_get_the_settings_of_a_machine_whose_log_goes_on(monkeypatch):
-    monkeypatch.setattr(snapshot, "SLICE", 2000)
+    monkeypatch.setattr(snapshot, "MAX_ROWS_PER_PIECE", 2000)
     done, made, _ = play(40, 0.02, 0.02, 20, 5.0)
     assert done == 40 and made < 10
--- a/tests/test_catch_up.py
+++ b/tests/test_catch_up.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from mallowvalve.control.snapshot_transfer import ASKED, HOLD, Fetching, Shelf, Want
+from mallowvalve.control.snapshot_transfer import (
+    LOG_RETENTION_AFTER_REQUEST_S,
+    MAX_LOG_RETENTION_S,
+    FetchProgress,
+    PieceRequest,
+    SnapshotCache,
+)
 from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from sim.catch_up import KINDS, play
 
@@ -18,36 +24,41 @@
 
 
 def test_a_snapshot_that_is_being_fetched_outlives_newer_ones():
-    shelf = Shelf()
+    shelf = SnapshotCache()
     for t, index in enumerate((10, 20, 30, 40)):
         shelf.put(snapshot(index), float(t))
-        assert shelf.cut(Want(G, 10, t % 3), t + 0.5) is not None
-    assert shelf.cut(Want(G, 30, 0), 4.0) is None and shelf.cut(Want(G, 40, 0), 4.0) is not None
+        assert shelf.get_piece(PieceRequest(G, 10, t % 3), t + 0.5) is not None
+    assert (
+        shelf.get_piece(PieceRequest(G, 30, 0), 4.0) is None
+        and shelf.get_piece(PieceRequest(G, 40, 0), 4.0) is not None
+    )
 
 
 def test_the_log_after_a_snapshot_stays_while_it_is_fetched_but_not_for_ever():
-    shelf = Shelf()
-    assert not shelf.holds(0.0)
+    shelf = SnapshotCache()
+    assert not shelf.retains_log(0.0)
     shelf.put(snapshot(10), 0.0)
-    assert shelf.holds(ASKED - 0.1) and not shelf.holds(ASKED)
+    assert shelf.retains_log(LOG_RETENTION_AFTER_REQUEST_S - 0.1) and not shelf.retains_log(
+        LOG_RETENTION_AFTER_REQUEST_S
+    )
     now = 0.0
-    while now < HOLD + 1.0:
-        shelf.cut(Want(G, 10, 0), now)
-        assert shelf.holds(now) == (now < HOLD)
+    while now < MAX_LOG_RETENTION_S + 1.0:
+        shelf.get_piece(PieceRequest(G, 10, 0), now)
+        assert shelf.retains_log(now) == (now < MAX_LOG_RETENTION_S)
         now += 0.5
 
 
 def test_a_settings_part_holds_no_log():
-    shelf = Shelf()
+    shelf = SnapshotCache()
     shelf.put(snapshot(10), 0.0, settings=True)
-    assert not shelf.holds(0.1)
+    assert not shelf.retains_log(0.1)
 
 
 def test_one_transfer_at_a_time_and_newer_ones_announced_meanwhile_are_counted_once():
-    f = Fetching()
-    assert [f.announced(i) for i in (10, 10, 20, 20, 15, 30)] == [True, False, False, False, False, False]
+    f = FetchProgress()
+    assert [f.on_announcement(i) for i in (10, 10, 20, 20, 15, 30)] == [True, False, False, False, False, False]
     assert f.end() == 2
-    assert f.announced(30) and f.end() == 0
+    assert f.on_announcement(30) and f.end() == 0
 
 
 @pytest.mark.parametrize("kind", KINDS)
@@ -60,10 +71,10 @@
 @pytest.mark.parametrize("kind", ["restarted", "wiped", "new"])
 def test_a_transfer_slower_than_snapshots_are_made_still_ends(kind):
     row = play(kind, **SLOWLY)
-    assert row.seconds is not None and row.seconds < HOLD and row.overtaken <= 1
+    assert row.seconds is not None and row.seconds < MAX_LOG_RETENTION_S and row.overtaken <= 1
 
 
 def test_without_the_log_that_follows_a_slow_transfer_is_overtaken_again_and_again():
-    with patch.object(Shelf, "holds", lambda self, now: False):
+    with patch.object(SnapshotCache, "retains_log", lambda self, now: False):
         row = play("restarted", **SLOWLY)
     assert row.seconds is None and row.overtaken >= 2
--- a/tests/test_client_left.py
+++ b/tests/test_client_left.py
@@ -19,7 +19,7 @@
 POST_TAKE = b"POST /api/locks/l HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s" % (len(TAKE), TAKE)
 EVACUATE = b"POST /evacuations/z1 HTTP/1.1\r\nHost: x\r\n\r\n"
 CALLS = [pytest.param(POST_TAKE, Take, id="take"), pytest.param(EVACUATE, Evacuate, id="evacuate")]
-LONGER = 3 * http_items.STANDS
+LONGER = 3 * http_items.CONNECTION_CHECK_DELAY_S
 
 
 class NotingTask(Task):
@@ -70,7 +70,7 @@
     server, task = served
     sock = connect(server)
     sock.sendall(EVACUATE)
-    gevent.spawn_later(http_items.STANDS / 4, sock.close)
+    gevent.spawn_later(http_items.CONNECTION_CHECK_DELAY_S / 4, sock.close)
     assert not task.was_offered.wait(timeout=LONGER)
 
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from mallowvalve.control.core import Core
-from mallowvalve.control.snapshot import dump, founding
+from mallowvalve.control.snapshot import encode_snapshot, initial_snapshot
 from mallowvalve.control.state import Change, ReplicatedState, Tick, encode
 from mallowvalve.control.wire import CommandResponse, ReplicationRequest
 from mallowvalve.coordination.plain import Count, Take
@@ -29,7 +29,7 @@
 
 def started_core(voters):
     core = Core("a", A, EU, random.Random(1))
-    core.start(founding(G, voters, None), None, [], 0.0)
+    core.start(initial_snapshot(G, voters, None), None, [], 0.0)
     return core
 
 
@@ -52,7 +52,7 @@
     core = started_core(ClusterConfiguration({"a": A, "b": B}))
     state = ReplicatedState(3)
     state.index = 50
-    snapshot = RaftSnapshot(G, 50, 2, ClusterConfiguration({"a": A, "b": B}), dump(state))
+    snapshot = RaftSnapshot(G, 50, 2, ClusterConfiguration({"a": A, "b": B}), encode_snapshot(state))
     core.receive(Envelope(G, "b", "a", B, InstallSnapshot(2, snapshot, 1)), 1.0)
     ready = core.ready(1.0)
     assert ready.snapshot == snapshot and core.state.index == 0
@@ -147,7 +147,7 @@
 def test_a_new_leader_rejects_reads_until_it_has_applied_all_committed_entries():
     entries = [Entry(1, 1, COMMAND, 10, encode(Count("n")))]
     core = Core("a", A, EU, random.Random(1))
-    core.start(founding(G, ClusterConfiguration({"a": A, "b": B}), None), None, entries, 0.0)
+    core.start(initial_snapshot(G, ClusterConfiguration({"a": A, "b": B}), None), None, entries, 0.0)
     now = 5.0
     core.tick(now)
     core.saved(core.ready(now), now)
@@ -169,7 +169,7 @@
 def test_a_restarted_follower_is_not_current_until_it_applies_an_entry_of_the_leaders_term():
     entries = [Entry(1, 1, COMMAND, 10, encode(Count("n")))]
     core = Core("a", A, EU, random.Random(1))
-    core.start(founding(G, ClusterConfiguration({"a": A, "b": B}), None), None, entries, 0.0)
+    core.start(initial_snapshot(G, ClusterConfiguration({"a": A, "b": B}), None), None, entries, 0.0)
 
     def is_current_after(message):
         core.receive(Envelope(G, "b", "a", B, msgspec.structs.replace(message, confirmed_stamp=0.05)), 0.1)
@@ -186,7 +186,7 @@
 def test_a_lock_lasts_its_full_time_under_a_leader_whose_clock_runs_behind():
     """Guards against ending a lock early: the second leader's entries arrive late, so its clock runs behind the first's."""
     core = Core("a", A, EU, random.Random(1))
-    core.start(founding(G, ClusterConfiguration({"a": A, "b": B}), None), None, [], 0.0)
+    core.start(initial_snapshot(G, ClusterConfiguration({"a": A, "b": B}), None), None, [], 0.0)
 
     def append(term, previous, previous_term, entry, now):
         core.receive(
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -6,8 +6,8 @@
 from mallowvalve import clock
 from mallowvalve.control import wire
 from mallowvalve.control.replica_task import ReplicaTask
-from mallowvalve.control.snapshot import cut_settings
-from mallowvalve.control.snapshot_fetch import Puller
+from mallowvalve.control.snapshot import encode_settings_pieces
+from mallowvalve.control.snapshot_fetch import SnapshotExchange
 from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.control.wire import ProcessStatus, ReplicationResponse
 from mallowvalve.localfleet.ports import free_ports
@@ -35,14 +35,14 @@
         self.state, self.role, self.leader, self.requests = ReplicatedState(3), "none", None, []
         for number in range(index):
             self.state.apply(number + 1, number, encode(service_amendment("s", number + 1)))
-        Puller(self.transport, lambda: None, settings=self.settings_snapshot)
+        SnapshotExchange(self.transport, lambda: None, settings=self.settings_snapshot)
         self.transport.on("want", self.answer_request)
         self.transport.on(
             "who", lambda sender, body: None if self.role == "silent" else wire.encode(self.process_status())
         )
 
     def settings_snapshot(self):
-        return RaftSnapshot(G, self.state.index, 1, ClusterConfiguration({}), []), cut_settings(self.state)
+        return RaftSnapshot(G, self.state.index, 1, ClusterConfiguration({}), []), encode_settings_pieces(self.state)
 
     def process_status(self):
         return ProcessStatus(
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -9,7 +9,7 @@
 
 from mallowvalve.control.bootstrap_task import FoundTask
 from mallowvalve.control.core import Core
-from mallowvalve.control.snapshot import founding
+from mallowvalve.control.snapshot import initial_snapshot
 from mallowvalve.control.state import Enrol, Evacuate, ReplicatedState, Seats, Strike, Tick, encode
 from mallowvalve.control.wire import ReplicationRequest
 from mallowvalve.membership.detector import initial_record
@@ -23,7 +23,7 @@
 
 def leader(settings):
     c = Core("a", A, LOC, random.Random(1), Acks(settings=settings))
-    c.start(founding(G, ClusterConfiguration({"a": A}), None), None, [], 0.0)
+    c.start(initial_snapshot(G, ClusterConfiguration({"a": A}), None), None, [], 0.0)
     go_on(c, 5.0, 8.0)
     assert c.leads
     return c
--- a/tests/test_http_items.py
+++ b/tests/test_http_items.py
@@ -9,7 +9,7 @@
 from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import http_items, http_operators
-from mallowvalve.control.snapshot import dump, load
+from mallowvalve.control.snapshot import decode_snapshot, encode_snapshot
 from mallowvalve.control.state import ReplicatedState, decode_command, encode
 from mallowvalve.control.wire import CommandResponse
 from tests.test_items import call, route, service
@@ -117,7 +117,7 @@
     assert (r.status_code, r.headers["retry-after"]) == (503, "1")
     t.says = CommandResponse("undecided")
     assert c.simulate_patch("/items", body=FIRST).status_code == 504
-    monkeypatch.setattr(http_items, "CALL_BYTES", 100)
+    monkeypatch.setattr(http_items, "MAX_BODY_BYTES", 100)
     assert c.simulate_patch("/items", body=FIRST).status_code == 413
     t.confirms = CommandResponse("undecided")
     assert c.simulate_get("/items").status_code == 504
@@ -157,7 +157,7 @@
 def test_a_node_that_lags_behind_an_overtaking_does_not_refuse_what_the_leader_takes(control):
     t, c = control
     assert c.simulate_patch("/items", body=call([route("r", 5)], [service("s", 5)])).status_code == 200
-    t.leader = load(dump(t.leader))
+    t.leader = decode_snapshot(encode_snapshot(t.leader))
     assert t.leader.items.apply(parse_amend(call([route("r", 7)])).unwrap(), 99) == []
     assert c.simulate_patch("/items", body=call([route("r", 5, limit_ms=9)])).status_code == 200
 
--- a/tests/test_http_plain.py
+++ b/tests/test_http_plain.py
@@ -152,7 +152,7 @@
     t.do(Write("g.a", "x"))
     t.reads = [CommandResponse("leader"), CommandResponse("undecided")]
     assert c.simulate_get("/api/cells/g.a").status_code == 200 and t.reads == []
-    monkeypatch.setattr(http_plain, "LIMIT", 0.05)
+    monkeypatch.setattr(http_plain, "CALL_TIMEOUT_S", 0.05)
     for code, status in (("leader", 503), ("undecided", 504)):
         t.reads = [CommandResponse(code)] * 1000
         for path in ("/api/cells/g.a", "/api/watch/g.?after=1"):
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -178,7 +178,7 @@
         control_at("10.1.0.3", Locality("eu", "eu-b")),
         control_at("10.2.0.1", US),
     )
-    ask = lambda controls, loc, who="i1": http_upstreams.heartbeat_at(controls, me, loc, who)
+    ask = lambda controls, loc, who="i1": http_upstreams.preferred_control_address(controls, me, loc, who)
     assert ask([same, other, far], EU) is None
     assert ask([same, other, far], Locality("eu", "eu-b")) == other.web
     assert ask([same, far], Locality("eu", "eu-b")) is None
@@ -274,9 +274,9 @@
 def test_the_leader_that_gave_no_lease_is_named_last():
     lead, odd = control_at("10.1.0.2", EU), control_at("10.1.0.3", EU)
     me = Address("10.1.0.1", 1)
-    assert {redirect.other([lead, odd], me, lead.addr) for _ in range(20)} == {odd}
-    assert redirect.other([lead], me, lead.addr) == lead
-    assert redirect.other([replace(lead, addr=me)], me, None) is None
+    assert {redirect.choose_control_process([lead, odd], me, lead.addr) for _ in range(20)} == {odd}
+    assert redirect.choose_control_process([lead], me, lead.addr) == lead
+    assert redirect.choose_control_process([replace(lead, addr=me)], me, None) is None
 
 
 def test_a_leader_that_nobody_confirms_acknowledges_nothing_and_takes_no_report(control):
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 from mallowvalve.control import lease
 from mallowvalve.control.core import Core
 from mallowvalve.control.lease import LEASE_BOUNDS, AnswerKind
-from mallowvalve.control.snapshot import founding
+from mallowvalve.control.snapshot import initial_snapshot
 from mallowvalve.control.state import encode
 from mallowvalve.coordination.plain import Count
 from mallowvalve.raft.contact import MAX_PENDING_STAMPS, NO_STAMP, ContactStamps, QuorumContact
@@ -187,7 +187,7 @@
 
 def started_core(entries=()):
     core = Core("a", ADDRESSES["a"], Locality("eu", "eu-a"), random.Random(1))
-    core.start(founding(G, ClusterConfiguration(ADDRESSES), None), None, list(entries), 0.0)
+    core.start(initial_snapshot(G, ClusterConfiguration(ADDRESSES), None), None, list(entries), 0.0)
     return core
 
 
@@ -277,7 +277,7 @@
 
 def test_a_follower_far_behind_the_commit_index_serves_no_watch():
     core = Core("a", ADDRESSES["a"], Locality("r", "z"), random.Random(1))
-    core.start(founding(G, ClusterConfiguration(ADDRESSES), None), None, [], 0.0)
+    core.start(initial_snapshot(G, ClusterConfiguration(ADDRESSES), None), None, [], 0.0)
 
     def hear(message, now):
         core.receive(Envelope(G, "b", "a", ADDRESSES["b"], message), now)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mallowvalve.control.snapshot import dump, load
+from mallowvalve.control.snapshot import decode_snapshot, encode_snapshot
 from mallowvalve.control.state import ReplicatedState
 from mallowvalve.ledger import ledger
 from mallowvalve.ledger.ledger import KEY_RETENTION_MS, Claim, Done, Forfeit, Ledger, Lose, Release
@@ -19,7 +19,7 @@
 def copy_by_snapshot(source, target):
     state = ReplicatedState(1)
     state.ledger = source
-    state = load(dump(state))
+    state = decode_snapshot(encode_snapshot(state))
     target.rows, target.body_sizes = state.ledger.rows, state.ledger.body_sizes
     target._stored_bytes = state.ledger._stored_bytes
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,8 +6,8 @@
 from mallowvalve.configuration.items import Amend, Item
 from mallowvalve.control.core import Core
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.snapshot import founding, load
-from mallowvalve.control.snapshot_transfer import label
+from mallowvalve.control.snapshot import decode_snapshot, initial_snapshot
+from mallowvalve.control.snapshot_transfer import label_of
 from mallowvalve.control.state import (
     COORDINATION_COMMANDS,
     SETTINGS_COMMANDS,
@@ -47,7 +47,7 @@
 
 def leading_core(**acks) -> Core:
     core = Core("a", A, EU, random.Random(1), Acks(**acks))
-    core.start(founding(G, ClusterConfiguration({"a": A}), None), None, [], 0.0)
+    core.start(initial_snapshot(G, ClusterConfiguration({"a": A}), None), None, [], 0.0)
     for step_number in range(31):
         step(core, 5.0 + step_number / 10)
     assert core.leads
@@ -76,7 +76,7 @@
         if response.needs_snapshot:
             head, pieces = core.settings_snapshot() if proxy.scope == "settings" else core.snapshot()
             snapshot = msgspec.structs.replace(head, state=list(pieces))
-            proxy.install(snapshot, load(snapshot.state))
+            proxy.install(snapshot, decode_snapshot(snapshot.state))
     return replies
 
 
@@ -366,12 +366,14 @@
         and not proxy.is_older_generation(G)
         and not proxy.is_older_generation(GroupId(4, "z"))
     )
-    assert proxy.snapshot() is None and load(list(proxy.settings_snapshot()[1])).items.rows == state.items.rows
+    assert (
+        proxy.snapshot() is None and decode_snapshot(list(proxy.settings_snapshot()[1])).items.rows == state.items.rows
+    )
     for old in (
         RaftSnapshot(G, state.index - 1, 1, ClusterConfiguration({}), []),
         RaftSnapshot(GroupId(2, "z"), 99, 1, ClusterConfiguration({}), []),
     ):
-        assert not proxy.is_behind(label(old))
+        assert not proxy.is_behind(label_of(old))
         proxy.install(old, ReplicatedState(2))
         assert proxy.state is state
 
--- a/tests/test_parts_bootstrap.py
+++ b/tests/test_parts_bootstrap.py
@@ -1,6 +1,6 @@
 from mallowvalve.control.bootstrap import Found, decide
-from mallowvalve.control.snapshot import cut, cut_settings, dump, load
-from mallowvalve.control.snapshot_transfer import Gather, Shelf
+from mallowvalve.control.snapshot import decode_snapshot, encode_pieces, encode_settings_pieces, encode_snapshot
+from mallowvalve.control.snapshot_transfer import PieceCollector, SnapshotCache
 from mallowvalve.control.state import ReplicatedState, encode
 from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.messages import ClusterConfiguration, RaftSnapshot
@@ -10,7 +10,7 @@
 
 def test_a_snapshot_of_the_settings_part_contains_nothing_else():
     state = populated_state()
-    whole, part = load(dump(state)), load(list(cut_settings(state)))
+    whole, part = decode_snapshot(encode_snapshot(state)), decode_snapshot(list(encode_settings_pieces(state)))
     assert settings_content(whole) == settings_content(part) == settings_content(state)
     assert (
         whole.plain.snapshot() == state.plain.snapshot()
@@ -28,19 +28,19 @@
 
 
 def test_a_shelf_separates_whole_and_settings_snapshots():
-    state, shelf = populated_state(), Shelf()
+    state, shelf = populated_state(), SnapshotCache()
     labels = [
         shelf.put(RaftSnapshot(G, state.index, 1, ClusterConfiguration({}), list(pieces)), 0.0, part)
-        for pieces, part in ((cut(state), False), (cut_settings(state), True))
+        for pieces, part in ((encode_pieces(state), False), (encode_settings_pieces(state), True))
     ]
     assert shelf.newest(G, state.index, 0.0, True) is not shelf.newest(G, state.index, 0.0)
     for snapshot_label, is_whole in zip(labels, (True, False)):
-        gather = Gather(snapshot_label)
-        while (request := gather.want()) is not None:
-            assert gather.take(shelf.cut(request, 0.0)).is_ok()
+        gather = PieceCollector(snapshot_label)
+        while (request := gather.next_request()) is not None:
+            assert gather.accept(shelf.get_piece(request, 0.0)).is_ok()
         assert bool(gather.done().unwrap()[1].ledger.rows) == is_whole
-    other = Gather(labels[0])
-    assert other.take(shelf.cut(Gather(labels[1]).want(), 0.0)).is_err()
+    other = PieceCollector(labels[0])
+    assert other.accept(shelf.get_piece(PieceCollector(labels[1]).next_request(), 0.0)).is_err()
 
 
 def status(id, address, index, holds_all=True, role="control", group=G, blank=False):
@@ -62,5 +62,5 @@
     assert (decision.base.index, decision.further) == (95, None)
     older, newer = populated_state(), populated_state()
     newer.apply(newer.index + 1, 500, encode(service_amendment("s", 9)))
-    older.replace_settings(load(list(cut_settings(newer))))
+    older.replace_settings(decode_snapshot(list(encode_settings_pieces(newer))))
     assert settings_content(older) == settings_content(newer) and older.ledger.rows == newer.ledger.rows
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,6 +1,6 @@
 import pytest
 
-from mallowvalve.control.http_operators import RISK
+from mallowvalve.control.http_operators import RISK_STATEMENT
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import Fleet, until
 from mallowvalve.localfleet.main import settle
@@ -34,7 +34,7 @@
     new = fleet.add_node("control", "us/us-a", "control9")
     assert until(lambda: call(new.web, "GET", "/leader")[1] == {"leader": None, "blank": True}, 20)
     assert call(new.web, "POST", "/found-anew", {"accept": "yes"})[0] == 400
-    assert call(new.web, "POST", "/found-anew", {"accept": RISK})[0] == 200
+    assert call(new.web, "POST", "/found-anew", {"accept": RISK_STATEMENT})[0] == 200
     assert until(lambda: call(new.web, "GET", "/config")[0] == 200, 20)
     got = call(new.web, "GET", "/config")[1]
     assert (got["revision"], got["doc"]) == (rev, CONFIG)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -13,8 +13,17 @@
 from mallowvalve.control.fleet_clock import FleetClock
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.replica_task import ReplicaTask
-from mallowvalve.control.sessions import AHEAD_MOST_MS, GRACE_MS, HEADER_BYTES, Call, Origin, Session, seal, unseal
-from mallowvalve.control.snapshot import cut_settings, dump, load
+from mallowvalve.control.sessions import (
+    HEADER_BYTES,
+    MAX_AHEAD_MS,
+    OUTCOME_RETENTION_MS,
+    Origin,
+    Session,
+    SessionCall,
+    encode_with_origin,
+    split_origin,
+)
+from mallowvalve.control.snapshot import decode_snapshot, encode_settings_pieces, encode_snapshot
 from mallowvalve.control.state import Evacuate, ReplicatedState, command_tag, decode_command, encode
 from mallowvalve.control.task import ControlTask
 from mallowvalve.control.waiting import acknowledgement_mode, changes_settings
@@ -47,7 +56,7 @@
 
 
 def sealed(c, number: int = 1, not_after: int = 1000, session: int = 9) -> bytes:
-    return seal(Origin(session, number, not_after), encode(c))
+    return encode_with_origin(Origin(session, number, not_after), encode(c))
 
 
 def content(s: ReplicatedState):
@@ -65,15 +74,17 @@
 
 
 def test_a_header_names_the_origin_and_leaves_the_command_readable():
-    o = Origin((1 << 64) - 1, sessions.NUMBER_MOST, (1 << 48) - 1)
+    o = Origin((1 << 64) - 1, sessions.MAX_CALL_NUMBER, (1 << 48) - 1)
     for c in EVERY_KIND:
-        data = seal(o, encode(c))
+        data = encode_with_origin(o, encode(c))
         assert (
-            unseal(data) == (o, encode(c)) and decode_command(data) == c and command_tag(data) == command_tag(encode(c))
+            split_origin(data) == (o, encode(c))
+            and decode_command(data) == c
+            and command_tag(data) == command_tag(encode(c))
         )
         assert changes_settings(data) == changes_settings(encode(c))
         assert acknowledgement_mode(data, Acks()) == acknowledgement_mode(encode(c), Acks())
-    assert unseal(encode(Count("n"))) == (None, encode(Count("n"))) and HEADER_BYTES <= 24
+    assert split_origin(encode(Count("n"))) == (None, encode(Count("n"))) and HEADER_BYTES <= 24
 
 
 @pytest.mark.parametrize("c", EVERY_KIND, ids=lambda c: type(c).__name__)
@@ -82,9 +93,9 @@
     first = at(s, 100, sealed(c))
     assert first.code not in ("late", "forgotten")
     held = content(s)
-    for time in (100, 600, 1000, 1000 + GRACE_MS - 1):
+    for time in (100, 600, 1000, 1000 + OUTCOME_RETENTION_MS - 1):
         assert at(s, time, sealed(c)) == first and content(s) == held
-    assert at(s, 1000 + GRACE_MS, sealed(c)).code == "forgotten" and content(s) == held
+    assert at(s, 1000 + OUTCOME_RETENTION_MS, sealed(c)).code == "forgotten" and content(s) == held
 
 
 @pytest.mark.parametrize("c", EVERY_KIND, ids=lambda c: type(c).__name__)
@@ -94,15 +105,15 @@
     late = at(s, 1001, sealed(c))
     assert late.code == "late" and msgspec.msgpack.decode(late.body) == 1001 and content(s) == held
     assert at(s, 900, sealed(c)).code == "late", "a new leader's clock may run behind its predecessor's"
-    assert at(s, 2000 + GRACE_MS, sealed(c, 2)).code == "forgotten" and content(s) == held
+    assert at(s, 2000 + OUTCOME_RETENTION_MS, sealed(c, 2)).code == "forgotten" and content(s) == held
 
 
 def test_a_not_after_absurdly_far_ahead_is_refused():
     s = ReplicatedState(3)
     held = content(s)
-    said = at(s, 500, sealed(Count("n"), 1, 501 + AHEAD_MOST_MS))
+    said = at(s, 500, sealed(Count("n"), 1, 501 + MAX_AHEAD_MS))
     assert said.code == "ahead" and msgspec.msgpack.decode(said.body) == 500 and content(s) == held
-    assert at(s, 500, sealed(Count("n"), 1, 500 + AHEAD_MOST_MS)).code == "ok"
+    assert at(s, 500, sealed(Count("n"), 1, 500 + MAX_AHEAD_MS)).code == "ok"
 
 
 def test_an_evacuation_that_was_held_back_does_not_undo_a_later_give_back():
@@ -122,29 +133,32 @@
 def test_what_was_said_is_in_the_snapshot_whole_and_of_the_settings_alone():
     s = ReplicatedState(3)
     said = {i: at(s, 100, sealed(c, i)) for i, c in enumerate(EVERY_KIND)}
-    whole, part = load(dump(s)), load(list(cut_settings(s)))
+    whole, part = decode_snapshot(encode_snapshot(s)), decode_snapshot(list(encode_settings_pieces(s)))
     for i, c in enumerate(EVERY_KIND):
         assert at(whole, 900, sealed(c, i)) == said[i]
         if changes_settings(encode(c)):
             assert at(part, 900, sealed(c, i)) == said[i]
-    assert at(whole, 2000, sealed(Count("x"), 99)).code == at(load(dump(whole)), 1500, sealed(Count("x"), 99)).code
-    assert content(load(dump(whole))) == content(whole)
+    assert (
+        at(whole, 2000, sealed(Count("x"), 99)).code
+        == at(decode_snapshot(encode_snapshot(whole)), 1500, sealed(Count("x"), 99)).code
+    )
+    assert content(decode_snapshot(encode_snapshot(whole))) == content(whole)
 
 
 def test_memory_is_bounded_by_time_and_by_count_and_what_it_lost_is_never_called_late(monkeypatch):
-    monkeypatch.setattr(sessions, "KEPT_MOST", 50)
+    monkeypatch.setattr(sessions, "MAX_STORED_OUTCOMES", 50)
     s = ReplicatedState(3)
     for i in range(200):
         assert at(s, 100, sealed(Count("n"), i, 1000 + i)).code == "ok"
     assert len(s.sessions.rows) == 50
     assert at(s, 100, sealed(Count("n"), 149, 1149)).code == "forgotten"
     assert at(s, 100, sealed(Count("n"), 150, 1150)).code == "ok" and s.plain.numbers["n"] == 200
-    at(s, 5000 + GRACE_MS, sealed(Count("n"), 999, 6000 + GRACE_MS))
+    at(s, 5000 + OUTCOME_RETENTION_MS, sealed(Count("n"), 999, 6000 + OUTCOME_RETENTION_MS))
     assert [k.origin.number for k in s.sessions.rows.values()] == [999]
 
 
 def test_memory_is_bounded_by_bytes(monkeypatch):
-    monkeypatch.setattr(sessions, "KEPT_BYTES", 1000)
+    monkeypatch.setattr(sessions, "MAX_STORED_BODY_BYTES", 1000)
     s = ReplicatedState(3)
     for i in range(200):
         at(s, 100, sealed(Count("n"), i, 1000 + i))
@@ -158,28 +172,33 @@
     s = ReplicatedState(3)
     at(s, 100, sealed(Amend([SERVICE]), 1))
     other = sealed(Amend([Item("services", "s", 1, b'{"name":"s","version":1,"connections":2}')]), 2)
-    assert at(s, 100, other).code == "conflict" and at(load(dump(s)), 100, other) == at(s, 100, other)
+    assert at(s, 100, other).code == "conflict" and at(decode_snapshot(encode_snapshot(s)), 100, other) == at(
+        s, 100, other
+    )
 
 
 def test_a_session_counts_its_calls_and_takes_a_new_identity_when_the_numbers_are_used_up():
     drawn = iter((5, 6))
     p = Session(lambda: next(drawn))
     assert [p.origin(100, 0.0, 0.5) for _ in range(2)] == [Origin(5, 1, 600), Origin(5, 2, 600)]
-    p._number = sessions.NUMBER_MOST
+    p._number = sessions.MAX_CALL_NUMBER
     assert p.origin(100, 0.0, 0.5) == Origin(6, 1, 600)
 
 
 def test_a_call_keeps_its_origin_until_it_is_known_to_have_had_no_effect():
     p = Session(lambda: 5)
-    c = Call(p, b"x", 2.0)
-    first = c.data(0, 1.0)
-    assert c.heard(CommandResponse("leader"), 1.1).code == "leader" and c.data(0, 1.2) == first
+    c = SessionCall(p, b"x", 2.0)
+    first = c.sealed_command(0, 1.0)
+    assert c.on_response(CommandResponse("leader"), 1.1).code == "leader" and c.sealed_command(0, 1.2) == first
     late = CommandResponse("late", 0, sessions.encode_clock(70_000))
-    assert c.heard(late, 1.5).code == "leader"
-    assert unseal(c.data(0, 1.75))[0] == Origin(5, 2, 70_500), "by the clock that the answer told"
-    assert c.heard(CommandResponse("undecided"), 1.8).code == "undecided" and c.heard(late, 1.9).code == "forgotten"
-    assert c.ended(CommandResponse("forgotten"), ("leader",)).code == "undecided"
-    assert c.ended(CommandResponse("leader"), ("leader",)).code == "undecided"
+    assert c.on_response(late, 1.5).code == "leader"
+    assert split_origin(c.sealed_command(0, 1.75))[0] == Origin(5, 2, 70_500), "by the clock that the answer told"
+    assert (
+        c.on_response(CommandResponse("undecided"), 1.8).code == "undecided"
+        and c.on_response(late, 1.9).code == "forgotten"
+    )
+    assert c.final_response(CommandResponse("forgotten"), ("leader",)).code == "undecided"
+    assert c.final_response(CommandResponse("leader"), ("leader",)).code == "undecided"
 
 
 class Lossy(ControlTask):
@@ -219,13 +238,13 @@
     assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 2)
 
 
-@pytest.mark.parametrize("wrong", [-2500, -3_600_000, AHEAD_MOST_MS + 60_000], ids=["behind", "hour behind", "ahead"])
+@pytest.mark.parametrize("wrong", [-2500, -3_600_000, MAX_AHEAD_MS + 60_000], ids=["behind", "hour behind", "ahead"])
 def test_a_process_whose_estimate_is_wrong_learns_the_time_and_its_call_is_applied_once(wrong):
     t = Lossy(0)
     t.core.clock.restart(t.leading.clock.read(t.now) + wrong, clock.now())
     took = t.offer(encode(Count("n")), 2.0)
     assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 1)
-    assert unseal(t.sealed[-1])[0].number == 2 and len(t.sealed) == 2
+    assert split_origin(t.sealed[-1])[0].number == 2 and len(t.sealed) == 2
     took = t.offer(encode(Count("n")), 2.0)
     assert took.code == "ok" and len(t.sealed) == 3, "the next call goes by what was learnt"
 
@@ -242,8 +261,10 @@
 def test_a_process_that_has_heard_nothing_takes_its_own_clock_for_no_one_elses():
     fresh = FleetClock()
     assert fresh.estimate(18.5) == 0
-    order = Call(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).data(fresh.estimate(18.5), 18.5)
-    assert unseal(order)[0].not_after <= 1000, "late at first, which tells it the time"
+    order = SessionCall(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).sealed_command(
+        fresh.estimate(18.5), 18.5
+    )
+    assert split_origin(order)[0].not_after <= 1000, "late at first, which tells it the time"
     fresh.restart(15_100, 18.5)
     assert fresh.estimate(18.6) == 15_200
 
@@ -259,7 +280,7 @@
         self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
     def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
-        self.sealed.append(unseal(command)[0])
+        self.sealed.append(split_origin(command)[0])
         return CommandResponse("leader")
 
 
@@ -293,7 +314,7 @@
         offered = []
 
         def call(to, kind, body, limit, answers=answers, offered=offered):
-            offered.append(unseal(wire.decode_command_request(body).command))
+            offered.append(split_origin(wire.decode_command_request(body).command))
             a = answers[len(offered) - 1]
             return a if isinstance(a, Err) else Ok(wire.encode(a))
 
--- a/tests/test_sessions_play.py
+++ b/tests/test_sessions_play.py
@@ -9,7 +9,7 @@
 from mallowvalve.configuration.items import Amend, Item
 from mallowvalve.control import sessions
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.snapshot import cut_settings, dump, load
+from mallowvalve.control.snapshot import decode_snapshot, encode_settings_pieces, encode_snapshot
 from mallowvalve.control.state import Evacuate, ReplicatedState, decode_command
 from mallowvalve.coordination.plain import Count
 from tests.test_sessions import content, sealed
@@ -78,12 +78,12 @@
 
     @rule()
     def load_the_copy(self):
-        self.copy = load(dump(self.copy))
+        self.copy = decode_snapshot(encode_snapshot(self.copy))
 
     @rule()
     def load_the_part(self):
         index = self.part.index
-        self.part = load(list(cut_settings(self.whole)))
+        self.part = decode_snapshot(list(encode_settings_pieces(self.whole)))
         assert self.part.index >= index
 
     @invariant()
@@ -110,7 +110,7 @@
 
 
 FIRST_FAILURE = {"phases": [Phase.generate], "report_multiple_bugs": False}
-TEETH = {"judge": judges_by_the_entry_alone, "keep": keeps_nothing, "_forget": forgets_without_a_floor}
+TEETH = {"deduplicate": judges_by_the_entry_alone, "store_outcome": keeps_nothing, "_evict": forgets_without_a_floor}
 
 
 @pytest.mark.parametrize("name", TEETH)
--- a/tests/test_versions.py
+++ b/tests/test_versions.py
@@ -14,7 +14,7 @@
 from mallowvalve.configuration import items as items_module
 from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import Items
-from mallowvalve.control.snapshot import cut_settings, dump, load
+from mallowvalve.control.snapshot import decode_snapshot, encode_settings_pieces, encode_snapshot
 from mallowvalve.control.state import ReplicatedState, encode
 
 NAMES = ("a", "b")
@@ -92,8 +92,8 @@
 
     @rule()
     def reload(self):
-        self.state = load(dump(self.state))
-        self.settings_part = load(list(cut_settings(self.state)))
+        self.state = decode_snapshot(encode_snapshot(self.state))
+        self.settings_part = decode_snapshot(list(encode_settings_pieces(self.state)))
 
     @invariant()
     def items_equal_the_model(self):
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -8,7 +8,7 @@
 
 from mallowvalve.control import lease
 from mallowvalve.control.outcome import RETRYABLE, Code
-from mallowvalve.control.sessions import Call, Session, unseal
+from mallowvalve.control.sessions import Session, SessionCall, split_origin
 from mallowvalve.control.state import Put, encode
 from mallowvalve.types import Revision
 from verification import steps
@@ -26,7 +26,7 @@
 class Caller(msgspec.Struct):
     """One call: its frames so far, and the caller's own word on it once it is done."""
 
-    call: Call
+    call: SessionCall
     frames: list[bytes] = []
     said: str = ""
     revisions: set[int] = set()
@@ -61,7 +61,7 @@
             if event.name in seen:
                 return f"once: call {number} took effect at {seen[event.name]} and {event.revision}"
             seen[event.name] = event.revision
-            latest = max(unseal(frame)[0].not_after for frame in self.callers[number].frames)
+            latest = max(split_origin(frame)[0].not_after for frame in self.callers[number].frames)
             if event.applied_at_ms > latest:
                 return f"not after: call {number} took effect at {event.applied_at_ms} ms, its end was {latest}"
         return None
@@ -117,10 +117,10 @@
         self._spend("commands")
         if step.call == len(callers):
             command = encode(Put(str(step.call), "x"))
-            callers.append(Caller(Call(self.session, command, member.now + CALL_S)))
+            callers.append(Caller(SessionCall(self.session, command, member.now + CALL_S)))
         caller = callers[step.call]
         if step.frame == len(caller.frames):
-            caller.frames.append(caller.call.data(member.core.clock.estimate(member.now), member.now))
+            caller.frames.append(caller.call.sealed_command(member.core.clock.estimate(member.now), member.now))
         frame = Frame(step.call, step.frame, step.unheard)
         return member.offer(caller.frames[step.frame], frame, member.now + CALL_S)
 
@@ -140,7 +140,7 @@
                 return broken
         if reply.unheard or caller.said or reply.frame != len(caller.frames) - 1:
             return None
-        took = caller.call.heard(reply.took, now)
+        took = caller.call.on_response(reply.took, now)
         if took.code not in RETRYABLE:
             caller.said = took.code
         return None
--- a/verification/control_faults.py
+++ b/verification/control_faults.py
@@ -9,7 +9,7 @@
 from mallowvalve.control import lease
 from mallowvalve.control.core import Core
 from mallowvalve.control.outcome import Code, Outcome
-from mallowvalve.control.sessions import Kept, Origin, Sessions
+from mallowvalve.control.sessions import Origin, SessionOutcome, Sessions
 from mallowvalve.raft.contact import QuorumContact
 from mallowvalve.raft.messages import AppendEntries
 from mallowvalve.raft.raft import Raft
@@ -24,14 +24,14 @@
 EXACT = ((lease, "MAX_WATCH_LAG_ENTRIES", 0),)
 """With it a watch may lag by no entry, so that short logs show what long ones would."""
 
-_judge, _on_append_entries = Sessions.judge, Raft._on_append_entries
+_judge, _on_append_entries = Sessions.deduplicate, Raft._on_append_entries
 
 
 def _keep_nothing(sessions: Sessions, origin: Origin, outcome: Outcome) -> None:
     """A memory of nothing."""
 
 
-def _adopt_nothing(sessions: Sessions, rows: list[Kept]) -> None:
+def _adopt_nothing(sessions: Sessions, rows: list[SessionOutcome]) -> None:
     """A snapshot that brings no memory."""
 
 
@@ -78,9 +78,9 @@
 
 
 CONTROL_FAULTS = (
-    _fault("outcomes kept by session and number", (ONCE,), (Sessions, "keep", _keep_nothing)),
-    _fault("sessions in the snapshot", (STATE, ONCE), (Sessions, "adopt_rows", _adopt_nothing)),
-    _fault("no effect after the not-after", (NOT_AFTER,), (Sessions, "judge", _never_late)),
+    _fault("outcomes kept by session and number", (ONCE,), (Sessions, "store_outcome", _keep_nothing)),
+    _fault("sessions in the snapshot", (STATE, ONCE), (Sessions, "restore_outcomes", _adopt_nothing)),
+    _fault("no effect after the not-after", (NOT_AFTER,), (Sessions, "deduplicate", _never_late)),
     _fault(
         "contact counted from the question",
         (STALE_WATCH,),
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -10,7 +10,7 @@
 from mallowvalve.control import store
 from mallowvalve.control.core import Core
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.snapshot import founding, load
+from mallowvalve.control.snapshot import decode_snapshot, initial_snapshot
 from mallowvalve.control.wire import CommandResponse, ProcessStatus
 from mallowvalve.raft.messages import ClusterConfiguration, Envelope, GroupId, InstallSnapshot, Message, RaftSnapshot
 from mallowvalve.raft.raft import Raft
@@ -74,7 +74,7 @@
     @staticmethod
     def first(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
         """The snapshot that all members begin from."""
-        return founding(group, voters, None)
+        return initial_snapshot(group, voters, None)
 
     def _start(self, disk: PowerDisk) -> None:
         self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
@@ -108,7 +108,7 @@
             and message.snapshot.index > self.raft.commit_index
         ):
             snapshot = message.snapshot
-            self.core.keep_fetched_state(snapshot, load(snapshot.state, snapshot.group.generation))
+            self.core.keep_fetched_state(snapshot, decode_snapshot(snapshot.state, snapshot.group.generation))
         envelope = Envelope(self.raft.group, sender, self.id, address(sender), message)
         return self.step(lambda raft: self.core.receive(envelope, self.now))
 
