--- a/mallowvalve/control/snapshot.py
+++ b/mallowvalve/control/snapshot.py
@@ -1,4 +1,4 @@
-"""A state cut into pieces and put together again, a step at a time, so that a node goes on answering meanwhile."""
+"""Snapshots of the replicated state, encoded and decoded one piece at a time, so that the node stays responsive."""
 
 from __future__ import annotations
 
@@ -22,10 +22,11 @@
 
 TARGET_PIECE_BYTES = 1 << 20
 MAX_ROWS_PER_PIECE = 2000
+ROW_OVERHEAD_BYTES = 200
 
 
 class SnapshotHeader(msgspec.Struct, array_like=True, frozen=True):
-    """The first piece: what is small, and the counts that the other pieces rest on."""
+    """The first piece: the small parts of the state, and the revisions and times that belong to the other pieces."""
 
     generation: int
     index: int
@@ -36,27 +37,25 @@
     compacted: int
     items_revision: int = 0
     registry_revision: int = 0
-    settings_times: sessions.SessionTimes = sessions.SessionTimes()
-    times: sessions.SessionTimes = sessions.SessionTimes()
-
-
-(
-    HEADER,
-    LEDGER_ROWS,
-    LEDGER_BODY_KEYS,
-    RECORDED_OUTCOMES,
-    KEYS,
-    EVENTS,
-    ITEMS,
-    REGISTRY,
-    PLAIN,
-    SETTINGS_SESSIONS,
-    SESSIONS,
-) = range(11)
+    settings_session_times: sessions.SessionTimes = sessions.SessionTimes()
+    session_times: sessions.SessionTimes = sessions.SessionTimes()
+
+
+HEADER = 0
+LEDGER_ROWS = 1
+LEDGER_BODY_KEYS = 2
+RECORDED_OUTCOMES = 3
+KEYS = 4
+EVENTS = 5
+ITEMS = 6
+REGISTRY = 7
+PLAIN = 8
+SETTINGS_SESSIONS = 9
+SESSIONS = 10
 _decode_kind = msgspec.msgpack.Decoder(tuple[int, msgspec.Raw]).decode
 _decoders: dict[int, Callable[[msgspec.Raw], Any]] = {
-    k: msgspec.msgpack.Decoder(t).decode
-    for k, t in {
+    kind: msgspec.msgpack.Decoder(content).decode
+    for kind, content in {
         HEADER: SnapshotHeader,
         LEDGER_ROWS: list[tuple[str, ClaimRecord]],
         LEDGER_BODY_KEYS: list[str],
@@ -72,86 +71,101 @@
 }
 
 
-def encode_pieces(s: ReplicatedState) -> Iterator[bytes]:
-    """The state as it is now; pieces are made one at a time while it goes on, for only frozen rows are shared."""
-    head = SnapshotHeader(
-        s.generation,
-        s.index,
-        s.clock,
-        s.settings,
-        s.coordination.locks,
-        s.coordination.numbers,
-        s.coordination.compacted,
-        s.items.revision,
-        s.registry.revision,
-        s.settings_sessions.times,
-        s.sessions.times,
+def encode_pieces(state: ReplicatedState) -> Iterator[bytes]:
+    """Returns an iterator that encodes the current state lazily; the state may change meanwhile.
+
+    The snapshot shares only immutable rows with the state.
+    """
+    header = SnapshotHeader(
+        state.generation,
+        state.index,
+        state.clock,
+        state.settings,
+        state.coordination.locks,
+        state.coordination.numbers,
+        state.coordination.compacted,
+        state.items.revision,
+        state.registry.revision,
+        state.settings_sessions.times,
+        state.sessions.times,
     )
-    coordination = s.plain.snapshot()
+    coordination = state.plain.snapshot()
     return chain(
-        _encode_settings_part(head, s),
-        _encode_other_rows(s),
-        (encode((PLAIN, p)) for p in plain.split_snapshot(coordination, MAX_ROWS_PER_PIECE, TARGET_PIECE_BYTES)),
+        _encode_settings_part(header, state),
+        _encode_other_rows(state),
+        (encode((PLAIN, part)) for part in plain.split_snapshot(coordination, MAX_ROWS_PER_PIECE, TARGET_PIECE_BYTES)),
     )
 
 
-def encode_settings_pieces(s: ReplicatedState) -> Iterator[bytes]:
-    """The settings part alone: settings, items and registry, and what was said to the commands that make them."""
-    times = s.settings_sessions.times
-    head = SnapshotHeader(
-        s.generation, s.index, s.clock, s.settings, {}, {}, 0, s.items.revision, s.registry.revision, times
+def encode_settings_pieces(state: ReplicatedState) -> Iterator[bytes]:
+    """Encodes the settings part alone: settings, items, registry, and the outcomes of the commands that change them."""
+    times = state.settings_sessions.times
+    header = SnapshotHeader(
+        state.generation,
+        state.index,
+        state.clock,
+        state.settings,
+        {},
+        {},
+        0,
+        state.items.revision,
+        state.registry.revision,
+        times,
     )
-    return _encode_settings_part(head, s)
+    return _encode_settings_part(header, state)
 
 
-def _encode_settings_part(head: SnapshotHeader, s: ReplicatedState) -> Iterator[bytes]:
-    first = encode((HEADER, head))
+def _encode_settings_part(header: SnapshotHeader, state: ReplicatedState) -> Iterator[bytes]:
+    first = encode((HEADER, header))
     parts = (
-        (ITEMS, s.items.rows.copy().values()),
-        (REGISTRY, s.registry.rows.copy().items()),
-        (SETTINGS_SESSIONS, s.settings_sessions.rows.copy().values()),
+        (ITEMS, state.items.rows.copy().values()),
+        (REGISTRY, state.registry.rows.copy().items()),
+        (SETTINGS_SESSIONS, state.settings_sessions.rows.copy().values()),
     )
     return chain([first], (encode((kind, part)) for kind, rows in parts for part in batch_rows(rows)))
 
 
-def _encode_other_rows(s: ReplicatedState) -> Iterator[bytes]:
+def _encode_other_rows(state: ReplicatedState) -> Iterator[bytes]:
     parts = (
-        (LEDGER_ROWS, s.ledger.rows.copy().items()),
-        (LEDGER_BODY_KEYS, s.ledger.body_sizes.copy()),
-        (RECORDED_OUTCOMES, s.asks.rows.copy().items()),
-        (KEYS, s.coordination.keys.copy().items()),
-        (EVENTS, s.coordination.events.copy()),
-        (SESSIONS, s.sessions.rows.copy().values()),
+        (LEDGER_ROWS, state.ledger.rows.copy().items()),
+        (LEDGER_BODY_KEYS, state.ledger.body_sizes.copy()),
+        (RECORDED_OUTCOMES, state.asks.rows.copy().items()),
+        (KEYS, state.coordination.keys.copy().items()),
+        (EVENTS, state.coordination.events.copy()),
+        (SESSIONS, state.sessions.rows.copy().values()),
     )
     return (encode((kind, part)) for kind, rows in parts for part in batch_rows(rows))
 
 
-def encode_snapshot(s: ReplicatedState) -> list[bytes]:
-    """The whole state in pieces."""
-    return list(encode_pieces(s))
+def encode_snapshot(state: ReplicatedState) -> list[bytes]:
+    """Returns all pieces of the whole state."""
+    return list(encode_pieces(state))
 
 
 def initial_snapshot(group: GroupId, voters: ClusterConfiguration, base: ReplicatedState | None) -> RaftSnapshot:
-    """The snapshot that a new group begins from: a base's state, or an empty one."""
+    """Returns the snapshot that a new Raft group starts from: the state `base`, or an empty state."""
     state = ReplicatedState(group.generation) if base is None else base
     state.generation = group.generation
     return RaftSnapshot(group, state.index, 0, voters, encode_snapshot(state))
 
 
 def decode_snapshot(pieces: list[bytes], generation: int | None = None) -> ReplicatedState:
-    """The state of these pieces; UnwrapError if they are no whole state."""
-    w = SnapshotLoader(generation)
-    for p in pieces:
-        w.feed(p).unwrap()
-    return w.done().unwrap()
+    """Returns the state that the pieces encode; raises UnwrapError if they are invalid or have no header."""
+    loader = SnapshotLoader(generation)
+    for piece in pieces:
+        loader.feed(piece).unwrap()
+    return loader.done().unwrap()
 
 
 def batch_rows(rows: Iterable) -> Iterator[list]:
-    """Parts of at most so many rows, and of not much more than a piece's bytes by a guess at the large ones."""
+    """Splits rows into batches of at most `MAX_ROWS_PER_PIECE` rows and about `TARGET_PIECE_BYTES` at most.
+
+    Sizes are estimated from the rows' bodies, and the last row of a batch may exceed the target.
+    """
     part, size = [], 0
-    for r in rows:
-        part.append(r)
-        size += 200 + _body_bytes(r)
+    for row in rows:
+        part.append(row)
+        size += ROW_OVERHEAD_BYTES + _body_bytes(row)
         if len(part) >= MAX_ROWS_PER_PIECE or size >= TARGET_PIECE_BYTES:
             yield part
             part, size = [], 0
@@ -159,71 +173,76 @@
         yield part
 
 
-def _body_bytes(r: Any) -> int:
-    v = r[1] if isinstance(r, tuple) else getattr(r, "outcome", r)
+def _body_bytes(row: Any) -> int:
+    content = row[1] if isinstance(row, tuple) else getattr(row, "outcome", row)
     body = (
-        v[0]
-        if isinstance(v, tuple)
-        else next((b for f in ("body", "value", "doc") if (b := getattr(v, f, None))), None)
+        content[0]
+        if isinstance(content, tuple)
+        else next((body for field in ("body", "value", "doc") if (body := getattr(content, field, None))), None)
     )
     return len(body) if body else 0
 
 
 class SnapshotLoader:
-    """Builds a state from its pieces, which must come in their order."""
+    """Builds a state from its pieces, which must arrive in order."""
 
     __slots__ = ("_generation", "_state")
 
     def __init__(self, generation: int | None = None):
-        """`generation` replaces the one that the pieces name, where it is given."""
+        """`generation`, if given, replaces the generation in the header."""
         self._generation = generation
         self._state: ReplicatedState | None = None
 
     def feed(self, piece: bytes) -> Result[None, str]:
-        """Takes in the next piece, or says what is wrong with it."""
+        """Adds the next piece to the state, or returns why it is invalid."""
         try:
             kind, raw = _decode_kind(piece)
             part = _decoders[kind](raw)
-        except (msgspec.DecodeError, KeyError) as e:
-            return Err(f"not understood: {e}")
+        except (msgspec.DecodeError, KeyError) as error:
+            return Err(f"not understood: {error}")
         if kind == HEADER:
-            return self._begin(part)
-        s = self._state
-        if s is None:
-            return Err("no head yet")
+            return self._start(part)
+        state = self._state
+        if state is None:
+            return Err("a piece before the header")
         if kind == LEDGER_ROWS:
-            s.ledger.rows.update(part)
+            state.ledger.rows.update(part)
         elif kind == RECORDED_OUTCOMES:
-            s.asks.rows.update(part)
+            state.asks.rows.update(part)
         elif kind == KEYS:
-            s.coordination.keys.update(part)
+            state.coordination.keys.update(part)
         elif kind == EVENTS:
-            s.coordination.events.extend(part)
+            state.coordination.events.extend(part)
         elif kind == ITEMS:
-            s.items.load_rows(part)
+            state.items.load_rows(part)
         elif kind == REGISTRY:
-            s.registry.rows.update(part)
+            state.registry.rows.update(part)
         elif kind == PLAIN:
-            s.plain.load_snapshot(part)
+            state.plain.load_snapshot(part)
         elif kind == SETTINGS_SESSIONS:
-            s.settings_sessions.restore_outcomes(part)
+            state.settings_sessions.restore_outcomes(part)
         elif kind == SESSIONS:
-            s.sessions.restore_outcomes(part)
-        elif not s.ledger.restore_body_sizes(part):
-            return Err("a kept answer without its row")
+            state.sessions.restore_outcomes(part)
+        elif not state.ledger.restore_body_sizes(part):
+            return Err("a stored response without its ledger row")
         return Ok(None)
 
     def done(self) -> Result[ReplicatedState, str]:
-        """The state, once all pieces were taken in."""
-        return Err("no head") if self._state is None else Ok(self._state)
+        """Returns the state after the last piece."""
+        return Err("no header") if self._state is None else Ok(self._state)
 
-    def _begin(self, h: SnapshotHeader) -> Result[None, str]:
+    def _start(self, header: SnapshotHeader) -> Result[None, str]:
         if self._state is not None:
-            return Err("a second head")
-        s = self._state = ReplicatedState(h.generation if self._generation is None else self._generation)
-        s.index, s.clock, s.settings = h.index, h.clock, h.settings
-        s.coordination.locks, s.coordination.numbers, s.coordination.compacted = h.locks, h.numbers, h.compacted
-        s.items.revision, s.registry.revision = h.items_revision, h.registry_revision
-        s.settings_sessions.restore_times(h.settings_times)
-        s.sessions.restore_times(h.times)
+            return Err("a second header")
+        state = self._state = ReplicatedState(header.generation if self._generation is None else self._generation)
+        state.index, state.clock, state.settings = header.index, header.clock, header.settings
+        coordination = state.coordination
+        coordination.locks, coordination.numbers, coordination.compacted = (
+            header.locks,
+            header.numbers,
+            header.compacted,
+        )
+        state.items.revision, state.registry.revision = header.items_revision, header.registry_revision
+        state.settings_sessions.restore_times(header.settings_session_times)
+        state.sessions.restore_times(header.session_times)
         return Ok(None)
--- a/mallowvalve/control/snapshot_fetch.py
+++ b/mallowvalve/control/snapshot_fetch.py
@@ -1,4 +1,4 @@
-"""The daemon's side of snapshots on their way: hands out this node's, and fetches others'."""
+"""Snapshot transfers of a process: serves its own snapshots and fetches those of others."""
 
 from __future__ import annotations
 
@@ -26,43 +26,51 @@
 from mallowvalve.transport.task import Transport
 from mallowvalve.types import Address
 
-BASE_SNAPSHOT, CURRENT_SNAPSHOT, SETTINGS_SNAPSHOT = b"base", b"now", b"settings"
-LABEL_TIMEOUT_S, PIECE_TIMEOUT_S = 10.0, 2.0
-SETTINGS_LABEL_TIMEOUT_S, SETTINGS_PIECE_TIMEOUT_S, SETTINGS_MAX_FAILURES = 2.0, 0.8, 2
+BASE_SNAPSHOT = b"base"
+CURRENT_SNAPSHOT = b"now"
+SETTINGS_SNAPSHOT = b"settings"
+LABEL_TIMEOUT_S = 10.0
+PIECE_TIMEOUT_S = 2.0
+SETTINGS_LABEL_TIMEOUT_S = 2.0
+SETTINGS_PIECE_TIMEOUT_S = 0.8
+SETTINGS_MAX_FAILURES = 2
+RETRY_DELAY_S = 0.1
 MAX_INLINE_SNAPSHOT_BYTES = 512 << 10
+"""Pieces of at most this total size are sent in the response that contains the label."""
 decode_whole = msgspec.msgpack.Decoder(tuple[SnapshotLabel | None, list[bytes]]).decode
 PendingSnapshot = tuple[RaftSnapshot, Iterator[bytes]]
+"""A snapshot without its state, and the iterator that encodes the pieces."""
 
 
-def collect_pieces(p: RaftSnapshot, pieces: Iterator[bytes]) -> RaftSnapshot:
-    """Makes the pieces one after the other, letting others run between."""
-    out = []
-    for x in pieces:
-        out.append(x)
+def collect_pieces(snapshot: RaftSnapshot, pieces: Iterator[bytes]) -> RaftSnapshot:
+    """Returns the snapshot with all its pieces; yields to other greenlets after each piece."""
+    encoded = []
+    for piece in pieces:
+        encoded.append(piece)
         gevent.sleep(0)
-    return msgspec.structs.replace(p, state=out)
+    return msgspec.structs.replace(snapshot, state=encoded)
 
 
 class SnapshotExchange:
-    """Hands out this node's snapshots by pieces, and fetches others'."""
+    """Serves snapshots of this process piece by piece, and fetches snapshots from other processes."""
 
-    __slots__ = ("transport", "_base", "_now", "_settings", "_snapshot_cache", "_lock")
+    __slots__ = ("transport", "_base", "_current", "_settings", "_snapshot_cache", "_lock")
 
     def __init__(
         self,
         transport: Transport,
-        now: Callable[[], PendingSnapshot | None],
+        current: Callable[[], PendingSnapshot | None],
         base: Callable[[], RaftSnapshot | None] = lambda: None,
         settings: Callable[[], PendingSnapshot | None] = lambda: None,
     ):
-        """`now`, `base` and `settings` make the snapshots that are handed out."""
-        self.transport, self._now, self._base, self._settings = transport, now, base, settings
+        """`current`, `base` and `settings` create the snapshots to serve, or return None if there is none."""
+        self.transport, self._current, self._base, self._settings = transport, current, base, settings
         self._snapshot_cache, self._lock = SnapshotCache(), RLock()
-        transport.on("label", lambda s, b: encode(self._label(b)))
-        transport.on("whole", lambda s, b: encode(self._whole(b)))
+        transport.on("label", lambda sender, body: encode(self._label(body)))
+        transport.on("whole", lambda sender, body: encode(self._whole(body)))
         transport.on(
             "piece",
-            lambda s, b: encode(self._snapshot_cache.get_piece(decode_piece_request(b), clock.now())),
+            lambda sender, body: encode(self._snapshot_cache.get_piece(decode_piece_request(body), clock.now())),
             inline=True,
         )
 
@@ -70,70 +78,74 @@
         self,
         to: Address,
         what: bytes,
-        wanted: Callable[[SnapshotLabel], bool] = lambda named: True,
+        wanted: Callable[[SnapshotLabel], bool] = lambda offered: True,
     ) -> Result[tuple[RaftSnapshot, ReplicatedState], str]:
-        """A settings part is small, and whoever wants it has others to ask: a silent one is soon given up."""
+        """Fetches a snapshot of the kind `what` whose label `wanted` accepts.
+
+        A settings snapshot is small and other processes have it too, so a silent process is given up sooner.
+        """
         quick = what == SETTINGS_SNAPSHOT
         if quick:
-            r = self.transport.call(to, "whole", what, SETTINGS_LABEL_TIMEOUT_S)
-            named, had = decode_whole(r.ok_value) if isinstance(r, Ok) else (None, [])
+            response = self.transport.call(to, "whole", what, SETTINGS_LABEL_TIMEOUT_S)
+            label, received = decode_whole(response.ok_value) if isinstance(response, Ok) else (None, [])
         else:
-            r = self.transport.call(to, "label", what, LABEL_TIMEOUT_S)
-            named, had = decode_label(r.ok_value) if isinstance(r, Ok) else None, []
-        if named is None or not wanted(named):
-            return Err("has none that is wanted")
-        g, failed = PieceCollector(named), 0
-        for n, data in enumerate(had):
-            g.accept(Piece(named.group, named.index, n, zlib.crc32(data), data, named.settings))
-        while (w := g.next_request()) is not None:
-            why = self._piece(to, g, encode(w), SETTINGS_PIECE_TIMEOUT_S if quick else PIECE_TIMEOUT_S)
-            if why is None:
+            response = self.transport.call(to, "label", what, LABEL_TIMEOUT_S)
+            label, received = decode_label(response.ok_value) if isinstance(response, Ok) else None, []
+        if label is None or not wanted(label):
+            return Err("the process has no acceptable snapshot")
+        collector, failures = PieceCollector(label), 0
+        for number, data in enumerate(received):
+            collector.accept(Piece(label.group, label.index, number, zlib.crc32(data), data, label.settings))
+        while (request := collector.next_request()) is not None:
+            timeout = SETTINGS_PIECE_TIMEOUT_S if quick else PIECE_TIMEOUT_S
+            error = self._fetch_piece(to, collector, encode(request), timeout)
+            if error is None:
                 continue
             self.transport.counts.add("piece_refused")
-            failed += 1
-            if g.record_failure() or quick and failed >= SETTINGS_MAX_FAILURES:
-                return Err(why)
-        return g.done().map_err(lambda refused: refused.text)
+            failures += 1
+            if collector.record_failure() or quick and failures >= SETTINGS_MAX_FAILURES:
+                return Err(error)
+        return collector.done().map_err(lambda refusal: refusal.text)
 
     def retains_log(self) -> bool:
-        """Whether somebody is fetching a snapshot here, so that the log that follows it is still wanted."""
+        """Returns whether a process is fetching a snapshot from this one and will need the log entries after it."""
         return self._snapshot_cache.retains_log(clock.now())
 
-    def _piece(self, to: Address, g: PieceCollector, want: bytes, limit: float) -> str | None:
-        r = self.transport.call(to, "piece", want, limit)
-        if isinstance(r, Err):
-            gevent.sleep(0.1)
-            return r.err_value
-        p = decode_piece(r.ok_value)
-        if p is None:
-            return "no longer handed out"
-        refused = g.accept(p).err()
-        return refused.text if refused is not None else None
+    def _fetch_piece(self, to: Address, collector: PieceCollector, request: bytes, timeout: float) -> str | None:
+        response = self.transport.call(to, "piece", request, timeout)
+        if isinstance(response, Err):
+            gevent.sleep(RETRY_DELAY_S)
+            return response.err_value
+        piece = decode_piece(response.ok_value)
+        if piece is None:
+            return "the snapshot is no longer available"
+        refusal = collector.accept(piece).err()
+        return refusal.text if refusal is not None else None
 
     def _label(self, what: bytes) -> SnapshotLabel | None:
-        p = self._snapshot(what)
-        return label_of(p, what == SETTINGS_SNAPSHOT) if p is not None else None
+        snapshot = self._snapshot(what)
+        return label_of(snapshot, what == SETTINGS_SNAPSHOT) if snapshot is not None else None
 
     def _whole(self, what: bytes) -> tuple[SnapshotLabel | None, list[bytes]]:
-        """The label, and the pieces along with it where they are small: one question instead of some."""
-        p = self._snapshot(what)
-        if p is None:
+        """Returns the label, together with the pieces if they are small, which saves a request for each piece."""
+        snapshot = self._snapshot(what)
+        if snapshot is None:
             return None, []
-        return label_of(p, what == SETTINGS_SNAPSHOT), p.state if sum(
-            map(len, p.state)
-        ) <= MAX_INLINE_SNAPSHOT_BYTES else []
+        label = label_of(snapshot, what == SETTINGS_SNAPSHOT)
+        return label, snapshot.state if sum(map(len, snapshot.state)) <= MAX_INLINE_SNAPSHOT_BYTES else []
 
     def _snapshot(self, what: bytes) -> RaftSnapshot | None:
         with self._lock:
-            part = what == SETTINGS_SNAPSHOT
-            p = self._base() if what == BASE_SNAPSHOT else self._made(part)
-            if p is not None:
-                self._snapshot_cache.put(p, clock.now(), part)
-            return p
-
-    def _made(self, part: bool) -> RaftSnapshot | None:
-        made = self._settings() if part else self._now()
-        if made is None:
+            settings_only = what == SETTINGS_SNAPSHOT
+            snapshot = self._base() if what == BASE_SNAPSHOT else self._create(settings_only)
+            if snapshot is not None:
+                self._snapshot_cache.put(snapshot, clock.now(), settings_only)
+            return snapshot
+
+    def _create(self, settings_only: bool) -> RaftSnapshot | None:
+        pending = self._settings() if settings_only else self._current()
+        if pending is None:
             return None
-        p, pieces = made
-        return self._snapshot_cache.newest(p.group, p.index, clock.now(), part) or collect_pieces(p, pieces)
+        snapshot, pieces = pending
+        cached = self._snapshot_cache.newest(snapshot.group, snapshot.index, clock.now(), settings_only)
+        return cached or collect_pieces(snapshot, pieces)
--- a/mallowvalve/control/snapshot_transfer.py
+++ b/mallowvalve/control/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""A snapshot on its way: numbered, checksummed pieces, bound to the state they were cut from."""
+"""Snapshot transfer: numbered pieces with checksums, each identified by the group and index of its snapshot."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 MAX_HELD_SNAPSHOTS = 2
 IDLE_TIMEOUT_S = 30.0
-LOG_RETENTION_AFTER_REQUEST_S, MAX_LOG_RETENTION_S = 2.0, 20.0
+LOG_RETENTION_AFTER_REQUEST_S = 2.0
+MAX_LOG_RETENTION_S = 20.0
 MAX_RETRIES_PER_PIECE = 8
 SETTINGS_SNAPSHOT_REUSE_S = 2.0
 
 
 class PieceError(enum.Enum):
-    """Why a piece, or a snapshot as a whole, was not taken in."""
+    """Why a piece, or a complete snapshot, was rejected."""
 
     FOREIGN = enum.auto()
     OUT_OF_TURN = enum.auto()
@@ -30,14 +31,14 @@
 
 
 class PieceRefusal(msgspec.Struct, frozen=True):
-    """A refusal and its particulars; whoever refused holds what it held before."""
+    """A rejection and its details; it leaves the collected pieces unchanged."""
 
-    why: PieceError
+    reason: PieceError
     text: str
 
 
 class SnapshotLabel(msgspec.Struct, array_like=True, frozen=True):
-    """Names a snapshot and says of how many pieces it is."""
+    """Identifies a snapshot and contains its number of pieces, `count`."""
 
     group: GroupId
     index: int
@@ -48,104 +49,111 @@
 
 
 class PieceRequest(msgspec.Struct, array_like=True, frozen=True):
-    """Asks for piece `n` of a snapshot."""
+    """Requests one piece of a snapshot; pieces are numbered from 0."""
 
     group: GroupId
     index: int
-    n: int
+    number: int
     settings: bool = False
 
 
 class Piece(msgspec.Struct, array_like=True, frozen=True):
-    """A piece and its checksum."""
+    """A piece of a snapshot and its CRC-32."""
 
     group: GroupId
     index: int
-    n: int
+    number: int
     crc: int
     data: bytes
     settings: bool = False
 
 
-def label_of(p: RaftSnapshot, settings: bool = False) -> SnapshotLabel:
-    """The label of a snapshot whose pieces are made."""
-    return SnapshotLabel(p.group, p.index, p.term, p.configuration, len(p.state), settings)
+def label_of(snapshot: RaftSnapshot, settings: bool = False) -> SnapshotLabel:
+    """Returns the label of a snapshot whose pieces are encoded."""
+    return SnapshotLabel(
+        snapshot.group, snapshot.index, snapshot.term, snapshot.configuration, len(snapshot.state), settings
+    )
 
 
 class SnapshotCache:
-    """The snapshots a node hands out; few, and not for long after the last piece was asked for.
+    """The snapshots that a process serves; each is dropped some time after the last request for one of its pieces.
 
-    A newer one takes the place of the one that was asked for least recently. Whoever fetches one goes on from there by
-    the log, so the log is kept while one is asked for (`ASKED` seconds ago at most), but not for longer than `HOLD`
-    seconds from its first label: a slow one then ends its transfer, and fetches a second.
+    When the cache is full, a new snapshot evicts the least recently requested one. After a transfer the receiver
+    continues from the log, so the log after a snapshot is retained for `LOG_RETENTION_AFTER_REQUEST_S` after each
+    request, but for at most `MAX_LOG_RETENTION_S` after its first label: a slower receiver completes its transfer and
+    then fetches a second snapshot.
     """
 
-    __slots__ = ("_kept", "_cut")
+    __slots__ = ("_held", "_created")
 
     def __init__(self) -> None:
-        """Nothing is handed out yet."""
-        self._kept: dict[tuple[GroupId, int, bool], tuple[RaftSnapshot, float]] = {}
-        self._cut: dict[tuple[GroupId, int, bool], float] = {}
-
-    def put(self, p: RaftSnapshot, now: float, settings: bool = False) -> SnapshotLabel:
-        """Hands out this snapshot from now on (s); returns its label."""
-        self.forget(now)
-        self._kept.pop((p.group, p.index, settings), None)
-        while len(self._kept) >= MAX_HELD_SNAPSHOTS:
-            del self._kept[min(self._kept, key=lambda k: self._kept[k][1])]
-        self._kept[p.group, p.index, settings] = (p, now)
-        self._cut = {k: self._cut.get(k, now) for k in self._kept}
-        return label_of(p, settings)
+        """Starts empty."""
+        self._held: dict[tuple[GroupId, int, bool], tuple[RaftSnapshot, float]] = {}
+        self._created: dict[tuple[GroupId, int, bool], float] = {}
+
+    def put(self, snapshot: RaftSnapshot, now: float, settings: bool = False) -> SnapshotLabel:
+        """Serves this snapshot from `now` (s) on; returns its label."""
+        self.evict_idle(now)
+        self._held.pop((snapshot.group, snapshot.index, settings), None)
+        while len(self._held) >= MAX_HELD_SNAPSHOTS:
+            del self._held[min(self._held, key=lambda key: self._held[key][1])]
+        self._held[snapshot.group, snapshot.index, settings] = (snapshot, now)
+        self._created = {key: self._created.get(key, now) for key in self._held}
+        return label_of(snapshot, settings)
 
     def newest(self, group: GroupId, index: int, now: float, settings: bool = False) -> RaftSnapshot | None:
-        """One cut from this group no further back than the index; of settings, one cut moments ago will do too.
+        """Returns a snapshot of the group at `index` or later; for settings, a recent earlier one is accepted too.
 
-        Whoever joins follows the log from there on; a new snapshot for each would push out those on their way.
+        Each receiver follows the log from its snapshot; a new snapshot for each would evict those in transfer.
         """
-        for (g, i, part), (p, _) in reversed(self._kept.items()):
+        for (its_group, its_index, its_settings), (snapshot, _) in reversed(self._held.items()):
             if (
-                g == group
-                and part == settings
-                and (i >= index or settings and now - self._cut[g, i, part] < SETTINGS_SNAPSHOT_REUSE_S)
+                its_group == group
+                and its_settings == settings
+                and (
+                    its_index >= index
+                    or settings
+                    and now - self._created[its_group, its_index, its_settings] < SETTINGS_SNAPSHOT_REUSE_S
+                )
             ):
-                return p
+                return snapshot
         return None
 
-    def get_piece(self, w: PieceRequest, now: float) -> Piece | None:
-        """The piece that is asked for; None where the snapshot is no longer held, or has no such piece."""
-        kept = self._kept.get((w.group, w.index, w.settings))
-        if kept is None or not 0 <= w.n < len(kept[0].state):
+    def get_piece(self, request: PieceRequest, now: float) -> Piece | None:
+        """Returns the requested piece; None if the snapshot was dropped or has no such piece."""
+        held = self._held.get((request.group, request.index, request.settings))
+        if held is None or not 0 <= request.number < len(held[0].state):
             return None
-        self._kept[w.group, w.index, w.settings] = (kept[0], now)
-        data = kept[0].state[w.n]
-        return Piece(w.group, w.index, w.n, zlib.crc32(data), data, w.settings)
+        self._held[request.group, request.index, request.settings] = (held[0], now)
+        data = held[0].state[request.number]
+        return Piece(request.group, request.index, request.number, zlib.crc32(data), data, request.settings)
 
     def retains_log(self, now: float) -> bool:
-        """Whether the log after some whole snapshot must stay for those who fetch it."""
+        """Returns whether the log after a whole snapshot is to be retained for processes that are fetching it."""
         return any(
             not settings
-            and now - at < LOG_RETENTION_AFTER_REQUEST_S
-            and now - self._cut[group, index, settings] < MAX_LOG_RETENTION_S
-            for (group, index, settings), (_, at) in self._kept.items()
+            and now - requested_at < LOG_RETENTION_AFTER_REQUEST_S
+            and now - self._created[group, index, settings] < MAX_LOG_RETENTION_S
+            for (group, index, settings), (_, requested_at) in self._held.items()
         )
 
-    def forget(self, now: float) -> None:
-        """Drops snapshots that nobody has asked for in a while."""
-        for k in [k for k, (_, at) in self._kept.items() if now - at > IDLE_TIMEOUT_S]:
-            del self._kept[k]
+    def evict_idle(self, now: float) -> None:
+        """Drops snapshots without a request in the last `IDLE_TIMEOUT_S`."""
+        for key in [key for key, (_, requested_at) in self._held.items() if now - requested_at > IDLE_TIMEOUT_S]:
+            del self._held[key]
 
 
 class FetchProgress:
-    """Which announced snapshot a member is fetching, and how many newer ones were announced meanwhile."""
+    """The index of the announced snapshot that a member is fetching, and the number of newer announcements since."""
 
     __slots__ = ("index", "overtaken")
 
     def __init__(self) -> None:
-        """None is being fetched."""
+        """Starts without a transfer."""
         self.index = self.overtaken = 0
 
     def on_announcement(self, index: int) -> bool:
-        """Whether to begin a transfer now; one that is under way goes on, whatever is announced."""
+        """Returns whether to start a transfer; a running one continues despite newer announcements."""
         begins = not self.index
         if index > self.index:
             self.overtaken += not begins
@@ -153,66 +161,67 @@
         return begins
 
     def end(self) -> int:
-        """The transfer came to its end; returns how often it was overtaken."""
+        """Ends the transfer; returns the number of newer snapshots that were announced during it."""
         overtaken, self.index, self.overtaken = self.overtaken, 0, 0
         return overtaken
 
 
 class PieceCollector:
-    """Takes in the pieces of one label in order, and nothing else; a lost one is asked for again."""
+    """Collects the pieces of one labelled snapshot in order; rejects every other piece."""
 
-    __slots__ = ("label", "pieces", "_loader", "_failed")
+    __slots__ = ("label", "pieces", "_loader", "_failures")
 
-    def __init__(self, named: SnapshotLabel):
-        """No piece has come yet."""
-        self.label = named
+    def __init__(self, label: SnapshotLabel):
+        """Starts without pieces."""
+        self.label = label
         self.pieces: list[bytes] = []
-        self._loader = SnapshotLoader(named.group.generation)
-        self._failed = 0
+        self._loader = SnapshotLoader(label.group.generation)
+        self._failures = 0
 
     def next_request(self) -> PieceRequest | None:
-        """What to ask for next; None once all pieces are there."""
-        named = self.label
+        """Returns the request for the next piece; None if the snapshot is complete."""
+        label = self.label
         return (
-            PieceRequest(named.group, named.index, len(self.pieces), named.settings)
-            if len(self.pieces) < named.count
+            PieceRequest(label.group, label.index, len(self.pieces), label.settings)
+            if len(self.pieces) < label.count
             else None
         )
 
     def record_failure(self) -> bool:
-        """One more answer did not come; true once it is time to give up."""
-        self._failed += 1
-        return self._failed > MAX_RETRIES_PER_PIECE
-
-    def accept(self, p: Piece) -> Result[None, PieceRefusal]:
-        """Takes in a piece, or refuses it; after a refusal the same one is asked for again."""
-        named = self.label
-        if (p.group, p.index, p.settings) != (named.group, named.index, named.settings):
-            text = f"piece of {p.group.generation}/{p.index}, want {named.group.generation}/{named.index}"
+        """Counts a failed request; returns whether the retries for the current piece are exhausted."""
+        self._failures += 1
+        return self._failures > MAX_RETRIES_PER_PIECE
+
+    def accept(self, piece: Piece) -> Result[None, PieceRefusal]:
+        """Adds a piece, or returns why it is rejected; a rejected piece is requested again."""
+        label = self.label
+        if (piece.group, piece.index, piece.settings) != (label.group, label.index, label.settings):
+            text = f"piece of {piece.group.generation}/{piece.index}, want {label.group.generation}/{label.index}"
             return Err(PieceRefusal(PieceError.FOREIGN, text))
-        if p.n != len(self.pieces):
-            return Err(PieceRefusal(PieceError.OUT_OF_TURN, f"piece {p.n}, want {len(self.pieces)}"))
-        if zlib.crc32(p.data) != p.crc:
-            return Err(PieceRefusal(PieceError.DAMAGED, f"piece {p.n} is damaged"))
-        r = self._loader.feed(p.data)
-        if isinstance(r, Err):
-            return Err(PieceRefusal(PieceError.NOT_UNDERSTOOD, f"piece {p.n}: {r.err_value}"))
-        self.pieces.append(p.data)
-        self._failed = 0
+        if piece.number != len(self.pieces):
+            return Err(PieceRefusal(PieceError.OUT_OF_TURN, f"piece {piece.number}, want {len(self.pieces)}"))
+        if zlib.crc32(piece.data) != piece.crc:
+            return Err(PieceRefusal(PieceError.DAMAGED, f"piece {piece.number} is damaged"))
+        loaded = self._loader.feed(piece.data)
+        if isinstance(loaded, Err):
+            return Err(PieceRefusal(PieceError.NOT_UNDERSTOOD, f"piece {piece.number}: {loaded.err_value}"))
+        self.pieces.append(piece.data)
+        self._failures = 0
         return Ok(None)
 
     def done(self) -> Result[tuple[RaftSnapshot, ReplicatedState], PieceRefusal]:
-        """The snapshot and its state, or what is wrong with them as a whole."""
+        """Returns the complete snapshot and its state, or why they are invalid."""
         if self.next_request() is not None:
             return Err(PieceRefusal(PieceError.CUT_SHORT, f"{len(self.pieces)} of {self.label.count} pieces"))
-        named, s = self.label, self._loader.done()
-        if isinstance(s, Err):
-            return Err(PieceRefusal(PieceError.CUT_SHORT, s.err_value))
-        if s.ok_value.index != named.index:
-            return Err(PieceRefusal(PieceError.FOREIGN, f"a state of index {s.ok_value.index}, labelled {named.index}"))
-        return Ok((RaftSnapshot(named.group, named.index, named.term, named.voters, self.pieces), s.ok_value))
+        label, state = self.label, self._loader.done()
+        if isinstance(state, Err):
+            return Err(PieceRefusal(PieceError.CUT_SHORT, state.err_value))
+        if state.ok_value.index != label.index:
+            text = f"a state of index {state.ok_value.index}, labelled {label.index}"
+            return Err(PieceRefusal(PieceError.FOREIGN, text))
+        return Ok((RaftSnapshot(label.group, label.index, label.term, label.voters, self.pieces), state.ok_value))
 
 
 decode_label, decode_piece_request, decode_piece = (
-    msgspec.msgpack.Decoder(k).decode for k in (SnapshotLabel | None, PieceRequest, Piece | None)
+    msgspec.msgpack.Decoder(message).decode for message in (SnapshotLabel | None, PieceRequest, Piece | None)
 )
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -87,7 +87,7 @@
     while (w := g.next_request()) is not None:
         assert g.accept(shelf.get_piece(w, 0.0)).is_ok()
         if len(g.pieces) == 5:
-            assert not g.record_failure() and g.next_request().n == 5
+            assert not g.record_failure() and g.next_request().number == 5
     p, t = g.done().unwrap()
     assert same(s, t) and p.state == encode_snapshot(s)
 
@@ -109,12 +109,12 @@
         (garbage, PieceError.NOT_UNDERSTOOD, "not understood"),
     ):
         r = g.accept(bad)
-        assert r.err_value.why is why and text in r.err_value.text and g.next_request().n == 0
+        assert r.err_value.reason is why and text in r.err_value.text and g.next_request().number == 0
     assert g.accept(good[0]).is_ok() and "want 1" in g.accept(good[0]).err_value.text
     short = g.done().err_value
-    assert short.why is PieceError.CUT_SHORT and "1 of" in short.text
-    forged = msgspec.structs.replace(good[0], n=1)
-    assert "second head" in g.accept(forged).err_value.text
+    assert short.reason is PieceError.CUT_SHORT and "1 of" in short.text
+    forged = msgspec.structs.replace(good[0], number=1)
+    assert "second header" in g.accept(forged).err_value.text
 
 
 def test_a_shelf_holds_few_and_not_for_long():
@@ -125,7 +125,7 @@
     assert [shelf.get_piece(PieceRequest(G, i, 0), 1.0) is not None for i in range(3)] == [False, True, True]
     assert shelf.get_piece(PieceRequest(G, 1, 99), 1.0) is None and shelf.get_piece(PieceRequest(G, 1, -1), 1.0) is None
     assert shelf.get_piece(PieceRequest(G, 1, 0), IDLE_TIMEOUT_S) is not None
-    shelf.forget(IDLE_TIMEOUT_S + 2.0)
+    shelf.evict_idle(IDLE_TIMEOUT_S + 2.0)
     assert (
         shelf.get_piece(PieceRequest(G, 2, 0), 0.0) is None and shelf.get_piece(PieceRequest(G, 1, 0), 0.0) is not None
     )
@@ -160,7 +160,12 @@
         x, lambda: (RaftSnapshot(G, s.index, 1, ClusterConfiguration({}), []), snapshots.encode_pieces(s))
     )
     other = SnapshotExchange(y, lambda: None)
-    assert other.fetch(x.me, CURRENT_SNAPSHOT, lambda l: l.index > s.index) == Err("has none that is wanted")
-    assert mine.fetch(y.me, CURRENT_SNAPSHOT) == Err("has none that is wanted")
+    assert other.fetch(x.me, CURRENT_SNAPSHOT, lambda l: l.index > s.index) == Err(
+        "the process has no acceptable snapshot"
+    )
+    assert mine.fetch(y.me, CURRENT_SNAPSHOT) == Err("the process has no acceptable snapshot")
     x.on("piece", lambda sender, body: encode(None), inline=True)
-    assert other.fetch(x.me, CURRENT_SNAPSHOT) == Err("no longer handed out") and y.counts.get("piece_refused") > 3
+    assert (
+        other.fetch(x.me, CURRENT_SNAPSHOT) == Err("the snapshot is no longer available")
+        and y.counts.get("piece_refused") > 3
+    )
