--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -1,4 +1,7 @@
-"""Settings as items, and evacuations of single zones: no keys, every call may be said again, to any node."""
+"""Settings as items, and evacuations of single zones, over HTTP.
+
+Requests have no key: every request is idempotent and may be repeated at any control process.
+"""
 
 from __future__ import annotations
 
@@ -16,99 +19,99 @@
 
 MAX_BODY_BYTES = 8 << 20
 EVACUATION_EFFECT_LIMIT_S = 1.0
-"""Evacuations have no version: a caller that got no answer for this long (s) calls another process, and what it was
-answered there must not be undone by what it said here."""
+"""How long after its arrival an evacuation may take effect. Evacuations have no version: a client without a response
+for this long retries at another process, and the earlier request must not undo what that process acknowledged."""
 CONNECTION_CHECK_DELAY_S = 0.2
-"""How long (s) the caller's connection must have stood before an evacuation is offered for it. A call that lay on a
-silent link comes after its caller closed the connection, and the connection's end follows one round trip later."""
+"""How long the client's connection must stay open before an evacuation is submitted. A request that was delayed on a
+silent link arrives after its client has closed the connection, and the close arrives one round trip later."""
 _decode_findings = msgspec.msgpack.Decoder(Findings).decode
 
 
-def _find_rejection(items: Items, c: Amend) -> tuple[int, Findings] | None:
-    """The status and findings of a call that these items refuse."""
-    set_evacuated = items.evaluate(c)
-    if set_evacuated.found:
-        return 400, set_evacuated.found
-    return (409, set_evacuated.conflicts) if set_evacuated.conflicts else None
+def _find_rejection(items: Items, command: Amend) -> tuple[int, Findings] | None:
+    """Returns the HTTP status and findings if these items reject the command, else None."""
+    evaluation = items.evaluate(command)
+    if evaluation.found:
+        return 400, evaluation.found
+    return (409, evaluation.conflicts) if evaluation.conflicts else None
 
 
 class ItemResource(Api):
-    """What these pages share."""
+    """Base class of the resources for items and zones."""
 
-    def offer(self, req, resp, c: Amend | Evacuate, effect: float | None = None) -> None:
-        """Offers a command; it takes effect within `effect` seconds or never, where that is given."""
+    def offer(self, req, resp, command: Amend | Evacuate, effect: float | None = None) -> None:
+        """Submits a command and responds with its outcome; `effect` limits the time until it takes effect (s)."""
         if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT, effect)
-        if t.code == Code.INVALID:
-            return web.turn_away(req, resp, 400, _decode_findings(t.body))
-        if t.code == Code.CONFLICT:
-            return web.turn_away(req, resp, 409, _decode_findings(t.body))
-        if t.code != Code.OK:
-            return self.reject(req, resp, t)
-        web.say(resp, {"revision": t.revision})
+        response = page_offer.offer(self.task, req, encode(command), LIMIT, ATTEMPT, effect)
+        if response.code == Code.INVALID:
+            return web.turn_away(req, resp, 400, _decode_findings(response.body))
+        if response.code == Code.CONFLICT:
+            return web.turn_away(req, resp, 409, _decode_findings(response.body))
+        if response.code != Code.OK:
+            return self.reject(req, resp, response)
+        web.say(resp, {"revision": response.revision})
 
 
 class ItemsView(ItemResource):
     """All items."""
 
     def on_get(self, req, resp) -> None:
-        """A confirmed read of all items, laid out as they are sent."""
+        """Responds with all items in the format of a PATCH request, from a confirmed read."""
         if self.confirm(req, resp) is None:
             return
         items = self.task.core.state.items
         web.say(resp, {kind: self._documents(items, kind) for kind in items.kinds()})
 
     def _documents(self, items: Items, kind: str):
-        held = items.current_documents(kind)
-        alone = kind == LIMITS_KIND or (kind, "") in items.rows
-        return held if not alone else held[0] if held else {}
+        documents = items.current_documents(kind)
+        single = kind == LIMITS_KIND or (kind, "") in items.rows
+        return documents if not single else documents[0] if documents else {}
 
     def on_patch(self, req, resp) -> None:
-        """What this node finds wrong may only be news it has not heard yet; the leader's state has the last word."""
+        """Changes items. Rejects the request only after a confirmed read, since the local state may be stale."""
         body = web.body_of(req, MAX_BODY_BYTES)
         if body is None:
             return web.turn_away(req, resp, 413, [Finding("body", f"larger than {MAX_BODY_BYTES} bytes")])
-        r = parse_amend(body)
-        if r.is_err():
-            return web.turn_away(req, resp, 400, r.err_value)
-        c, s = r.ok_value, self.task.core.state
-        if s is not None and _find_rejection(s.items, c) is not None:
+        parsed = parse_amend(body)
+        if parsed.is_err():
+            return web.turn_away(req, resp, 400, parsed.err_value)
+        command, state = parsed.ok_value, self.task.core.state
+        if state is not None and _find_rejection(state.items, command) is not None:
             if self.confirm(req, resp) is None:
                 return
-            refusal = _find_rejection(self.task.core.state.items, c)
-            if refusal is not None:
-                return web.turn_away(req, resp, *refusal)
-        elif s is not None and not s.items.has_newer(c):
-            c = Amend([])
-        self.offer(req, resp, c)
+            rejection = _find_rejection(self.task.core.state.items, command)
+            if rejection is not None:
+                return web.turn_away(req, resp, *rejection)
+        elif state is not None and not state.items.has_newer(command):
+            command = Amend([])
+        self.offer(req, resp, command)
 
 
 class EvacuatedZone(ItemResource):
-    """One zone's evacuation."""
+    """The evacuation of one zone."""
 
     def on_post(self, req, resp, zone: str) -> None:
-        """Nothing more is to be sent to the zone."""
+        """Evacuates the zone, so that it gets no new traffic."""
         self.set_evacuated(req, resp, zone, True)
 
     def on_delete(self, req, resp, zone: str) -> None:
-        """The zone is given back."""
+        """Ends the zone's evacuation."""
         self.set_evacuated(req, resp, zone, False)
 
     def set_evacuated(self, req, resp, zone: str, on: bool) -> None:
-        """Evacuates the zone or gives it back, if the caller still waits after `STANDS`."""
+        """Starts or ends an evacuation if the client is still connected after `CONNECTION_CHECK_DELAY_S`."""
         if zone not in self.task.node.settings.zones:
-            s = self.confirm(req, resp)
-            if s is None:
+            settings = self.confirm(req, resp)
+            if settings is None:
                 return
-            known = {z for r in self.task.tree().doc.regions.values() for z in r.zones}
-            if zone not in known and zone not in s.evacuated:
+            known = {name for region in self.task.tree().doc.regions.values() for name in region.zones}
+            if zone not in known and zone not in settings.evacuated:
                 return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {zone[:200]!r}")])
         gevent.sleep(CONNECTION_CHECK_DELAY_S)
         self.offer(req, resp, Evacuate(zone, on), EVACUATION_EFFECT_LIMIT_S - CONNECTION_CHECK_DELAY_S)
 
 
 def add_routes(app, task) -> None:
-    """Adds these pages."""
+    """Adds these resources."""
     app.add_route("/items", ItemsView(task))
     app.add_route("/evacuations/{zone}", EvacuatedZone(task))
--- a/mallowvalve/control/http_plain.py
+++ b/mallowvalve/control/http_plain.py
@@ -1,4 +1,4 @@
-"""Locks, numbers and keys over HTTP for callers that bring no key and ask another core machine after a second."""
+"""Locks, numbers and cells over HTTP, for clients without a `Mallow-Key` that retry elsewhere after 1 s."""
 
 from __future__ import annotations
 
@@ -27,24 +27,29 @@
 )
 from mallowvalve.finding import Finding, Findings
 
-CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S = 0.85, 0.6
-RETRY_PAUSE_S, WATCH_POLL_INTERVAL_S = 0.04, 0.01
+CALL_TIMEOUT_S = 0.85
+ATTEMPT_TIMEOUT_S = 0.6
+RETRY_PAUSE_S = 0.04
+WATCH_POLL_INTERVAL_S = 0.01
 MAX_WATCH_WAIT_S = 30.0
-MAX_NAME_CHARACTERS, MAX_VALUE_BYTES, MAX_HOLD_MS = 200, 64 << 10, 600_000
+STALE_WATCH_RETRY_AFTER_S = 0.2
+MAX_NAME_CHARACTERS = 200
+MAX_VALUE_BYTES = 64 << 10
+MAX_HOLD_MS = 600_000
 MAX_BODY_BYTES = 8 * MAX_VALUE_BYTES
 NUMBER_UPPER_BOUND = 1 << 62
 decode_plain_result = msgspec.msgpack.Decoder(PlainResult).decode
 
 
 class TakeDoc(msgspec.Struct):
-    """The body that takes a lock (ms)."""
+    """Body of a request to acquire a lock; `hold_ms` is the duration of the lease."""
 
     holder: str
     hold_ms: float
 
 
 class ExtendDoc(msgspec.Struct):
-    """The body that holds a lock longer (ms)."""
+    """Body of a request to extend a lock; `hold_ms` is the new duration of the lease."""
 
     holder: str
     token: int
@@ -52,81 +57,81 @@
 
 
 class FreeDoc(msgspec.Struct):
-    """The body that gives a lock back."""
+    """Body of a request to release a lock."""
 
     holder: str
     token: int
 
 
 class WriteDoc(msgspec.Struct):
-    """The body that puts a key."""
+    """Body of a request to write a cell; `base` is the expected revision, or None for any."""
 
     value: str
     base: int | None = None
 
 
 def is_valid_name(text: str) -> bool:
-    """Whether the text may be a name."""
+    """Returns whether the text is a valid name of a lock, number, cell, group or holder."""
     return 0 < len(text) <= MAX_NAME_CHARACTERS and text.isprintable()
 
 
-def find_errors(name: str, d: msgspec.Struct | None = None) -> Findings:
-    """What is wrong with a name and a body."""
+def find_errors(name: str, doc: msgspec.Struct | None = None) -> Findings:
+    """Returns the findings about a name and, if given, a body."""
     found = []
     if not is_valid_name(name):
         found.append(Finding("name", f"want 1 to {MAX_NAME_CHARACTERS} printable characters"))
-    if not is_valid_name(getattr(d, "holder", "x")):
+    if not is_valid_name(getattr(doc, "holder", "x")):
         found.append(Finding("holder", f"want 1 to {MAX_NAME_CHARACTERS} printable characters"))
-    if not 0 < getattr(d, "hold_ms", 1) <= MAX_HOLD_MS:
+    if not 0 < getattr(doc, "hold_ms", 1) <= MAX_HOLD_MS:
         found.append(Finding("hold_ms", f"want more than 0, at most {MAX_HOLD_MS}"))
-    if len(getattr(d, "value", "").encode()) > MAX_VALUE_BYTES:
+    if len(getattr(doc, "value", "").encode()) > MAX_VALUE_BYTES:
         found.append(Finding("value", f"want at most {MAX_VALUE_BYTES} bytes"))
     for field in ("token", "base"):
-        if not 0 <= (getattr(d, field, 0) or 0) < NUMBER_UPPER_BOUND:
+        if not 0 <= (getattr(doc, field, 0) or 0) < NUMBER_UPPER_BOUND:
             found.append(Finding(field, "out of range"))
     return found
 
 
 class PlainResource:
-    """What these pages share."""
+    """Base class of the resources: validation, submission and confirmed reads."""
 
     def __init__(self, task: ControlTask):
-        """Pages of one control process."""
+        """`task` is the control process that serves the resource."""
         self.task = task
 
     def read_as(self, kind: type, req, resp, name: str):
-        """The checked body, or None once the findings were answered."""
-        d = web.read_as(kind, req, resp, MAX_BODY_BYTES)
-        if d is None:
+        """Returns the validated body, or None after responding with the findings."""
+        doc = web.read_as(kind, req, resp, MAX_BODY_BYTES)
+        if doc is None:
             return None
-        found = find_errors(name, d)
-        return web.reject(resp, 400, web.NOT_RUN, found) if found else d
+        found = find_errors(name, doc)
+        return web.reject(resp, 400, web.NOT_RUN, found) if found else doc
 
-    def run(self, req, resp, c: Take | Extend | Free | Count | Write) -> PlainResult | None:
-        """What was said to the command, or None once the trouble was answered; may offer it more than once."""
+    def run(self, req, resp, command: Take | Extend | Free | Count | Write) -> PlainResult | None:
+        """Returns the command's result, or None after responding with an error; may submit it more than once."""
         if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
-        return decode_plain_result(t.body) if t.code == Code.OK else self.reject(resp, t)
+        response = page_offer.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
+        return decode_plain_result(response.body) if response.code == Code.OK else self.reject(resp, response)
 
     def confirm(self, req, resp) -> PlainCoordination | None:
-        """The state with all that was acknowledged before this call, or None once the trouble was answered."""
+        """Returns a state with all writes acknowledged before this call, or None after responding with an error."""
         if not page_offer.accept_or_redirect(self.task, req, resp):
             return None
-        end, t = clock.now() + CALL_TIMEOUT_S, CommandResponse(Code.LEADER)
+        end, response = clock.now() + CALL_TIMEOUT_S, CommandResponse(Code.LEADER)
         while (left := end - clock.now()) > 0:
-            t = self.task.read(min(left, ATTEMPT_TIMEOUT_S))
-            s: ReplicatedState | None = self.task.core.state
-            if t.code == Code.OK and s is not None:
-                return s.plain
+            response = self.task.read(min(left, ATTEMPT_TIMEOUT_S))
+            state: ReplicatedState | None = self.task.core.state
+            if response.code == Code.OK and state is not None:
+                return state.plain
             if web.client_left(req):
                 break
             gevent.sleep(min(RETRY_PAUSE_S, max(0.0, end - clock.now())))
-        return self.reject(resp, t)
+        return self.reject(resp, response)
 
-    def reject(self, resp, t: CommandResponse) -> None:
-        """503 only where the offer came back as never taken: whatever may still take effect is a 504."""
-        if t.code in NOT_APPLIED:
+    def reject(self, resp, response: CommandResponse) -> None:
+        """Responds with 503 if the command is known not to be applied, and with 504 if it may still take effect."""
+        if response.code in NOT_APPLIED:
             return web.reject(resp, 503, web.NOT_RUN, [Finding("control", "no leader just now")], 1)
         web.reject(resp, 504, web.UNDECIDED, [Finding("control", "not confirmed in time: say it again")], 1)
 
@@ -135,80 +140,83 @@
     """Locks by name."""
 
     def on_post(self, req, resp, name: str) -> None:
-        """Takes a lock, or holds it longer for its holder."""
-        d = self.read_as(TakeDoc, req, resp, name)
-        w = self.run(req, resp, Take(name, d.holder, d.hold_ms)) if d is not None else None
-        if w is not None:
-            self._answer(resp, w, {"token": w.number})
+        """Acquires the lock, or extends it if the same holder has it."""
+        doc = self.read_as(TakeDoc, req, resp, name)
+        result = self.run(req, resp, Take(name, doc.holder, doc.hold_ms)) if doc is not None else None
+        if result is not None:
+            self._answer(resp, result, {"token": result.number})
 
     def on_put(self, req, resp, name: str) -> None:
-        """Holds a lock longer, under its token."""
-        d = self.read_as(ExtendDoc, req, resp, name)
-        w = self.run(req, resp, Extend(name, d.holder, d.token, d.hold_ms)) if d is not None else None
-        if w is not None:
-            self._answer(resp, w, {})
+        """Extends the lock if the fencing token matches."""
+        doc = self.read_as(ExtendDoc, req, resp, name)
+        result = self.run(req, resp, Extend(name, doc.holder, doc.token, doc.hold_ms)) if doc is not None else None
+        if result is not None:
+            self._answer(resp, result, {})
 
     def on_delete(self, req, resp, name: str) -> None:
-        """Gives a lock back; the answer is the same whether it was held or not."""
-        d = self.read_as(FreeDoc, req, resp, name)
-        w = self.run(req, resp, Free(name, d.holder, d.token)) if d is not None else None
-        if w is not None:
-            self._answer(resp, w, {})
+        """Releases the lock; the response is the same if it was not held."""
+        doc = self.read_as(FreeDoc, req, resp, name)
+        result = self.run(req, resp, Free(name, doc.holder, doc.token)) if doc is not None else None
+        if result is not None:
+            self._answer(resp, result, {})
 
-    def _answer(self, resp, w: PlainResult, body: dict) -> None:
-        web.say(resp, body) if w.code is PlainResultCode.OK else web.say(resp, {"code": w.code}, 409)
+    def _answer(self, resp, result: PlainResult, body: dict) -> None:
+        web.say(resp, body) if result.code is PlainResultCode.OK else web.say(resp, {"code": result.code}, 409)
 
 
 class PlainNumbers(PlainResource):
-    """Numbers that only rise."""
+    """Counters by name; their numbers only increase."""
 
     def on_post(self, req, resp, name: str) -> None:
-        """The next number of a name."""
+        """Responds with the next number of the counter."""
         found = find_errors(name)
         if found:
             return web.reject(resp, 400, web.NOT_RUN, found)
-        w = self.run(req, resp, Count(name))
-        if w is not None:
-            web.say(resp, {"value": w.number})
+        result = self.run(req, resp, Count(name))
+        if result is not None:
+            web.say(resp, {"value": result.number})
 
 
 class PlainCells(PlainResource):
-    """Keys with values."""
+    """Values by name."""
 
     def on_get(self, req, resp, name: str) -> None:
-        """A confirmed read."""
+        """Responds with the value and its revision, from a confirmed read."""
         found = find_errors(name)
         if found:
             return web.reject(resp, 400, web.NOT_RUN, found)
         plain = self.confirm(req, resp)
         if plain is None:
             return
-        had = plain.keys.get(name)
-        if had is None:
+        stored = plain.keys.get(name)
+        if stored is None:
             return web.say(resp, {"revision": 0}, 404)
-        web.say(resp, {"value": had[0], "revision": had[1]})
+        web.say(resp, {"value": stored[0], "revision": stored[1]})
 
     def on_put(self, req, resp, name: str) -> None:
-        """Puts a value, on a revision if one is given."""
-        d = self.read_as(WriteDoc, req, resp, name)
-        w = self.run(req, resp, Write(name, d.value, d.base)) if d is not None else None
-        if w is not None:
-            web.say(resp, {"revision": w.number}, 200 if w.code is PlainResultCode.OK else 412)
+        """Writes the value, only on the expected revision if one is given."""
+        doc = self.read_as(WriteDoc, req, resp, name)
+        result = self.run(req, resp, Write(name, doc.value, doc.base)) if doc is not None else None
+        if result is not None:
+            web.say(resp, {"revision": result.number}, 200 if result.code is PlainResultCode.OK else 412)
 
 
 class WatchNotifier:
-    """Wakes watchers when a put was applied: one look each `LOOK` seconds for all of them, none while nobody waits."""
+    """Wakes watchers after writes to their group, by polling the state every `WATCH_POLL_INTERVAL_S`.
+
+    One greenlet polls for all watchers; it runs only while there are any.
+    """
 
     __slots__ = ("_task", "_watchers", "_job")
 
     def __init__(self, task: ControlTask):
-        """Nobody waits yet."""
+        """Starts without watchers."""
         self._task = task
         self._watchers: dict[Event, tuple[str, int]] = {}
         self._job = None
 
     def wait(self, group: str, after: int, limit: float) -> None:
-        """Returns when the group is above `after`, at the limit (s), or when the control process stops."""
+        """Blocks until the group's revision exceeds `after`, `limit` (s) has passed, or the control process stops."""
         wakeup = Event()
         self._watchers[wakeup] = group, after
         if self._job is None:
@@ -221,32 +229,32 @@
     def _run(self) -> None:
         seen = None
         while self._watchers:
-            s = self._task.core.state
-            now = (s, s.plain.write_count) if s is not None else None
-            if now is None or self._task.node.stopping.is_set():
+            state = self._task.core.state
+            version = (state, state.plain.write_count) if state is not None else None
+            if version is None or self._task.node.stopping.is_set():
                 self._notify(lambda group, after: True)
-            elif now != seen:
-                self._notify(lambda group, after: s.plain.revision(group) > after)
-            seen = now
+            elif version != seen:
+                self._notify(lambda group, after: state.plain.revision(group) > after)
+            seen = version
             gevent.sleep(WATCH_POLL_INTERVAL_S)
         self._job = None
 
-    def _notify(self, due) -> None:
+    def _notify(self, is_due) -> None:
         for wakeup, (group, after) in self._watchers.items():
-            if due(group, after):
+            if is_due(group, after):
                 wakeup.set()
 
 
 class PlainWatch(PlainResource):
-    """The puts of a group after a revision."""
+    """The writes to a group of cells after a revision, by long polling."""
 
     def __init__(self, task: ControlTask):
-        """Pages of one control process."""
+        """`task` is the control process that serves the resource."""
         super().__init__(task)
         self.notifier = WatchNotifier(task)
 
     def on_get(self, req, resp, name: str) -> None:
-        """Answers as soon as there are some, or after the caller's wait."""
+        """Responds as soon as there are events, or after `wait_ms`."""
         end = clock.now() + min(MAX_WATCH_WAIT_S, req.get_param_as_int("wait_ms", min_value=0, default=0) / 1000)
         after = req.get_param_as_int("after", min_value=0, max_value=NUMBER_UPPER_BOUND, default=0)
         found = find_errors(name)
@@ -262,22 +270,23 @@
         self._watch(req, resp, plain, name, after, end)
 
     def _local_or_confirmed(self, req, resp, after: int) -> PlainCoordination | None:
-        """What is known here, unless it may lag behind what was acknowledged: then a quorum is asked first."""
-        s: ReplicatedState | None = self.task.core.state
-        if s is not None and after and self.task.core.current(clock.now()):
-            return s.plain
+        """Returns the local state, after a confirmed read if it may lack acknowledged writes."""
+        state: ReplicatedState | None = self.task.core.state
+        if state is not None and after and self.task.core.current(clock.now()):
+            return state.plain
         return self.confirm(req, resp)
 
     def _confirmed_if_stale(
         self, req, resp, plain: PlainCoordination, group: str, after: int, over: bool
     ) -> PlainCoordination | None:
-        """What is known here; where that is no news and some may be missing, a quorum is asked first.
+        """Returns the local state, after a confirmed read if it has no events and may lack some.
 
-        A watcher who waits is told of a machine cut off once heartbeats are refused there too.
+        While the watcher waits, the state counts as stale only once heartbeats are rejected here too, so that a
+        watcher at a partitioned process gets an error.
         """
-        got, now = plain.events_since(group, after), clock.now()
-        lags = not (self.task.core.current(now) if over else self.task.core.may_answer(AnswerKind.HEARTBEAT, now))
-        return self.confirm(req, resp) if got is not None and not got[0] and lags else plain
+        events, now = plain.events_since(group, after), clock.now()
+        stale = not (self.task.core.current(now) if over else self.task.core.may_answer(AnswerKind.HEARTBEAT, now))
+        return self.confirm(req, resp) if events is not None and not events[0] and stale else plain
 
     def _watch(self, req, resp, plain: PlainCoordination, group: str, after: int, end: float) -> None:
         while True:
@@ -285,31 +294,32 @@
             plain = self._confirmed_if_stale(req, resp, plain, group, after, over)
             if plain is None:
                 return
-            got = plain.events_since(group, after)
-            if got is None:
+            events = plain.events_since(group, after)
+            if events is None:
                 return web.say(resp, {"code": "compacted"}, 410)
-            if got[0] or over:
-                if got[1] < after:
-                    return web.reject(resp, 503, web.NOT_RUN, [Finding("after", f"held here up to {got[1]} only")], 0.2)
-                return web.say(resp, {"events": list(map(event_document, got[0])), "revision": got[1]})
+            if events[0] or over:
+                if events[1] < after:
+                    found = [Finding("after", f"held here up to {events[1]} only")]
+                    return web.reject(resp, 503, web.NOT_RUN, found, STALE_WATCH_RETRY_AFTER_S)
+                return web.say(resp, {"events": list(map(event_document, events[0])), "revision": events[1]})
             self.notifier.wait(group, after, min(LEASE_BOUNDS[AnswerKind.WATCH].seconds, end - clock.now()))
             if web.client_left(req):
                 return web.reject(resp, 503, web.NOT_RUN, [Finding("watch", "its caller has closed the connection")])
-            s: ReplicatedState | None = self.task.core.state
-            if s is None:
+            state: ReplicatedState | None = self.task.core.state
+            if state is None:
                 return self.reject(resp, CommandResponse(Code.LEADER))
-            plain = s.plain
+            plain = state.plain
 
 
-def event_document(p: KeyRevision) -> dict:
-    """A put as watchers are told of it."""
-    return {"name": p.name, "value": p.value, "revision": p.revision}
+def event_document(write: KeyRevision) -> dict:
+    """Returns a write as an event of a watch response."""
+    return {"name": write.name, "value": write.value, "revision": write.revision}
 
 
-def add_routes(app, task: ControlTask, at: str) -> None:
-    """`at` is the path prefix, such as /coordination."""
-    at = at.rstrip("/")
-    app.add_route(at + "/locks/{name}", PlainLocks(task))
-    app.add_route(at + "/numbers/{name}", PlainNumbers(task))
-    app.add_route(at + "/cells/{name}", PlainCells(task))
-    app.add_route(at + "/watch/{name}", PlainWatch(task))
+def add_routes(app, task: ControlTask, prefix: str) -> None:
+    """Adds these resources below the path `prefix`, such as /coordination."""
+    prefix = prefix.rstrip("/")
+    app.add_route(prefix + "/locks/{name}", PlainLocks(task))
+    app.add_route(prefix + "/numbers/{name}", PlainNumbers(task))
+    app.add_route(prefix + "/cells/{name}", PlainCells(task))
+    app.add_route(prefix + "/watch/{name}", PlainWatch(task))
--- a/mallowvalve/control/page_offer.py
+++ b/mallowvalve/control/page_offer.py
@@ -1,10 +1,11 @@
-"""What the pages ask of the replicated state, for callers who can be served here and still wait.
+"""Submits the commands of HTTP requests, if this process can serve them and the client is still connected.
 
-A process that is out of touch with a majority could only let its callers wait for nothing: it sends them on at once.
+A process without recent contact to a majority could only keep its clients waiting, so it redirects them at once.
 
-A call may lie in a connection while its process is frozen or its link silent, and be read only after its caller went
-on to another process. It would then be a new call, with a not-after of its own, and undo what the caller was told
-elsewhere since. A caller who goes on closes its connection, so a call is offered only while its connection stands.
+A request may sit in a connection while the process is suspended or the link is silent, and be read only after the
+client has retried at another process. It would then be a new call with a `not_after` of its own, and would undo what
+the client was told by the other process. A client closes its connection before it retries elsewhere, so a command is
+submitted only while the connection is open.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 from mallowvalve.control.wire import CommandResponse
 
 CLIENT_LEFT = CommandResponse(Code.LEADER)
-"""What is said to a caller who has gone: nothing was offered."""
+"""The response for a client that has disconnected: its command was not submitted."""
 
 
 def accept_or_redirect(task: ControlTask, req: falcon.Request, resp: falcon.Response) -> bool:
-    """Whether a call that needs a majority may begin here; otherwise it was answered: 307, or 503 and when to come.
+    """Returns whether this process may serve a request that needs a majority; if not, responds with 307 or 503.
 
-    Nothing was offered; but of a call with a key, an earlier try elsewhere may have run.
+    This process has then submitted nothing, but an earlier attempt of a request with a key may have run elsewhere.
     """
     if task.core.may_answer(AnswerKind.CALL, clock.now()):
         return True
@@ -37,7 +38,7 @@
 def offer(
     task: ControlTask, req: falcon.Request, command: bytes, limit: float, attempt: float, effect: float | None = None
 ) -> CommandResponse:
-    """As `ControlTask.offer` (s), but nothing is offered for a caller whose connection has ended."""
+    """Like `ControlTask.offer` (times in s), but submits nothing if the client has closed its connection."""
     if web.client_left(req):
         return CLIENT_LEFT
     return task.offer(command, limit, attempt) if effect is None else task.offer(command, limit, attempt, effect)
