--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -1,4 +1,4 @@
-"""The operators' pages: the configuration document, plans, evacuations, the roster, who leads."""
+"""Operator API over HTTP: configuration document, plans, evacuations, the proxies' roster and the Raft status."""
 
 from __future__ import annotations
 
@@ -21,36 +21,37 @@
 from mallowvalve.types import Address
 
 MAX_CONFIG_BYTES = 8 << 20
+PATCH_DIGEST_BYTES = 16
 
 
 class ConfigDoc(msgspec.Struct):
-    """A whole document; `base` is the revision that it replaces, or None for any."""
+    """A whole configuration document; `base` is the expected current revision, or None for any."""
 
     doc: dict
     base: int | None = None
 
 
 class PatchDoc(msgspec.Struct):
-    """A JSON patch on the document of the revision `base`."""
+    """A JSON Patch for the document at the revision `base`."""
 
     patch: list[dict]
     base: int
 
 
 class PlanDoc(msgspec.Struct):
-    """A document or a patch whose effect is asked about."""
+    """A document or a patch to be planned; exactly one of them must be given."""
 
     doc: dict | None = None
     patch: list[dict] | None = None
     base: int | None = None
 
 
-def apply_patch(s: ReplicatedSettings, patch: list[dict]) -> Result[dict, Findings]:
-    """The document with the patch on it, or what is wrong with the patch."""
+def apply_patch(settings: ReplicatedSettings, patch: list[dict]) -> Result[dict, Findings]:
+    """Returns the patched document, or the findings about the patch."""
     try:
-        doc = jsonpatch.apply_patch(msgspec.json.decode(s.doc), patch)
-    except (jsonpatch.JsonPatchException, jsonpatch.JsonPointerException, TypeError, KeyError) as e:
-        return Err([Finding("patch", str(e))])
+        doc = jsonpatch.apply_patch(msgspec.json.decode(settings.doc), patch)
+    except (jsonpatch.JsonPatchException, jsonpatch.JsonPointerException, TypeError, KeyError) as error:
+        return Err([Finding("patch", str(error))])
     return Ok(doc) if isinstance(doc, dict) else Err([Finding("patch", "leaves no object")])
 
 
@@ -58,74 +59,83 @@
     """The configuration document."""
 
     def on_get(self, req, resp) -> None:
-        """A confirmed read of the document."""
-        s = self.confirm(req, resp)
-        if s is None:
+        """Responds with the document, from a confirmed read."""
+        settings = self.confirm(req, resp)
+        if settings is None:
             return
-        web.say(resp, {"revision": s.doc_revision, "doc": msgspec.json.decode(s.doc), "evacuated": sorted(s.evacuated)})
+        web.say(
+            resp,
+            {
+                "revision": settings.doc_revision,
+                "doc": msgspec.json.decode(settings.doc),
+                "evacuated": sorted(settings.evacuated),
+            },
+        )
 
     def on_put(self, req, resp) -> None:
         """Replaces the document."""
-        d = web.read_as(ConfigDoc, req, resp, MAX_CONFIG_BYTES)
-        key = self.key(req, resp) if d is not None else None
+        request = web.read_as(ConfigDoc, req, resp, MAX_CONFIG_BYTES)
+        key = self.key(req, resp) if request is not None else None
         if key is not None:
-            self.apply(req, resp, Change(d.base, msgspec.json.encode(d.doc), key), d.doc)
+            self.apply(req, resp, Change(request.base, msgspec.json.encode(request.doc), key), request.doc)
 
     def on_patch(self, req, resp) -> None:
-        """Changes the document by a JSON patch."""
-        d = web.read_as(PatchDoc, req, resp, MAX_CONFIG_BYTES)
-        key = self.key(req, resp) if d is not None else None
-        s = self.confirm(req, resp) if key is not None else None
-        if s is None:
+        """Changes the document by a JSON Patch."""
+        request = web.read_as(PatchDoc, req, resp, MAX_CONFIG_BYTES)
+        key = self.key(req, resp) if request is not None else None
+        settings = self.confirm(req, resp) if key is not None else None
+        if settings is None:
             return
-        digest = hashlib.blake2b(encode([d.base, msgspec.json.encode(d.patch)]), digest_size=16).hexdigest()
-        c = Change(d.base, b"", key, digest)
-        if self.task.core.state.asks.find(command_key(c), digest) is not None:
-            return self.offer(req, resp, c)
-        if d.base != s.doc_revision:
-            return self.reject(req, resp, CommandResponse(Code.CONFLICT, s.doc_revision))
-        doc = apply_patch(s, d.patch)
+        content = encode([request.base, msgspec.json.encode(request.patch)])
+        digest = hashlib.blake2b(content, digest_size=PATCH_DIGEST_BYTES).hexdigest()
+        command = Change(request.base, b"", key, digest)
+        if self.task.core.state.asks.find(command_key(command), digest) is not None:
+            return self.offer(req, resp, command)
+        if request.base != settings.doc_revision:
+            return self.reject(req, resp, CommandResponse(Code.CONFLICT, settings.doc_revision))
+        doc = apply_patch(settings, request.patch)
         if doc.is_err():
             return web.turn_away(req, resp, 422, doc.err_value)
-        self.apply(req, resp, msgspec.structs.replace(c, doc=msgspec.json.encode(doc.ok_value)), doc.ok_value)
+        command = msgspec.structs.replace(command, doc=msgspec.json.encode(doc.ok_value))
+        self.apply(req, resp, command, doc.ok_value)
 
-    def apply(self, req, resp, c: Change, doc: dict) -> None:
-        """Checks the document, then offers the change."""
+    def apply(self, req, resp, command: Change, doc: dict) -> None:
+        """Validates the document, then submits the change."""
         built = self.task.check(doc)
         if built.is_err():
             return web.turn_away(req, resp, 422, built.err_value)
-        self.offer(req, resp, c)
+        self.offer(req, resp, command)
 
 
 class Plans(Api):
-    """What a change would move; it changes nothing."""
+    """Dry runs of configuration changes."""
 
     def on_post(self, req, resp) -> None:
-        """What the change would move."""
-        d = web.read_as(PlanDoc, req, resp, MAX_CONFIG_BYTES)
-        if d is None:
+        """Responds with the traffic that the change would move; applies nothing."""
+        request = web.read_as(PlanDoc, req, resp, MAX_CONFIG_BYTES)
+        if request is None:
             return
-        if (d.doc is None) == (d.patch is None):
+        if (request.doc is None) == (request.patch is None):
             return web.turn_away(req, resp, 400, [Finding("doc, patch", "want one of them")])
-        if d.patch is not None and d.base is None:
+        if request.patch is not None and request.base is None:
             return web.turn_away(req, resp, 400, [Finding("base", "missing: a patch needs it")])
-        s = self.confirm(req, resp)
-        if s is None:
+        settings = self.confirm(req, resp)
+        if settings is None:
             return
-        if d.base not in (None, s.doc_revision):
-            return self.reject(req, resp, CommandResponse(Code.CONFLICT, s.doc_revision))
-        doc = Ok(d.doc) if d.patch is None else apply_patch(s, d.patch)
-        new = doc.and_then(self.task.check)
-        if new.is_err():
-            return web.turn_away(req, resp, 422, new.err_value)
+        if request.base not in (None, settings.doc_revision):
+            return self.reject(req, resp, CommandResponse(Code.CONFLICT, settings.doc_revision))
+        doc = Ok(request.doc) if request.patch is None else apply_patch(settings, request.patch)
+        tree = doc.and_then(self.task.check)
+        if tree.is_err():
+            return web.turn_away(req, resp, 422, tree.err_value)
         board = self.task.node.heartbeats.board.all(clock.now())
-        seen = [Seen(b.service, b.instance, b.locality) for b, status, _ in board if status == "ready"]
-        moves = plan(self.task.tree(), new.ok_value, seen, s.evacuated)
-        web.say(resp, {"base": s.doc_revision, "moves": moves, "doc": doc.ok_value})
+        seen = [Seen(beat.service, beat.instance, beat.locality) for beat, status, _ in board if status == "ready"]
+        moves = plan(self.task.tree(), tree.ok_value, seen, settings.evacuated)
+        web.say(resp, {"base": settings.doc_revision, "moves": moves, "doc": doc.ok_value})
 
 
 class EvacuateDoc(msgspec.Struct):
-    """A zone or region, to be emptied or given back."""
+    """A zone or region, and whether it is to be evacuated."""
 
     zone: str
     evacuated: bool
@@ -135,100 +145,101 @@
     """Evacuations of zones and regions."""
 
     def on_post(self, req, resp) -> None:
-        """Empties a zone, or gives it back."""
-        d = web.read_as(EvacuateDoc, req, resp)
-        key = self.key(req, resp) if d is not None else None
-        s = self.confirm(req, resp) if key is not None else None
-        if s is None:
+        """Starts or ends the evacuation of a zone or region."""
+        request = web.read_as(EvacuateDoc, req, resp)
+        key = self.key(req, resp) if request is not None else None
+        settings = self.confirm(req, resp) if key is not None else None
+        if settings is None:
             return
         regions = self.task.tree().doc.regions
-        known = {z for r in regions.values() for z in r.zones} | {
-            f"{n}/{z}" for n, r in regions.items() for z in r.zones
+        known = {zone for region in regions.values() for zone in region.zones} | {
+            f"{name}/{zone}" for name, region in regions.items() for zone in region.zones
         }
-        if d.zone not in known | set(regions) and d.zone not in s.evacuated:
-            return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {d.zone[:200]!r}")])
-        self.offer(req, resp, Evacuate(d.zone, d.evacuated, key))
+        if request.zone not in known | set(regions) and request.zone not in settings.evacuated:
+            return web.turn_away(req, resp, 404, [Finding("zone", f"no zone {request.zone[:200]!r}")])
+        self.offer(req, resp, Evacuate(request.zone, request.evacuated, key))
 
 
 class StrikeDoc(msgspec.Struct):
-    """A proxy's address."""
+    """The address of a proxy to be removed from the roster."""
 
     proxy: str
 
 
 class Strikes(Api):
-    """Takes proxies off the roster."""
+    """Removals of proxies from the roster."""
 
     def on_post(self, req, resp) -> None:
-        """Strikes a proxy that will not come back."""
-        d = web.read_as(StrikeDoc, req, resp)
-        key = self.key(req, resp) if d is not None else None
-        s = self.confirm(req, resp) if key is not None else None
-        if s is None:
+        """Removes a proxy that is permanently gone."""
+        request = web.read_as(StrikeDoc, req, resp)
+        key = self.key(req, resp) if request is not None else None
+        settings = self.confirm(req, resp) if key is not None else None
+        if settings is None:
             return
-        seat = s.roster.get(d.proxy)
+        seat = settings.roster.get(request.proxy)
         if seat is None:
-            return web.turn_away(req, resp, 404, [Finding("proxy", f"{d.proxy[:200]!r} is not on the roster")])
-        self.offer(req, resp, Strike(Address.read(d.proxy).ok_value, seat.boot, key))
+            return web.turn_away(req, resp, 404, [Finding("proxy", f"{request.proxy[:200]!r} is not on the roster")])
+        self.offer(req, resp, Strike(Address.read(request.proxy).ok_value, seat.boot, key))
 
 
 RISK_STATEMENT = "changes acknowledged by voters that cannot be reached may be lost"
 
 
 class RiskDoc(msgspec.Struct):
-    """The words by which an operator takes the risk."""
+    """`accept` must equal `RISK_STATEMENT`: the operator accepts the possible loss of acknowledged changes."""
 
     accept: str
 
 
 class ForcedBootstrap(Api):
-    """A founding by an operator's word, in place of proof that the old voters are gone for good."""
+    """Creation of a new Raft group on an operator's request, without proof that the old voters are permanently gone."""
 
     def on_post(self, req, resp) -> None:
-        """Founds anew from the newest state that answers."""
-        d = web.read_as(RiskDoc, req, resp)
-        if d is None:
+        """Creates the group from the newest state among the processes that respond."""
+        request = web.read_as(RiskDoc, req, resp)
+        if request is None:
             return
-        if d.accept != RISK_STATEMENT:
+        if request.accept != RISK_STATEMENT:
             return web.turn_away(req, resp, 400, [Finding("accept", f"must say: {RISK_STATEMENT}")])
-        r = self.task.founder.found_anew()
-        if r.is_err():
-            return web.turn_away(req, resp, 409, [Finding("control", r.err_value)])
+        founded = self.task.founder.found_anew()
+        if founded.is_err():
+            return web.turn_away(req, resp, 409, [Finding("control", founded.err_value)])
+        decision = founded.ok_value
         web.say(
             resp,
-            {"generation": r.ok_value.generation, "from": str(r.ok_value.base.addr), "index": r.ok_value.base.index},
+            {"generation": decision.generation, "from": str(decision.base.addr), "index": decision.base.index},
         )
 
 
 class Leader(Api):
-    """Who leads, and who votes, by what this process knows."""
+    """The Raft status of this process: leader, voters and log position as known locally."""
 
     def on_get(self, req, resp) -> None:
-        """Answers without asking anybody."""
-        c = self.task.core
-        r = c.raft
-        if r is None:
+        """Responds from the local state, without a confirmed read."""
+        core = self.task.core
+        raft = core.raft
+        if raft is None:
             return web.say(resp, {"leader": None, "blank": True})
-        v = r.log.configuration
+        configuration = raft.log.configuration
         web.say(
             resp,
             {
-                "leader": str(c.leader()) if c.leader() else None,
-                "term": r.term,
-                "generation": r.group.generation,
-                "role": r.role,
-                "index": c.state.index,
-                "revision": c.state.revision,
-                "voters": sorted(map(str, v.voters.values())),
-                "learners": sorted(map(str, v.learners.values())),
-                "roster": sorted(c.state.settings.roster),
+                "leader": str(core.leader()) if core.leader() else None,
+                "term": raft.term,
+                "generation": raft.group.generation,
+                "role": raft.role,
+                "index": core.state.index,
+                "revision": core.state.revision,
+                "voters": sorted(map(str, configuration.voters.values())),
+                "learners": sorted(map(str, configuration.learners.values())),
+                "roster": sorted(core.state.settings.roster),
                 "disk": "refuses" if self.task.stalled else "well",
             },
         )
 
 
 def add_routes(app: falcon.App, task: ControlTask) -> None:
-    """Adds these pages, and those of items and of coordination."""
+    """Adds these resources, and those of items and of keyed coordination."""
     app.add_route("/config", Config(task))
     app.add_route("/plan", Plans(task))
     app.add_route("/evacuations", Evacuations(task))
--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams' own calls: their heartbeats, and their leaving."""
+"""HTTP resources for upstreams: their heartbeats, and their deregistration."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
 from mallowvalve.upstreams.registry import Upstream
 
 MAX_BODY_BYTES = 16384
-MAX_NAME_CHARACTERS, MAX_COLD_MS, MAX_SLOTS, MAX_SEQUENCE = 200, 3_600_000, 1_000_000, 1 << 62
+MAX_NAME_CHARACTERS = 200
+MAX_COLD_MS = 3_600_000
+MAX_SLOTS = 1_000_000
+MAX_SEQUENCE = 1 << 62
 UNKNOWN_ADDRESS = Address("0.0.0.0", 0)
-parse_address = lru_cache(4096)(Address.read)
+PARSE_CACHE_ENTRIES = 4096
+parse_address = lru_cache(PARSE_CACHE_ENTRIES)(Address.read)
 
 
 class UpstreamHeartbeatDoc(msgspec.Struct):
-    """Times in ms; `cold_ms` is how much longer it stays cold."""
+    """Body of a heartbeat; `cold_ms` is the remaining warm-up time of the upstream."""
 
     service: str
     address: str
@@ -39,58 +43,58 @@
 
 
 decode_heartbeat = msgspec.json.Decoder(UpstreamHeartbeatDoc).decode
-KNOWN_FIELDS = {f.name for f in fields(UpstreamHeartbeatDoc)}
+KNOWN_FIELDS = {field.name for field in fields(UpstreamHeartbeatDoc)}
 
 
 def parse_heartbeat(instance: str, body: bytes, zones: dict[str, str]) -> Result[Upstream, tuple[int, Findings]]:
-    """A heartbeat as a row to be; else the status and every finding. Fields that nobody knows are passed over."""
+    """Returns the heartbeat as a registry row, or the HTTP status and all findings. Ignores unknown fields."""
     try:
-        d = decode_heartbeat(body)
+        doc = decode_heartbeat(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
         return Err((400, _findings(body)))
     found = []
-    for place, text in (("instance", instance), ("service", d.service)):
+    for place, text in (("instance", instance), ("service", doc.service)):
         if not 0 < len(text) <= MAX_NAME_CHARACTERS or not text.isprintable():
             found.append(Finding(place, f"want 1 to {MAX_NAME_CHARACTERS} printable characters"))
-    for place, v, least, most in (
-        ("slots", d.slots, 1, MAX_SLOTS),
-        ("cold_ms", d.cold_ms, 0, MAX_COLD_MS),
-        ("sequence", d.sequence, 0, MAX_SEQUENCE),
+    for place, value, least, most in (
+        ("slots", doc.slots, 1, MAX_SLOTS),
+        ("cold_ms", doc.cold_ms, 0, MAX_COLD_MS),
+        ("sequence", doc.sequence, 0, MAX_SEQUENCE),
     ):
-        if not least <= v <= most:
+        if not least <= value <= most:
             found.append(Finding(place, f"want {least} to {most}"))
-    addr, loc = parse_address(d.address), resolve_locality(d.zone, zones)
-    if addr.is_err():
-        found.append(Finding("address", addr.err_value))
+    address, location = parse_address(doc.address), resolve_locality(doc.zone, zones)
+    if address.is_err():
+        found.append(Finding("address", address.err_value))
     if found:
         return Err((400, found))
-    if loc is None:
-        return Err((422, [Finding("zone", f"no zone {d.zone[:MAX_NAME_CHARACTERS]!r}")]))
+    if location is None:
+        return Err((422, [Finding("zone", f"no zone {doc.zone[:MAX_NAME_CHARACTERS]!r}")]))
     return Ok(
         Upstream(
             instance,
-            d.service,
-            addr.ok_value,
-            loc,
-            int(d.slots),
-            d.state,
-            d.sequence,
+            doc.service,
+            address.ok_value,
+            location,
+            int(doc.slots),
+            doc.state,
+            doc.sequence,
             0,
-            math.ceil(d.cold_ms),
+            math.ceil(doc.cold_ms),
         )
     )
 
 
-@lru_cache(4096)
-def _read_locality(zone: str) -> Locality | None:
+@lru_cache(PARSE_CACHE_ENTRIES)
+def _parse_locality(zone: str) -> Locality | None:
     return Locality.read(zone).ok()
 
 
 def resolve_locality(zone: str, zones: dict[str, str]) -> Locality | None:
-    """By the zones this node was told of; one that was told of none takes REGION/ZONE."""
+    """Returns the locality of a zone in the settings; without zones in the settings, parses REGION/ZONE."""
     if zone in zones:
         return Locality(zones[zone], zone)
-    return None if zones else _read_locality(zone)
+    return None if zones else _parse_locality(zone)
 
 
 def _findings(body: bytes) -> Findings:
@@ -98,62 +102,65 @@
     if doc.is_err():
         return doc.err_value
     if isinstance(doc.ok_value, dict):
-        doc = Ok({k: v for k, v in doc.ok_value.items() if k in KNOWN_FIELDS})
-    r = finding.read(UpstreamHeartbeatDoc, doc.ok_value)
-    return r.err_value if r.is_err() else [Finding("body", "not understood")]
+        doc = Ok({name: value for name, value in doc.ok_value.items() if name in KNOWN_FIELDS})
+    parsed = finding.read(UpstreamHeartbeatDoc, doc.ok_value)
+    return parsed.err_value if parsed.is_err() else [Finding("body", "not understood")]
 
 
 def preferred_control_address(
     controls: list[MemberRecord], me: MemberRecord, at: Locality, instance: str
 ) -> Address | None:
-    """Where this upstream had better heartbeat: a control process of its zone or else region; None if it is here."""
-    controls = [r for r in controls if r.state == ALIVE and r.ready and r.addr != me.addr]
-    for d in (0, 1):
-        if me.locality.distance(at) == d:
+    """Returns the HTTP address of a control process in the upstream's zone, or else in its region.
+
+    Returns None if this process is at least as near, or if there is none. Rendezvous hashing spreads the upstreams.
+    """
+    controls = [record for record in controls if record.state == ALIVE and record.ready and record.addr != me.addr]
+    for distance in (0, 1):
+        if me.locality.distance(at) == distance:
             return None
-        near = [r for r in controls if r.locality.distance(at) == d]
+        near = [record for record in controls if record.locality.distance(at) == distance]
         if near:
-            return max(near, key=lambda r: (crc32(f"{instance} {r.web}".encode()), r.web)).web
+            return max(near, key=lambda record: (crc32(f"{instance} {record.web}".encode()), record.web)).web
     return None
 
 
 class UpstreamResource:
-    """Heartbeats and the ends of single upstreams."""
+    """One upstream: its heartbeats and its deregistration."""
 
     def __init__(self, task, registry):
-        """Pages of one control process and its registry."""
+        """`task` is the control process that serves the resource, `registry` its registry task."""
         self.task, self.registry = task, registry
 
     def on_put(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
-        """A heartbeat or a notice of leaving."""
+        """Records a heartbeat, or a notice that the upstream is leaving."""
         node = self.task.node
         body = web.body_of(req, MAX_BODY_BYTES)
         if body is None:
             return web.reject(resp, 413, web.NOT_RUN, [Finding("body", f"larger than {MAX_BODY_BYTES} bytes")])
-        r = parse_heartbeat(instance, body, node.settings.zones)
-        if r.is_err():
+        parsed = parse_heartbeat(instance, body, node.settings.zones)
+        if parsed.is_err():
             node.counts.add("heartbeat_refused")
-            status, found = r.err_value
+            status, found = parsed.err_value
             return web.reject(resp, status, web.NOT_RUN, found)
-        u = r.ok_value
-        if not self.registry.heartbeat(u):
+        upstream = parsed.ok_value
+        if not self.registry.heartbeat(upstream):
             return self._reject_unconfirmed(req, resp)
         membership = node.membership
-        to = preferred_control_address(membership.alive("control"), membership.membership.me, u.locality, instance)
+        controls = membership.alive("control")
+        to = preferred_control_address(controls, membership.membership.me, upstream.locality, instance)
         web.say(resp, {} if to is None else {"heartbeat_at": str(to)})
 
     def on_delete(self, req: falcon.Request, resp: falcon.Response, instance: str) -> None:
-        """The upstream's end; acknowledged for one that is not known, too."""
+        """Deregisters the upstream; an unknown upstream is acknowledged too."""
         if not 0 < len(instance) <= MAX_NAME_CHARACTERS or not instance.isprintable():
-            return web.reject(
-                resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {MAX_NAME_CHARACTERS} printable characters")]
-            )
+            found = [Finding("instance", f"want 1 to {MAX_NAME_CHARACTERS} printable characters")]
+            return web.reject(resp, 400, web.NOT_RUN, found)
         if not self.registry.gone(Upstream(instance, "", UNKNOWN_ADDRESS, Locality("", ""), 0, "gone")):
             return self._reject_unconfirmed(req, resp)
         web.say(resp, {})
 
     def _reject_unconfirmed(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Not acknowledged; safe to repeat, and better said to another where this process is out of touch."""
+        """Responds that the request may be repeated; redirects it if this process has no contact to a majority."""
         if not self.task.core.may_answer(AnswerKind.HEARTBEAT, clock.now()):
             return redirect.reject_out_of_touch(self.task, req, resp)
         found = [Finding("control", "not confirmed in time; safe to repeat")]
@@ -161,38 +168,39 @@
 
 
 class UpstreamCollection:
-    """The registry as this node has it."""
+    """The registry as this process knows it."""
 
     def __init__(self, task, registry):
-        """Pages of one control process and its registry."""
+        """`task` is the control process that serves the resource, `registry` its registry task."""
         self.task, self.registry = task, registry
 
     def on_get(self, req: falcon.Request, resp: falcon.Response) -> None:
-        """Answers without asking anybody."""
+        """Responds with all rows from the local state, without a confirmed read."""
         registry = self.registry.registry
+        rows = sorted(registry.rows.values(), key=lambda row: (row.service, row.instance)) if registry else []
         web.say(
             resp,
             {
                 "revision": registry.revision if registry else 0,
                 "upstreams": [
                     {
-                        "instance": u.instance,
-                        "service": u.service,
-                        "address": str(u.address),
-                        "locality": str(u.locality),
-                        "slots": u.slots,
-                        "state": u.state,
-                        "sequence": u.sequence,
-                        "since": u.since,
-                        "cold_until": u.cold_until,
+                        "instance": row.instance,
+                        "service": row.service,
+                        "address": str(row.address),
+                        "locality": str(row.locality),
+                        "slots": row.slots,
+                        "state": row.state,
+                        "sequence": row.sequence,
+                        "since": row.since,
+                        "cold_until": row.cold_until,
                     }
-                    for u in (sorted(registry.rows.values(), key=lambda u: (u.service, u.instance)) if registry else [])
+                    for row in rows
                 ],
             },
         )
 
 
 def add_routes(app: falcon.App, task, registry) -> None:
-    """Adds these pages."""
+    """Adds these resources."""
     app.add_route("/upstreams", UpstreamCollection(task, registry))
     app.add_route("/upstreams/{instance}", UpstreamResource(task, registry))
