--- a/tests/test_sessions_play.py
+++ b/tests/test_sessions_play.py
@@ -109,7 +109,7 @@
     self.rows.clear()
 
 
-FIRST_FAILURE = {"phases": [Phase.generate], "report_multiple_bugs": False}
+FIRST_FAILURE = {"phases": [Phase.generate], "report_multiple_bugs": False, "max_examples": 5000}
 TEETH = {"deduplicate": judges_by_the_entry_alone, "store_outcome": keeps_nothing, "_evict": forgets_without_a_floor}
 
 
