--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Commands with an origin: applied once, never late, by every holder of the state alike."""
+"""Commands with an origin are applied once, never late, and with the same result on every replica."""
 
 from types import SimpleNamespace
 
@@ -51,16 +51,16 @@
 ]
 
 
-def at(state: ReplicatedState, time: int, data: bytes):
+def apply_at(state: ReplicatedState, time: int, data: bytes):
     return state.apply(state.index + 1, time, data)
 
 
-def sealed(c, number: int = 1, not_after: int = 1000, session: int = 9) -> bytes:
+def with_origin(c, number: int = 1, not_after: int = 1000, session: int = 9) -> bytes:
     return encode_with_origin(Origin(session, number, not_after), encode(c))
 
 
 def content(s: ReplicatedState):
-    """All of a state that commands make, without what is remembered of them."""
+    """Returns the parts of a state that commands change, without the stored outcomes."""
     return (
         msgspec.structs.replace(s.settings, revision=0),
         s.items.rows,
@@ -73,7 +73,7 @@
     )
 
 
-def test_a_header_names_the_origin_and_leaves_the_command_readable():
+def test_a_header_contains_the_origin_and_leaves_the_command_decodable():
     o = Origin((1 << 64) - 1, sessions.MAX_CALL_NUMBER, (1 << 48) - 1)
     for c in EVERY_KIND:
         data = encode_with_origin(o, encode(c))
@@ -88,96 +88,100 @@
 
 
 @pytest.mark.parametrize("c", EVERY_KIND, ids=lambda c: type(c).__name__)
-def test_every_kind_of_command_is_applied_once_however_often_it_is_offered(c):
+def test_every_kind_of_command_is_applied_once_however_often_it_is_submitted(c):
     s = ReplicatedState(3)
-    first = at(s, 100, sealed(c))
+    first = apply_at(s, 100, with_origin(c))
     assert first.code not in ("late", "forgotten")
-    held = content(s)
+    before = content(s)
     for time in (100, 600, 1000, 1000 + OUTCOME_RETENTION_MS - 1):
-        assert at(s, time, sealed(c)) == first and content(s) == held
-    assert at(s, 1000 + OUTCOME_RETENTION_MS, sealed(c)).code == "forgotten" and content(s) == held
+        assert apply_at(s, time, with_origin(c)) == first and content(s) == before
+    assert apply_at(s, 1000 + OUTCOME_RETENTION_MS, with_origin(c)).code == "forgotten" and content(s) == before
 
 
 @pytest.mark.parametrize("c", EVERY_KIND, ids=lambda c: type(c).__name__)
-def test_a_late_command_of_any_kind_takes_no_effect_then_or_ever(c):
+def test_a_late_command_of_any_kind_never_takes_effect(c):
     s = ReplicatedState(3)
-    held = content(s)
-    late = at(s, 1001, sealed(c))
-    assert late.code == "late" and msgspec.msgpack.decode(late.body) == 1001 and content(s) == held
-    assert at(s, 900, sealed(c)).code == "late", "a new leader's clock may run behind its predecessor's"
-    assert at(s, 2000 + OUTCOME_RETENTION_MS, sealed(c, 2)).code == "forgotten" and content(s) == held
+    before = content(s)
+    late = apply_at(s, 1001, with_origin(c))
+    assert late.code == "late" and msgspec.msgpack.decode(late.body) == 1001 and content(s) == before
+    assert apply_at(s, 900, with_origin(c)).code == "late", (
+        "a new leader's clock may run behind that of the previous leader"
+    )
+    assert apply_at(s, 2000 + OUTCOME_RETENTION_MS, with_origin(c, 2)).code == "forgotten" and content(s) == before
 
 
-def test_a_not_after_absurdly_far_ahead_is_refused():
+def test_a_not_after_too_far_ahead_is_rejected():
     s = ReplicatedState(3)
-    held = content(s)
-    said = at(s, 500, sealed(Count("n"), 1, 501 + MAX_AHEAD_MS))
-    assert said.code == "ahead" and msgspec.msgpack.decode(said.body) == 500 and content(s) == held
-    assert at(s, 500, sealed(Count("n"), 1, 500 + MAX_AHEAD_MS)).code == "ok"
+    before = content(s)
+    said = apply_at(s, 500, with_origin(Count("n"), 1, 501 + MAX_AHEAD_MS))
+    assert said.code == "ahead" and msgspec.msgpack.decode(said.body) == 500 and content(s) == before
+    assert apply_at(s, 500, with_origin(Count("n"), 1, 500 + MAX_AHEAD_MS)).code == "ok"
 
 
-def test_an_evacuation_that_was_held_back_does_not_undo_a_later_give_back():
+def test_a_delayed_evacuation_does_not_undo_its_later_end():
     s = ReplicatedState(3)
-    held_back = sealed(Evacuate("z", True), 1, 8000)
-    assert at(s, 100, sealed(Evacuate("z", True), 1, 8000, session=2)).code == "ok"
-    assert at(s, 9000, sealed(Evacuate("z", False), 2, 17000, session=2)).code == "ok"
-    assert at(s, 20000, held_back).code in ("late", "forgotten") and s.settings.evacuated == {}
+    delayed = with_origin(Evacuate("z", True), 1, 8000)
+    assert apply_at(s, 100, with_origin(Evacuate("z", True), 1, 8000, session=2)).code == "ok"
+    assert apply_at(s, 9000, with_origin(Evacuate("z", False), 2, 17000, session=2)).code == "ok"
+    assert apply_at(s, 20000, delayed).code in ("late", "forgotten") and s.settings.evacuated == {}
 
 
-def test_a_take_that_comes_late_holds_no_lock():
+def test_a_late_take_does_not_acquire_the_lock():
     s = ReplicatedState(3)
-    assert at(s, 5000, sealed(Take("l", "gone", 10_000.0), 1, 850)).code == "late"
-    assert at(s, 5000, sealed(Take("l", "h", 100.0), 2, 5850)).code == "ok" and s.plain.locks["l"].holder == "h"
+    assert apply_at(s, 5000, with_origin(Take("l", "gone", 10_000.0), 1, 850)).code == "late"
+    assert (
+        apply_at(s, 5000, with_origin(Take("l", "h", 100.0), 2, 5850)).code == "ok" and s.plain.locks["l"].holder == "h"
+    )
 
 
-def test_what_was_said_is_in_the_snapshot_whole_and_of_the_settings_alone():
+def test_whole_and_settings_snapshots_contain_the_stored_outcomes():
     s = ReplicatedState(3)
-    said = {i: at(s, 100, sealed(c, i)) for i, c in enumerate(EVERY_KIND)}
+    said = {i: apply_at(s, 100, with_origin(c, i)) for i, c in enumerate(EVERY_KIND)}
     whole, part = decode_snapshot(encode_snapshot(s)), decode_snapshot(list(encode_settings_pieces(s)))
     for i, c in enumerate(EVERY_KIND):
-        assert at(whole, 900, sealed(c, i)) == said[i]
+        assert apply_at(whole, 900, with_origin(c, i)) == said[i]
         if changes_settings(encode(c)):
-            assert at(part, 900, sealed(c, i)) == said[i]
+            assert apply_at(part, 900, with_origin(c, i)) == said[i]
     assert (
-        at(whole, 2000, sealed(Count("x"), 99)).code
-        == at(decode_snapshot(encode_snapshot(whole)), 1500, sealed(Count("x"), 99)).code
+        apply_at(whole, 2000, with_origin(Count("x"), 99)).code
+        == apply_at(decode_snapshot(encode_snapshot(whole)), 1500, with_origin(Count("x"), 99)).code
     )
     assert content(decode_snapshot(encode_snapshot(whole))) == content(whole)
 
 
-def test_memory_is_bounded_by_time_and_by_count_and_what_it_lost_is_never_called_late(monkeypatch):
+def test_stored_outcomes_are_bounded_by_time_and_count_and_evicted_ones_are_never_late(monkeypatch):
     monkeypatch.setattr(sessions, "MAX_STORED_OUTCOMES", 50)
     s = ReplicatedState(3)
     for i in range(200):
-        assert at(s, 100, sealed(Count("n"), i, 1000 + i)).code == "ok"
+        assert apply_at(s, 100, with_origin(Count("n"), i, 1000 + i)).code == "ok"
     assert len(s.sessions.rows) == 50
-    assert at(s, 100, sealed(Count("n"), 149, 1149)).code == "forgotten"
-    assert at(s, 100, sealed(Count("n"), 150, 1150)).code == "ok" and s.plain.numbers["n"] == 200
-    at(s, 5000 + OUTCOME_RETENTION_MS, sealed(Count("n"), 999, 6000 + OUTCOME_RETENTION_MS))
+    assert apply_at(s, 100, with_origin(Count("n"), 149, 1149)).code == "forgotten"
+    assert apply_at(s, 100, with_origin(Count("n"), 150, 1150)).code == "ok" and s.plain.numbers["n"] == 200
+    apply_at(s, 5000 + OUTCOME_RETENTION_MS, with_origin(Count("n"), 999, 6000 + OUTCOME_RETENTION_MS))
     assert [k.origin.number for k in s.sessions.rows.values()] == [999]
 
 
-def test_memory_is_bounded_by_bytes(monkeypatch):
+def test_stored_outcomes_are_bounded_by_bytes(monkeypatch):
     monkeypatch.setattr(sessions, "MAX_STORED_BODY_BYTES", 1000)
     s = ReplicatedState(3)
     for i in range(200):
-        at(s, 100, sealed(Count("n"), i, 1000 + i))
+        apply_at(s, 100, with_origin(Count("n"), i, 1000 + i))
     assert sum(len(k.outcome.body) for k in s.sessions.rows.values()) <= 1000
 
 
-def test_codes_cross_the_wire_and_snapshots_as_their_words():
+def test_codes_are_encoded_as_their_values_in_messages_and_snapshots():
     assert wire.decode_command_response(wire.encode(CommandResponse(Code.LATE, 7, b"x"))) == CommandResponse(
         "late", 7, b"x"
     )
     s = ReplicatedState(3)
-    at(s, 100, sealed(Amend([SERVICE]), 1))
-    other = sealed(Amend([Item("services", "s", 1, b'{"name":"s","version":1,"connections":2}')]), 2)
-    assert at(s, 100, other).code == "conflict" and at(decode_snapshot(encode_snapshot(s)), 100, other) == at(
-        s, 100, other
-    )
+    apply_at(s, 100, with_origin(Amend([SERVICE]), 1))
+    other = with_origin(Amend([Item("services", "s", 1, b'{"name":"s","version":1,"connections":2}')]), 2)
+    assert apply_at(s, 100, other).code == "conflict" and apply_at(
+        decode_snapshot(encode_snapshot(s)), 100, other
+    ) == apply_at(s, 100, other)
 
 
-def test_a_session_counts_its_calls_and_takes_a_new_identity_when_the_numbers_are_used_up():
+def test_a_session_numbers_its_calls_and_gets_a_new_id_when_the_numbers_are_exhausted():
     drawn = iter((5, 6))
     p = Session(lambda: next(drawn))
     assert [p.origin(100, 0.0, 0.5) for _ in range(2)] == [Origin(5, 1, 600), Origin(5, 2, 600)]
@@ -192,7 +196,7 @@
     assert c.on_response(CommandResponse("leader"), 1.1).code == "leader" and c.sealed_command(0, 1.2) == first
     late = CommandResponse("late", 0, sessions.encode_clock(70_000))
     assert c.on_response(late, 1.5).code == "leader"
-    assert split_origin(c.sealed_command(0, 1.75))[0] == Origin(5, 2, 70_500), "by the clock that the answer told"
+    assert split_origin(c.sealed_command(0, 1.75))[0] == Origin(5, 2, 70_500), "the clock in the response"
     assert (
         c.on_response(CommandResponse("undecided"), 1.8).code == "undecided"
         and c.on_response(late, 1.9).code == "forgotten"
@@ -201,8 +205,8 @@
     assert c.final_response(CommandResponse("leader"), ("leader",)).code == "undecided"
 
 
-class Lossy(ControlTask):
-    """A control process whose first offers reach the leader, but whose answers are lost."""
+class LossyControlTask(ControlTask):
+    """A control process that loses the responses to its first submissions, which reach the leader."""
 
     __slots__ = ("leading", "lose", "now", "sealed", "late")
 
@@ -230,8 +234,8 @@
 
 
 @pytest.mark.parametrize("c", [Count("n"), Take("l", "h", 60_000.0)], ids=["Count", "Take"])
-def test_one_call_that_is_offered_thrice_is_applied_once(c):
-    t = Lossy(2)
+def test_a_call_that_is_submitted_three_times_is_applied_once(c):
+    t = LossyControlTask(2)
     took = t.offer(encode(c), 2.0)
     assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 1)
     took = t.offer(encode(c), 2.0)
@@ -239,38 +243,38 @@
 
 
 @pytest.mark.parametrize("wrong", [-2500, -3_600_000, MAX_AHEAD_MS + 60_000], ids=["behind", "hour behind", "ahead"])
-def test_a_process_whose_estimate_is_wrong_learns_the_time_and_its_call_is_applied_once(wrong):
-    t = Lossy(0)
+def test_a_process_with_a_wrong_clock_estimate_corrects_it_and_its_call_is_applied_once(wrong):
+    t = LossyControlTask(0)
     t.core.clock.restart(t.leading.clock.read(t.now) + wrong, clock.now())
     took = t.offer(encode(Count("n")), 2.0)
     assert took.code == "ok" and msgspec.msgpack.decode(took.body, type=PlainResult) == PlainResult("ok", 1)
     assert split_origin(t.sealed[-1])[0].number == 2 and len(t.sealed) == 2
     took = t.offer(encode(Count("n")), 2.0)
-    assert took.code == "ok" and len(t.sealed) == 3, "the next call goes by what was learnt"
+    assert took.code == "ok" and len(t.sealed) == 3, "the next call uses the corrected clock"
 
 
-def test_a_call_that_stays_late_ends_as_never_applied_and_one_that_may_have_run_as_undecided():
-    t = Lossy(0)
+def test_a_call_that_stays_late_is_not_applied_and_one_that_may_have_run_is_undecided():
+    t = LossyControlTask(0)
     t.late = True
     assert t.offer(encode(Count("n")), 0.2).code == "leader" and t.leading.state.plain.numbers == {}
-    t = Lossy(1)
+    t = LossyControlTask(1)
     t.late = True
     assert t.offer(encode(Count("n")), 0.2).code == "undecided" and t.leading.state.plain.numbers == {}
 
 
-def test_a_process_that_has_heard_nothing_takes_its_own_clock_for_no_one_elses():
+def test_a_process_without_a_clock_sample_does_not_use_its_own_clock_as_the_fleet_clock():
     fresh = FleetClock()
     assert fresh.estimate(18.5) == 0
     order = SessionCall(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).sealed_command(
         fresh.estimate(18.5), 18.5
     )
-    assert split_origin(order)[0].not_after <= 1000, "late at first, which tells it the time"
+    assert split_origin(order)[0].not_after <= 1000, "late at first; the rejection contains the time"
     fresh.restart(15_100, 18.5)
     assert fresh.estimate(18.6) == 15_200
 
 
-class Leaderless(ControlTask):
-    """A control process that hears of no leader; each look for one takes `PAUSE` s."""
+class LeaderlessControlTask(ControlTask):
+    """A control process without a leader; it pauses for `PAUSE` s after each attempt."""
 
     __slots__ = ("sealed",)
 
@@ -284,30 +288,30 @@
         return CommandResponse("leader")
 
 
-def test_an_order_without_a_version_is_not_offered_once_its_caller_may_have_called_another_process():
-    t = Leaderless()
+def test_a_command_with_an_effect_limit_is_not_submitted_after_it():
+    t = LeaderlessControlTask()
     began = clock.now()
     assert t.offer(encode(Evacuate("z", False)), 30.0, 3.0, 0.1).code == "leader"
-    assert clock.now() - began < 15.0, "not until the acknowledgement's limit"
+    assert clock.now() - began < 15.0, "well before the limit of the call"
     assert {o.not_after for o in t.sealed} <= set(range(80, 200)) and len({o.number for o in t.sealed}) == 1
 
 
-class Offering(ReplicaTask):
+class SubmittingReplica(ReplicaTask):
     """A replica that knows one control process."""
 
     __slots__ = ()
 
     def __init__(self):
-        """Leaves out the node's parts."""
+        """Skips the setup of the node."""
 
     def control(self):
         return "leader"
 
     def _forget(self, a):
-        """Goes on with the only one."""
+        """Keeps the only control process."""
 
 
-def test_a_replica_offers_one_call_with_one_origin_until_it_is_known_to_have_had_no_effect():
+def test_a_replica_submits_a_call_with_one_origin_until_it_is_known_to_have_had_no_effect():
     lost = [Err("gone"), CommandResponse("leader"), CommandResponse("ok", 5)]
     late = [CommandResponse(Code.LATE, 0, sessions.encode_clock(70_000)), CommandResponse("ok", 5)]
     for answers, numbers in ((lost, [1, 1, 1]), (late, [1, 2])):
@@ -318,7 +322,7 @@
             a = answers[len(offered) - 1]
             return a if isinstance(a, Err) else Ok(wire.encode(a))
 
-        t = Offering()
+        t = SubmittingReplica()
         t.node = SimpleNamespace(transport=SimpleNamespace(call=call))
         t.replica = SimpleNamespace(clock=lambda now: 500, leader="leader")
         t._session = Session(lambda: 5)
@@ -326,8 +330,10 @@
         assert [o.number for o, _ in offered] == numbers and {body for _, body in offered} == {b"\x91"}
 
 
-@pytest.mark.parametrize("data", [b"\xc1", b"\xc1" + bytes(19), b"\xc1" + bytes(20), b"x", sealed(Count("n"))[:-1]])
-def test_what_is_no_command_is_refused_before_it_is_in_the_log(data):
+@pytest.mark.parametrize(
+    "data", [b"\xc1", b"\xc1" + bytes(19), b"\xc1" + bytes(20), b"x", with_origin(Count("n"))[:-1]]
+)
+def test_an_invalid_command_is_rejected_before_it_is_appended_to_the_log(data):
     c = single_voter_leader()
     step_until(c, 5.2, 8.0)
     c.propose(data, "t", 20.0, 8.0)
