--- a/tests/test_http_items.py
+++ b/tests/test_http_items.py
@@ -1,3 +1,5 @@
+"""HTTP resources of items and zone evacuations."""
+
 import json
 from types import SimpleNamespace
 
@@ -16,20 +18,20 @@
 
 
 class Task:
-    """A control process whose leader's state is its own, unless `lags` gives it an older one until it asks."""
+    """A control process whose `state` may lag behind `leader`, the leader's state, until a confirmed read."""
 
     def __init__(self):
         self.node = SimpleNamespace(
             membership=SimpleNamespace(view=lambda: []), settings=SimpleNamespace(zones={"z1": "eu"})
         )
         self.leader = self.state = ReplicatedState(3)
-        self.core, self.says, self.confirms = self, None, CommandResponse("ok")
+        self.core, self.forced_response, self.read_response = self, None, CommandResponse("ok")
         self.offered = []
 
     def read(self, limit):
-        if self.confirms.code == "ok":
+        if self.read_response.code == "ok":
             self.state = self.leader
-        return self.confirms
+        return self.read_response
 
     def may_answer(self, kind, now):
         return True
@@ -39,47 +41,47 @@
 
     def offer(self, data, limit, *_):
         self.offered.append(decode_command(data))
-        if self.says is not None:
-            return self.says
-        o = self.leader.apply(self.leader.index + 1, 0, data)
-        return CommandResponse(o.code, o.revision, o.body)
+        if self.forced_response is not None:
+            return self.forced_response
+        outcome = self.leader.apply(self.leader.index + 1, 0, data)
+        return CommandResponse(outcome.code, outcome.revision, outcome.body)
 
 
 @pytest.fixture
 def control():
-    t = Task()
+    task = Task()
     app = web.make_app()
-    http_operators.add_routes(app, t)
-    return t, testing.TestClient(app)
+    http_operators.add_routes(app, task)
+    return task, testing.TestClient(app)
 
 
 FIRST = call([route("r", 7, extra=[1.0]), route("q", 7)], [service("s", 7)], {"version": 7, "idle_ms": 15000})
 
 
-def test_items_come_back_as_they_were_sent_and_dropped_ones_do_not(control):
-    t, c = control
-    assert c.simulate_get("/items").json == {"routes": [], "services": [], "limits": {}}
-    r = c.simulate_patch("/items", body=FIRST)
-    assert r.status_code == 200 and r.json == {"revision": t.state.revision}
+def test_items_are_returned_as_sent_without_dropped_ones(control):
+    task, client = control
+    assert client.simulate_get("/items").json == {"routes": [], "services": [], "limits": {}}
+    response = client.simulate_patch("/items", body=FIRST)
+    assert response.status_code == 200 and response.json == {"revision": task.state.revision}
     sent = json.loads(FIRST)["set"]
-    got = c.simulate_get("/items").json
+    got = client.simulate_get("/items").json
     assert sorted(got["routes"], key=str) == sorted(sent["routes"], key=str)
     assert (got["services"], got["limits"]) == (sent["services"], sent["limits"])
-    assert c.simulate_patch("/items", body=call(drop={"routes": [{"name": "r", "version": 9}]})).status_code == 200
-    assert [x["name"] for x in c.simulate_get("/items").json["routes"]] == ["q"]
+    assert client.simulate_patch("/items", body=call(drop={"routes": [{"name": "r", "version": 9}]})).status_code == 200
+    assert [x["name"] for x in client.simulate_get("/items").json["routes"]] == ["q"]
 
 
-def test_a_repeat_is_acknowledged_by_a_small_command_and_changes_nothing(control):
-    t, c = control
-    first = c.simulate_patch("/items", body=FIRST).json
-    assert c.simulate_patch("/items", body=FIRST).json == first
-    assert t.offered[1] == Amend([]) and len(t.offered[0].items) == 4
-    assert c.simulate_patch("/items", body=b"{}").status_code == 200
+def test_a_repeated_request_is_acknowledged_by_an_empty_command_and_changes_nothing(control):
+    task, client = control
+    first = client.simulate_patch("/items", body=FIRST).json
+    assert client.simulate_patch("/items", body=FIRST).json == first
+    assert task.offered[1] == Amend([]) and len(task.offered[0].items) == 4
+    assert client.simulate_patch("/items", body=b"{}").status_code == 200
 
 
-def test_an_invalid_call_is_refused_whole_before_it_is_offered(control):
-    t, c = control
-    c.simulate_patch("/items", body=FIRST)
+def test_an_invalid_request_is_rejected_as_a_whole_before_it_is_submitted(control):
+    task, client = control
+    client.simulate_patch("/items", body=FIRST)
     for body, place in (
         (b"{", "body"),
         (call([route("n"), route("m", limit_ms=0)]), "set.routes[1].limit_ms"),
@@ -87,79 +89,87 @@
         (call([route("n", prefix="/q/")]), "routes.n.prefix"),
         (call(drop={"services": [{"name": "s", "version": 8}]}), "services.s"),
     ):
-        r = c.simulate_patch("/items", body=body)
-        assert r.status_code == 400 and r.json["findings"][0]["place"] == place, r.text
-    assert len(t.offered) == 1 and t.state.index == 1
-
-
-def test_a_node_that_lags_asks_before_it_refuses(control):
-    t, c = control
-    t.leader = ReplicatedState(3)
-    t.leader.apply(1, 0, encode(parse_amend(FIRST).unwrap()))
-    assert c.simulate_patch("/items", body=call([route("n")])).status_code == 200 and t.state is t.leader
-    t.state, t.confirms = ReplicatedState(3), CommandResponse("leader")
-    assert c.simulate_patch("/items", body=call([route("m")])).status_code == 503
-
-
-def test_what_the_state_machine_finds_is_a_refusal_too(control):
-    t, c = control
-    c.simulate_patch("/items", body=FIRST)
-    t.state = t.leader
-    t.leader = ReplicatedState(3)
-    r = c.simulate_patch("/items", body=call([route("n")]))
-    assert r.status_code == 400 and r.json["findings"][0]["place"] == "routes.n.service" and not t.leader.items.rows
-
-
-def test_a_call_that_is_too_large_not_offered_or_undecided_says_so(control, monkeypatch):
-    t, c = control
-    t.says = CommandResponse("leader")
-    r = c.simulate_patch("/items", body=FIRST)
-    assert (r.status_code, r.headers["retry-after"]) == (503, "1")
-    t.says = CommandResponse("undecided")
-    assert c.simulate_patch("/items", body=FIRST).status_code == 504
+        response = client.simulate_patch("/items", body=body)
+        assert response.status_code == 400 and response.json["findings"][0]["place"] == place, response.text
+    assert len(task.offered) == 1 and task.state.index == 1
+
+
+def test_a_lagging_node_confirms_its_state_before_it_rejects(control):
+    task, client = control
+    task.leader = ReplicatedState(3)
+    task.leader.apply(1, 0, encode(parse_amend(FIRST).unwrap()))
+    assert client.simulate_patch("/items", body=call([route("n")])).status_code == 200 and task.state is task.leader
+    task.state, task.read_response = ReplicatedState(3), CommandResponse("leader")
+    assert client.simulate_patch("/items", body=call([route("m")])).status_code == 503
+
+
+def test_findings_of_the_state_machine_reject_the_request(control):
+    task, client = control
+    client.simulate_patch("/items", body=FIRST)
+    task.state = task.leader
+    task.leader = ReplicatedState(3)
+    response = client.simulate_patch("/items", body=call([route("n")]))
+    assert (
+        response.status_code == 400
+        and response.json["findings"][0]["place"] == "routes.n.service"
+        and not task.leader.items.rows
+    )
+
+
+def test_the_status_of_a_request_that_is_too_large_not_submitted_or_undecided(control, monkeypatch):
+    task, client = control
+    task.forced_response = CommandResponse("leader")
+    response = client.simulate_patch("/items", body=FIRST)
+    assert (response.status_code, response.headers["retry-after"]) == (503, "1")
+    task.forced_response = CommandResponse("undecided")
+    assert client.simulate_patch("/items", body=FIRST).status_code == 504
     monkeypatch.setattr(http_items, "MAX_BODY_BYTES", 100)
-    assert c.simulate_patch("/items", body=FIRST).status_code == 413
-    t.confirms = CommandResponse("undecided")
-    assert c.simulate_get("/items").status_code == 504
+    assert client.simulate_patch("/items", body=FIRST).status_code == 413
+    task.read_response = CommandResponse("undecided")
+    assert client.simulate_get("/items").status_code == 504
 
 
-def test_a_zone_is_evacuated_and_taken_back_as_often_as_one_likes(control):
-    t, c = control
+def test_evacuating_a_zone_and_ending_it_are_idempotent(control):
+    task, client = control
     for _ in range(2):
-        assert c.simulate_post("/evacuations/z1").json == {
-            "revision": t.state.settings.revision
-        } and t.state.settings.evacuated.keys() == {"z1"}
+        assert client.simulate_post("/evacuations/z1").json == {
+            "revision": task.state.settings.revision
+        } and task.state.settings.evacuated.keys() == {"z1"}
     for _ in range(2):
-        assert c.simulate_delete("/evacuations/z1").status_code == 200 and not t.state.settings.evacuated
-    assert len(t.offered) == 4 and t.state.settings_index == 3
-    r = c.simulate_post("/evacuations/z9")
-    assert r.status_code == 404 and r.json["findings"][0]["place"] == "zone" and len(t.offered) == 4
+        assert client.simulate_delete("/evacuations/z1").status_code == 200 and not task.state.settings.evacuated
+    assert len(task.offered) == 4 and task.state.settings_index == 3
+    response = client.simulate_post("/evacuations/z9")
+    assert response.status_code == 404 and response.json["findings"][0]["place"] == "zone" and len(task.offered) == 4
 
 
-def test_one_version_has_one_content_whichever_node_is_asked_and_however_much_it_lags(control):
-    t, c = control
-    old = t.state
+def test_a_version_has_one_content_on_every_node_even_if_it_lags(control):
+    task, client = control
+    old = task.state
     first, other = call([route("r", 5)], [service("s", 5)]), call([route("r", 5, limit_ms=9)], [service("s", 5)])
-    assert c.simulate_patch("/items", body=first).status_code == 200
-    for state in (old, t.leader):
-        t.state = state
-        assert c.simulate_patch("/items", body=first).status_code == 200
-        t.state, before = state, t.leader.items.rows.copy()
-        r = c.simulate_patch("/items", body=other)
-        assert r.status_code == 409 and [f["place"] for f in r.json["findings"]] == ["routes.r.version"]
-        assert '"limit_ms": 1500' in r.json["findings"][0]["text"] and r.json["outcome"] == "not-run"
-        assert t.leader.items.rows == before
-    assert c.simulate_patch("/items", body=call([route("r", 6)])).status_code == 200
-    t.state = ReplicatedState(3)
-    assert c.simulate_patch("/items", body=other).status_code == 200, "an overtaken one is acknowledged as before"
-
-
-def test_a_node_that_lags_behind_an_overtaking_does_not_refuse_what_the_leader_takes(control):
-    t, c = control
-    assert c.simulate_patch("/items", body=call([route("r", 5)], [service("s", 5)])).status_code == 200
-    t.leader = decode_snapshot(encode_snapshot(t.leader))
-    assert t.leader.items.apply(parse_amend(call([route("r", 7)])).unwrap(), 99) == []
-    assert c.simulate_patch("/items", body=call([route("r", 5, limit_ms=9)])).status_code == 200
+    assert client.simulate_patch("/items", body=first).status_code == 200
+    for state in (old, task.leader):
+        task.state = state
+        assert client.simulate_patch("/items", body=first).status_code == 200
+        task.state, before = state, task.leader.items.rows.copy()
+        response = client.simulate_patch("/items", body=other)
+        assert response.status_code == 409 and [finding["place"] for finding in response.json["findings"]] == [
+            "routes.r.version"
+        ]
+        assert '"limit_ms": 1500' in response.json["findings"][0]["text"] and response.json["outcome"] == "not-run"
+        assert task.leader.items.rows == before
+    assert client.simulate_patch("/items", body=call([route("r", 6)])).status_code == 200
+    task.state = ReplicatedState(3)
+    assert client.simulate_patch("/items", body=other).status_code == 200, (
+        "an older version is acknowledged without effect"
+    )
+
+
+def test_a_node_without_the_newest_version_does_not_reject_what_the_leader_accepts(control):
+    task, client = control
+    assert client.simulate_patch("/items", body=call([route("r", 5)], [service("s", 5)])).status_code == 200
+    task.leader = decode_snapshot(encode_snapshot(task.leader))
+    assert task.leader.items.apply(parse_amend(call([route("r", 7)])).unwrap(), 99) == []
+    assert client.simulate_patch("/items", body=call([route("r", 5, limit_ms=9)])).status_code == 200
 
 
 @pytest.mark.parametrize(
@@ -170,8 +180,8 @@
         (call([], [service("s", 1), service("s", 1, connections=1)]), "services.s.version"),
     ],
 )
-def test_orders_with_bad_versions_are_refused_with_their_place_and_change_nothing(control, body, place):
-    t, c = control
-    r = c.simulate_patch("/items", body=body)
-    assert r.status_code == 400 and [f["place"] for f in r.json["findings"]] == [place]
-    assert not t.offered and not t.leader.items.rows
+def test_items_with_invalid_versions_are_rejected_with_their_place_and_change_nothing(control, body, place):
+    task, client = control
+    response = client.simulate_patch("/items", body=body)
+    assert response.status_code == 400 and [finding["place"] for finding in response.json["findings"]] == [place]
+    assert not task.offered and not task.leader.items.rows
--- a/tests/test_http_operators.py
+++ b/tests/test_http_operators.py
@@ -1,3 +1,5 @@
+"""HTTP resources of operators and of keyed coordination."""
+
 import pytest
 from falcon import testing
 
@@ -13,7 +15,7 @@
 
 
 class Task:
-    """A control process whose state is applied at once, to try the HTTP answers."""
+    """A control process that applies commands at once, without replication."""
 
     class Node:
         class membership:
@@ -24,10 +26,10 @@
 
     def __init__(self):
         self.node, self.core = self.Node(), self
-        self.state, self.says = ReplicatedState(3), None
+        self.state, self.forced_response = ReplicatedState(3), None
 
-    def do(self, c, at=0):
-        return self.state.apply(self.state.index + 1, at, c if isinstance(c, bytes) else encode(c))
+    def do(self, command, at=0):
+        return self.state.apply(self.state.index + 1, at, command if isinstance(command, bytes) else encode(command))
 
     def current(self, now):
         return False
@@ -45,114 +47,121 @@
         return build(doc)
 
     def offer(self, command, limit, *_):
-        if self.says is not None:
-            return self.says
-        o = self.do(command)
-        return CommandResponse(o.code, o.revision, o.body)
+        if self.forced_response is not None:
+            return self.forced_response
+        outcome = self.do(command)
+        return CommandResponse(outcome.code, outcome.revision, outcome.body)
 
 
 @pytest.fixture
 def control():
-    t = Task()
+    task = Task()
     app = web.make_app()
-    http_operators.add_routes(app, t)
-    return t, testing.TestClient(app)
+    http_operators.add_routes(app, task)
+    return task, testing.TestClient(app)
 
 
-def test_a_patch_repeated_under_its_key_after_it_was_applied_gets_its_own_success(control):
-    t, c = control
-    base = c.simulate_put("/config", json={"doc": DOC}).json["revision"]
+def test_a_patch_repeated_with_its_key_gets_the_first_response_again(control):
+    task, client = control
+    base = client.simulate_put("/config", json={"doc": DOC}).json["revision"]
     body = {"patch": [{"op": "add", "path": "/services/b", "value": {}}], "base": base}
-    first = c.simulate_patch("/config", json=body, headers={"Mallow-Key": "p"})
-    again = c.simulate_patch("/config", json=body, headers={"Mallow-Key": "p"})
+    first = client.simulate_patch("/config", json=body, headers={"Mallow-Key": "p"})
+    again = client.simulate_patch("/config", json=body, headers={"Mallow-Key": "p"})
     assert first.status_code == again.status_code == 200 and first.json == again.json
-    other = c.simulate_patch("/config", json={**body, "patch": []}, headers={"Mallow-Key": "p"})
+    other = client.simulate_patch("/config", json={**body, "patch": []}, headers={"Mallow-Key": "p"})
     assert other.status_code == 409 and other.headers["mallow-outcome"] == "undecided"
 
 
-def test_not_run_is_never_said_about_a_key_that_was_not_looked_up(control):
-    t, c = control
-    k = {"Mallow-Key": "k"}
-    t.says = CommandResponse("leader")
-    for r in (
-        c.simulate_put("/config", json={"doc": DOC}, headers=k),
-        c.simulate_post("/numbers/n", headers=k),
-        c.simulate_put("/config", body=b"{", headers=k),
-        c.simulate_put("/config", json={"doc": {"x": 1}}, headers=k),
-        c.simulate_put("/keys/n", json={"value": 3}, headers=k),
-        c.simulate_post("/nowhere", headers=k),
-        c.simulate_delete("/config", headers=k),
-        c.simulate_post("/locks/l/fly", json={"holder": "x"}, headers=k),
+def test_a_rejected_request_with_a_key_is_undecided(control):
+    task, client = control
+    key_header = {"Mallow-Key": "k"}
+    task.forced_response = CommandResponse("leader")
+    for response in (
+        client.simulate_put("/config", json={"doc": DOC}, headers=key_header),
+        client.simulate_post("/numbers/n", headers=key_header),
+        client.simulate_put("/config", body=b"{", headers=key_header),
+        client.simulate_put("/config", json={"doc": {"x": 1}}, headers=key_header),
+        client.simulate_put("/keys/n", json={"value": 3}, headers=key_header),
+        client.simulate_post("/nowhere", headers=key_header),
+        client.simulate_delete("/config", headers=key_header),
+        client.simulate_post("/locks/l/fly", json={"holder": "x"}, headers=key_header),
     ):
-        assert r.status_code >= 400 and r.headers["mallow-outcome"] == "undecided", (r.status, r.text)
-    assert c.simulate_put("/config", json={"doc": DOC}).headers["mallow-outcome"] == "not-run"
-
-
-def test_a_key_used_for_another_body_is_a_conflict_with_its_place(control):
-    t, c = control
-    k = {"Mallow-Key": "k"}
-    assert c.simulate_put("/keys/n", json={"value": "1"}, headers=k).status_code == 200
-    r = c.simulate_put("/keys/n", json={"value": "2"}, headers=k)
-    assert r.status_code == 409 and r.json["findings"][0]["place"] == "Mallow-Key"
-    assert c.simulate_get("/keys/n").json["value"] == "1"
-
-
-def test_a_strike_that_was_not_taken_is_no_success(control):
-    t, c = control
-    t.state.settings.roster = {"10.0.0.1:1": Seat(7, Locality("eu", "a"))}
-    t.says = CommandResponse("undecided")
-    assert c.simulate_post("/strikes", json={"proxy": "10.0.0.1:1"}).status_code == 504
-    t.says = None
+        assert response.status_code >= 400 and response.headers["mallow-outcome"] == "undecided", (
+            response.status,
+            response.text,
+        )
+    assert client.simulate_put("/config", json={"doc": DOC}).headers["mallow-outcome"] == "not-run"
+
+
+def test_a_key_reused_for_another_body_is_a_conflict_with_its_place(control):
+    task, client = control
+    key_header = {"Mallow-Key": "k"}
+    assert client.simulate_put("/keys/n", json={"value": "1"}, headers=key_header).status_code == 200
+    response = client.simulate_put("/keys/n", json={"value": "2"}, headers=key_header)
+    assert response.status_code == 409 and response.json["findings"][0]["place"] == "Mallow-Key"
+    assert client.simulate_get("/keys/n").json["value"] == "1"
+
+
+def test_a_strike_that_was_not_confirmed_is_an_error(control):
+    task, client = control
+    task.state.settings.roster = {"10.0.0.1:1": Seat(7, Locality("eu", "a"))}
+    task.forced_response = CommandResponse("undecided")
+    assert client.simulate_post("/strikes", json={"proxy": "10.0.0.1:1"}).status_code == 504
+    task.forced_response = None
     assert (
-        c.simulate_post("/strikes", json={"proxy": "10.0.0.1:1"}).status_code == 200 and t.state.settings.roster == {}
+        client.simulate_post("/strikes", json={"proxy": "10.0.0.1:1"}).status_code == 200
+        and task.state.settings.roster == {}
     )
 
 
-def test_a_quiet_watcher_comes_forward_and_never_past_an_event(control):
-    t, c = control
-    t.do(Put("mine", "0"))
-    at = t.state.revision
+def test_a_watch_without_events_advances_its_revision_and_skips_no_event(control):
+    task, client = control
+    task.do(Put("mine", "0"))
+    at = task.state.revision
     for i in range(50):
-        t.do(Put("other", str(i)), 1000 * i)
-        got = c.simulate_get(f"/watch?since={at}&prefix=mine").json
+        task.do(Put("other", str(i)), 1000 * i)
+        got = client.simulate_get(f"/watch?since={at}&prefix=mine").json
         assert got["events"] == []
         at = got["revision"]
-    t.do(Put("other", "late"), 200_000)
-    assert t.state.coordination.compacted > 0
-    got = c.simulate_get(f"/watch?since={at}&prefix=mine")
+    task.do(Put("other", "late"), 200_000)
+    assert task.state.coordination.compacted > 0
+    got = client.simulate_get(f"/watch?since={at}&prefix=mine")
     assert got.status_code == 200, got.text
-    t.do(Put("mine", "1"), 200_001)
-    t.do(Put("mine", "2"), 200_002)
-    got = c.simulate_get(f"/watch?since={at}&prefix=mine").json
-    assert [e["value"] for e in got["events"]] == ["1", "2"] and got["revision"] == t.state.revision
+    task.do(Put("mine", "1"), 200_001)
+    task.do(Put("mine", "2"), 200_002)
+    got = client.simulate_get(f"/watch?since={at}&prefix=mine").json
+    assert [event["value"] for event in got["events"]] == ["1", "2"] and got["revision"] == task.state.revision
 
 
-def test_oversize_names_keys_values_and_holders_are_refused_with_their_place(control):
-    t, c = control
+def test_oversize_names_keys_values_and_holders_are_rejected_with_their_place(control):
+    task, client = control
     long = "x" * 201
-    for r, place in (
-        (c.simulate_put(f"/keys/{long}", json={"value": "1"}), "name"),
-        (c.simulate_post(f"/numbers/{long}"), "name"),
-        (c.simulate_put("/keys/n", json={"value": "v" * 65537}), "value"),
-        (c.simulate_post("/locks/l/take", json={"holder": long}), "holder, ttl_ms"),
-        (c.simulate_post("/locks/l/take", json={"holder": "x", "ttl_ms": 1}), "holder, ttl_ms"),
-        (c.simulate_put("/config", json={"doc": DOC}, headers={"Mallow-Key": long}), "Mallow-Key"),
-        (c.simulate_post("/evacuations", json={"zone": 3, "evacuated": "yes"}), "zone"),
-        (c.simulate_post("/strikes", json={"proxy": "nobody"}), "proxy"),
-        (c.simulate_post("/plan", json={"patch": []}), "base"),
-        (c.simulate_post("/plan", json={}), "doc, patch"),
-        (c.simulate_patch("/config", json={"patch": [3], "base": 0}), "patch[0]"),
+    for response, place in (
+        (client.simulate_put(f"/keys/{long}", json={"value": "1"}), "name"),
+        (client.simulate_post(f"/numbers/{long}"), "name"),
+        (client.simulate_put("/keys/n", json={"value": "v" * 65537}), "value"),
+        (client.simulate_post("/locks/l/take", json={"holder": long}), "holder, ttl_ms"),
+        (client.simulate_post("/locks/l/take", json={"holder": "x", "ttl_ms": 1}), "holder, ttl_ms"),
+        (client.simulate_put("/config", json={"doc": DOC}, headers={"Mallow-Key": long}), "Mallow-Key"),
+        (client.simulate_post("/evacuations", json={"zone": 3, "evacuated": "yes"}), "zone"),
+        (client.simulate_post("/strikes", json={"proxy": "nobody"}), "proxy"),
+        (client.simulate_post("/plan", json={"patch": []}), "base"),
+        (client.simulate_post("/plan", json={}), "doc, patch"),
+        (client.simulate_patch("/config", json={"patch": [3], "base": 0}), "patch[0]"),
     ):
-        assert 400 <= r.status_code < 500 and r.json["findings"][0]["place"] == place, (r.text, place)
-    assert t.state.index == 0
+        assert 400 <= response.status_code < 500 and response.json["findings"][0]["place"] == place, (
+            response.text,
+            place,
+        )
+    assert task.state.index == 0
 
 
-def test_a_watch_tells_no_silence_past_its_bound_without_asking_a_quorum(control):
-    t, c = control
-    t.do(Put("mine", "0"))
+def test_a_watch_without_events_confirms_a_state_that_may_be_stale(control):
+    task, client = control
+    task.do(Put("mine", "0"))
     reads = [CommandResponse("ok", 1)]
-    t.read = lambda limit: reads.pop() if reads else CommandResponse("leader")
-    assert c.simulate_get(f"/watch?since={t.state.revision}&prefix=mine").status_code == 503
+    task.read = lambda limit: reads.pop() if reads else CommandResponse("leader")
+    assert client.simulate_get(f"/watch?since={task.state.revision}&prefix=mine").status_code == 503
     reads.append(CommandResponse("ok", 1))
-    t.current = lambda now: True
-    assert c.simulate_get(f"/watch?since={t.state.revision}&prefix=mine").json["events"] == []
+    task.current = lambda now: True
+    assert client.simulate_get(f"/watch?since={task.state.revision}&prefix=mine").json["events"] == []
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -1,3 +1,5 @@
+"""HTTP resources of upstreams, and the registry task behind them."""
+
 import gevent
 import msgspec
 import pytest
@@ -42,16 +44,16 @@
 
 
 class Control:
-    """A control process whose state is applied at once, with a transport that answers nothing."""
+    """A control process that applies commands at once, with a transport that never responds."""
 
     def __init__(self):
         self.node, self.core, self.transport, self.membership = self, self, self, self
         self.settings, self.counts = SETTINGS, web.Counts()
-        self.state, self.leads, self.says = ReplicatedState(1), True, "ok"
+        self.state, self.leads, self.forced_code = ReplicatedState(1), True, "ok"
         self.me = control_at("10.1.0.1", EU)
         self.controls, self.offered, self.asked = [], [], None
 
-    def on(self, *a, **k):
+    def on(self, *arguments, **keywords):
         pass
 
     def alive(self, role):
@@ -61,28 +63,28 @@
         return None
 
     def may_answer(self, kind, now):
-        """As asked just now of a majority, or when it is said."""
+        """Returns whether the lease is valid; `asked` is the time of the last quorum contact, None for now."""
         return lease.is_valid(kind, now if self.asked is None else self.asked, now)
 
     def offer(self, data, limit, attempt):
         self.offered.append(decode_command(data))
-        if self.says == "ok":
+        if self.forced_code == "ok":
             self.state.apply(self.state.index + 1, 1000, data)
-        return CommandResponse(self.says)
+        return CommandResponse(self.forced_code)
 
 
 class AtOnce(registry_task.RegistryTask):
-    def offer(self, u):
-        return self._registered(Registered([u]), 0.9)
+    def offer(self, upstream):
+        return self._registered(Registered([upstream]), 0.9)
 
 
 @pytest.fixture
 def control():
-    t = Control()
-    task = AtOnce(t)
+    process = Control()
+    task = AtOnce(process)
     app = web.make_app()
-    http_upstreams.add_routes(app, t, task)
-    return t, testing.TestClient(app), task
+    http_upstreams.add_routes(app, process, task)
+    return process, testing.TestClient(app), task
 
 
 HEARTBEAT = {
@@ -97,52 +99,59 @@
 }
 
 
-def test_a_first_heartbeat_is_offered_a_plain_one_is_not(control):
-    t, c, _ = control
-    r = c.simulate_put("/upstreams/i1", json=HEARTBEAT)
-    assert r.status_code == 200 and r.json == {} and t.state.registry.rows["i1"].address == Address("10.0.0.1", 80)
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2, "later": [1]}).status_code == 200
-    assert len(t.offered) == 1
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3, "cold_ms": 2500.5}).status_code == 200
-    assert t.state.registry.rows["i1"].cold_until == 3501
-    seen = c.simulate_get("/upstreams").json
+def test_only_heartbeats_that_change_the_registry_are_submitted(control):
+    process, client, _ = control
+    response = client.simulate_put("/upstreams/i1", json=HEARTBEAT)
+    assert (
+        response.status_code == 200
+        and response.json == {}
+        and process.state.registry.rows["i1"].address == Address("10.0.0.1", 80)
+    )
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2, "later": [1]}).status_code == 200
+    assert len(process.offered) == 1
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3, "cold_ms": 2500.5}).status_code == 200
+    assert process.state.registry.rows["i1"].cold_until == 3501
+    seen = client.simulate_get("/upstreams").json
     assert seen["revision"] == 2 and seen["upstreams"][0]["locality"] == "eu/eu-a"
 
 
-def test_a_notice_of_leaving_and_an_end_are_acknowledged_only_once_taken(control):
-    t, c, _ = control
-    c.simulate_put("/upstreams/i1", json=HEARTBEAT)
-    t.says = "undecided"
+def test_leaving_and_deregistration_are_acknowledged_only_once_applied(control):
+    process, client, _ = control
+    client.simulate_put("/upstreams/i1", json=HEARTBEAT)
+    process.forced_code = "undecided"
     leaving = HEARTBEAT | {"state": "leaving", "sequence": 2}
-    r = c.simulate_put("/upstreams/i1", json=leaving)
-    assert r.status_code == 503 and r.headers["retry-after"] == "1"
-    assert c.simulate_delete("/upstreams/i1").status_code == 503
-    t.says = "ok"
-    assert c.simulate_put("/upstreams/i1", json=leaving).status_code == 200
-    assert states(t.state.registry) == {"i1": "leaving"}
-    n = len(t.offered)
-    assert c.simulate_put("/upstreams/i1", json=leaving | {"sequence": 3}).status_code == 200 and len(t.offered) == n
+    response = client.simulate_put("/upstreams/i1", json=leaving)
+    assert response.status_code == 503 and response.headers["retry-after"] == "1"
+    assert client.simulate_delete("/upstreams/i1").status_code == 503
+    process.forced_code = "ok"
+    assert client.simulate_put("/upstreams/i1", json=leaving).status_code == 200
+    assert states(process.state.registry) == {"i1": "leaving"}
+    count = len(process.offered)
+    assert (
+        client.simulate_put("/upstreams/i1", json=leaving | {"sequence": 3}).status_code == 200
+        and len(process.offered) == count
+    )
     for _ in range(2):
-        assert c.simulate_delete("/upstreams/i1").status_code == 200
-    assert states(t.state.registry) == {"i1": "gone"} and len(t.offered) == n + 1
-    assert c.simulate_delete("/upstreams/never").status_code == 200
+        assert client.simulate_delete("/upstreams/i1").status_code == 200
+    assert states(process.state.registry) == {"i1": "gone"} and len(process.offered) == count + 1
+    assert client.simulate_delete("/upstreams/never").status_code == 200
 
 
 def test_a_control_process_without_a_state_or_long_cut_from_the_leader_acknowledges_nothing(control):
-    t, c, task = control
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    t.leads = False
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
+    process, client, task = control
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
+    process.leads = False
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
     task._touched -= lease.LEASE_BOUNDS[lease.AnswerKind.HEARTBEAT].seconds
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3}).status_code == 503
-    t.state = None
-    for r in (c.simulate_put("/upstreams/i1", json=HEARTBEAT), c.simulate_delete("/upstreams/i1")):
-        assert r.status_code == 503
-    assert c.simulate_get("/upstreams").json == {"revision": 0, "upstreams": []}
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3}).status_code == 503
+    process.state = None
+    for response in (client.simulate_put("/upstreams/i1", json=HEARTBEAT), client.simulate_delete("/upstreams/i1")):
+        assert response.status_code == 503
+    assert client.simulate_get("/upstreams").json == {"revision": 0, "upstreams": []}
 
 
 def test_findings_have_their_place(control):
-    t, c, _ = control
+    process, client, _ = control
     for body, status, places in (
         ({"service": "s", "zone": "eu-a"}, 400, ["address", "slots", "state", "sequence"]),
         (HEARTBEAT | {"state": "gone", "slots": "x"}, 400, ["slots", "state"]),
@@ -154,24 +163,27 @@
         (HEARTBEAT | {"zone": "mars"}, 422, ["zone"]),
         ([], 400, [""]),
     ):
-        r = c.simulate_put("/upstreams/i1", json=body)
-        assert (r.status_code, [f["place"] for f in r.json["findings"]]) == (status, places), r.text
-    assert c.simulate_put("/upstreams/i1", body=b"{").status_code == 400
-    assert c.simulate_put("/upstreams/" + "x" * 201, json=HEARTBEAT).status_code == 400
-    assert c.simulate_put("/upstreams/i1", body=b" " * 20000).status_code == 413
-    assert t.offered == []
-
-
-def test_a_full_registry_takes_no_more(control, monkeypatch):
-    t, c, _ = control
+        response = client.simulate_put("/upstreams/i1", json=body)
+        assert (response.status_code, [finding["place"] for finding in response.json["findings"]]) == (
+            status,
+            places,
+        ), response.text
+    assert client.simulate_put("/upstreams/i1", body=b"{").status_code == 400
+    assert client.simulate_put("/upstreams/" + "x" * 201, json=HEARTBEAT).status_code == 400
+    assert client.simulate_put("/upstreams/i1", body=b" " * 20000).status_code == 413
+    assert process.offered == []
+
+
+def test_a_full_registry_rejects_new_upstreams(control, monkeypatch):
+    process, client, _ = control
     monkeypatch.setattr(registries, "MOST", 1)
     monkeypatch.setattr(registries, "MOST_SERVICES", 1)
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    assert c.simulate_put("/upstreams/i2", json=HEARTBEAT | {"address": "10.0.0.2:80"}).status_code == 503
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
+    assert client.simulate_put("/upstreams/i2", json=HEARTBEAT | {"address": "10.0.0.2:80"}).status_code == 503
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
 
 
-def test_later_heartbeats_are_asked_for_near_the_upstream():
+def test_upstreams_are_directed_to_a_control_process_near_them():
     me = control_at("10.1.0.1", EU)
     same, other, far = (
         control_at("10.1.0.2", EU),
@@ -185,29 +197,31 @@
     assert ask([same, other, far], US) == far.web
     assert ask([same, other], US) is None
     assert ask([replace(far, state=LEAVING), replace(far, state=FAILED), replace(far, ready=False)], US) is None
-    more = [control_at(f"10.2.0.{n}", US) for n in range(2, 5)]
-    to = [ask(more, US, f"i{n}") for n in range(60)]
-    assert {a for a in to} == {r.web for r in more} and to == [ask(more[::-1], US, f"i{n}") for n in range(60)]
+    more = [control_at(f"10.2.0.{count}", US) for count in range(2, 5)]
+    to = [ask(more, US, f"i{count}") for count in range(60)]
+    assert {arguments for arguments in to} == {record.web for record in more} and to == [
+        ask(more[::-1], US, f"i{count}") for count in range(60)
+    ]
 
 
-def test_changes_of_one_moment_go_as_one_command_and_a_refusal_reaches_all():
-    t = Control()
-    with registry_task.RegistryTask(t) as task:
-        jobs = [gevent.spawn(task.heartbeat, up(f"i{n}", at=f"10.0.0.{n + 1}:80")) for n in range(5)]
-        assert [j.get(timeout=5) for j in jobs] == [True] * 5
-        assert [len(c.changes) for c in t.offered] == [5]
-        t.says = "undecided"
-        jobs = [gevent.spawn(task.gone, up(f"i{n}", state="gone")) for n in range(2)]
-        assert [j.get(timeout=5) for j in jobs] == [False] * 2
+def test_concurrent_changes_are_submitted_as_one_command_and_fail_together():
+    process = Control()
+    with registry_task.RegistryTask(process) as task:
+        jobs = [gevent.spawn(task.heartbeat, up(f"i{count}", at=f"10.0.0.{count + 1}:80")) for count in range(5)]
+        assert [job.get(timeout=5) for job in jobs] == [True] * 5
+        assert [len(command.changes) for command in process.offered] == [5]
+        process.forced_code = "undecided"
+        jobs = [gevent.spawn(task.gone, up(f"i{count}", state="gone")) for count in range(2)]
+        assert [job.get(timeout=5) for job in jobs] == [False] * 2
 
 
 class Follower(Control):
-    """A control process that does not lead; its calls reach the leader at once."""
+    """A control process that is not the leader; its calls reach the leader at once."""
 
     def __init__(self, leader):
         super().__init__()
         self.leads, self.to, self.cut = False, leader, False
-        self.said = []
+        self.report_sizes = []
 
     def leader(self):
         return Address("10.1.0.2", 1)
@@ -215,63 +229,63 @@
     def call(self, to, kind, body, limit):
         if self.cut:
             return Err("limit")
-        self.said.append(len(msgspec.msgpack.decode(body)))
+        self.report_sizes.append(len(msgspec.msgpack.decode(body)))
         return Ok(self.to._on_heard(Address("10.1.0.1", 1), body))
 
 
-def test_a_control_process_tells_the_leader_whom_it_heard_and_a_new_one_all_of_the_last_silence(monkeypatch):
+def test_a_follower_reports_heartbeats_to_the_leader_and_all_recent_ones_to_a_new_leader(monkeypatch):
     now = [100.0]
     monkeypatch.setattr(registry_task.clock, "now", lambda: now[0])
-    led = AtOnce(Control())
-    f = Follower(led)
-    task = AtOnce(f)
+    leading_task = AtOnce(Control())
+    follower = Follower(leading_task)
+    task = AtOnce(follower)
 
     def report(at, **how):
         now[0] = at
-        for k, v in how.items():
-            setattr(f if k == "cut" else led.task, k, v)
-        task._report(f.state.registry, at)
+        for name, value in how.items():
+            setattr(follower if name == "cut" else leading_task.task, name, value)
+        task._report(follower.state.registry, at)
         return task.in_touch(at)
 
     for i in ("i1", "i2"):
         assert task.heartbeat(up(i, at=f"10.0.0.{i[1]}:80"))
-    assert report(100.5) and led.liveness.report(0.0, 101.0) == [Heard("i1", 1000), Heard("i2", 1000)]
+    assert report(100.5) and leading_task.liveness.report(0.0, 101.0) == [Heard("i1", 1000), Heard("i2", 1000)]
     now[0] = 101.0
     assert task.heartbeat(up("i2", seq=2, at="10.0.0.2:80"))
-    assert report(101.5) and led.liveness.report(100.0, 101.5) == [Heard("i2", 500)]
+    assert report(101.5) and leading_task.liveness.report(100.0, 101.5) == [Heard("i2", 500)]
     assert report(103.0, cut=True) and not report(104.0)
     assert not report(104.2, cut=False, leads=False)
     assert report(104.4, leads=True)
-    assert f.said == [2, 1, 2, 2]
+    assert follower.report_sizes == [2, 1, 2, 2]
 
 
 LONG_AGO = -1000.0
 
 
-def test_a_control_process_out_of_touch_sends_upstreams_to_one_that_is_in_touch(control):
-    t, c, _ = control
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    t.asked = LONG_AGO
-    t.controls = [t.me, control_at("10.1.0.2", EU, ready=False), control_at("10.1.0.3", EU, LEAVING)]
-    r = c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2})
-    assert r.status_code == 503 and r.headers["retry-after"] == "2"
-    t.controls.append(control_at("10.2.0.1", US))
-    r = c.simulate_put("/upstreams/i1?x=1", json=HEARTBEAT | {"sequence": 3})
-    assert r.status_code == 307 and r.headers["location"] == "http://10.2.0.1:2/upstreams/i1?x=1&moved=1"
-    t.says = "undecided"
-    r = c.simulate_delete("/upstreams/i1")
-    assert r.status_code == 307 and r.headers["location"] == "http://10.2.0.1:2/upstreams/i1?moved=1"
+def test_a_control_process_without_quorum_contact_redirects_upstreams_to_one_with_contact(control):
+    process, client, _ = control
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
+    process.asked = LONG_AGO
+    process.controls = [process.me, control_at("10.1.0.2", EU, ready=False), control_at("10.1.0.3", EU, LEAVING)]
+    response = client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2})
+    assert response.status_code == 503 and response.headers["retry-after"] == "2"
+    process.controls.append(control_at("10.2.0.1", US))
+    response = client.simulate_put("/upstreams/i1?x=1", json=HEARTBEAT | {"sequence": 3})
+    assert response.status_code == 307 and response.headers["location"] == "http://10.2.0.1:2/upstreams/i1?x=1&moved=1"
+    process.forced_code = "undecided"
+    response = client.simulate_delete("/upstreams/i1")
+    assert response.status_code == 307 and response.headers["location"] == "http://10.2.0.1:2/upstreams/i1?moved=1"
 
 
-def test_two_control_processes_out_of_touch_send_nobody_round(control):
-    t, c, _ = control
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    t.asked, t.controls = LONG_AGO, [control_at("10.2.0.1", US)]
-    r = c.simulate_put("/upstreams/i1?moved=1", json=HEARTBEAT | {"sequence": 2})
-    assert r.status_code == 503 and "location" not in r.headers
+def test_two_control_processes_without_quorum_contact_cause_no_redirect_loop(control):
+    process, client, _ = control
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
+    process.asked, process.controls = LONG_AGO, [control_at("10.2.0.1", US)]
+    response = client.simulate_put("/upstreams/i1?moved=1", json=HEARTBEAT | {"sequence": 2})
+    assert response.status_code == 503 and "location" not in response.headers
 
 
-def test_the_leader_that_gave_no_lease_is_named_last():
+def test_the_leader_that_did_not_renew_the_lease_is_the_last_choice():
     lead, odd = control_at("10.1.0.2", EU), control_at("10.1.0.3", EU)
     me = Address("10.1.0.1", 1)
     assert {redirect.choose_control_process([lead, odd], me, lead.addr) for _ in range(20)} == {odd}
@@ -279,36 +293,36 @@
     assert redirect.choose_control_process([replace(lead, addr=me)], me, None) is None
 
 
-def test_a_leader_that_nobody_confirms_acknowledges_nothing_and_takes_no_report(control):
-    t, c, task = control
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
+def test_a_leader_without_quorum_contact_acknowledges_no_heartbeat_and_no_report(control):
+    process, client, task = control
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     report = msgspec.msgpack.encode([Heard("i1", 5)])
     assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.TAKEN
-    t.asked = LONG_AGO
-    assert t.leads and task._on_heard(Address("10.1.0.2", 1), report) == b""
-    assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 503
+    process.asked = LONG_AGO
+    assert process.leads and task._on_heard(Address("10.1.0.2", 1), report) == b""
+    assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 503
 
 
-def test_an_end_known_here_is_told_to_a_majority_again_by_one_out_of_touch(control):
-    t, c, _ = control
-    c.simulate_put("/upstreams/i1", json=HEARTBEAT)
-    assert c.simulate_delete("/upstreams/i1").status_code == 200
-    n = len(t.offered)
-    assert c.simulate_delete("/upstreams/i1").status_code == 200 and len(t.offered) == n
-    t.asked = LONG_AGO
-    assert c.simulate_delete("/upstreams/i1").status_code == 200 and len(t.offered) == n + 1
+def test_a_known_deregistration_is_submitted_again_without_quorum_contact(control):
+    process, client, _ = control
+    client.simulate_put("/upstreams/i1", json=HEARTBEAT)
+    assert client.simulate_delete("/upstreams/i1").status_code == 200
+    count = len(process.offered)
+    assert client.simulate_delete("/upstreams/i1").status_code == 200 and len(process.offered) == count
+    process.asked = LONG_AGO
+    assert client.simulate_delete("/upstreams/i1").status_code == 200 and len(process.offered) == count + 1
 
 
-def test_a_report_counts_from_when_it_was_sent(monkeypatch):
+def test_a_report_counts_from_the_time_it_was_sent(monkeypatch):
     now = [100.0]
     monkeypatch.setattr(registry_task.clock, "now", lambda: now[0])
-    f = Follower(AtOnce(Control()))
-    task, call = AtOnce(f), f.call
+    follower = Follower(AtOnce(Control()))
+    task, call = AtOnce(follower), follower.call
 
-    def late(*a):
+    def late(*arguments):
         now[0] += 0.9
-        return call(*a)
+        return call(*arguments)
 
-    f.call = late
-    task._report(f.state.registry, 100.0)
+    follower.call = late
+    task._report(follower.state.registry, 100.0)
     assert task.in_touch(102.4) and not task.in_touch(102.6)
--- a/tests/test_out_of_touch.py
+++ b/tests/test_out_of_touch.py
@@ -1,4 +1,4 @@
-"""Calls that need a majority, at a control process that has not heard one for long: sent on or refused at once."""
+"""Requests that need a majority, at a control process without recent quorum contact, are redirected or rejected."""
 
 import gevent
 import pytest
@@ -13,10 +13,10 @@
 from tests.test_http_items import FIRST
 from tests.test_http_upstreams import US, Control, control_at
 
-BOUND = lease.LEASE_BOUNDS[AnswerKind.CALL].seconds
-TAKE = b'{"holder":"a","hold_ms":3000}'
+CALL_LEASE_S = lease.LEASE_BOUNDS[AnswerKind.CALL].seconds
+TAKE_BODY = b'{"holder":"a","hold_ms":3000}'
 CALLS = [
-    ("POST", "/api/locks/l", TAKE),
+    ("POST", "/api/locks/l", TAKE_BODY),
     ("POST", "/api/numbers/n", b""),
     ("PUT", "/api/cells/g.a", b'{"value":"x"}'),
     ("GET", "/api/cells/g.a", b""),
@@ -33,44 +33,44 @@
 def control(monkeypatch):
     now = [100.0]
     monkeypatch.setattr("mallowvalve.clock.now", lambda: now[0])
-    t = Control()
-    t.settings.zones.setdefault("eu-a", "eu")
-    t.read = lambda limit: pytest.fail("a majority was asked")
+    process = Control()
+    process.settings.zones.setdefault("eu-a", "eu")
+    process.read = lambda limit: pytest.fail("a confirmed read")
     app = web.make_app()
-    http_operators.add_routes(app, t)
-    http_plain.add_routes(app, t, "/api")
-    t.asked = now[0] - BOUND
-    return t, testing.TestClient(app)
+    http_operators.add_routes(app, process)
+    http_plain.add_routes(app, process, "/api")
+    process.asked = now[0] - CALL_LEASE_S
+    return process, testing.TestClient(app)
 
 
 @pytest.mark.parametrize(("method", "path", "body"), CALLS)
-def test_a_call_is_sent_to_another_process_and_nothing_is_offered_here(control, method, path, body):
-    t, c = control
-    t.controls = [control_at("10.2.0.1", US)]
-    r = c.simulate_request(method, path, body=body)
-    assert r.status_code == 307 and r.headers["location"] == f"http://10.2.0.1:2{path}?moved=1"
-    assert t.offered == [] and r.headers[web.OUTCOME] == web.NOT_RUN
-    r = c.simulate_request(method, path, body=body, headers={"Mallow-Key": "k"})
-    assert r.status_code == 307 and r.headers[web.OUTCOME] == web.UNDECIDED
+def test_a_request_is_redirected_and_nothing_is_submitted(control, method, path, body):
+    process, client = control
+    process.controls = [control_at("10.2.0.1", US)]
+    response = client.simulate_request(method, path, body=body)
+    assert response.status_code == 307 and response.headers["location"] == f"http://10.2.0.1:2{path}?moved=1"
+    assert process.offered == [] and response.headers[web.OUTCOME] == web.NOT_RUN
+    response = client.simulate_request(method, path, body=body, headers={"Mallow-Key": "k"})
+    assert response.status_code == 307 and response.headers[web.OUTCOME] == web.UNDECIDED
 
 
 @pytest.mark.parametrize(("method", "path", "body"), CALLS)
-def test_with_nobody_else_in_touch_it_is_refused_with_the_time_to_come_back(control, method, path, body):
-    t, c = control
-    r = c.simulate_request(method, path, body=body)
-    assert r.status_code == 503 and float(r.headers["retry-after"]) > 0 and t.offered == []
-    t.controls = [control_at("10.2.0.1", US)]
-    r = c.simulate_request(method, path + "?moved=1", body=body)
-    assert r.status_code == 503 and "location" not in r.headers
+def test_without_a_redirect_target_a_request_is_rejected_with_retry_after(control, method, path, body):
+    process, client = control
+    response = client.simulate_request(method, path, body=body)
+    assert response.status_code == 503 and float(response.headers["retry-after"]) > 0 and process.offered == []
+    process.controls = [control_at("10.2.0.1", US)]
+    response = client.simulate_request(method, path + "?moved=1", body=body)
+    assert response.status_code == 503 and "location" not in response.headers
 
 
-def test_within_the_bound_a_majority_is_waited_for(control):
-    t, c = control
-    t.asked = 100.0 - BOUND + 0.1
-    assert c.simulate_patch("/items", body=FIRST).status_code == 200 and len(t.offered) == 1
+def test_a_request_is_served_while_the_quorum_contact_is_recent(control):
+    process, client = control
+    process.asked = 100.0 - CALL_LEASE_S + 0.1
+    assert client.simulate_patch("/items", body=FIRST).status_code == 200 and len(process.offered) == 1
 
 
-class Moved:
+class RedirectingResource:
     def __init__(self, to):
         self.to = to
 
@@ -79,20 +79,20 @@
         resp.set_header("Location", f"http://127.0.0.1:{self.to()}/there?moved=1")
 
 
-class There:
+class TargetResource:
     def __init__(self):
-        self.got = []
+        self.received = []
 
     def on_put(self, req, resp):
-        self.got.append((req.query_string, req.bounded_stream.read()))
+        self.received.append((req.query_string, req.bounded_stream.read()))
         web.say(resp, {"ok": True})
 
 
-def test_the_command_lines_calls_follow_to_the_process_that_is_named():
-    app, there, port = web.make_app(), There(), []
-    app.add_route("/here", Moved(lambda: port[0]))
-    app.add_route("/there", there)
+def test_the_command_line_client_follows_redirects():
+    app, target, port = web.make_app(), TargetResource(), []
+    app.add_route("/here", RedirectingResource(lambda: port[0]))
+    app.add_route("/there", target)
     with web.Server(Address("127.0.0.1", 0), app, Counts(), 8) as server:
         port.append(server.server_port)
         answer = gevent.get_hub().threadpool.apply(call_at, ("127.0.0.1", port[0], "PUT", "/here", {"a": 1}))
-    assert answer[:2] == (200, {"ok": True}) and there.got == [("moved=1", b'{"a": 1}')]
+    assert answer[:2] == (200, {"ok": True}) and target.received == [("moved=1", b'{"a": 1}')]
