--- a/tests/test_http_plain.py
+++ b/tests/test_http_plain.py
@@ -192,10 +192,10 @@
     task, client = control
     task.do(Write("g.a", "0"))
     task.do(Write("g.a", "1"))
-    asked, read = [], task.read
-    task.read = lambda limit: asked.append(limit) or read(limit)
-    assert client.simulate_get("/api/watch/g.?after=1&wait_ms=1").json["revision"] == 2 and asked
-    task.current, task.read = lambda now: True, lambda limit: pytest.fail("asked")
+    read_limits, read = [], task.read
+    task.read = lambda limit: read_limits.append(limit) or read(limit)
+    assert client.simulate_get("/api/watch/g.?after=1&wait_ms=1").json["revision"] == 2 and read_limits
+    task.current, task.read = lambda now: True, lambda limit: pytest.fail("a confirmed read")
     assert client.simulate_get("/api/watch/g.?after=1&wait_ms=1").json["revision"] == 2
     assert client.simulate_get("/api/watch/g.?after=5&wait_ms=1").status_code == 503
 
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -51,7 +51,7 @@
         self.settings, self.counts = SETTINGS, web.Counts()
         self.state, self.leads, self.forced_code = ReplicatedState(1), True, "ok"
         self.me = control_at("10.1.0.1", EU)
-        self.controls, self.offered, self.asked = [], [], None
+        self.controls, self.offered, self.quorum_contact_at = [], [], None
 
     def on(self, *arguments, **keywords):
         pass
@@ -63,8 +63,8 @@
         return None
 
     def may_answer(self, kind, now):
-        """Returns whether the lease is valid; `asked` is the time of the last quorum contact, None for now."""
-        return lease.is_valid(kind, now if self.asked is None else self.asked, now)
+        """Returns whether the lease is valid; `quorum_contact_at` is the time of the last quorum contact, None for now."""
+        return lease.is_valid(kind, now if self.quorum_contact_at is None else self.quorum_contact_at, now)
 
     def offer(self, data, limit, attempt):
         self.offered.append(decode_command(data))
@@ -190,28 +190,28 @@
         control_at("10.1.0.3", Locality("eu", "eu-b")),
         control_at("10.2.0.1", US),
     )
-    ask = lambda controls, loc, who="i1": http_upstreams.preferred_control_address(controls, me, loc, who)
-    assert ask([same, other, far], EU) is None
-    assert ask([same, other, far], Locality("eu", "eu-b")) == other.web
-    assert ask([same, far], Locality("eu", "eu-b")) is None
-    assert ask([same, other, far], US) == far.web
-    assert ask([same, other], US) is None
-    assert ask([replace(far, state=LEAVING), replace(far, state=FAILED), replace(far, ready=False)], US) is None
-    more = [control_at(f"10.2.0.{count}", US) for count in range(2, 5)]
-    to = [ask(more, US, f"i{count}") for count in range(60)]
-    assert {arguments for arguments in to} == {record.web for record in more} and to == [
-        ask(more[::-1], US, f"i{count}") for count in range(60)
+    preferred = lambda controls, loc, who="i1": http_upstreams.preferred_control_address(controls, me, loc, who)
+    assert preferred([same, other, far], EU) is None
+    assert preferred([same, other, far], Locality("eu", "eu-b")) == other.web
+    assert preferred([same, far], Locality("eu", "eu-b")) is None
+    assert preferred([same, other, far], US) == far.web
+    assert preferred([same, other], US) is None
+    assert preferred([replace(far, state=LEAVING), replace(far, state=FAILED), replace(far, ready=False)], US) is None
+    more = [control_at(f"10.2.0.{number}", US) for number in range(2, 5)]
+    to = [preferred(more, US, f"i{number}") for number in range(60)]
+    assert {address for address in to} == {record.web for record in more} and to == [
+        preferred(more[::-1], US, f"i{number}") for number in range(60)
     ]
 
 
 def test_concurrent_changes_are_submitted_as_one_command_and_fail_together():
     process = Control()
     with registry_task.RegistryTask(process) as task:
-        jobs = [gevent.spawn(task.heartbeat, up(f"i{count}", at=f"10.0.0.{count + 1}:80")) for count in range(5)]
+        jobs = [gevent.spawn(task.heartbeat, up(f"i{number}", at=f"10.0.0.{number + 1}:80")) for number in range(5)]
         assert [job.get(timeout=5) for job in jobs] == [True] * 5
         assert [len(command.changes) for command in process.offered] == [5]
         process.forced_code = "undecided"
-        jobs = [gevent.spawn(task.gone, up(f"i{count}", state="gone")) for count in range(2)]
+        jobs = [gevent.spawn(task.gone, up(f"i{number}", state="gone")) for number in range(2)]
         assert [job.get(timeout=5) for job in jobs] == [False] * 2
 
 
@@ -265,7 +265,7 @@
 def test_a_control_process_without_quorum_contact_redirects_upstreams_to_one_with_contact(control):
     process, client, _ = control
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    process.asked = LONG_AGO
+    process.quorum_contact_at = LONG_AGO
     process.controls = [process.me, control_at("10.1.0.2", EU, ready=False), control_at("10.1.0.3", EU, LEAVING)]
     response = client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2})
     assert response.status_code == 503 and response.headers["retry-after"] == "2"
@@ -280,17 +280,19 @@
 def test_two_control_processes_without_quorum_contact_cause_no_redirect_loop(control):
     process, client, _ = control
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
-    process.asked, process.controls = LONG_AGO, [control_at("10.2.0.1", US)]
+    process.quorum_contact_at, process.controls = LONG_AGO, [control_at("10.2.0.1", US)]
     response = client.simulate_put("/upstreams/i1?moved=1", json=HEARTBEAT | {"sequence": 2})
     assert response.status_code == 503 and "location" not in response.headers
 
 
 def test_the_leader_that_did_not_renew_the_lease_is_the_last_choice():
-    lead, odd = control_at("10.1.0.2", EU), control_at("10.1.0.3", EU)
+    leader_record, second = control_at("10.1.0.2", EU), control_at("10.1.0.3", EU)
     me = Address("10.1.0.1", 1)
-    assert {redirect.choose_control_process([lead, odd], me, lead.addr) for _ in range(20)} == {odd}
-    assert redirect.choose_control_process([lead], me, lead.addr) == lead
-    assert redirect.choose_control_process([replace(lead, addr=me)], me, None) is None
+    assert {redirect.choose_control_process([leader_record, second], me, leader_record.addr) for _ in range(20)} == {
+        second
+    }
+    assert redirect.choose_control_process([leader_record], me, leader_record.addr) == leader_record
+    assert redirect.choose_control_process([replace(leader_record, addr=me)], me, None) is None
 
 
 def test_a_leader_without_quorum_contact_acknowledges_no_heartbeat_and_no_report(control):
@@ -298,7 +300,7 @@
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     report = msgspec.msgpack.encode([Heard("i1", 5)])
     assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.TAKEN
-    process.asked = LONG_AGO
+    process.quorum_contact_at = LONG_AGO
     assert process.leads and task._on_heard(Address("10.1.0.2", 1), report) == b""
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 503
 
@@ -309,7 +311,7 @@
     assert client.simulate_delete("/upstreams/i1").status_code == 200
     count = len(process.offered)
     assert client.simulate_delete("/upstreams/i1").status_code == 200 and len(process.offered) == count
-    process.asked = LONG_AGO
+    process.quorum_contact_at = LONG_AGO
     assert client.simulate_delete("/upstreams/i1").status_code == 200 and len(process.offered) == count + 1
 
 
--- a/tests/test_out_of_touch.py
+++ b/tests/test_out_of_touch.py
@@ -39,7 +39,7 @@
     app = web.make_app()
     http_operators.add_routes(app, process)
     http_plain.add_routes(app, process, "/api")
-    process.asked = now[0] - CALL_LEASE_S
+    process.quorum_contact_at = now[0] - CALL_LEASE_S
     return process, testing.TestClient(app)
 
 
@@ -66,7 +66,7 @@
 
 def test_a_request_is_served_while_the_quorum_contact_is_recent(control):
     process, client = control
-    process.asked = 100.0 - CALL_LEASE_S + 0.1
+    process.quorum_contact_at = 100.0 - CALL_LEASE_S + 0.1
     assert client.simulate_patch("/items", body=FIRST).status_code == 200 and len(process.offered) == 1
 
 
