--- a/mallowvalve/control/api.py
+++ b/mallowvalve/control/api.py
@@ -7,7 +7,7 @@
 import falcon
 
 from mallowvalve import web
-from mallowvalve.control import page_offer
+from mallowvalve.control import http_submission
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import Change, Evacuate, ReplicatedSettings, Strike, encode
 from mallowvalve.control.task import ControlTask
@@ -28,7 +28,7 @@
 
     def confirm(self, req: falcon.Request, resp: falcon.Response) -> ReplicatedSettings | None:
         """The settings, with all that was acknowledged before this call; None once the trouble was answered."""
-        if not page_offer.accept_or_redirect(self.task, req, resp):
+        if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
         t = self.task.read(2.0)
         state = self.task.core.state
@@ -39,9 +39,9 @@
 
     def offer(self, req: falcon.Request, resp: falcon.Response, c: Change | Evacuate | Strike) -> None:
         """Offers a command and answers with its outcome."""
-        if not page_offer.accept_or_redirect(self.task, req, resp):
+        if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
+        t = http_submission.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
         if t.code != Code.OK:
             return self.reject(req, resp, t)
         web.say(resp, {"revision": t.revision, "in_force": True})
--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from mallowvalve import clock, web
-from mallowvalve.control import page_offer
+from mallowvalve.control import http_submission
 from mallowvalve.control.api import Api
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.replica_task import ATTEMPT
@@ -48,9 +48,9 @@
 
     def run(self, req, resp, command) -> None:
         """Submits a command and responds with its result."""
-        if not page_offer.accept_or_redirect(self.task, req, resp):
+        if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
-        response = page_offer.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT)
+        response = http_submission.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT)
         if not response.body:
             return self.reject(req, resp, response)
         result = _decode_result(response.body)
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -11,7 +11,7 @@
 from mallowvalve import web
 from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import LIMITS_KIND, Amend, Items
-from mallowvalve.control import page_offer
+from mallowvalve.control import http_submission
 from mallowvalve.control.api import ATTEMPT, LIMIT, Api
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import Evacuate, encode
@@ -40,9 +40,9 @@
 
     def offer(self, req, resp, command: Amend | Evacuate, effect: float | None = None) -> None:
         """Submits a command and responds with its outcome; `effect` limits the time until it takes effect (s)."""
-        if not page_offer.accept_or_redirect(self.task, req, resp):
+        if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
-        response = page_offer.offer(self.task, req, encode(command), LIMIT, ATTEMPT, effect)
+        response = http_submission.offer(self.task, req, encode(command), LIMIT, ATTEMPT, effect)
         if response.code == Code.INVALID:
             return web.turn_away(req, resp, 400, _decode_findings(response.body))
         if response.code == Code.CONFLICT:
--- a/mallowvalve/control/http_plain.py
+++ b/mallowvalve/control/http_plain.py
@@ -7,7 +7,7 @@
 from gevent.event import Event
 
 from mallowvalve import clock, web
-from mallowvalve.control import page_offer
+from mallowvalve.control import http_submission
 from mallowvalve.control.lease import LEASE_BOUNDS, AnswerKind
 from mallowvalve.control.outcome import NOT_APPLIED, Code
 from mallowvalve.control.state import ReplicatedState, encode
@@ -109,14 +109,14 @@
 
     def run(self, req, resp, command: Take | Extend | Free | Count | Write) -> PlainResult | None:
         """Returns the command's result, or None after responding with an error; may submit it more than once."""
-        if not page_offer.accept_or_redirect(self.task, req, resp):
+        if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
-        response = page_offer.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
+        response = http_submission.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
         return decode_plain_result(response.body) if response.code == Code.OK else self.reject(resp, response)
 
     def confirm(self, req, resp) -> PlainCoordination | None:
         """Returns a state with all writes acknowledged before this call, or None after responding with an error."""
-        if not page_offer.accept_or_redirect(self.task, req, resp):
+        if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
         end, response = clock.now() + CALL_TIMEOUT_S, CommandResponse(Code.LEADER)
         while (left := end - clock.now()) > 0:
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -129,7 +129,7 @@
                 gevent.sleep(min(0.05, left))
                 continue
             left = min(left, ATTEMPT)
-            data = call.sealed_command(self.replica.clock(now := clock.now()), now)
+            data = call.encoded_command(self.replica.clock(now := clock.now()), now)
             r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
             if r.is_err():
                 call.on_response(wire.CommandResponse(Code.UNDECIDED), clock.now())
--- a/mallowvalve/control/sessions.py
+++ b/mallowvalve/control/sessions.py
@@ -183,7 +183,7 @@
         self._session, self._command, self._deadline = session, command, deadline
         self._encoded, self._may_have_run = b"", False
 
-    def sealed_command(self, estimate: int, now: float) -> bytes:
+    def encoded_command(self, estimate: int, now: float) -> bytes:
         """Returns the command with its origin, to be submitted."""
         if not self._encoded:
             self._encoded = encode_with_origin(self._session.origin(estimate, now, self._deadline - now), self._command)
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -144,7 +144,7 @@
             wire.CommandResponse(Code.LEADER),
         )
         while t.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._over:
-            data = call.sealed_command(self.core.clock.estimate(now), now)
+            data = call.encoded_command(self.core.clock.estimate(now), now)
             t = call.on_response(self._offer_once(data, min(left, attempt)), clock.now())
             if t.code not in RETRYABLE or call.has_expired(clock.now()):
                 break
--- a/sim/door.py
+++ b/sim/door.py
@@ -84,7 +84,7 @@
                 self._end(p.upstream, say)
 
     def _may_begin(self, say: Callable[[Answer], None]) -> bool:
-        """As `page_offer.accept_or_redirect`: out of touch for long, it sends its callers on."""
+        """As `http_submission.accept_or_redirect`: out of touch for long, it sends its callers on."""
         if self.core.may_answer(Lease.CALL, self.now):
             return True
         others = [a for a in self.peers() if a in self.seeds and a != self.addr]
@@ -283,7 +283,7 @@
                 return then(call.final_response(t, RETRYABLE))
             self.wake(AGAIN_AFTER, lambda: self._offer_again(call, end, attempt, t, then))
 
-        self._offer_once(call.sealed_command(self.core.clock.estimate(self.now), self.now), min(left, attempt), heard)
+        self._offer_once(call.encoded_command(self.core.clock.estimate(self.now), self.now), min(left, attempt), heard)
 
     def _offer_once(self, command: bytes, limit: float, heard: Then) -> None:
         body = wire.encode(wire.CommandRequest(command, limit))
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -199,11 +199,11 @@
 def test_a_call_keeps_its_origin_until_it_is_known_to_have_had_no_effect():
     session = Session(lambda: 5)
     call = SessionCall(session, b"x", 2.0)
-    first = call.sealed_command(0, 1.0)
-    assert call.on_response(CommandResponse("leader"), 1.1).code == "leader" and call.sealed_command(0, 1.2) == first
+    first = call.encoded_command(0, 1.0)
+    assert call.on_response(CommandResponse("leader"), 1.1).code == "leader" and call.encoded_command(0, 1.2) == first
     late = CommandResponse("late", 0, sessions.encode_clock(70_000))
     assert call.on_response(late, 1.5).code == "leader"
-    assert split_origin(call.sealed_command(0, 1.75))[0] == Origin(5, 2, 70_500), "the clock in the response"
+    assert split_origin(call.encoded_command(0, 1.75))[0] == Origin(5, 2, 70_500), "the clock in the response"
     assert (
         call.on_response(CommandResponse("undecided"), 1.8).code == "undecided"
         and call.on_response(late, 1.9).code == "forgotten"
@@ -272,7 +272,7 @@
 def test_a_process_without_a_clock_sample_does_not_use_its_own_clock_as_the_fleet_clock():
     fresh = FleetClock()
     assert fresh.estimate(18.5) == 0
-    order = SessionCall(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).sealed_command(
+    order = SessionCall(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).encoded_command(
         fresh.estimate(18.5), 18.5
     )
     assert split_origin(order)[0].not_after <= 1000, "late at first; the rejection contains the time"
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -120,7 +120,7 @@
             callers.append(Caller(SessionCall(self.session, command, member.now + CALL_S)))
         caller = callers[step.call]
         if step.frame == len(caller.frames):
-            caller.frames.append(caller.call.sealed_command(member.core.clock.estimate(member.now), member.now))
+            caller.frames.append(caller.call.encoded_command(member.core.clock.estimate(member.now), member.now))
         frame = Frame(step.call, step.frame, step.unheard)
         return member.offer(caller.frames[step.frame], frame, member.now + CALL_S)
 
