--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -240,15 +240,15 @@
     follower = Follower(leading_task)
     task = AtOnce(follower)
 
-    def report(at, **how):
+    def report(at, **attributes):
         now[0] = at
-        for name, value in how.items():
+        for name, value in attributes.items():
             setattr(follower if name == "cut" else leading_task.task, name, value)
         task._report(follower.state.registry, at)
         return task.in_touch(at)
 
-    for i in ("i1", "i2"):
-        assert task.heartbeat(up(i, at=f"10.0.0.{i[1]}:80"))
+    for instance in ("i1", "i2"):
+        assert task.heartbeat(up(instance, at=f"10.0.0.{instance[1]}:80"))
     assert report(100.5) and leading_task.liveness.report(0.0, 101.0) == [Heard("i1", 1000), Heard("i2", 1000)]
     now[0] = 101.0
     assert task.heartbeat(up("i2", seq=2, at="10.0.0.2:80"))
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -270,14 +270,14 @@
 
 
 def test_a_process_without_a_clock_sample_does_not_use_its_own_clock_as_the_fleet_clock():
-    fresh = FleetClock()
-    assert fresh.estimate(18.5) == 0
-    order = SessionCall(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).encoded_command(
-        fresh.estimate(18.5), 18.5
+    fleet_clock = FleetClock()
+    assert fleet_clock.estimate(18.5) == 0
+    command = SessionCall(Session(lambda: 5), encode(Evacuate("z", True)), 19.5).encoded_command(
+        fleet_clock.estimate(18.5), 18.5
     )
-    assert split_origin(order)[0].not_after <= 1000, "late at first; the rejection contains the time"
-    fresh.restart(15_100, 18.5)
-    assert fresh.estimate(18.6) == 15_200
+    assert split_origin(command)[0].not_after <= 1000, "late at first; the rejection contains the time"
+    fleet_clock.restart(15_100, 18.5)
+    assert fleet_clock.estimate(18.6) == 15_200
 
 
 class LeaderlessControlTask(ControlTask):
@@ -296,6 +296,7 @@
 
 
 def test_a_command_with_an_effect_limit_is_not_submitted_after_it():
+    """Evacuations have no version, and by then the client may have sent another request to another process."""
     task = LeaderlessControlTask()
     began = clock.now()
     assert task.offer(encode(Evacuate("z", False)), 30.0, 3.0, 0.1).code == "leader"
