--- a/mallowvalve/localfleet/soak.py
+++ b/mallowvalve/localfleet/soak.py
@@ -261,8 +261,8 @@
 
     def _check_memory(self) -> list[str]:
         total_bytes = psutil.virtual_memory().total
-        is_over = self.peak_bytes > MAX_MEMORY_SHARE * total_bytes
-        return [f"the fleet took {self.peak_bytes >> 20} MB, over half of the machine's"] if is_over else []
+        has_expired = self.peak_bytes > MAX_MEMORY_SHARE * total_bytes
+        return [f"the fleet took {self.peak_bytes >> 20} MB, over half of the machine's"] if has_expired else []
 
 
 def write_timeline(events: list[SoakEvent], started_at: float, folder: Path) -> None:
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from mallowvalve.control.http_operators import RISK
+from mallowvalve.control.http_operators import RISK_STATEMENT
 from mallowvalve.localfleet.call import call
 from mallowvalve.localfleet.fleet import LocalFleet, wait_until
 from mallowvalve.localfleet.main import wait_until_settled
@@ -41,7 +41,7 @@
     blank = fleet.add_node("control", "us/us-a", "control9")
     assert wait_until(lambda: call(blank.web_port, "GET", "/leader")[1] == {"leader": None, "blank": True}, 20)
     assert call(blank.web_port, "POST", "/found-anew", {"accept": "yes"})[0] == 400
-    assert call(blank.web_port, "POST", "/found-anew", {"accept": RISK})[0] == 200
+    assert call(blank.web_port, "POST", "/found-anew", {"accept": RISK_STATEMENT})[0] == 200
     assert wait_until(lambda: call(blank.web_port, "GET", "/config")[0] == 200, 20)
     config = call(blank.web_port, "GET", "/config")[1]
     assert (config["revision"], config["doc"]) == (revision, CONFIG)
