--- a/mallowvalve/control/api.py
+++ b/mallowvalve/control/api.py
@@ -16,7 +16,7 @@
 from mallowvalve.types import Address
 
 KEY_BYTES = 200
-LIMIT, ATTEMPT = 8.0, 3.0
+REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S = 8.0, 3.0
 
 
 class Api:
@@ -41,7 +41,7 @@
         """Offers a command and answers with its outcome."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
+        t = page_offer.offer(self.task, req, encode(c), REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
         if t.code != Code.OK:
             return self.reject(req, resp, t)
         web.say(resp, {"revision": t.revision, "in_force": True})
@@ -56,7 +56,7 @@
         web.turn_away(req, resp, 400, [Finding("Mallow-Key", f"want 1 to {KEY_BYTES} characters")])
         return None
 
-    def named(self, req: falcon.Request, resp: falcon.Response, name: str) -> bool:
+    def name_is_valid(self, req: falcon.Request, resp: falcon.Response, name: str) -> bool:
         """Whether the name may be used; otherwise a finding was answered."""
         if len(name) <= KEY_BYTES and name.isprintable():
             return True
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -14,7 +14,16 @@
 
 from mallowvalve import clock
 from mallowvalve.control import store, wire
-from mallowvalve.control.bootstrap import Decision, Found, Judge, Start, Wipe, decide, heard_enough, sources
+from mallowvalve.control.bootstrap import (
+    Decision,
+    DecisionStabilizer,
+    FoundGroup,
+    JoinGroup,
+    WipeState,
+    decide,
+    roster_majority_answered,
+    sources,
+)
 from mallowvalve.control.leave import Leave
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW, SETTINGS
@@ -27,7 +36,7 @@
 FOUND_EVERY, BLANK_EVERY = 0.5, 0.15
 HERE = 1.0
 ASK = 0.8
-LEAVE_ASK, LEAVE_AGAIN = 0.3, 0.1
+LEAVE_QUERY_TIMEOUT_S, LEAVE_RETRY_INTERVAL_S = 0.3, 0.1
 CALM = 5
 FEW = 4
 ID = 12
@@ -40,14 +49,14 @@
     return max(1, int(time.time() - EPOCH) // TICK)
 
 
-class FoundTask:
+class BootstrapTask:
     """Asks around, and founds, joins or wipes this core machine as `found.decide` says."""
 
     __slots__ = ("control", "_judge", "_holders")
 
     def __init__(self, control):
         """For one control process, whose loop runs `run`."""
-        self.control, self._judge = control, Judge()
+        self.control, self._judge = control, DecisionStabilizer()
         self._holders: dict[Address, float] = {}
 
     def run(self) -> None:
@@ -59,7 +68,7 @@
                 continue
             calm = self.control.core.leader() is not None
             answers, v = self._look(calm)
-            if calm and isinstance(v, Found):
+            if calm and isinstance(v, FoundGroup):
                 answers, v = self._look(False)
             self._act(self._judge.hear(v, clock.now()), answers)
             self.say_here()
@@ -102,9 +111,9 @@
         return out
 
     def _act(self, v: Decision | None, answers: list[wire.ProcessStatus]) -> None:
-        if isinstance(v, Found):
+        if isinstance(v, FoundGroup):
             base = self._fetch_state(v)
-            if v.base is not None and (base is None or not heard_enough(base, answers)):
+            if v.base is not None and (base is None or not roster_majority_answered(base, answers)):
                 return
             group = GroupId(v.generation, uuid.uuid4().hex[:ID])
             change(
@@ -113,17 +122,17 @@
                 voters=[str(a) for a in v.voters.voters.values()],
                 base=str(v.base.addr) if v.base else None,
                 whole=v.base.holds_all if v.base else None,
-                settings=str(v.further.addr) if v.further else None,
+                settings=str(v.settings_source.addr) if v.settings_source else None,
             )
             self._begin(founding(group, v.voters, base), None)
-        elif isinstance(v, Start):
+        elif isinstance(v, JoinGroup):
             r = self.control.puller.pull(v.source.addr, BASE)
             if r.is_ok():
                 self._begin(*r.ok_value)
-        elif isinstance(v, Wipe):
+        elif isinstance(v, WipeState):
             self._wipe()
 
-    def found_anew(self) -> Result[Found, str]:
+    def found_new_group(self) -> Result[FoundGroup, str]:
         """An operator's word in place of proof that the old voters are gone for good."""
         if self.control.core.raft is not None:
             return Err("this control process belongs to a group: ask one that is blank")
@@ -132,7 +141,7 @@
         if not known:
             return Err("nobody who answers holds a state")
         best = max(known, key=lambda w: (w.group.generation, w.index))
-        v = Found(
+        v = FoundGroup(
             best.group.generation + 1,
             ClusterConfiguration({self.control.core.id: self.control.node.settings.transport}),
             *sources(known, best),
@@ -145,11 +154,11 @@
         self._begin(founding(group, v.voters, base), None)
         return Ok(v)
 
-    def _fetch_state(self, v: Found) -> ReplicatedState | None:
-        base, further = self._fetch_held(v.base), self._fetch_held(v.further)
-        if v.further is None or base is None or further is None:
-            return base if v.further is None else None
-        base.replace_settings(further)
+    def _fetch_state(self, v: FoundGroup) -> ReplicatedState | None:
+        base, settings_source = self._fetch_held(v.base), self._fetch_held(v.settings_source)
+        if v.settings_source is None or base is None or settings_source is None:
+            return base if v.settings_source is None else None
+        base.replace_settings(settings_source)
         return base
 
     def _fetch_held(self, w: wire.ProcessStatus | None) -> ReplicatedState | None:
@@ -168,7 +177,9 @@
                 return done.set(False)
             with self.control.disk:
                 self.control.persist(
-                    lambda: store.turn(self.control.disk_log, p, store.head(HardState(p.group, 0, ""), []))
+                    lambda: store.restart_log(
+                        self.control.disk_log, p, store.encode_log_head(HardState(p.group, 0, ""), [])
+                    )
                 )
             self.control.core.start(p, None, [], now, s)
             done.set(True)
@@ -197,10 +208,10 @@
         while clock.now() - begun < limit:
             control = [r.addr for r in self.control.node.membership.alive("control") if r.state == ALIVE]
             others = {*control, self.control.core.leader()} - {None, self.control.node.settings.transport}
-            if leave.over(self.control.core.raft, self._ask(others, LEAVE_ASK), control):
+            if leave.over(self.control.core.raft, self._ask(others, LEAVE_QUERY_TIMEOUT_S), control):
                 break
             self.say_here()
-            gevent.sleep(LEAVE_AGAIN)
+            gevent.sleep(LEAVE_RETRY_INTERVAL_S)
         change("left_core", seconds=round(clock.now() - begun, 2), why=leave.why)
 
     def say_here(self) -> None:
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -74,7 +74,7 @@
         "replies",
         "decided",
         "members",
-        "seen",
+        "announcements",
         "clock",
         "_uncommitted",
         "_awaiting_replicas",
@@ -109,8 +109,8 @@
         self.counts = Counts()
         self.decided: list[tuple[Any, Outcome]] = []
         self.replies: list[tuple[Any, CommandResponse | ReplicationResponse]] = []
-        self.members = reconfiguration.Members()
-        self.seen = self.members.seen
+        self.members = reconfiguration.MemberObservations()
+        self.announcements = self.members.announcements
         self._addresses = MemberAddresses()
         self.replicas = Replicas(locality)
         self._uncommitted: dict[int, PendingCommand] = {}
--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -9,7 +9,7 @@
 from mallowvalve.control import page_offer
 from mallowvalve.control.api import Api
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.replica_task import ATTEMPT
+from mallowvalve.control.replica_task import ATTEMPT_TIMEOUT_S
 from mallowvalve.control.state import encode
 from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.state import KeyedResult, KeyedResultCode, Lock, Next, Put, Renew, Unlock
@@ -47,7 +47,7 @@
         """Offers a command and answers with what became of it."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT)
+        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT_TIMEOUT_S)
         if not t.body:
             return self.reject(req, resp, t)
         s = _said(t.body)
@@ -66,7 +66,7 @@
     def on_post(self, req, resp, name: str, act: str) -> None:
         """One of the three acts, by the path."""
         d = web.read_as(CoordinationDoc, req, resp)
-        key = self.key(req, resp) if d is not None and self.named(req, resp, name) else None
+        key = self.key(req, resp) if d is not None and self.name_is_valid(req, resp, name) else None
         if key is None:
             return
         if not d.holder or len(d.holder) > HOLDER_MOST or not HOLD_LEAST_MS <= d.ttl_ms <= HOLD_MOST_MS:
@@ -88,7 +88,7 @@
 
     def on_post(self, req, resp, name: str) -> None:
         """The next number of a name."""
-        key = self.key(req, resp) if self.named(req, resp, name) else None
+        key = self.key(req, resp) if self.name_is_valid(req, resp, name) else None
         if key is not None:
             self.run(req, resp, Next(name, key))
 
@@ -119,7 +119,7 @@
         self._put(req, resp, name, None, None)
 
     def _put(self, req, resp, name: str, value: str | None, base: int | None) -> None:
-        key = self.key(req, resp) if self.named(req, resp, name) else None
+        key = self.key(req, resp) if self.name_is_valid(req, resp, name) else None
         if key is not None:
             self.run(req, resp, Put(name, value, base, key))
 
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -9,7 +9,7 @@
 from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import LIMITS_KIND, Amend, Items
 from mallowvalve.control import page_offer
-from mallowvalve.control.api import ATTEMPT, LIMIT, Api
+from mallowvalve.control.api import ATTEMPT_TIMEOUT_S, REQUEST_TIMEOUT_S, Api
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import Evacuate, encode
 from mallowvalve.finding import Finding, Findings
@@ -39,7 +39,7 @@
         """Offers a command; it takes effect within `effect` seconds or never, where that is given."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), LIMIT, ATTEMPT, effect)
+        t = page_offer.offer(self.task, req, encode(c), REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S, effect)
         if t.code == Code.INVALID:
             return web.turn_away(req, resp, 400, _findings(t.body))
         if t.code == Code.CONFLICT:
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -191,7 +191,7 @@
             return
         if d.accept != RISK:
             return web.turn_away(req, resp, 400, [Finding("accept", f"must say: {RISK}")])
-        r = self.task.founder.found_anew()
+        r = self.task.bootstrap_task.found_new_group()
         if r.is_err():
             return web.turn_away(req, resp, 409, [Finding("control", r.err_value)])
         web.say(
--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -144,7 +144,7 @@
         """The upstream's end; acknowledged for one that is not known, too."""
         if not 0 < len(instance) <= NAME or not instance.isprintable():
             return web.reject(resp, 400, web.NOT_RUN, [Finding("instance", f"want 1 to {NAME} printable characters")])
-        if not self.registry.gone(Upstream(instance, "", NOWHERE, Locality("", ""), 0, "gone")):
+        if not self.registry.deregister(Upstream(instance, "", NOWHERE, Locality("", ""), 0, "gone")):
             return self._unsure(req, resp)
         web.say(resp, {})
 
--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -15,7 +15,7 @@
 from mallowvalve.types import Address
 
 
-class Why(enum.StrEnum):
+class LeaveReason(enum.StrEnum):
     """What ended the wait, or keeps it going."""
 
     NO_SEAT = "it held no seat"
@@ -31,24 +31,24 @@
 
     def __init__(self, me: str) -> None:
         """`me` is the id of the member that was told to stop."""
-        self.me, self.why = me, Why.WAITS
+        self.me, self.why = me, LeaveReason.WAITS
 
     def over(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> bool:
         """Whether to go now, by this member's log, what the leader answers, and which control processes live."""
         self.why = self._why(raft, answers, control)
-        return self.why is not Why.WAITS
+        return self.why is not LeaveReason.WAITS
 
-    def _why(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> Why:
+    def _why(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> LeaveReason:
         if raft is None:
-            return Why.NO_SEAT
+            return LeaveReason.NO_SEAT
         voters, committed = raft.log.configuration, raft.log.configuration_index <= raft.commit_index
         if self.me not in voters.all_voters() and committed:
-            return Why.REPLACED if self.me not in voters.learners else Why.NO_SEAT
+            return LeaveReason.REPLACED if self.me not in voters.learners else LeaveReason.NO_SEAT
         told = [w.voters for w in answers if _knows_as_much(w, raft) and w.voters is not None]
         if any(self.me not in t.all_voters() for t in told):
-            return Why.REPLACED
+            return LeaveReason.REPLACED
         changing = not committed or any(_changes(v, control) for v in (voters, *told))
-        return Why.WAITS if changing or _could_sit(answers, voters.all_voters()) else Why.NOBODY
+        return LeaveReason.WAITS if changing or _could_sit(answers, voters.all_voters()) else LeaveReason.NOBODY
 
 
 def _knows_as_much(w: ProcessStatus, raft: Raft) -> bool:
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -109,7 +109,7 @@
     return web.Server(its.directory, app, node.counts, its.connections)
 
 
-def serve(settings: Settings, disk_log: DiskLog, loaded: store.Loaded, faults: Faults) -> None:
+def serve(settings: Settings, disk_log: DiskLog, loaded: store.StoredState, faults: Faults) -> None:
     """Puts the process together, and serves until it is told to stop."""
     node = Node(settings, remembered(disk_log.disk), faults)
     task = ControlTask(node, disk_log, loaded)
@@ -133,5 +133,5 @@
         node.run(
             lambda: task.core.may_answer(AnswerKind.HEARTBEAT, clock.now()) and not task.stalled,
             leave,
-            task.founder.leave,
+            task.bootstrap_task.leave,
         )
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -40,7 +40,7 @@
 RIPE_AGE = 0.5
 
 
-class Seen(msgspec.Struct, frozen=True):
+class MemberAnnouncement(msgspec.Struct, frozen=True):
     """What a member last said of itself, and when (s); `boot` tells its process from the next at its address."""
 
     addr: Address
@@ -50,7 +50,7 @@
     leaving: bool = False
 
 
-class Loss(enum.Enum):
+class MemberLossReason(enum.Enum):
     """Why a member is taken for lost; only one that is `LEAVING` still votes."""
 
     LEAVING = enum.auto()
@@ -59,47 +59,49 @@
     SILENT = enum.auto()
 
 
-class Members:
+class MemberObservations:
     """What is known of the members beside Raft: their own words, and the failure detector's verdicts.
 
     `departed` has the boot of the process at each address that the detector says failed or left, `given_away` the
     addresses where it finds a process that is no core member's.
     """
 
-    __slots__ = ("seen", "departed", "given_away", "boot", "leaving", "_commits")
+    __slots__ = ("announcements", "departed", "reassigned_addresses", "boot", "leaving", "_commits")
 
     def __init__(self) -> None:
         """Nobody was heard, and nobody is known to have gone."""
-        self.seen: dict[str, Seen] = {}
+        self.announcements: dict[str, MemberAnnouncement] = {}
         self.departed: dict[Address, int] = {}
-        self.given_away: set[Address] = set()
+        self.reassigned_addresses: set[Address] = set()
         self.boot, self.leaving = 0, False
         self._commits: deque[tuple[float, int]] = deque()
 
     def hear(self, who: ProcessStatus, now: float) -> None:
         """A member said that it is here, or with `leaving` that it is about to go."""
-        self.seen[who.id] = Seen(who.addr, who.locality, now, who.boot, who.leaving)
-        for i in [i for i, s in self.seen.items() if now - s.at >= 2 * FORGOTTEN]:
-            del self.seen[i]
+        self.announcements[who.id] = MemberAnnouncement(who.addr, who.locality, now, who.boot, who.leaving)
+        for i in [i for i, s in self.announcements.items() if now - s.at >= 2 * FORGOTTEN]:
+            del self.announcements[i]
 
-    def verdicts(self, departed: dict[Address, int], given_away: set[Address]) -> None:
+    def update_detector_verdicts(self, departed: dict[Address, int], reassigned_addresses: set[Address]) -> None:
         """Takes over what the failure detector says now."""
-        self.departed, self.given_away = departed, given_away
+        self.departed, self.reassigned_addresses = departed, reassigned_addresses
 
     def next_voters(self, raft: Raft, now: float) -> ClusterConfiguration | None:
         """The configuration to change to, if any; while one is under way only an address may change."""
         voters, committed = raft.log.configuration, self._committed(raft.commit_index, now)
-        taken = {s.addr: i for i, s in sorted(self.seen.items(), key=lambda x: x[1].at)}
+        taken = {s.addr: i for i, s in sorted(self.announcements.items(), key=lambda x: x[1].at)}
         came = self._came(voters, taken, now)
         if came is not None or voters.old_voters:
             return came
         lost = {i: why for i in voters.members() if (why := self._loss(raft, i, taken, now)) is not None}
-        ripe = [i for i in voters.learners if i not in lost and i in self.seen and _holds(raft, i, committed, now)]
+        ripe = [
+            i for i in voters.learners if i not in lost and i in self.announcements and _holds(raft, i, committed, now)
+        ]
         swap = self._swap(voters, lost, ripe)
         if swap is not None:
             return swap
         for i in sorted(lost.keys() & voters.learners.keys()):
-            if lost[i] is Loss.REPLACED or _silent(raft, i, now, FORGOTTEN):
+            if lost[i] is MemberLossReason.REPLACED or _silent(raft, i, now, FORGOTTEN):
                 return ClusterConfiguration(voters.voters, _without(voters.learners, i))
         return self._growth(voters, lost, ripe)
 
@@ -115,47 +117,51 @@
 
     def _came(self, voters: ClusterConfiguration, taken: dict[Address, str], now: float) -> ClusterConfiguration | None:
         """A member at another address, or one that is new."""
-        for i, s in sorted(self.seen.items()):
+        for i, s in sorted(self.announcements.items()):
             if voters.address(i) not in (None, s.addr) and now - s.at < HERE_LASTS:
                 parts = (voters.voters, voters.learners, voters.old_voters)
                 return ClusterConfiguration(*({k: s.addr if k == i else a for k, a in part.items()} for part in parts))
-        for i, s in sorted(self.seen.items()):
+        for i, s in sorted(self.announcements.items()):
             new = voters.address(i) is None and taken[s.addr] == i and now - s.at < HERE_LASTS and not s.leaving
-            gone = s.addr in self.given_away or s.boot != 0 and self.departed.get(s.addr) == s.boot
+            gone = s.addr in self.reassigned_addresses or s.boot != 0 and self.departed.get(s.addr) == s.boot
             if new and not gone and not voters.old_voters:
                 return ClusterConfiguration(voters.voters, {**voters.learners, i: s.addr})
         return None
 
-    def _loss(self, raft: Raft, i: str, taken: dict[Address, str], now: float) -> Loss | None:
-        address, seen = raft.log.configuration.address(i), self.seen.get(i)
+    def _loss(self, raft: Raft, i: str, taken: dict[Address, str], now: float) -> MemberLossReason | None:
+        address, announcements = raft.log.configuration.address(i), self.announcements.get(i)
         if address is None:
             return None
-        if taken.get(address, i) != i or address in self.given_away and _silent(raft, i, now, CONFIRM):
-            return Loss.REPLACED
-        verdict = address in self.departed and (seen is None or seen.boot in (0, self.departed[address]))
+        if taken.get(address, i) != i or address in self.reassigned_addresses and _silent(raft, i, now, CONFIRM):
+            return MemberLossReason.REPLACED
+        verdict = address in self.departed and (
+            announcements is None or announcements.boot in (0, self.departed[address])
+        )
         if verdict and _silent(raft, i, now, CONFIRM):
-            return Loss.DEPARTED
+            return MemberLossReason.DEPARTED
         if _silent(raft, i, now, GONE):
-            return Loss.SILENT
-        leaving = self.leaving if i == raft.me else seen is not None and seen.leaving
-        return Loss.LEAVING if leaving else None
+            return MemberLossReason.SILENT
+        leaving = self.leaving if i == raft.me else announcements is not None and announcements.leaving
+        return MemberLossReason.LEAVING if leaving else None
 
     def _swap(
-        self, voters: ClusterConfiguration, lost: dict[str, Loss], ripe: list[str]
+        self, voters: ClusterConfiguration, lost: dict[str, MemberLossReason], ripe: list[str]
     ) -> ClusterConfiguration | None:
         """One lost voter for one learner, the dead before the leaving, if most of the voters then are alive."""
-        out = min(lost.keys() & voters.voters.keys(), key=lambda i: (lost[i] is Loss.LEAVING, i), default=None)
+        out = min(
+            lost.keys() & voters.voters.keys(), key=lambda i: (lost[i] is MemberLossReason.LEAVING, i), default=None
+        )
         if out is None or not ripe:
             return None
         kept = _without(voters.voters, out)
         i = min(ripe, key=lambda i: (*self._crowd(kept, i), i))
-        alive = 1 + sum(lost.get(k) in (None, Loss.LEAVING) for k in kept)
+        alive = 1 + sum(lost.get(k) in (None, MemberLossReason.LEAVING) for k in kept)
         if 2 * alive <= len(kept) + 1:
             return None
         return ClusterConfiguration({**kept, i: voters.learners[i]}, _without(voters.learners, i))
 
     def _growth(
-        self, voters: ClusterConfiguration, lost: dict[str, Loss], ripe: list[str]
+        self, voters: ClusterConfiguration, lost: dict[str, MemberLossReason], ripe: list[str]
     ) -> ClusterConfiguration | None:
         """More voters, an odd number of `MOST` at most, in one change."""
         if lost.keys() & voters.voters.keys():
@@ -173,8 +179,8 @@
 
     def _crowd(self, ids: dict[str, Address], i: str) -> tuple[int, int]:
         """How many of these share the region, and the zone, of the member."""
-        at = self.seen[i].locality
-        places = [self.seen[k].locality for k in ids if k in self.seen]
+        at = self.announcements[i].locality
+        places = [self.announcements[k].locality for k in ids if k in self.announcements]
         return sum(p.region == at.region for p in places), sum(p == at for p in places)
 
 
--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -19,11 +19,11 @@
 from mallowvalve.upstreams.liveness import Heard, Liveness
 from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
-GATHER, BATCH = 0.02, 512
-LIMIT, ATTEMPT = 0.9, 0.45
-JUDGE, REPORT = 0.25, 1.0
-TAKEN = b"1"
-_heard = msgspec.msgpack.Decoder(list[Heard]).decode
+BATCH_DELAY_S, BATCH = 0.02, 512
+COMMAND_TIMEOUT_S, ATTEMPT_TIMEOUT_S = 0.9, 0.45
+SILENCE_CHECK_INTERVAL_S, REPORT_INTERVAL_S = 0.25, 1.0
+REPORT_ACCEPTED = b"1"
+decode_report = msgspec.msgpack.Decoder(list[Heard]).decode
 
 
 class RegistryTask:
@@ -65,13 +65,13 @@
             return False
         c = self.liveness.heartbeat(u, s.registry, self.liveness.clock(s.clock, now), now)
         if c is None:
-            return self.in_touch(now)
+            return self.has_recent_contact(now)
         if c.instance not in s.registry.rows and s.registry.full(c.service):
             self.task.node.counts.add("registry_full")
             return False
         return self._notice(c) if c.state == "leaving" else self.offer(c)
 
-    def gone(self, u: Upstream) -> bool:
+    def deregister(self, u: Upstream) -> bool:
         """Whether the end of an upstream, known or not, is acknowledged."""
         s = self.task.core.state
         if s is None:
@@ -91,11 +91,11 @@
         w = AsyncResult()
         self._box.put((u, w))
         try:
-            return bool(w.get(timeout=LIMIT))
+            return bool(w.get(timeout=COMMAND_TIMEOUT_S))
         except gevent.Timeout:
             return False
 
-    def in_touch(self, now: float) -> bool:
+    def has_recent_contact(self, now: float) -> bool:
         """Whether a majority was asked, and a leader told whom this process heard, inside the bound of a heartbeat."""
         told = self.task.core.leads or lease.is_valid(AnswerKind.HEARTBEAT, self._touched, now)
         return told and self.task.core.may_answer(AnswerKind.HEARTBEAT, now)
@@ -103,7 +103,7 @@
     def _collect(self) -> None:
         while True:
             batch = [self._box.get()]
-            gevent.sleep(GATHER)
+            gevent.sleep(BATCH_DELAY_S)
             while len(batch) < BATCH:
                 try:
                     batch.append(self._box.get_nowait())
@@ -112,12 +112,12 @@
             gevent.spawn(self._offer, batch)
 
     def _offer(self, batch: list[tuple[Upstream, AsyncResult]]) -> None:
-        ok = self._registered(Registered([u for u, _ in batch]), LIMIT - GATHER)
+        ok = self._registered(Registered([u for u, _ in batch]), COMMAND_TIMEOUT_S - BATCH_DELAY_S)
         for _, w in batch:
             w.set(ok)
 
     def _registered(self, c: Registered, limit: float) -> bool:
-        t = self.task.offer(encode(c), limit, ATTEMPT)
+        t = self.task.offer(encode(c), limit, ATTEMPT_TIMEOUT_S)
         self.task.node.counts.add(
             "registry_offered" if t.code == Code.OK else "registry_not_taken", len(c.changes) + len(c.forget)
         )
@@ -135,7 +135,7 @@
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(JUDGE)
+            gevent.sleep(SILENCE_CHECK_INTERVAL_S)
             now, s = clock.now(), self.task.core.state
             if s is None:
                 continue
@@ -145,14 +145,14 @@
                 self._judge(s.registry, now)
                 continue
             self.liveness.follow()
-            if now - self._reported >= REPORT:
+            if now - self._reported >= REPORT_INTERVAL_S:
                 self._report(s.registry, now)
 
     def _judge(self, registry: Registry, now: float) -> None:
         self.liveness.prune(registry, now)
         c = self.liveness.judge(registry, now)
         if c is not None and (self._judging is None or self._judging.ready()):
-            self._judging = gevent.spawn(self._registered, c, LIMIT)
+            self._judging = gevent.spawn(self._registered, c, COMMAND_TIMEOUT_S)
 
     def _report(self, registry: Registry, now: float) -> None:
         self.liveness.prune(registry, now)
@@ -161,16 +161,16 @@
             return
         since = self._reported if to == self._told else now - self.liveness.silent
         body = encode(self.liveness.report(since, now))
-        r = self.task.node.transport.call(to, "heard", body, REPORT)
-        if isinstance(r, Ok) and r.ok_value == TAKEN:
+        r = self.task.node.transport.call(to, "heard", body, REPORT_INTERVAL_S)
+        if isinstance(r, Ok) and r.ok_value == REPORT_ACCEPTED:
             self._told, self._reported, self._touched = to, now, now
             return
         self._told = None
 
     def _on_heard(self, _sender: Address, body: bytes) -> bytes:
-        heard = _heard(body)
+        heard = decode_report(body)
         now = clock.now()
         if not self.task.core.leads or not self.task.core.may_answer(AnswerKind.HEARTBEAT, now):
             return b""
         self.liveness.told(heard, now)
-        return TAKEN
+        return REPORT_ACCEPTED
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -36,7 +36,7 @@
 FIRST, FIRST_AGAIN, FIRST_WAIT, FIRST_LIMIT = 0.02, 0.1, 0.05, 0.4
 HOLD_ON = 1.0
 LARGE = 32768
-ATTEMPT = 0.8
+ATTEMPT_TIMEOUT_S = 0.8
 
 
 class ReplicaTask:
@@ -52,7 +52,7 @@
         "_met",
         "_shunned",
         "_sought",
-        "held",
+        "settings_available",
         "_session",
     )
 
@@ -69,7 +69,7 @@
         self._shunned: dict[Address, float] = {}
         self._sought = -1e9
         self._session = Session(lambda: secrets.randbits(64))
-        self.held = Event()
+        self.settings_available = Event()
         on = node.transport.on
         on(
             "round",
@@ -126,7 +126,7 @@
             if to is None:
                 gevent.sleep(min(0.05, left))
                 continue
-            left = min(left, ATTEMPT)
+            left = min(left, ATTEMPT_TIMEOUT_S)
             data = call.data(self.replica.clock(now := clock.now()), now)
             r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
             if r.is_err():
@@ -233,9 +233,9 @@
         """
         gevent.sleep(FIRST)
         pause = FIRST_AGAIN
-        while not self.held.is_set():
+        while not self.settings_available.is_set():
             self._take_newest(FIRST_WAIT)
-            self.held.wait(timeout=pause)
+            self.settings_available.wait(timeout=pause)
             pause = min(2 * pause, ANYWHERE)
 
     def _fetch_anywhere(self) -> None:
@@ -277,7 +277,7 @@
     def _note(self) -> None:
         s = self.replica.state
         if s is not None and s.items.revision:
-            self.held.set()
+            self.settings_available.set()
 
     @property
     def _now(self) -> bytes:
--- a/mallowvalve/control/store.py
+++ b/mallowvalve/control/store.py
@@ -13,10 +13,10 @@
 
 _hard = msgspec.msgpack.Decoder(HardState).decode
 _entry = msgspec.msgpack.Decoder(Entry).decode
-HARD, ENTRY = b"h", b"e"
+HARD_STATE_TAG, ENTRY_TAG = b"h", b"e"
 
 
-class Loaded(msgspec.Struct):
+class StoredState(msgspec.Struct):
     """What was stored; all None and empty for a blank process."""
 
     snapshot: RaftSnapshot | None
@@ -24,23 +24,25 @@
     entries: list[Entry]
 
 
-def load(disk_log: DiskLog) -> Result[Loaded, Findings]:
+def load(disk_log: DiskLog) -> Result[StoredState, Findings]:
     """Reads all back; findings where it cannot be understood."""
     if disk_log.snapshot is None:
-        return Err([Finding("log", "entries without a snapshot")]) if disk_log.batches else Ok(Loaded(None, None, []))
+        return (
+            Err([Finding("log", "entries without a snapshot")]) if disk_log.batches else Ok(StoredState(None, None, []))
+        )
     try:
         return Ok(_replay(snapshot_in(disk_log.snapshot), disk_log))
     except (msgspec.DecodeError, ValueError, IndexError) as e:
         return Err([Finding("log", f"not understood: {e}")])
 
 
-def _replay(p: RaftSnapshot, disk_log: DiskLog) -> Loaded:
+def _replay(p: RaftSnapshot, disk_log: DiskLog) -> StoredState:
     hard: HardState | None = None
     entries: list[Entry] = []
     base, group = -1, None
     for batch in disk_log.batches:
         for item in batch:
-            if item[:1] == HARD:
+            if item[:1] == HARD_STATE_TAG:
                 h = _hard(item[1:])
                 if h.group != group:
                     entries, base, group = [], -1, h.group
@@ -54,8 +56,8 @@
             del entries[e.index - base :]
             entries.append(e)
     if hard is not None and hard.group != p.group:
-        return Loaded(p, None, [])
-    return Loaded(p, hard, _tail(p, entries))
+        return StoredState(p, None, [])
+    return StoredState(p, hard, _tail(p, entries))
 
 
 def _tail(p: RaftSnapshot, entries: list[Entry]) -> list[Entry]:
@@ -68,16 +70,16 @@
 
 def items(r: Ready) -> list[bytes]:
     """What a step of Raft stores, as one batch."""
-    out = [HARD + encode(r.hard_state)] if r.hard_state is not None else []
-    return out + [ENTRY + encode(e) for e in r.entries]
+    out = [HARD_STATE_TAG + encode(r.hard_state)] if r.hard_state is not None else []
+    return out + [ENTRY_TAG + encode(e) for e in r.entries]
 
 
-def head(hard: HardState, tail: list[Entry]) -> list[bytes]:
+def encode_log_head(hard: HardState, tail: list[Entry]) -> list[bytes]:
     """What a log begins with that follows a snapshot."""
-    return [HARD + encode(hard)] + [ENTRY + encode(e) for e in tail]
+    return [HARD_STATE_TAG + encode(hard)] + [ENTRY_TAG + encode(e) for e in tail]
 
 
-def parts(p: RaftSnapshot) -> list[bytes]:
+def encode_snapshot(p: RaftSnapshot) -> list[bytes]:
     """A snapshot as it is stored, its head first."""
     return [encode(replace(p, state=[])), *p.state]
 
@@ -90,16 +92,16 @@
 def save(disk_log: DiskLog, r: Ready, hard: HardState, stored: str | None = None) -> None:
     """Saves a step; an installed snapshot may have been stored beside the log before."""
     if r.snapshot is not None:
-        turn(disk_log, r.snapshot, head(hard, r.entries), stored)
+        restart_log(disk_log, r.snapshot, encode_log_head(hard, r.entries), stored)
         return
     batch = items(r)
     if batch:
         disk_log.save(batch)
 
 
-def turn(disk_log: DiskLog, p: RaftSnapshot, first: list[bytes], stored: str | None = None) -> None:
+def restart_log(disk_log: DiskLog, p: RaftSnapshot, first: list[bytes], stored: str | None = None) -> None:
     """Makes the log begin at this snapshot."""
-    whole, name = parts(p), stored or disk_log.reserve_snapshot()
+    whole, name = encode_snapshot(p), stored or disk_log.reserve_snapshot()
     if stored is None:
         disk_log.store_snapshot(name, whole)
     disk_log.start_from_snapshot(name, whole, first)
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -17,7 +17,7 @@
 from mallowvalve.configuration.build import EMPTY_TREE, build
 from mallowvalve.configuration.model import Tree
 from mallowvalve.control import store, wire
-from mallowvalve.control.bootstrap_task import FoundTask
+from mallowvalve.control.bootstrap_task import BootstrapTask
 from mallowvalve.control.core import Core
 from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.sessions import Call, Session
@@ -56,14 +56,14 @@
         "_fetching",
         "_stored",
         "disk",
-        "founder",
+        "bootstrap_task",
         "_waits",
         "_over",
         "_hint",
         "_session",
     )
 
-    def __init__(self, node: Node, disk_log: DiskLog, loaded: store.Loaded):
+    def __init__(self, node: Node, disk_log: DiskLog, loaded: store.StoredState):
         """For one process, from what it had stored."""
         self.node, self.disk_log = node, disk_log
         p = node.settings
@@ -91,7 +91,7 @@
         self._over = False
         self._hint: Address | None = None
         self._session = Session(lambda: secrets.randbits(64))
-        self.founder = FoundTask(self)
+        self.bootstrap_task = BootstrapTask(self)
         node.transport.on_peer_disconnected = lambda a: self.put(lambda now: self.core.peer_disconnected(a, now))
         on = node.transport.on
         on("raft", self._vote, inline=True)
@@ -103,7 +103,7 @@
 
     def __enter__(self) -> ControlTask:
         """Begins to run."""
-        jobs = (self._run, self.founder.run, self._watch)
+        jobs = (self._run, self.bootstrap_task.run, self._watch)
         self._jobs = [vital(gevent.spawn(job)) for job in jobs]
         return self
 
@@ -196,7 +196,7 @@
         """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
         self.core.members.leaving = True
         self.put(lambda now: self.core.raft and self.core.raft.transfer_leadership())
-        self.founder.say_here()
+        self.bootstrap_task.say_here()
 
     def _watch(self) -> None:
         """Shows the leader's machine what the failure detector says of its members."""
@@ -208,8 +208,12 @@
             view = self.node.membership.membership.view
             records = [view[a] for a in raft.log.configuration.members().values() if a in view]
             departed = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
-            given_away = {r.addr for r in records if r.role != "control"}
-            self.put(lambda now, verdicts=(departed, given_away): self.core.members.verdicts(*verdicts))
+            reassigned_addresses = {r.addr for r in records if r.role != "control"}
+            self.put(
+                lambda now, verdicts=(departed, reassigned_addresses): self.core.members.update_detector_verdicts(
+                    *verdicts
+                )
+            )
 
     def _offer(self, o: wire.CommandRequest) -> wire.CommandResponse:
         if self._over:
@@ -233,7 +237,7 @@
         self._box.put(act)
 
     def _want(self, w: wire.ReplicationRequest) -> wire.ReplicationResponse:
-        self.founder.heard(w)
+        self.bootstrap_task.heard(w)
         return self._do(lambda t, now: self.core.replicate(w, t, now), 2.0) or wire.ReplicationResponse(None)
 
     def _vote(self, sender: Address, body: bytes) -> None:
@@ -283,7 +287,7 @@
         with self.disk:
             name = self.disk_log.reserve_snapshot()
             try:
-                gevent.get_hub().threadpool.apply(self.disk_log.store_snapshot, (name, store.parts(p)))
+                gevent.get_hub().threadpool.apply(self.disk_log.store_snapshot, (name, store.encode_snapshot(p)))
                 return name
             except OSError as e:
                 self.node.counts.add("snapshots_not_stored")
@@ -367,8 +371,8 @@
         if raft is None or raft.group != p.group or p.index <= raft.log.snapshot_index:
             return self.persist(lambda: self.disk_log.drop_snapshot(name))
         tail = [e for e in raft.log.entries if e.index > p.index]
-        first = store.head(raft.hard_state(), tail)
-        self.persist(lambda: store.turn(self.disk_log, p, first, name))
+        first = store.encode_log_head(raft.hard_state(), tail)
+        self.persist(lambda: store.restart_log(self.disk_log, p, first, name))
         self.core.compact(p)
         self.node.counts.add("snapshots_taken")
 
@@ -378,7 +382,7 @@
             if address is None:
                 self.node.counts.add("raft_unaddressed")
                 continue
-            e = Envelope(group, self.core.id, to, self.node.settings.transport, announced(message))
+            e = Envelope(group, self.core.id, to, self.node.settings.transport, without_snapshot_pieces(message))
             self.node.transport.cast(address, "raft", encode(e))
 
     def _log(self) -> None:
@@ -395,7 +399,7 @@
         change("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
 
 
-def announced(m: Message) -> Message:
+def without_snapshot_pieces(m: Message) -> Message:
     """A snapshot is only named in a message; its pieces are fetched."""
     if not isinstance(m, InstallSnapshot):
         return m
--- a/mallowvalve/proxy/main.py
+++ b/mallowvalve/proxy/main.py
@@ -42,7 +42,7 @@
         self.node.server.stop(timeout=0.2)
 
     def _run(self) -> None:
-        self.replica.held.wait()
+        self.replica.settings_available.wait()
         if not self.node.stopping.is_set():
             self.node.server.start()
 
--- a/sim/control.py
+++ b/sim/control.py
@@ -5,15 +5,22 @@
 from msgspec.structs import replace
 
 from mallowvalve.control import store, wire
-from mallowvalve.control.bootstrap import Found, Judge, Start, Wipe, decide, heard_enough
-from mallowvalve.control.bootstrap_task import LEAVE_AGAIN, LEAVE_ASK
+from mallowvalve.control.bootstrap import (
+    DecisionStabilizer,
+    FoundGroup,
+    JoinGroup,
+    WipeState,
+    decide,
+    roster_majority_answered,
+)
+from mallowvalve.control.bootstrap_task import LEAVE_QUERY_TIMEOUT_S, LEAVE_RETRY_INTERVAL_S
 from mallowvalve.control.core import Core
-from mallowvalve.control.leave import Leave, Why
+from mallowvalve.control.leave import Leave, LeaveReason
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.snapshot_fetch import BASE, NOW
 from mallowvalve.control.snapshot_transfer import Fetching, read_want
 from mallowvalve.control.state import ReplicatedState
-from mallowvalve.control.task import announced
+from mallowvalve.control.task import without_snapshot_pieces
 from mallowvalve.raft.messages import (
     Envelope,
     GroupId,
@@ -64,10 +71,10 @@
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
         self._busy = self._saving = self._joining = False
         self._fetching = Fetching()
-        self.left: Why | None = None
+        self.left: LeaveReason | None = None
         self.shelf = SimShelf()
         self._box: list = []
-        self._judge_over = Judge()
+        self._judge_over = DecisionStabilizer()
         self._answers: list = []
         self.every(0.02, lambda: self._put(lambda: None))
         self.every(0.5, self._gather)
@@ -185,7 +192,7 @@
         p = replace(p, state=list(pieces))
         name = self.disk_log.reserve_snapshot()
         try:
-            self.disk_log.store_snapshot(name, store.parts(p))
+            self.disk_log.store_snapshot(name, store.encode_snapshot(p))
         except OSError:
             return
         self._saving = True
@@ -198,7 +205,7 @@
 
         def turn() -> None:
             tail = [e for e in raft.log.entries if e.index > p.index]
-            store.turn(self.disk_log, p, store.head(raft.hard_state(), tail), name)
+            store.restart_log(self.disk_log, p, store.encode_log_head(raft.hard_state(), tail), name)
 
         self._persist(turn, lambda: self.core.compact(p))
 
@@ -214,7 +221,7 @@
         for to, m in out:
             a = self.core.address_of(to)
             if a is not None:
-                self.cast(a, "raft", encode(Envelope(group, self.core.id, to, self.addr, announced(m))))
+                self.cast(a, "raft", encode(Envelope(group, self.core.id, to, self.addr, without_snapshot_pieces(m))))
 
     def _detect(self) -> None:
         """The failure detector's part: a process that is gone or frozen for `DETECT` seconds has failed (the real one's p95)."""
@@ -224,9 +231,15 @@
         at = {a for a in self.core.raft.log.configuration.members().values() if a not in present}
         self._absent = {a: self._absent.get(a, self.now) for a in at}
         failed = [a for a, since in self._absent.items() if self.now - since >= DETECT]
-        boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
-        given_away = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
-        self._put(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, given_away))
+        boots = {s.addr: s.boot for s in sorted(self.core.announcements.values(), key=lambda s: s.at)}
+        reassigned_addresses = {
+            a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)
+        }
+        self._put(
+            lambda: self.core.members.update_detector_verdicts(
+                {a: boots.get(a, 0) for a in failed}, reassigned_addresses
+            )
+        )
 
     def leave(self, limit: float) -> None:
         """A polite stop: hands over, says goodbye, and ends as the daemon does, `limit` seconds from now at most."""
@@ -247,7 +260,7 @@
                 self._judge_leave(leave, [w for w in answers if w is not None], end)
 
         for a in asked:
-            self.call(a, "who", b"", LEAVE_ASK, heard)
+            self.call(a, "who", b"", LEAVE_QUERY_TIMEOUT_S, heard)
         if not asked:
             self._judge_leave(leave, [], end)
         return None
@@ -258,7 +271,7 @@
         self._put(lambda: self.core.announced(self._who(), self.now))
         for a in self._others():
             self.cast(a, "here", wire.encode(self._who()))
-        return self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
+        return self.wake(LEAVE_RETRY_INTERVAL_S, lambda: self._go(leave, end))
 
     def _ends(self, leave: Leave) -> None:
         self.left = leave.why
@@ -297,9 +310,9 @@
 
     def _judge(self) -> None:
         v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.nothing_committed), self.now)
-        if isinstance(v, Found) and v.base is None:
+        if isinstance(v, FoundGroup) and v.base is None:
             self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, None))
-        elif isinstance(v, Found):
+        elif isinstance(v, FoundGroup):
             answers = list(self._answers)
             pull(
                 self,
@@ -308,10 +321,10 @@
                 lambda got: got and self._found_anew(v, got[1], answers),
                 lambda offered: (offered.group, offered.index) >= (v.base.group, v.base.index),
             )
-        elif isinstance(v, Start) and not self._joining:
+        elif isinstance(v, JoinGroup) and not self._joining:
             self._joining = True
             pull(self, v.source.addr, BASE, self._joined)
-        elif isinstance(v, Wipe):
+        elif isinstance(v, WipeState):
             new = self._fresh_id()
             self._put(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
 
@@ -320,16 +333,18 @@
         if got is not None:
             self._begin(got[0])
 
-    def _found_anew(self, v: Found, base: ReplicatedState, answers: list) -> None:
-        if heard_enough(base, answers):
+    def _found_anew(self, v: FoundGroup, base: ReplicatedState, answers: list) -> None:
+        if roster_majority_answered(base, answers):
             self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, base))
 
     def _begin(self, p: RaftSnapshot) -> None:
-        head = store.head(HardState(p.group, 0, ""), [])
+        head = store.encode_log_head(HardState(p.group, 0, ""), [])
 
         def act() -> None:
             if self.core.raft is not None and self.core.raft.group.generation >= p.group.generation:
                 return
-            self._persist(lambda: store.turn(self.disk_log, p, head), lambda: self.core.start(p, None, [], self.now))
+            self._persist(
+                lambda: store.restart_log(self.disk_log, p, head), lambda: self.core.start(p, None, [], self.now)
+            )
 
         self._put(act)
--- a/sim/door.py
+++ b/sim/door.py
@@ -10,7 +10,7 @@
 
 from mallowvalve.configuration.items import Amend
 from mallowvalve.control import http_items, http_plain, lease, registry_task, wire
-from mallowvalve.control.api import ATTEMPT, LIMIT
+from mallowvalve.control.api import ATTEMPT_TIMEOUT_S, REQUEST_TIMEOUT_S
 from mallowvalve.control.lease import AnswerKind as Lease
 from mallowvalve.control.outcome import NOT_APPLIED, RETRYABLE, Code
 from mallowvalve.control.sessions import Call, Session
@@ -32,7 +32,7 @@
 HEARTBEAT = 1.0
 AGAIN_AFTER, SLACK = 0.05, 0.5
 _word = http_plain._word
-_heard = registry_task._heard
+_heard = registry_task.decode_report
 Then = Callable[[CommandResponse], None]
 
 
@@ -51,7 +51,7 @@
         self._reported, self._told = 0.0, None
         self._judging = self._reporting = False
         self.session = Session(lambda: self.rng.getrandbits(64))
-        self.every(registry_task.JUDGE, self._look_at_upstreams)
+        self.every(registry_task.SILENCE_CHECK_INTERVAL_S, self._look_at_upstreams)
 
     def handle(self, kind, src, body, answer) -> None:
         match kind:
@@ -119,7 +119,7 @@
             else:
                 say(self._rejected(t))
 
-        self.offer(encode_command(c), LIMIT, ATTEMPT, took, effect)
+        self.offer(encode_command(c), REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S, took, effect)
 
     def _turn_zone(self, c: Evacuate, say) -> None:
         """As `http_items.EvacuatedZone.turn`: offered once the caller's connection has stood for a while."""
@@ -205,7 +205,10 @@
             say(Answer(OK))
 
         self.offer(
-            encode_command(Registered([u])), registry_task.LIMIT - registry_task.GATHER, registry_task.ATTEMPT, took
+            encode_command(Registered([u])),
+            registry_task.COMMAND_TIMEOUT_S - registry_task.BATCH_DELAY_S,
+            registry_task.ATTEMPT_TIMEOUT_S,
+            took,
         )
 
     def _in_touch(self) -> bool:
@@ -228,7 +231,7 @@
             self._touched = self.now
             return self._judge_upstreams(s.registry)
         self.liveness.follow()
-        due = self.now - self._reported >= registry_task.REPORT
+        due = self.now - self._reported >= registry_task.REPORT_INTERVAL_S
         if due and not self._reporting and self.core.leader() is not None:
             self._report(self.core.leader())
 
@@ -241,7 +244,7 @@
         def took(_: CommandResponse) -> None:
             self._judging = False
 
-        self.offer(encode_command(c), registry_task.LIMIT, registry_task.ATTEMPT, took)
+        self.offer(encode_command(c), registry_task.COMMAND_TIMEOUT_S, registry_task.ATTEMPT_TIMEOUT_S, took)
 
     def _report(self, to: Address) -> None:
         now = self.now
@@ -250,20 +253,20 @@
 
         def heard(data: bytes | None) -> None:
             self._reporting = False
-            if data == registry_task.TAKEN:
+            if data == registry_task.REPORT_ACCEPTED:
                 self._told, self._reported, self._touched = to, now, now
             else:
                 self._told = None
 
         body = pages.encode(self.liveness.report(since, now))
-        self.call(to, "heard", body, registry_task.REPORT, heard)
+        self.call(to, "heard", body, registry_task.REPORT_INTERVAL_S, heard)
 
     def _on_heard(self, body: bytes) -> bytes:
         heard: list[Heard] = _heard(body)
         if not self.core.leads or not self.core.may_answer(Lease.HEARTBEAT, self.now):
             return b""
         self.liveness.told(heard, self.now)
-        return registry_task.TAKEN
+        return registry_task.REPORT_ACCEPTED
 
     # What the daemon's task does for all pages.
 
--- a/sim/large.py
+++ b/sim/large.py
@@ -51,7 +51,9 @@
     pic = RaftSnapshot(GroupId(7, uuid.uuid4().hex), s.index, 1, voters, dump(s))
     for i, p in ids.items():
         with Folder(p.data) as d:
-            store.turn(DiskLog.open(d, FLEET, i).unwrap(), pic, store.head(HardState(pic.group, 1, ""), []))
+            store.restart_log(
+                DiskLog.open(d, FLEET, i).unwrap(), pic, store.encode_log_head(HardState(pic.group, 1, ""), [])
+            )
     return sum(map(len, pic.state))
 
 
--- a/sim/replica.py
+++ b/sim/replica.py
@@ -7,7 +7,7 @@
 from mallowvalve.control import wire
 from mallowvalve.control.outcome import RETRYABLE, Code
 from mallowvalve.control.replica import Replica
-from mallowvalve.control.replica_task import ATTEMPT
+from mallowvalve.control.replica_task import ATTEMPT_TIMEOUT_S
 from mallowvalve.control.snapshot_fetch import BASE, NOW
 from mallowvalve.control.snapshot_transfer import Gather, Shelf, read_label, read_piece, read_want
 from mallowvalve.types import Address, Locality
@@ -124,7 +124,7 @@
     node.call(to, "label", what, 1.0, labelled)
 
 
-def offer(node: Node, command: bytes, end: float, then, attempt: float = ATTEMPT) -> None:
+def offer(node: Node, command: bytes, end: float, then, attempt: float = ATTEMPT_TIMEOUT_S) -> None:
     left = min(end - node.now, attempt)
     if left <= 0:
         return then(wire.CommandResponse(Code.UNDECIDED))
--- a/sim/users.py
+++ b/sim/users.py
@@ -7,7 +7,7 @@
 
 from mallowvalve.control import wire
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.replica_task import ATTEMPT
+from mallowvalve.control.replica_task import ATTEMPT_TIMEOUT_S
 from mallowvalve.control.state import Change, Evacuate, encode
 from mallowvalve.coordination.state import KeyedResult, Lock, Next, Put, Unlock
 from mallowvalve.localfleet.history import Op
@@ -44,7 +44,7 @@
         return None
 
     def propose(self, c, limit: float, then) -> None:
-        offer(self, encode(c), self.now + limit, then, limit if isinstance(c, Change | Evacuate) else ATTEMPT)
+        offer(self, encode(c), self.now + limit, then, limit if isinstance(c, Change | Evacuate) else ATTEMPT_TIMEOUT_S)
 
     @property
     def recorder(self) -> histories.Recorder:
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -9,7 +9,7 @@
 from mallowvalve.control.core import Core
 from mallowvalve.control.leave import Leave
 from mallowvalve.control.member_addresses import MemberAddresses
-from mallowvalve.control.reconfiguration import Members
+from mallowvalve.control.reconfiguration import MemberObservations
 from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Count, Take
 from mallowvalve.raft.raft import Raft
@@ -60,7 +60,7 @@
 
 def never_repaired() -> AbstractContextManager:
     """The membership of the core never changes."""
-    return patch.object(Members, "next_voters", lambda self, raft, now: None)
+    return patch.object(MemberObservations, "next_voters", lambda self, raft, now: None)
 
 
 def leaves_at_once() -> AbstractContextManager:
--- a/tests/test_again.py
+++ b/tests/test_again.py
@@ -50,7 +50,7 @@
         self.core = Core("a", A, EU, random.Random(1))
         if loaded.snapshot is None:
             snapshot = founding(G, voters, None)
-            store.turn(self.disk_log, snapshot, store.head(HardState(G, 0, ""), []))
+            store.restart_log(self.disk_log, snapshot, store.encode_log_head(HardState(G, 0, ""), []))
             self.core.start(snapshot, None, [], 0.0)
         else:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, 0.0)
@@ -143,8 +143,8 @@
     third.transport.on("who", lambda sender, body: Event().wait(5))
     third.role = "silent"
     with ReplicaTask(node) as task:
-        assert not task.held.is_set()
-        assert eventually(task.held.is_set)
+        assert not task.settings_available.is_set()
+        assert eventually(task.settings_available.is_set)
         assert task.replica.state.index == 2 and task.replica.leader is None
         third.transport.on("who", lambda sender, body: wire.encode(third.process_status()))
         assert eventually(lambda: task.replica.state.index == 3)
@@ -157,19 +157,19 @@
     for control in controls:
         control.state = type(control.state)(3)
     with ReplicaTask(node) as task:
-        assert eventually(lambda: task.replica.state is not None) and not task.held.is_set()
+        assert eventually(lambda: task.replica.state is not None) and not task.settings_available.is_set()
         controls[1].state.apply(1, 1, encode(service_amendment("s", 1)))
-        assert eventually(task.held.is_set)
+        assert eventually(task.settings_available.is_set)
 
 
 def test_a_proxy_starts_to_serve_once_it_holds_settings():
     events = []
     server = SimpleNamespace(start=lambda: events.append(1), stop=lambda timeout: events.append(0))
-    node, replica = SimpleNamespace(server=server, stopping=Event()), SimpleNamespace(held=Event())
+    node, replica = SimpleNamespace(server=server, stopping=Event()), SimpleNamespace(settings_available=Event())
     with Doors(node, replica):
         gevent.idle()
         assert events == []
-        replica.held.set()
+        replica.settings_available.set()
         assert eventually(lambda: events == [1])
     assert events == [1, 0]
 
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -60,7 +60,7 @@
         core.announced(
             ProcessStatus("control", f"id{index}", address, LOCALITY, [], True, None, 0, None, None), index * 1.0
         )
-    assert len(core.seen) < 100
+    assert len(core.announcements) < 100
     replicas = Replicas(LOCALITY)
     for index, address in enumerate(ADDRESSES):
         replicas.record_request(
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from mallowvalve.control.bootstrap import Found, decide
+from mallowvalve.control.bootstrap import FoundGroup, decide
 from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.messages import ClusterConfiguration, GroupId
 from mallowvalve.types import Address, Locality
@@ -176,7 +176,7 @@
             if 2 * sum(w.role == "proxy" for w in heard) <= len(self.proxies):
                 continue
             v = decide(self.who(m), heard, 1, False)
-            if isinstance(v, Found) and v.base is not None:
+            if isinstance(v, FoundGroup) and v.base is not None:
                 return m, heard, v
         return None
 
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowvalve.control.bootstrap_task import FoundTask
+from mallowvalve.control.bootstrap_task import BootstrapTask
 from mallowvalve.control.core import Core
 from mallowvalve.control.snapshot import founding
 from mallowvalve.control.state import Enrol, Evacuate, ReplicatedState, Seats, Strike, Tick, encode
@@ -125,8 +125,8 @@
 
 def test_in_calm_times_a_control_process_asks_all_control_processes_and_few_others(monkeypatch):
     controls = [Address("10.2.0.1", n + 1) for n in range(8)]
-    f, asked = FoundTask(Peers(controls, MANY)), set()
-    monkeypatch.setattr(FoundTask, "_ask", lambda self, to: asked.update(to) or [])
+    f, asked = BootstrapTask(Peers(controls, MANY)), set()
+    monkeypatch.setattr(BootstrapTask, "_ask", lambda self, to: asked.update(to) or [])
     f._ask_all(True)
     assert set(controls) <= asked and len(asked) <= 8 + 4
     f._ask_all()
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -197,7 +197,7 @@
         assert [j.get(timeout=5) for j in jobs] == [True] * 5
         assert [len(c.changes) for c in t.offered] == [5]
         t.says = "undecided"
-        jobs = [gevent.spawn(task.gone, up(f"i{n}", state="gone")) for n in range(2)]
+        jobs = [gevent.spawn(task.deregister, up(f"i{n}", state="gone")) for n in range(2)]
         assert [j.get(timeout=5) for j in jobs] == [False] * 2
 
 
@@ -231,7 +231,7 @@
         for k, v in how.items():
             setattr(f if k == "cut" else led.task, k, v)
         task._report(f.state.registry, at)
-        return task.in_touch(at)
+        return task.has_recent_contact(at)
 
     for i in ("i1", "i2"):
         assert task.heartbeat(up(i, at=f"10.0.0.{i[1]}:80"))
@@ -283,7 +283,7 @@
     t, c, task = control
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     report = msgspec.msgpack.encode([Heard("i1", 5)])
-    assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.TAKEN
+    assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.REPORT_ACCEPTED
     t.asked = LONG_AGO
     assert t.leads and task._on_heard(Address("10.1.0.2", 1), report) == b""
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 503
@@ -311,4 +311,4 @@
 
     f.call = late
     task._report(f.state.registry, 100.0)
-    assert task.in_touch(102.4) and not task.in_touch(102.6)
+    assert task.has_recent_contact(102.4) and not task.has_recent_contact(102.6)
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from mallowvalve.control.leave import Leave, Why
+from mallowvalve.control.leave import Leave, LeaveReason
 from mallowvalve.control.wire import ProcessStatus
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import CONFIGURATION, ClusterConfiguration, Entry, GroupId, RaftSnapshot, encode
@@ -42,23 +42,23 @@
     )
     machine = Raft("a", log, 2, "", random.Random(1), 0.0)
     leave = Leave("a")
-    assert not leave.over(machine, [], [B, C]) and leave.why is Why.WAITS
+    assert not leave.over(machine, [], [B, C]) and leave.why is LeaveReason.WAITS
     machine = Raft("a", log, 2, "", random.Random(1), 0.0, commit_index=7)
-    assert leave.over(machine, [], [B, C]) and leave.why is Why.NOBODY
+    assert leave.over(machine, [], [B, C]) and leave.why is LeaveReason.NOBODY
 
 
 def test_a_change_that_only_another_member_knows_of_is_waited_for():
     machine = Raft("a", Log(RaftSnapshot(G, 6, 1, member("abc"), [])), 1, "", random.Random(1), 0.0)
     joint = msgspec.structs.replace(answer(member("abd", "", "abc")), index=8)
     leave = Leave("a")
-    assert not leave.over(machine, [joint], [B, C]) and leave.why is Why.WAITS
+    assert not leave.over(machine, [joint], [B, C]) and leave.why is LeaveReason.WAITS
 
 
 def test_what_a_member_that_lags_says_of_seats_does_not_count():
     log = Log(RaftSnapshot(G, 6, 1, member("abc"), []))
     machine = Raft("a", log, 1, "", random.Random(1), 0.0)
     leave = Leave("a")
-    assert not leave.over(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is Why.WAITS
+    assert not leave.over(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is LeaveReason.WAITS
     assert leave.over(machine, [msgspec.structs.replace(answer(member("bcd")), index=6)], [B, C, D])
 
 
@@ -71,24 +71,24 @@
 @pytest.mark.parametrize(
     ("mine", "answers", "control", "why"),
     [
-        (member("abc"), [], [B, C], Why.NOBODY),
-        (member("abc"), [], [B, C, D], Why.WAITS),
-        (member("abc", "d"), [answer(member("bcd", "", "abc"))], [B, C, D], Why.WAITS),
-        (member("abc", "d"), [answer(member("bcd"))], [B, C, D], Why.REPLACED),
-        (member("abc", "d"), [answer(member("bcd"), GroupId(1, "other"))], [B, C, D], Why.WAITS),
-        (member("bcd", "", "abc"), [], [B, C, D], Why.WAITS),
-        (member("bcd"), [], [B, C, D], Why.REPLACED),
-        (member("bcd", "a"), [], [B, C, D], Why.NO_SEAT),
-        (ClusterConfiguration(member("abc").voters, {"x": B}), [], [B, C], Why.WAITS),
-        (ClusterConfiguration(member("abc").voters, {"x": D}), [], [B, C], Why.NOBODY),
-        (member("abc"), [came_back("x", B)], [B, C], Why.WAITS),
-        (member("abc"), [came_back("b", B)], [B, C], Why.NOBODY),
-        (member("abc"), [came_back("x", B, leaving=True)], [B, C], Why.NOBODY),
+        (member("abc"), [], [B, C], LeaveReason.NOBODY),
+        (member("abc"), [], [B, C, D], LeaveReason.WAITS),
+        (member("abc", "d"), [answer(member("bcd", "", "abc"))], [B, C, D], LeaveReason.WAITS),
+        (member("abc", "d"), [answer(member("bcd"))], [B, C, D], LeaveReason.REPLACED),
+        (member("abc", "d"), [answer(member("bcd"), GroupId(1, "other"))], [B, C, D], LeaveReason.WAITS),
+        (member("bcd", "", "abc"), [], [B, C, D], LeaveReason.WAITS),
+        (member("bcd"), [], [B, C, D], LeaveReason.REPLACED),
+        (member("bcd", "a"), [], [B, C, D], LeaveReason.NO_SEAT),
+        (ClusterConfiguration(member("abc").voters, {"x": B}), [], [B, C], LeaveReason.WAITS),
+        (ClusterConfiguration(member("abc").voters, {"x": D}), [], [B, C], LeaveReason.NOBODY),
+        (member("abc"), [came_back("x", B)], [B, C], LeaveReason.WAITS),
+        (member("abc"), [came_back("b", B)], [B, C], LeaveReason.NOBODY),
+        (member("abc"), [came_back("x", B, leaving=True)], [B, C], LeaveReason.NOBODY),
     ],
 )
 def test_a_member_goes_once_its_seat_is_taken_or_nobody_could_take_it(mine, answers, control, why):
     leave = Leave("a")
-    assert leave.over(raft(mine), answers, control) == (why is not Why.WAITS) and leave.why is why
+    assert leave.over(raft(mine), answers, control) == (why is not LeaveReason.WAITS) and leave.why is why
 
 
 def test_a_blank_member_goes_at_once():
@@ -143,7 +143,7 @@
     (only,) = f.core
     new = joins(f)
     f.run(f.rng.random())
-    assert leaves(f, only)[0] is Why.REPLACED
+    assert leaves(f, only)[0] is LeaveReason.REPLACED
     f.run(1.0)
     assert voters(f) == {new}
     goes_on(f)
@@ -157,7 +157,7 @@
     goes = lead if leads else f.rng.choice([a for a in f.core if a != lead])
     new = joins(f)
     f.run(0.5 * f.rng.random())
-    assert leaves(f, goes)[0] is Why.REPLACED
+    assert leaves(f, goes)[0] is LeaveReason.REPLACED
     f.run(CATCH_UP)
     assert voters(f) == set(f.core)
     f.kill(f.rng.choice([a for a in f.core if a != new]))
@@ -171,7 +171,7 @@
     for _ in range(cores - 5):
         goes = f.leader().addr if f.rng.random() < 0.5 else f.rng.choice(sorted(voters(f)))
         why, took = leaves(f, goes)
-        assert why is Why.REPLACED and took < 2.0
+        assert why is LeaveReason.REPLACED and took < 2.0
         assert f.run_until(lambda: commits(f), 5.0) and goes not in voters(f)
     f.kill(f.rng.choice(f.core))
     f.kill(f.rng.choice([a for a in f.core if f.world.up(a)]))
@@ -186,7 +186,7 @@
     for a in list(f.core):
         f.run_until(lambda: commits(f), 10.0)
         why, took = leaves(f, a)
-        assert why is Why.NOBODY and took < 0.3
+        assert why is LeaveReason.NOBODY and took < 0.3
         f.core.append(a)
         f.start(a)
         f.run(CATCH_UP)
@@ -200,6 +200,6 @@
     goes, new = f.core[0], joins(f)
     f.world.split([new], [a for a in f.core if a != new])
     why, took = leaves(f, goes)
-    assert why is Why.WAITS and GRACE <= took < GRACE + 0.3
+    assert why is LeaveReason.WAITS and GRACE <= took < GRACE + 0.3
     f.world.heal()
     goes_on(f)
--- a/tests/test_parts_bootstrap.py
+++ b/tests/test_parts_bootstrap.py
@@ -1,4 +1,4 @@
-from mallowvalve.control.bootstrap import Found, decide
+from mallowvalve.control.bootstrap import FoundGroup, decide
 from mallowvalve.control.snapshot import cut, cut_settings, dump, load
 from mallowvalve.control.snapshot_transfer import Gather, Shelf
 from mallowvalve.control.state import ReplicatedState, encode
@@ -54,12 +54,12 @@
     blank_first, blank_second = status("x", first, 0, blank=True), status("y", second, 0, blank=True)
     proxy = status("", Address("10.0.1.1", 1), 90, False, "proxy")
     decision = decide(blank_first, [blank_second, status("c", third, 70), proxy], 1, False)
-    assert isinstance(decision, Found)
-    assert (decision.base.id, decision.base.index, decision.further) == ("c", 70, proxy)
+    assert isinstance(decision, FoundGroup)
+    assert (decision.base.id, decision.base.index, decision.settings_source) == ("c", 70, proxy)
     decision = decide(blank_first, [blank_second, status("z", third, 0, blank=True), proxy], 1, False)
-    assert (decision.base, decision.further) == (proxy, None)
+    assert (decision.base, decision.settings_source) == (proxy, None)
     decision = decide(blank_first, [blank_second, status("c", third, 95), proxy], 1, False)
-    assert (decision.base.index, decision.further) == (95, None)
+    assert (decision.base.index, decision.settings_source) == (95, None)
     older, newer = populated_state(), populated_state()
     newer.apply(newer.index + 1, 500, encode(service_amendment("s", 9)))
     older.replace_settings(load(list(cut_settings(newer))))
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mallowvalve.control.reconfiguration import Members, Seen
+from mallowvalve.control.reconfiguration import MemberAnnouncement, MemberObservations
 from mallowvalve.raft.log import Log
 from mallowvalve.raft.messages import ClusterConfiguration, GroupId, RaftSnapshot
 from mallowvalve.raft.progress import Progress
@@ -160,14 +160,14 @@
 
 
 def known(*leaving, boots=None):
-    members = Members()
+    members = MemberObservations()
     for i, a in ALL.items():
-        members.seen[i] = Seen(a, EU, NOW, (boots or {}).get(i, 7), i in leaving)
+        members.announcements[i] = MemberAnnouncement(a, EU, NOW, (boots or {}).get(i, 7), i in leaving)
     return members
 
 
 def wanted(members, voters, learners="", **heard):
-    members.seen = {i: s for i, s in members.seen.items() if i in voters + learners}
+    members.announcements = {i: s for i, s in members.announcements.items() if i in voters + learners}
     return members.next_voters(Told(ClusterConfiguration(ids(voters), ids(learners)), heard), NOW)
 
 
@@ -193,15 +193,15 @@
 def test_a_goodbye_and_an_address_taken_count_at_once():
     assert wanted(known("b"), "abc", "d") == ClusterConfiguration(ids("acd"))
     members = known()
-    members.seen["d"] = Seen(B, EU, NOW + 0.1, 9)
+    members.announcements["d"] = MemberAnnouncement(B, EU, NOW + 0.1, 9)
     told = Told(ClusterConfiguration(ids("abc"), {"d": B}), {})
-    members.seen = {i: s for i, s in members.seen.items() if i in "acd"}
+    members.announcements = {i: s for i, s in members.announcements.items() if i in "acd"}
     assert members.next_voters(told, NOW + 0.1) == ClusterConfiguration({"a": A, "c": C, "d": B})
 
 
 def test_an_address_that_a_process_of_another_role_has_counts_once_raft_is_silent():
     members = known()
-    members.verdicts({}, {B})
+    members.update_detector_verdicts({}, {B})
     assert wanted(members, "abc", "d", b=0.9) is None
     assert wanted(members, "abc", "d", b=1.1) == ClusterConfiguration(ids("acd"))
 
@@ -225,14 +225,14 @@
 
 def test_a_learner_that_lacks_what_was_committed_half_a_second_ago_takes_no_seat():
     members = known()
-    members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+    members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
     told = Told(ClusterConfiguration(ids("abc"), ids("d")), {"b": 6.0})
     told.commit_index = 510
     assert members.next_voters(told, NOW) is None
     told.commit_index = 500
     assert members.next_voters(told, NOW + 0.1) == ClusterConfiguration(ids("acd"))
     members = known()
-    members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+    members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
     for step in range(6):
         told.commit_index = 500 + step
         wanted_now = members.next_voters(told, NOW + step / 10)
@@ -240,12 +240,12 @@
 
 
 def test_one_that_is_known_to_be_gone_does_not_come_back_as_a_learner():
-    for verdicts in (({}, {D}), ({D: 7}, set())):
+    for update_detector_verdicts in (({}, {D}), ({D: 7}, set())):
         members = known()
-        members.verdicts(*verdicts)
-        members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+        members.update_detector_verdicts(*update_detector_verdicts)
+        members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
         assert members.next_voters(Told(ClusterConfiguration(ids("abc")), {}), NOW) is None
-    members.verdicts({D: 6}, set())
+    members.update_detector_verdicts({D: 6}, set())
     assert members.next_voters(Told(ClusterConfiguration(ids("abc")), {}), NOW) == ClusterConfiguration(
         ids("abc"), ids("d")
     )
@@ -253,9 +253,9 @@
 
 def test_a_dead_voter_is_replaced_before_a_learner_is_dropped():
     members = known()
-    members.verdicts({B: 7}, {E})
-    seen = members.seen
-    members.seen = {i: s for i, s in seen.items() if i in "abcde"}
+    members.update_detector_verdicts({B: 7}, {E})
+    announcements = members.announcements
+    members.announcements = {i: s for i, s in announcements.items() if i in "abcde"}
     told = Told(ClusterConfiguration(ids("abc"), ids("de")), {"b": 6.0, "e": 6.0})
     assert members.next_voters(told, NOW) == ClusterConfiguration(ids("acd"), ids("e"))
 
@@ -275,8 +275,8 @@
     joint = ClusterConfiguration(ids("acd"), ids("e"), ids("abc"))
     members = known()
     assert members.next_voters(Told(joint, {"b": 9.0, "c": 9.0}), NOW) is None
-    members.seen["c"] = Seen(H, EU, NOW, 7)
-    del members.seen["h"]
+    members.announcements["c"] = MemberAnnouncement(H, EU, NOW, 7)
+    del members.announcements["h"]
     moved = members.next_voters(Told(joint, {}), NOW)
     assert moved == ClusterConfiguration({**ids("ad"), "c": H}, ids("e"), {**ids("ab"), "c": H})
 
@@ -284,7 +284,7 @@
 def test_one_that_says_goodbye_does_not_come_back_as_a_learner():
     members = known("d")
     told = Told(ClusterConfiguration(ids("abc")), {})
-    members.seen = {i: s for i, s in members.seen.items() if i in "abcd"}
+    members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
     assert members.next_voters(told, NOW) is None
-    members.seen["d"] = Seen(D, EU, NOW, 8)
+    members.announcements["d"] = MemberAnnouncement(D, EU, NOW, 8)
     assert members.next_voters(told, NOW) == ClusterConfiguration(ids("abc"), ids("d"))
--- a/tests/test_storage_faults.py
+++ b/tests/test_storage_faults.py
@@ -38,7 +38,7 @@
 
 
 def head(first, last):
-    return store.head(HardState(GROUP, 1, ""), [entry(index) for index in range(first, last + 1)])
+    return store.encode_log_head(HardState(GROUP, 1, ""), [entry(index) for index in range(first, last + 1)])
 
 
 def last_index_after_start(log):
@@ -49,16 +49,16 @@
 
 def test_a_wiped_disk_starts_empty_though_some_removed_files_reappear(system):
     log = opened().unwrap()
-    store.turn(log, snapshot(10), head(11, 12))
+    store.restart_log(log, snapshot(10), head(11, 12))
     log.wipe("new")
     system.lose_power(survives=lambda change: not (isinstance(change, NameRemoved) and change.name.startswith("log-")))
     reopened = opened().unwrap()
-    assert reopened.identity.id == "new" and store.load(reopened).unwrap() == store.Loaded(None, None, [])
+    assert reopened.identity.id == "new" and store.load(reopened).unwrap() == store.StoredState(None, None, [])
 
 
 def test_an_interrupted_wipe_leaves_no_old_state_under_the_new_identity(system):
     log = opened().unwrap()
-    store.turn(log, snapshot(10), head(11, 12))
+    store.restart_log(log, snapshot(10), head(11, 12))
     original_replace = system.replace
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(system, "replace", lambda *a: (original_replace(*a), setattr(system, "power_loss_in", 0)))
@@ -73,20 +73,20 @@
 def test_an_obsolete_stored_snapshot_loses_no_entries_after_a_power_loss(system):
     """A process stores its own snapshot while it installs one with a higher index and starts from that one."""
     log = opened().unwrap()
-    store.turn(log, snapshot(10), head(11, 900))
-    store.turn(log, snapshot(1000), head(1001, 1005))
-    log.store_snapshot(log.reserve_snapshot(), store.parts(snapshot(900)))
+    store.restart_log(log, snapshot(10), head(11, 900))
+    store.restart_log(log, snapshot(1000), head(1001, 1005))
+    log.store_snapshot(log.reserve_snapshot(), store.encode_snapshot(snapshot(900)))
     system.lose_power()
     assert last_index_after_start(opened().unwrap()) == 1005
 
 
 def test_a_dropped_snapshot_that_reappears_has_no_effect(system):
     log = opened().unwrap()
-    store.turn(log, snapshot(1000), head(1001, 1005))
+    store.restart_log(log, snapshot(1000), head(1001, 1005))
     name = log.reserve_snapshot()
-    log.store_snapshot(name, store.parts(snapshot(900)))
+    log.store_snapshot(name, store.encode_snapshot(snapshot(900)))
     log.drop_snapshot(name)
-    log.save([store.ENTRY + store.encode(entry(1006))])
+    log.save([store.ENTRY_TAG + store.encode(entry(1006))])
     system.lose_power(survives=lambda change: not isinstance(change, NameRemoved))
     assert last_index_after_start(opened().unwrap()) == 1006
 
@@ -94,13 +94,13 @@
 def test_a_switch_to_one_snapshot_keeps_another_stored_snapshot(system):
     """A snapshot from the leader is stored but not yet in use while the process switches to its own snapshot."""
     log = opened().unwrap()
-    store.turn(log, snapshot(10), head(11, 12))
+    store.restart_log(log, snapshot(10), head(11, 12))
     leaders = log.reserve_snapshot()
-    log.store_snapshot(leaders, store.parts(snapshot(2000)))
+    log.store_snapshot(leaders, store.encode_snapshot(snapshot(2000)))
     own = log.reserve_snapshot()
-    log.store_snapshot(own, store.parts(snapshot(12)))
-    store.turn(log, snapshot(12), head(13, 13), own)
-    store.turn(log, snapshot(2000), head(2001, 2001), leaders)
+    log.store_snapshot(own, store.encode_snapshot(snapshot(12)))
+    store.restart_log(log, snapshot(12), head(13, 13), own)
+    store.restart_log(log, snapshot(2000), head(2001, 2001), leaders)
     system.kill_process()
     assert last_index_after_start(opened().unwrap()) == 2001
 
@@ -108,15 +108,15 @@
 def test_a_segment_header_that_failed_on_a_full_disk_does_not_count_as_damage_later():
     disk = SimDisk(random.Random(3))
     log = opened(disk).unwrap()
-    store.turn(log, snapshot(10), head(11, 12))
+    store.restart_log(log, snapshot(10), head(11, 12))
     name = log.reserve_snapshot()
-    log.store_snapshot(name, store.parts(snapshot(12)))
+    log.store_snapshot(name, store.encode_snapshot(snapshot(12)))
     disk.full = True
     with pytest.raises(OSError):
-        store.turn(log, snapshot(12), head(13, 13), name)
+        store.restart_log(log, snapshot(12), head(13, 13), name)
     disk.full = False
     disk.remove = lambda name: None
-    store.turn(log, snapshot(12), head(13, 13), name)
+    store.restart_log(log, snapshot(12), head(13, 13), name)
     assert last_index_after_start(opened(disk).unwrap()) == 13
 
 
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -133,7 +133,7 @@
         head, pieces = self.core.snapshot()
         snapshot = replace(head, state=list(pieces))
         tail = [entry for entry in self.raft.log.entries if entry.index > snapshot.index]
-        store.turn(self.disk_log, snapshot, store.head(self.raft.hard_state(), tail))
+        store.restart_log(self.disk_log, snapshot, store.encode_log_head(self.raft.hard_state(), tail))
         self.core.compact(snapshot)
         self._hold(self.raft.hard_state())
 
--- a/verification/member.py
+++ b/verification/member.py
@@ -102,7 +102,11 @@
         self.id, self.machine, self.seed, self.now = id, machine, seed, now
         self.rng = Still() if seed is None else random.Random(f"{seed} {id}")
         disk = PowerDisk()
-        store.turn(DiskLog.open(disk, FLEET, id).unwrap(), snapshot, store.head(HardState(snapshot.group, 0, ""), []))
+        store.restart_log(
+            DiskLog.open(disk, FLEET, id).unwrap(),
+            snapshot,
+            store.encode_log_head(HardState(snapshot.group, 0, ""), []),
+        )
         self._start(disk)
 
     @staticmethod
@@ -198,7 +202,7 @@
         term, voters = raft.log.term(index), raft.log.configuration_at(index)
         snapshot = RaftSnapshot(raft.group, index, term, voters, [self.applied.history])
         tail = [entry for entry in raft.log.entries if entry.index > index]
-        store.turn(self.disk_log, snapshot, store.head(raft.hard_state(), tail))
+        store.restart_log(self.disk_log, snapshot, store.encode_log_head(raft.hard_state(), tail))
         raft.log.compact(snapshot)
         self._hold(raft.hard_state())
 
