--- a/mallowvalve/control/bootstrap.py
+++ b/mallowvalve/control/bootstrap.py
@@ -52,7 +52,7 @@
         self._key: object = None
         self._since = 0.0
 
-    def hear(self, v: Decision, now: float) -> Decision | None:
+    def confirm(self, v: Decision, now: float) -> Decision | None:
         """A decision, once it has been the same for long enough (s); None before."""
         key = (v.generation, v.voters) if isinstance(v, FoundGroup) else type(v)
         if key != self._key:
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -70,7 +70,7 @@
             answers, v = self._look(calm)
             if calm and isinstance(v, FoundGroup):
                 answers, v = self._look(False)
-            self._act(self._judge.hear(v, clock.now()), answers)
+            self._act(self._judge.confirm(v, clock.now()), answers)
             self.say_here()
             joins = any(w.group is not None for w in answers)
             gevent.sleep(HERE if self.control.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
@@ -208,7 +208,7 @@
         while clock.now() - begun < limit:
             control = [r.addr for r in self.control.node.membership.alive("control") if r.state == ALIVE]
             others = {*control, self.control.core.leader()} - {None, self.control.node.settings.transport}
-            if leave.over(self.control.core.raft, self._ask(others, LEAVE_QUERY_TIMEOUT_S), control):
+            if leave.may_leave(self.control.core.raft, self._ask(others, LEAVE_QUERY_TIMEOUT_S), control):
                 break
             self.say_here()
             gevent.sleep(LEAVE_RETRY_INTERVAL_S)
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -198,7 +198,7 @@
         """Records the announcement of a control process of this group or of none."""
         if status.role == "control" and (status.group is None or self.raft and status.group == self.raft.group):
             self._addresses.hear(status.id, status.addr)
-            self.members.hear(status, now)
+            self.members.record_announcement(status, now)
 
     def timer(self, now: float) -> float:
         """Returns when `tick` is due next (s)."""
--- a/mallowvalve/control/leave.py
+++ b/mallowvalve/control/leave.py
@@ -33,7 +33,7 @@
         """`me` is the id of the member that was told to stop."""
         self.me, self.why = me, LeaveReason.WAITS
 
-    def over(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> bool:
+    def may_leave(self, raft: Raft | None, answers: list[ProcessStatus], control: list[Address]) -> bool:
         """Whether to go now, by this member's log, what the leader answers, and which control processes live."""
         self.why = self._why(raft, answers, control)
         return self.why is not LeaveReason.WAITS
--- a/mallowvalve/control/reconfiguration.py
+++ b/mallowvalve/control/reconfiguration.py
@@ -76,7 +76,7 @@
         self.boot, self.leaving = 0, False
         self._commits: deque[tuple[float, int]] = deque()
 
-    def hear(self, who: ProcessStatus, now: float) -> None:
+    def record_announcement(self, who: ProcessStatus, now: float) -> None:
         """A member said that it is here, or with `leaving` that it is about to go."""
         self.announcements[who.id] = MemberAnnouncement(who.addr, who.locality, now, who.boot, who.leaving)
         for i in [i for i, s in self.announcements.items() if now - s.at >= 2 * FORGOTTEN]:
--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -29,7 +29,7 @@
 class RegistryTask:
     """Hears upstreams: offers what changes, tells the leader whom it heard, and judges silence if it leads."""
 
-    __slots__ = ("task", "liveness", "_box", "_jobs", "_judging", "_touched", "_told", "_reported")
+    __slots__ = ("task", "liveness", "_box", "_jobs", "_judging", "_last_contact_at", "_told", "_reported")
 
     def __init__(self, task: ControlTask) -> None:
         """For one control process."""
@@ -37,14 +37,14 @@
         self.liveness = Liveness(task.node.settings.heartbeat_ms / 1000)
         self._box: Queue = Queue()
         self._judging: gevent.Greenlet | None = None
-        self._touched = clock.now()
+        self._last_contact_at = clock.now()
         self._told: Address | None = None
         self._reported = 0.0
         task.node.transport.on("heard", self._on_heard, inline=True)
 
     def __enter__(self) -> RegistryTask:
         """Begins to gather changes and to judge silence."""
-        self._touched = clock.now()
+        self._last_contact_at = clock.now()
         self._jobs = [vital(gevent.spawn(self._collect)), vital(gevent.spawn(self._run))]
         return self
 
@@ -97,7 +97,7 @@
 
     def has_recent_contact(self, now: float) -> bool:
         """Whether a majority was asked, and a leader told whom this process heard, inside the bound of a heartbeat."""
-        told = self.task.core.leads or lease.is_valid(AnswerKind.HEARTBEAT, self._touched, now)
+        told = self.task.core.leads or lease.is_valid(AnswerKind.HEARTBEAT, self._last_contact_at, now)
         return told and self.task.core.may_answer(AnswerKind.HEARTBEAT, now)
 
     def _collect(self) -> None:
@@ -141,7 +141,7 @@
                 continue
             self.liveness.clock(s.clock, now)
             if self.task.core.leads:
-                self._touched = now
+                self._last_contact_at = now
                 self._judge(s.registry, now)
                 continue
             self.liveness.follow()
@@ -163,7 +163,7 @@
         body = encode(self.liveness.report(since, now))
         r = self.task.node.transport.call(to, "heard", body, REPORT_INTERVAL_S)
         if isinstance(r, Ok) and r.ok_value == REPORT_ACCEPTED:
-            self._told, self._reported, self._touched = to, now, now
+            self._told, self._reported, self._last_contact_at = to, now, now
             return
         self._told = None
 
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -58,8 +58,8 @@
         "disk",
         "bootstrap_task",
         "_waits",
-        "_over",
-        "_hint",
+        "_stopping",
+        "_leader_hint",
         "_session",
     )
 
@@ -88,8 +88,8 @@
         self._stored: dict[tuple[GroupId, int], str] = {}
         self.disk = RLock()
         self._waits: set[AsyncResult] = set()
-        self._over = False
-        self._hint: Address | None = None
+        self._stopping = False
+        self._leader_hint: Address | None = None
         self._session = Session(lambda: secrets.randbits(64))
         self.bootstrap_task = BootstrapTask(self)
         node.transport.on_peer_disconnected = lambda a: self.put(lambda now: self.core.peer_disconnected(a, now))
@@ -109,7 +109,7 @@
 
     def __exit__(self, *_) -> None:
         """Whoever still waits for the machine hears that nothing is decided, before the server cuts it off."""
-        self._over = True
+        self._stopping = True
         gevent.killall(self._jobs)
         for w in list(self._waits):
             w.set(None)
@@ -141,7 +141,7 @@
             Call(self._session, command, begun + (effect or limit)),
             wire.CommandResponse(Code.LEADER),
         )
-        while t.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._over:
+        while t.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._stopping:
             data = call.data(self.core.clock.estimate(now), now)
             t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
             if t.code not in RETRYABLE or call.is_over(clock.now()):
@@ -156,17 +156,17 @@
         t = self._offer(wire.CommandRequest(command, limit)) if own else wire.CommandResponse(Code.LEADER, leader=other)
         if t.code != Code.LEADER or t.leader is None or t.leader == self.node.settings.transport:
             return t
-        to, self._hint = t.leader, None
+        to, self._leader_hint = t.leader, None
         r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(command, limit)), limit)
         if r.is_err():
             return wire.CommandResponse(Code.UNDECIDED)
         t = wire.decode_command_response(r.ok_value)
-        self._hint = t.leader if t.code in RETRYABLE else to
+        self._leader_hint = t.leader if t.code in RETRYABLE else to
         return t
 
     def _other(self) -> Address | None:
         controls = [r.addr for r in self.node.membership.alive("control")]
-        return self._hint if self._hint in controls else random.choice(controls) if controls else None
+        return self._leader_hint if self._leader_hint in controls else random.choice(controls) if controls else None
 
     def read(self, limit: float) -> wire.CommandResponse:
         """Asks whoever leads for a confirmed revision and waits until it is applied here, `limit` seconds at most."""
@@ -181,13 +181,13 @@
             return wire.CommandResponse(Code.UNDECIDED)
         t = wire.decode_command_response(r.ok_value)
         while t.code == Code.OK and (self.core.state is None or self.core.state.revision < t.revision):
-            if clock.now() > end or self._over:
+            if clock.now() > end or self._stopping:
                 return wire.CommandResponse(Code.UNDECIDED)
             gevent.sleep(0.01)
         return t
 
     def _read(self, limit: float) -> wire.CommandResponse:
-        if self._over:
+        if self._stopping:
             return wire.CommandResponse(Code.LEADER)
         t = self._do(lambda t, now: self.core.read(t, now + limit, now), limit + 0.5)
         return t or wire.CommandResponse(Code.UNDECIDED)
@@ -216,7 +216,7 @@
             )
 
     def _offer(self, o: wire.CommandRequest) -> wire.CommandResponse:
-        if self._over:
+        if self._stopping:
             return wire.CommandResponse(Code.LEADER)
         t = self._do(lambda t, now: self.core.propose(o.command, t, now + o.limit, now), o.limit + 0.5)
         return t or wire.CommandResponse(Code.UNDECIDED)
--- a/sim/control.py
+++ b/sim/control.py
@@ -266,7 +266,7 @@
         return None
 
     def _judge_leave(self, leave: Leave, answers: list[wire.ProcessStatus], end: float) -> None:
-        if leave.over(self.core.raft, answers, self._others()):
+        if leave.may_leave(self.core.raft, answers, self._others()):
             return self._ends(leave)
         self._put(lambda: self.core.announced(self._who(), self.now))
         for a in self._others():
@@ -309,7 +309,7 @@
             self.call(a, "who", b"", 0.14, lambda d: self._heard(d, asked))
 
     def _judge(self) -> None:
-        v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.nothing_committed), self.now)
+        v = self._judge_over.confirm(decide(self._who(), self._answers, 1, self.core.nothing_committed), self.now)
         if isinstance(v, FoundGroup) and v.base is None:
             self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, None))
         elif isinstance(v, FoundGroup):
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -65,7 +65,7 @@
 
 def leaves_at_once() -> AbstractContextManager:
     """A member that is told to stop ends at once, whoever else holds what it holds."""
-    return patch.object(Leave, "over", lambda self, *a: True)
+    return patch.object(Leave, "may_leave", lambda self, *a: True)
 
 
 def addresses_by_configuration() -> AbstractContextManager:
--- a/tests/test_asks.py
+++ b/tests/test_asks.py
@@ -97,8 +97,8 @@
             )
 
     task = ControlTask.__new__(ControlTask)
-    task._over = False
-    task.node, task.stalled, task._hint = Node, True, None
+    task._stopping = False
+    task.node, task.stalled, task._leader_hint = Node, True, None
     task.core, task._session = type("C", (), {"raft": object(), "clock": FleetClock()}), Session(lambda: 7)
     assert task.offer(b"x", 1.0).revision == 5 and calls == [("other", "offer")]
     assert task.read(1.0).code == "leader" and len(calls) == 1
@@ -110,7 +110,7 @@
         ControlTask, "_offer_once", lambda self, command, left: results.pop() if results else CommandResponse("leader")
     )
     task = ControlTask.__new__(ControlTask)
-    task._over = False
+    task._stopping = False
     task.core, task._session = type("C", (), {"clock": FleetClock()}), Session(lambda: 7)
     assert task.offer(b"", 0.12, 0.05).code == "undecided"
     assert task.offer(b"", 0.06, 0.05).code == "leader"
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -79,7 +79,7 @@
 
 def test_a_decision_stands_though_the_best_holder_changes():
     j, me = DecisionStabilizer(), who("x", A)
-    held = [j.hear(decide(me, [replica(n), who("y", B)], 7, False), n * 0.5) for n in range(6)]
+    held = [j.confirm(decide(me, [replica(n), who("y", B)], 7, False), n * 0.5) for n in range(6)]
     assert held[:4] == [None] * 4 and held[4] is not None
 
 
@@ -96,7 +96,7 @@
     t.heard(ReplicationRequest(P[1], 1, "proxy", Locality("eu", "x"), None, 0, 0, 0.0))
     assert list(t._holders) == [P[0]]
     j, me, others = DecisionStabilizer(), who("a", A), [who("b", B), who("c", C)]
-    assert [j.hear(decide(me, others, 7, False), n * 0.5) for n in range(4)] == [None] * 4
+    assert [j.confirm(decide(me, others, 7, False), n * 0.5) for n in range(4)] == [None] * 4
     wiped = [who("y", B), who("z", C), replica()]
     assert decide(who("x", A), wiped, 7, False).base == replica()
 
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -133,7 +133,7 @@
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     t.leads = False
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
-    task._touched -= lease.LEASE_BOUNDS[lease.AnswerKind.HEARTBEAT].seconds
+    task._last_contact_at -= lease.LEASE_BOUNDS[lease.AnswerKind.HEARTBEAT].seconds
     assert c.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3}).status_code == 503
     t.state = None
     for r in (c.simulate_put("/upstreams/i1", json=HEARTBEAT), c.simulate_delete("/upstreams/i1")):
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -42,24 +42,24 @@
     )
     machine = Raft("a", log, 2, "", random.Random(1), 0.0)
     leave = Leave("a")
-    assert not leave.over(machine, [], [B, C]) and leave.why is LeaveReason.WAITS
+    assert not leave.may_leave(machine, [], [B, C]) and leave.why is LeaveReason.WAITS
     machine = Raft("a", log, 2, "", random.Random(1), 0.0, commit_index=7)
-    assert leave.over(machine, [], [B, C]) and leave.why is LeaveReason.NOBODY
+    assert leave.may_leave(machine, [], [B, C]) and leave.why is LeaveReason.NOBODY
 
 
 def test_a_change_that_only_another_member_knows_of_is_waited_for():
     machine = Raft("a", Log(RaftSnapshot(G, 6, 1, member("abc"), [])), 1, "", random.Random(1), 0.0)
     joint = msgspec.structs.replace(answer(member("abd", "", "abc")), index=8)
     leave = Leave("a")
-    assert not leave.over(machine, [joint], [B, C]) and leave.why is LeaveReason.WAITS
+    assert not leave.may_leave(machine, [joint], [B, C]) and leave.why is LeaveReason.WAITS
 
 
 def test_what_a_member_that_lags_says_of_seats_does_not_count():
     log = Log(RaftSnapshot(G, 6, 1, member("abc"), []))
     machine = Raft("a", log, 1, "", random.Random(1), 0.0)
     leave = Leave("a")
-    assert not leave.over(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is LeaveReason.WAITS
-    assert leave.over(machine, [msgspec.structs.replace(answer(member("bcd")), index=6)], [B, C, D])
+    assert not leave.may_leave(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is LeaveReason.WAITS
+    assert leave.may_leave(machine, [msgspec.structs.replace(answer(member("bcd")), index=6)], [B, C, D])
 
 
 def came_back(id, at, leaving=False):
@@ -88,11 +88,11 @@
 )
 def test_a_member_goes_once_its_seat_is_taken_or_nobody_could_take_it(mine, answers, control, why):
     leave = Leave("a")
-    assert leave.over(raft(mine), answers, control) == (why is not LeaveReason.WAITS) and leave.why is why
+    assert leave.may_leave(raft(mine), answers, control) == (why is not LeaveReason.WAITS) and leave.why is why
 
 
 def test_a_blank_member_goes_at_once():
-    assert Leave("a").over(None, [], [B])
+    assert Leave("a").may_leave(None, [], [B])
 
 
 def loaded(seed, cores):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -193,7 +193,7 @@
         step_until(self.leading, 5.2, self.now)
         estimate = FleetClock()
         estimate.restart(self.leading.clock.read(self.now), clock.now())
-        self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
+        self.core, self._session, self._stopping = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
     def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
         w = AsyncResult()
@@ -256,7 +256,7 @@
     def __init__(self):
         self.sealed, estimate = [], FleetClock()
         estimate.restart(0, clock.now())
-        self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
+        self.core, self._session, self._stopping = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
     def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
         self.sealed.append(unseal(command)[0])
