--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -122,10 +122,8 @@
         self._last_tick_at = self._last_membership_check_at = -1e9
         self._roster_command_index = 0
         self._base_index = 0
-        self._acks, self._times = (
-            acks,
-            msgspec.structs.replace(times, commit_notice_delay=COMMIT_NOTICE_PACES * times.min_broadcast_interval),
-        )
+        commit_notice_delay = COMMIT_NOTICE_PACES * times.min_broadcast_interval
+        self._acks, self._times = acks, msgspec.structs.replace(times, commit_notice_delay=commit_notice_delay)
         self._settings_log = SettingsLog(0)
         self.clock = FleetClock()
         self._commit_mark_timer = CommitMarkTimer()
@@ -140,9 +138,8 @@
     ) -> None:
         """Starts from what is stored; `loaded_state` is the snapshot's state if it was loaded already."""
         hard = hard if hard is not None and hard.group == snapshot.group else HardState(snapshot.group, 0, "")
-        self.raft = Raft(
-            self.id, Log(snapshot, entries), hard.term, hard.vote, self.rng, now, self._times, hard.commit_index
-        )
+        log = Log(snapshot, entries)
+        self.raft = Raft(self.id, log, hard.term, hard.vote, self.rng, now, self._times, hard.commit_index)
         self.state = loaded_state or load(snapshot.state, snapshot.group.generation)
         self.state.index = snapshot.index
         self._base_index = snapshot.index
@@ -181,11 +178,8 @@
     def process_status(self, role: str, seeds: list[Address]) -> ProcessStatus:
         """Returns the status that this process reports to others."""
         raft, boot, at = self.raft, self.members.boot, self.state.index if self.state else 0
-        held = (
-            (False, raft.group, at, raft.log.configuration_at(at), self.leader())
-            if raft
-            else (True, None, 0, None, None)
-        )
+        blank = (True, None, 0, None, None)
+        held = (False, raft.group, at, raft.log.configuration_at(at), self.leader()) if raft else blank
         me = (role, self.id, self.addr, self.locality, seeds)
         return ProcessStatus(*me, *held, boot=boot, leaving=self.members.leaving)
 
@@ -212,10 +206,8 @@
         if self.raft is None:
             return
         self.raft.tick(now)
-        self.raft.commit_save_due = (
-            self._commit_mark_timer.due(self.state.settings_index, self.raft.saved_commit_index, now)
-            or self.raft.commit_save_due
-        )
+        due = self._commit_mark_timer.due(self.state.settings_index, self.raft.saved_commit_index, now)
+        self.raft.commit_save_due = due or self.raft.commit_save_due
         self._advance(now)
 
     def receive(self, envelope: Envelope, now: float) -> None:
@@ -234,27 +226,21 @@
     def propose(self, data: bytes, token: Any, limit: float, now: float) -> None:
         """Proposes a command; its outcome is replied to the token, at `limit` (s) at the latest."""
         if not self.leads:
-            self.replies.append((token, CommandResponse(Code.LEADER, leader=self.leader())))
-            return
+            return self.replies.append((token, CommandResponse(Code.LEADER, leader=self.leader())))
         if not is_command(data):
-            self.replies.append((token, CommandResponse(Code.INVALID, body=UNDECODABLE_FINDINGS)))
-            return
+            return self.replies.append((token, CommandResponse(Code.INVALID, body=UNDECODABLE_FINDINGS)))
         index = self.raft.propose(COMMAND, data, self.clock.read(now))
         if index is None:
-            self.replies.append((token, CommandResponse(Code.LEADER)))
-            return
-        self._uncommitted[index] = PendingCommand(
-            token, self.raft.term, limit, changes_settings(data), acknowledgement_mode(data, self._acks)
-        )
+            return self.replies.append((token, CommandResponse(Code.LEADER)))
+        in_settings, mode = changes_settings(data), acknowledgement_mode(data, self._acks)
+        self._uncommitted[index] = PendingCommand(token, self.raft.term, limit, in_settings, mode)
 
     def read(self, token: Any, limit: float, now: float) -> None:
         """Replies to the token once a majority has confirmed this leader since the request, or at `limit` (s)."""
         if not self.leads:
-            self.replies.append((token, CommandResponse(Code.LEADER, leader=self.leader())))
-            return
-        self._pending_reads.add(
-            PendingRead(token, self.raft.request_confirmation_round(), self.raft.commit_index, limit)
-        )
+            return self.replies.append((token, CommandResponse(Code.LEADER, leader=self.leader())))
+        confirmation_round = self.raft.request_confirmation_round()
+        self._pending_reads.add(PendingRead(token, confirmation_round, self.raft.commit_index, limit))
 
     def current(self, now: float) -> bool:
         """Whether the local state is recent enough to serve watches."""
@@ -276,8 +262,7 @@
     def replicate(self, request: ReplicationRequest, token: Any, now: float) -> None:
         """Handles a replica's request for new entries; the response goes to the token."""
         if not self.leads:
-            self.replies.append((token, ReplicationResponse(self.leader())))
-            return
+            return self.replies.append((token, ReplicationResponse(self.leader())))
         self.replicas.record_request(request, self.raft.group, self.raft.rounds.round_number + 1, now)
         self.replies += self.parked_requests.park(request, token, now)
 
@@ -311,10 +296,8 @@
 
     def _snapshot_header(self) -> RaftSnapshot:
         """Returns the header of a snapshot of the current state, without pieces."""
-        index = self.state.index
-        return RaftSnapshot(
-            self.raft.group, index, self.raft.log.term(index), self.raft.log.configuration_at(index), []
-        )
+        index, log = self.state.index, self.raft.log
+        return RaftSnapshot(self.raft.group, index, log.term(index), log.configuration_at(index), [])
 
     def base_snapshot(self) -> RaftSnapshot | None:
         """Returns the snapshot at which the log begins; None if blank."""
