--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -63,7 +63,7 @@
         """Asks around for as long as the process lives; seldom while a leader is known."""
         for turn in itertools.count():
             if self.control.core.leader() is not None and turn % CALM:
-                self.say_here()
+                self.announce()
                 gevent.sleep(HERE)
                 continue
             calm = self.control.core.leader() is not None
@@ -71,15 +71,16 @@
             if calm and isinstance(v, FoundGroup):
                 answers, v = self._look(False)
             self._act(self._judge.confirm(v, clock.now()), answers)
-            self.say_here()
+            self.announce()
             joins = any(w.group is not None for w in answers)
             gevent.sleep(HERE if self.control.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
 
     def _look(self, calm: bool) -> tuple[list[wire.ProcessStatus], Decision]:
         answers = self._ask_all(calm)
-        return answers, decide(self.control.who(), answers, first_generation(), self.control.core.nothing_committed)
+        nothing_committed = self.control.core.nothing_committed
+        return answers, decide(self.control.process_status(), answers, first_generation(), nothing_committed)
 
-    def heard(self, w: wire.ReplicationRequest) -> None:
+    def record_state_holder(self, w: wire.ReplicationRequest) -> None:
         """Who asks for what comes after its state holds one: a blank core must not found without having asked it."""
         if w.group is not None:
             self._holders[w.addr] = clock.now()
@@ -175,7 +176,7 @@
             mine = self.control.core.raft
             if mine is not None and mine.group.generation >= p.group.generation:
                 return done.set(False)
-            with self.control.disk:
+            with self.control.disk_lock:
                 self.control.persist(
                     lambda: store.restart_log(
                         self.control.disk_log, p, store.encode_log_head(HardState(p.group, 0, ""), [])
@@ -184,7 +185,7 @@
             self.control.core.start(p, None, [], now, s)
             done.set(True)
 
-        self.control.put(act)
+        self.control.post(act)
         if done.get():
             change("joined", generation=p.group.generation, index=p.index)
 
@@ -193,12 +194,12 @@
 
         def act(now: float) -> None:
             new = uuid.uuid4().hex[:ID]
-            with self.control.disk:
+            with self.control.disk_lock:
                 self.control.persist(lambda: self.control.disk_log.wipe(new))
             self.control.core.stop(new)
             done.set(True)
 
-        self.control.put(act)
+        self.control.post(act)
         done.get()
         change("wiped_to_rejoin")
 
@@ -210,14 +211,14 @@
             others = {*control, self.control.core.leader()} - {None, self.control.node.settings.transport}
             if leave.may_leave(self.control.core.raft, self._ask(others, LEAVE_QUERY_TIMEOUT_S), control):
                 break
-            self.say_here()
+            self.announce()
             gevent.sleep(LEAVE_RETRY_INTERVAL_S)
         change("left_core", seconds=round(clock.now() - begun, 2), why=leave.why)
 
-    def say_here(self) -> None:
+    def announce(self) -> None:
         """Tells the leader, or whoever may know one, that this process is here."""
-        body = wire.encode(msgspec.structs.replace(self.control.who(), seeds=[], voters=None))
+        body = wire.encode(msgspec.structs.replace(self.control.process_status(), seeds=[], voters=None))
         alive = [r.addr for r in self.control.node.membership.alive("control")]
         for a in self.control.core.announcement_targets(alive):
             self.control.node.transport.cast(a, "here", body)
-        self.control.put(lambda now: self.control.core.announced(self.control.who(), now))
+        self.control.post(lambda now: self.control.core.announced(self.control.process_status(), now))
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -127,7 +127,7 @@
     def leave() -> None:
         if directory_front is not None:
             directory_front.draining = True
-        task.hand_over()
+        task.begin_leaving()
 
     with node, task, registry, Memory(node, disk_log.disk), directory_front or contextlib.nullcontext():
         node.run(
--- a/mallowvalve/control/task.py
+++ b/mallowvalve/control/task.py
@@ -1,4 +1,4 @@
-"""The daemon's side of a control process: its disk, its transport and its loop around `Core`."""
+"""Runs `Core` in the control daemon: event loop, disk log and transport."""
 
 from __future__ import annotations
 
@@ -33,374 +33,366 @@
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address
 
-STORE_AGAIN = 2.0
-VERDICTS = 0.25
-ACTS_AT_ONCE = 512
-"""How much of what came is acted on before the outcome is stored and sent."""
+SNAPSHOT_RETRY_DELAY_S = 2.0
+DETECTOR_POLL_INTERVAL_S = 0.25
+MAX_EVENTS_PER_SAVE = 512
+"""How many queued events are handled before the result is stored and sent."""
 
 
 class ControlTask:
-    """Owns a `Core`; a context manager that runs while it is open."""
+    """Owns a `Core` and runs it while the context is open."""
 
     __slots__ = (
         "node",
         "core",
         "disk_log",
-        "_box",
+        "_events",
         "_jobs",
         "stalled",
-        "_role_said",
+        "_logged_role",
         "_tree",
         "puller",
-        "_saving",
+        "_compacting",
         "_fetching",
-        "_stored",
-        "disk",
+        "_stored_snapshot",
+        "disk_lock",
         "bootstrap_task",
-        "_waits",
+        "_waiters",
         "_stopping",
         "_leader_hint",
         "_session",
     )
 
     def __init__(self, node: Node, disk_log: DiskLog, loaded: store.StoredState):
-        """For one process, from what it had stored."""
+        """Creates the task of the node from its stored state and registers the transport handlers."""
         self.node, self.disk_log = node, disk_log
-        p = node.settings
-        self.core = Core(
-            disk_log.identity.id,
-            p.transport,
-            p.locality,
-            random.Random(node.boot),
-            p.acks,
-            RaftTimings(min_broadcast_interval=p.pace, election_timeout=p.election),
-        )
+        settings, rng, id = node.settings, random.Random(node.boot), disk_log.identity.id
+        timings = RaftTimings(min_broadcast_interval=settings.pace, election_timeout=settings.election)
+        self.core = Core(id, settings.transport, settings.locality, rng, settings.acks, timings)
         self.core.members.boot = node.boot
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, clock.now())
-        self._box: Queue = Queue()
-        self.stalled = False
-        self._role_said = ""
+        self._events: Queue = Queue()
+        self.stalled = self._compacting = self._stopping = False
+        self._logged_role = ""
         self._tree: tuple[int, Tree] = (0, EMPTY_TREE)
         self.puller = Puller(node.transport, self.core.snapshot, self.core.base_snapshot, self.core.settings_snapshot)
-        self._saving = False
         self._fetching = Fetching()
-        self._stored: dict[tuple[GroupId, int], str] = {}
-        self.disk = RLock()
-        self._waits: set[AsyncResult] = set()
-        self._stopping = False
+        self._stored_snapshot: dict[tuple[GroupId, int], str] = {}
+        self.disk_lock = RLock()
+        self._waiters: set[AsyncResult] = set()
         self._leader_hint: Address | None = None
         self._session = Session(lambda: secrets.randbits(64))
         self.bootstrap_task = BootstrapTask(self)
-        node.transport.on_peer_disconnected = lambda a: self.put(lambda now: self.core.peer_disconnected(a, now))
-        on = node.transport.on
-        on("raft", self._vote, inline=True)
-        on("want", lambda s, b: wire.encode(self._want(wire.decode_replication_request(b))))
-        on("offer", lambda s, b: wire.encode(self._offer(wire.decode_command_request(b))))
-        on("read", lambda s, b: wire.encode(self._read(2.0)))
-        on("who", lambda s, b: wire.encode(self.who()), inline=True)
-        on("here", lambda s, b: self.put(lambda now: self.core.announced(wire.decode_status(b), now)), inline=True)
+        transport, on = node.transport, node.transport.on
+        transport.on_peer_disconnected = lambda peer: self.post(lambda now: self.core.peer_disconnected(peer, now))
+        on("raft", self._on_raft_message, inline=True)
+        on("want", lambda _, body: wire.encode(self._replicate(wire.decode_replication_request(body))))
+        on("offer", lambda _, body: wire.encode(self._offer_locally(wire.decode_command_request(body))))
+        on("read", lambda _, body: wire.encode(self._read_locally(2.0)))
+        on("who", lambda _, body: wire.encode(self.process_status()), inline=True)
+        on(
+            "here",
+            lambda _, body: self.post(lambda now: self.core.announced(wire.decode_status(body), now)),
+            inline=True,
+        )
 
     def __enter__(self) -> ControlTask:
-        """Begins to run."""
-        jobs = (self._run, self.bootstrap_task.run, self._watch)
+        """Starts the event loop, the bootstrap task and the failure detector poll."""
+        jobs = (self._run, self.bootstrap_task.run, self._report_detector_verdicts)
         self._jobs = [vital(gevent.spawn(job)) for job in jobs]
         return self
 
     def __exit__(self, *_) -> None:
-        """Whoever still waits for the machine hears that nothing is decided, before the server cuts it off."""
+        """Stops; pending calls end as undecided before the server closes their connections."""
         self._stopping = True
         gevent.killall(self._jobs)
-        for w in list(self._waits):
-            w.set(None)
+        for waiter in list(self._waiters):
+            waiter.set(None)
 
     def tree(self) -> Tree:
-        """The configuration as this process has it."""
-        s = self.core.state
-        if s is None:
+        """Returns the configuration that this process has applied."""
+        state = self.core.state
+        if state is None:
             return EMPTY_TREE
-        if self._tree[0] != s.settings.doc_revision or self._tree[0] == 0:
-            doc = msgspec.json.decode(s.settings.doc)
-            self._tree = (s.settings.doc_revision, build(doc).unwrap())
+        if self._tree[0] != state.settings.doc_revision or self._tree[0] == 0:
+            doc = msgspec.json.decode(state.settings.doc)
+            self._tree = (state.settings.doc_revision, build(doc).unwrap())
         return self._tree[1]
 
     def check(self, doc: dict) -> Result[Tree, Findings]:
-        """Compiles a document beside the loop; the tree, or what is wrong with it."""
+        """Compiles a document off the event loop; returns the tree or its findings."""
         return gevent.get_hub().threadpool.apply(build, (doc,))
 
     def offer(
         self, command: bytes, limit: float, attempt: float = 60.0, effect: float | None = None
     ) -> wire.CommandResponse:
-        """Offers a command to whoever leads until the limit; what may have run never ends as refused.
+        """Offers a command to the leader until `limit` (s); one that may have run is never reported as refused.
 
-        All in s. It takes effect within `effect` or never; the rest of the limit is for its acknowledgement.
+        It takes effect within `effect` (s) or never; the rest of `limit` is for its acknowledgement.
         """
         begun = clock.now()
-        end, call, t = (
-            begun + limit,
-            Call(self._session, command, begun + (effect or limit)),
-            wire.CommandResponse(Code.LEADER),
-        )
-        while t.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._stopping:
+        end = begun + limit
+        call = Call(self._session, command, begun + (effect or limit))
+        response = wire.CommandResponse(Code.LEADER)
+        while response.code in RETRYABLE and (left := end - (now := clock.now())) > 0 and not self._stopping:
             data = call.data(self.core.clock.estimate(now), now)
-            t = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
-            if t.code not in RETRYABLE or call.is_over(clock.now()):
+            response = call.heard(self._offer_once(data, min(left, attempt)), clock.now())
+            if response.code not in RETRYABLE or call.is_over(clock.now()):
                 break
             gevent.sleep(min(0.05, max(0.0, end - clock.now())))
-        return call.ended(t, RETRYABLE)
+        return call.ended(response, RETRYABLE)
 
     def _offer_once(self, command: bytes, limit: float) -> wire.CommandResponse:
-        """A control process that is blank or whose disk refuses holds no command back: another one is asked."""
-        other = self._other() if self.core.raft is None or self.stalled else None
-        own = other is None and not self.stalled
-        t = self._offer(wire.CommandRequest(command, limit)) if own else wire.CommandResponse(Code.LEADER, leader=other)
-        if t.code != Code.LEADER or t.leader is None or t.leader == self.node.settings.transport:
-            return t
-        to, self._leader_hint = t.leader, None
-        r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(command, limit)), limit)
-        if r.is_err():
+        """Offers the command once; a process that is blank or whose disk refuses writes passes it to another one."""
+        other = self._choose_control_process() if self.core.raft is None or self.stalled else None
+        request, local = wire.CommandRequest(command, limit), other is None and not self.stalled
+        response = self._offer_locally(request) if local else wire.CommandResponse(Code.LEADER, leader=other)
+        if response.code != Code.LEADER or response.leader is None or response.leader == self.node.settings.transport:
+            return response
+        to, self._leader_hint = response.leader, None
+        reply = self.node.transport.call(to, "offer", wire.encode(request), limit)
+        if reply.is_err():
             return wire.CommandResponse(Code.UNDECIDED)
-        t = wire.decode_command_response(r.ok_value)
-        self._leader_hint = t.leader if t.code in RETRYABLE else to
-        return t
+        response = wire.decode_command_response(reply.ok_value)
+        self._leader_hint = response.leader if response.code in RETRYABLE else to
+        return response
 
-    def _other(self) -> Address | None:
-        controls = [r.addr for r in self.node.membership.alive("control")]
+    def _choose_control_process(self) -> Address | None:
+        controls = [record.addr for record in self.node.membership.alive("control")]
         return self._leader_hint if self._leader_hint in controls else random.choice(controls) if controls else None
 
     def read(self, limit: float) -> wire.CommandResponse:
-        """Asks whoever leads for a confirmed revision and waits until it is applied here, `limit` seconds at most."""
+        """Asks the leader for a confirmed revision and waits until it is applied here, `limit` s at most."""
         if self.stalled:
-            return wire.CommandResponse(Code.LEADER, leader=self._other())
+            return wire.CommandResponse(Code.LEADER, leader=self._choose_control_process())
         end = clock.now() + limit
-        t = self._read(limit)
-        if t.code != Code.LEADER or t.leader is None or t.leader == self.node.settings.transport:
-            return t
-        r = self.node.transport.call(t.leader, "read", b"", limit)
-        if r.is_err():
+        response = self._read_locally(limit)
+        if response.code != Code.LEADER or response.leader is None or response.leader == self.node.settings.transport:
+            return response
+        reply = self.node.transport.call(response.leader, "read", b"", limit)
+        if reply.is_err():
             return wire.CommandResponse(Code.UNDECIDED)
-        t = wire.decode_command_response(r.ok_value)
-        while t.code == Code.OK and (self.core.state is None or self.core.state.revision < t.revision):
+        response = wire.decode_command_response(reply.ok_value)
+        while response.code == Code.OK and (self.core.state is None or self.core.state.revision < response.revision):
             if clock.now() > end or self._stopping:
                 return wire.CommandResponse(Code.UNDECIDED)
             gevent.sleep(0.01)
-        return t
+        return response
 
-    def _read(self, limit: float) -> wire.CommandResponse:
+    def _read_locally(self, limit: float) -> wire.CommandResponse:
         if self._stopping:
             return wire.CommandResponse(Code.LEADER)
-        t = self._do(lambda t, now: self.core.read(t, now + limit, now), limit + 0.5)
-        return t or wire.CommandResponse(Code.UNDECIDED)
+        response = self._await_reply(lambda token, now: self.core.read(token, now + limit, now), limit + 0.5)
+        return response or wire.CommandResponse(Code.UNDECIDED)
 
-    def hand_over(self) -> None:
-        """Begins to leave: another is to lead, and this one's seat is free for whoever holds all."""
+    def begin_leaving(self) -> None:
+        """Begins to leave: transfers the leadership and offers its seat to a caught-up member."""
         self.core.members.leaving = True
-        self.put(lambda now: self.core.raft and self.core.raft.transfer_leadership())
-        self.bootstrap_task.say_here()
+        self.post(lambda now: self.core.raft and self.core.raft.transfer_leadership())
+        self.bootstrap_task.announce()
 
-    def _watch(self) -> None:
-        """Shows the leader's machine what the failure detector says of its members."""
+    def _report_detector_verdicts(self) -> None:
+        """Passes the failure detector's verdicts on the members to the core while this process leads."""
         while True:
-            gevent.sleep(VERDICTS)
+            gevent.sleep(DETECTOR_POLL_INTERVAL_S)
             raft = self.core.raft
             if raft is None or not raft.leads:
                 continue
             view = self.node.membership.membership.view
-            records = [view[a] for a in raft.log.configuration.members().values() if a in view]
-            departed = {r.addr: r.boot for r in records if r.state in (FAILED, LEFT)}
-            reassigned_addresses = {r.addr for r in records if r.role != "control"}
-            self.put(
-                lambda now, verdicts=(departed, reassigned_addresses): self.core.members.update_detector_verdicts(
-                    *verdicts
-                )
-            )
+            records = [view[address] for address in raft.log.configuration.members().values() if address in view]
+            departed = {record.addr: record.boot for record in records if record.state in (FAILED, LEFT)}
+            reassigned_addresses = {record.addr for record in records if record.role != "control"}
+            verdicts = departed, reassigned_addresses
+            self.post(lambda now, verdicts=verdicts: self.core.members.update_detector_verdicts(*verdicts))
 
-    def _offer(self, o: wire.CommandRequest) -> wire.CommandResponse:
+    def _offer_locally(self, request: wire.CommandRequest) -> wire.CommandResponse:
         if self._stopping:
             return wire.CommandResponse(Code.LEADER)
-        t = self._do(lambda t, now: self.core.propose(o.command, t, now + o.limit, now), o.limit + 0.5)
-        return t or wire.CommandResponse(Code.UNDECIDED)
+        response = self._await_reply(
+            lambda token, now: self.core.propose(request.command, token, now + request.limit, now), request.limit + 0.5
+        )
+        return response or wire.CommandResponse(Code.UNDECIDED)
 
-    def _do(self, act, limit: float):
-        w = AsyncResult()
-        self._waits.add(w)
-        self.put(lambda now: act(w, now))
+    def _await_reply(self, event, limit: float):
+        waiter = AsyncResult()
+        self._waiters.add(waiter)
+        self.post(lambda now: event(waiter, now))
         try:
-            return w.get(timeout=limit)
+            return waiter.get(timeout=limit)
         except gevent.Timeout:
             return None
         finally:
-            self._waits.discard(w)
+            self._waiters.discard(waiter)
 
-    def put(self, act) -> None:
-        """Has the loop call `act` with the time (s)."""
-        self._box.put(act)
+    def post(self, event) -> None:
+        """Queues `event`, which the event loop calls with the time (s)."""
+        self._events.put(event)
 
-    def _want(self, w: wire.ReplicationRequest) -> wire.ReplicationResponse:
-        self.bootstrap_task.heard(w)
-        return self._do(lambda t, now: self.core.replicate(w, t, now), 2.0) or wire.ReplicationResponse(None)
+    def _replicate(self, request: wire.ReplicationRequest) -> wire.ReplicationResponse:
+        self.bootstrap_task.record_state_holder(request)
+        response = self._await_reply(lambda token, now: self.core.replicate(request, token, now), 2.0)
+        return response or wire.ReplicationResponse(None)
 
-    def _vote(self, sender: Address, body: bytes) -> None:
-        e = decode_envelope(body)
-        self.put(lambda now: self.core.receive(e, now))
+    def _on_raft_message(self, sender: Address, body: bytes) -> None:
+        envelope = decode_envelope(body)
+        self.post(lambda now: self.core.receive(envelope, now))
         if (
-            isinstance(e.body, InstallSnapshot)
+            isinstance(envelope.body, InstallSnapshot)
             and self.core.raft
-            and e.group == self.core.raft.group
-            and e.body.snapshot.index > self.core.raft.commit_index
-            and self._fetching.announced(e.body.snapshot.index)
+            and envelope.group == self.core.raft.group
+            and envelope.body.snapshot.index > self.core.raft.commit_index
+            and self._fetching.announced(envelope.body.snapshot.index)
         ):
-            gevent.spawn(self._install, e)
+            gevent.spawn(self._fetch_snapshot, envelope)
 
-    def _install(self, e: Envelope) -> None:
-        """Fetches an announced snapshot by pieces, stores it beside the log, and only then shows it to the machine."""
+    def _fetch_snapshot(self, envelope: Envelope) -> None:
+        """Fetches the pieces of an announced snapshot and stores it beside the log before the core installs it."""
+        group, index = envelope.group, envelope.body.snapshot.index
         try:
-            r = self.puller.pull(
-                e.address, BASE, lambda offered: offered.group == e.group and offered.index >= e.body.snapshot.index
+            pulled = self.puller.pull(
+                envelope.address, BASE, lambda label: label.group == group and label.index >= index
             )
-            if r.is_err():
+            if pulled.is_err():
                 return self.node.counts.add("snapshots_not_fetched")
-            p, s = r.ok_value
-            name = self._store(p)
+            snapshot, state = pulled.ok_value
+            name = self._store_snapshot(snapshot)
             if name is None:
                 return
-            m = msgspec.structs.replace(e.body, snapshot=p)
-            self.put(lambda now: self._show(msgspec.structs.replace(e, body=m), s, name, now))
+            whole = msgspec.structs.replace(envelope, body=msgspec.structs.replace(envelope.body, snapshot=snapshot))
+            self.post(lambda now: self._install_snapshot(whole, state, name, now))
         finally:
             self.node.counts.add("snapshots_overtaken", self._fetching.end())
 
-    def _show(self, e: Envelope, s: ReplicatedState, name: str, now: float) -> None:
-        raft = self.core.raft
-        if (
-            raft is None
-            or raft.group != e.group
-            or e.body.snapshot.index <= raft.commit_index
-            or e.body.term < raft.term
-        ):
+    def _install_snapshot(self, envelope: Envelope, state: ReplicatedState, name: str, now: float) -> None:
+        raft, term, snapshot = self.core.raft, envelope.body.term, envelope.body.snapshot
+        if raft is None or raft.group != envelope.group or snapshot.index <= raft.commit_index or term < raft.term:
             return self.persist(lambda: self.disk_log.drop_snapshot(name))
-        self._stored = {(e.group, e.body.snapshot.index): name}
-        self.core.keep_fetched_state(e.body.snapshot, s)
-        self.core.receive(e, now)
+        self._stored_snapshot = {(envelope.group, snapshot.index): name}
+        self.core.keep_fetched_state(snapshot, state)
+        self.core.receive(envelope, now)
 
-    def _store(self, p: RaftSnapshot) -> str | None:
-        """Writes a snapshot beside the log; a disk without room for it is not yet one without room for the log."""
-        with self.disk:
+    def _store_snapshot(self, snapshot: RaftSnapshot) -> str | None:
+        """Stores a snapshot beside the log; None if that fails, as the disk may still have room for log entries."""
+        with self.disk_lock:
             name = self.disk_log.reserve_snapshot()
             try:
-                gevent.get_hub().threadpool.apply(self.disk_log.store_snapshot, (name, store.encode_snapshot(p)))
+                gevent.get_hub().threadpool.apply(self.disk_log.store_snapshot, (name, store.encode_snapshot(snapshot)))
                 return name
-            except OSError as e:
+            except OSError as error:
                 self.node.counts.add("snapshots_not_stored")
-                return change("snapshot_not_stored", error=str(e), bytes=sum(map(len, p.state)))
+                return change("snapshot_not_stored", error=str(error), bytes=sum(map(len, snapshot.state)))
 
-    def who(self) -> wire.ProcessStatus:
-        """What this process says of itself."""
+    def process_status(self) -> wire.ProcessStatus:
+        """Returns the status that this process reports to others."""
         return self.core.process_status("control", self.node.settings.seeds)
 
     def _run(self) -> None:
         while True:
             now = clock.now()
-            for act in self._take(max(0.001, self.core.timer(now) - now)):
-                act(clock.now())
+            for event in self._take_events(max(0.001, self.core.timer(now) - now)):
+                event(clock.now())
             self.core.tick(clock.now())
             self._flush()
-            self._log()
+            self._log_changes()
 
-    def _take(self, wait: float) -> list:
-        out: list = []
+    def _take_events(self, wait: float) -> list:
+        events: list = []
         try:
-            out.append(self._box.get(timeout=wait))
-            while len(out) < ACTS_AT_ONCE:
-                out.append(self._box.get_nowait())
+            events.append(self._events.get(timeout=wait))
+            while len(events) < MAX_EVENTS_PER_SAVE:
+                events.append(self._events.get_nowait())
         except Empty:
             pass
-        return out
+        return events
 
     def _flush(self) -> None:
-        r = self.core.ready(clock.now())
-        if r is not None:
+        ready = self.core.ready(clock.now())
+        if ready is not None:
             group = self.core.raft.group
-            self._send(group, r.before_save)
-            if r.entries or r.hard_state is not None:
+            self._send(group, ready.before_save)
+            if ready.entries or ready.hard_state is not None:
                 self.node.counts.add("log_batches")
-                self.node.counts.add("log_entries", len(r.entries))
-                self.node.counts.add("log_bytes", sum(len(e.data) for e in r.entries))
-            stored = self._stored.pop((group, r.snapshot.index), None) if r.snapshot is not None else None
-            self.persist(lambda: store.save(self.disk_log, r, self.core.raft.hard_state(), stored))
-            self._send(group, r.after_save)
-            self.core.saved(r, clock.now())
-            if self.disk_log.snapshot_due() and not self._saving and not self.puller.holds():
-                self._saving = True
+                self.node.counts.add("log_entries", len(ready.entries))
+                self.node.counts.add("log_bytes", sum(len(entry.data) for entry in ready.entries))
+            installed = ready.snapshot
+            stored = self._stored_snapshot.pop((group, installed.index), None) if installed is not None else None
+            self.persist(lambda: store.save(self.disk_log, ready, self.core.raft.hard_state(), stored))
+            self._send(group, ready.after_save)
+            self.core.saved(ready, clock.now())
+            if self.disk_log.snapshot_due() and not self._compacting and not self.puller.holds():
+                self._compacting = True
                 gevent.spawn(self._compact, *self.core.snapshot())
         replies, self.core.replies = self.core.replies, []
-        for w, body in replies:
-            w.set(body)
+        for waiter, body in replies:
+            waiter.set(body)
 
-    def persist(self, act) -> None:
-        """Writes to disk off the loop, again and again until the disk takes it."""
+    def persist(self, write) -> None:
+        """Runs a disk write off the event loop and retries it until it succeeds."""
         pool = gevent.get_hub().threadpool
         while True:
             try:
-                t = clock.now()
-                pool.apply(act)
-                if clock.now() - t > 1.0:
+                begun = clock.now()
+                pool.apply(write)
+                if clock.now() - begun > 1.0:
                     self.node.counts.add("disk_slow")
                 if self.stalled:
                     change("disk_well")
                 self.stalled = False
                 return
-            except OSError as e:
+            except OSError as error:
                 if not self.stalled:
-                    change("disk_refuses", error=str(e))
+                    change("disk_refuses", error=str(error))
                 self.stalled = True
                 self.node.counts.add("disk_errors")
                 gevent.sleep(0.5)
 
-    def _compact(self, p: RaftSnapshot, pieces: Iterator[bytes]) -> None:
-        """Makes and stores a snapshot while the machine goes on; the log turns to it once it is safe."""
-        p = fill(p, pieces)
-        name = self._store(p)
+    def _compact(self, snapshot: RaftSnapshot, pieces: Iterator[bytes]) -> None:
+        """Encodes and stores a snapshot while the core keeps running, then restarts the log from it."""
+        snapshot = fill(snapshot, pieces)
+        name = self._store_snapshot(snapshot)
         if name is None:
-            gevent.sleep(STORE_AGAIN)
-            self._saving = False
+            gevent.sleep(SNAPSHOT_RETRY_DELAY_S)
+            self._compacting = False
             return
-        self.put(lambda now: self._turn(p, name))
+        self.post(lambda now: self._restart_log(snapshot, name))
 
-    def _turn(self, p: RaftSnapshot, name: str) -> None:
-        raft, self._saving = self.core.raft, False
-        if raft is None or raft.group != p.group or p.index <= raft.log.snapshot_index:
+    def _restart_log(self, snapshot: RaftSnapshot, name: str) -> None:
+        raft, self._compacting = self.core.raft, False
+        if raft is None or raft.group != snapshot.group or snapshot.index <= raft.log.snapshot_index:
             return self.persist(lambda: self.disk_log.drop_snapshot(name))
-        tail = [e for e in raft.log.entries if e.index > p.index]
-        first = store.encode_log_head(raft.hard_state(), tail)
-        self.persist(lambda: store.restart_log(self.disk_log, p, first, name))
-        self.core.compact(p)
+        tail = [entry for entry in raft.log.entries if entry.index > snapshot.index]
+        log_head = store.encode_log_head(raft.hard_state(), tail)
+        self.persist(lambda: store.restart_log(self.disk_log, snapshot, log_head, name))
+        self.core.compact(snapshot)
         self.node.counts.add("snapshots_taken")
 
-    def _send(self, group: GroupId, out: list) -> None:
-        for to, message in out:
+    def _send(self, group: GroupId, messages: list) -> None:
+        for to, message in messages:
             address = self.core.address_of(to)
             if address is None:
                 self.node.counts.add("raft_unaddressed")
                 continue
-            e = Envelope(group, self.core.id, to, self.node.settings.transport, without_snapshot_pieces(message))
-            self.node.transport.cast(address, "raft", encode(e))
+            envelope = Envelope(group, self.core.id, to, self.node.settings.transport, without_snapshot_pieces(message))
+            self.node.transport.cast(address, "raft", encode(envelope))
 
-    def _log(self) -> None:
+    def _log_changes(self) -> None:
         decided, self.core.decided = self.core.decided, []
-        r = self.core.raft
-        term = r.term if r else 0
-        for c, o in decided:
-            fields = {f: str(getattr(c, f)) for f in c.__struct_fields__ if f not in ("doc", "digest")}
-            change(f"decided_{type(c).__name__.lower()}", said=o.code, revision=o.revision, term=term, **fields)
-        role = r.role if r else "blank"
-        if role in (self._role_said, "pre"):
+        raft = self.core.raft
+        term = raft.term if raft else 0
+        for command, outcome in decided:
+            fields = {f: str(getattr(command, f)) for f in command.__struct_fields__ if f not in ("doc", "digest")}
+            code, revision = outcome.code, outcome.revision
+            change(f"decided_{type(command).__name__.lower()}", said=code, revision=revision, term=term, **fields)
+        role = raft.role if raft else "blank"
+        if role in (self._logged_role, "pre"):
             return
-        self._role_said = role
-        change("raft_role", role=role, term=term, generation=r.group.generation if r else 0)
+        self._logged_role = role
+        change("raft_role", role=role, term=term, generation=raft.group.generation if raft else 0)
 
 
-def without_snapshot_pieces(m: Message) -> Message:
-    """A snapshot is only named in a message; its pieces are fetched."""
-    if not isinstance(m, InstallSnapshot):
-        return m
-    return msgspec.structs.replace(m, snapshot=msgspec.structs.replace(m.snapshot, state=[]))
+def without_snapshot_pieces(message: Message) -> Message:
+    """Returns the message with only the label of its snapshot, if any: the receiver fetches the pieces."""
+    if not isinstance(message, InstallSnapshot):
+        return message
+    return msgspec.structs.replace(message, snapshot=msgspec.structs.replace(message.snapshot, state=[]))
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -123,7 +123,7 @@
     with serving(app) as server:
         c = Client(server, PUT)
         with gevent.Timeout(10):
-            control._box.peek()
+            control._events.peek()
         control.__exit__()
     status, outcome, body = c.answer()
     assert (status, outcome, body["findings"][0]["place"]) == (504, web.UNDECIDED, "control")
@@ -136,4 +136,4 @@
     with serving(app) as server, gevent.Timeout(10):
         assert Client(server, PUT).answer()[:2] == (503, web.UNDECIDED)
         assert Client(server, PUT.replace(b"Mallow-Key", b"Other")).answer()[:2] == (503, web.NOT_RUN)
-    assert control._box.empty()
+    assert control._events.empty()
