--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -1,4 +1,4 @@
-"""The daemon's side of a replica: follows the leader, and goes on without one."""
+"""Runs `Replica` in a daemon: follows the leader, and searches for newer settings while there is none."""
 
 from __future__ import annotations
 
@@ -27,20 +27,26 @@
 from mallowvalve.raft.messages import COMMAND, Entry
 from mallowvalve.types import Address
 
-ROUND = 0.3
-ROUND_MOST = 3
-SEEK, SEEK_MOST = 0.8, 3
-OVER = 0.6
-SHUN = 1.0
-ANYWHERE = 1.0
-FIRST, FIRST_AGAIN, FIRST_WAIT, FIRST_LIMIT = 0.02, 0.1, 0.05, 0.4
-HOLD_ON = 1.0
-LARGE = 32768
+REVISION_QUERY_INTERVAL_S = 0.3
+MAX_REVISION_QUERY_TARGETS = 3
+LEADER_SEARCH_TIMEOUT_S = 0.8
+MAX_LEADER_SEARCH_TARGETS = 3
+RESPONSE_GRACE_S = 0.6
+"""How long a response may take beyond the time for which the leader may delay it."""
+AVOID_UNRESPONSIVE_S = 1.0
+SETTINGS_SEARCH_INTERVAL_S = 1.0
+INITIAL_FETCH_DELAY_S = 0.02
+INITIAL_RETRY_DELAY_S = 0.1
+INITIAL_FURTHER_ANSWERS_S = 0.05
+"""How long a start waits for further answers after the first process that has settings."""
+STATUS_QUERY_TIMEOUT_S = 0.4
+SERVE_ON_MAX_WAIT_S = 1.0
+LARGE_DOC_BYTES = 32768
 ATTEMPT_TIMEOUT_S = 0.8
 
 
 class ReplicaTask:
-    """Owns a `Replica`; a context manager that follows while it is open."""
+    """Owns a `Replica` and follows the leader while the context is open."""
 
     __slots__ = (
         "node",
@@ -49,48 +55,56 @@
         "_jobs",
         "_rng",
         "_fetching",
-        "_met",
-        "_shunned",
-        "_sought",
+        "_last_responder",
+        "_unresponsive_until",
+        "_last_settings_search_at",
         "settings_available",
         "_session",
     )
 
     def __init__(self, node: Node):
-        """For one process, whose transport it answers on."""
+        """Creates the task of the node and registers its transport handlers and gauges."""
         self.node = node
-        p = node.settings
-        max_wait_s = HOLD_ON if p.serve_on else DEFAULT_MAX_WAIT_S
-        self.replica = Replica(p.transport, node.boot, p.role, p.locality, self._settings, p.holds, max_wait_s)
+        settings = node.settings
+        max_wait_s = SERVE_ON_MAX_WAIT_S if settings.serve_on else DEFAULT_MAX_WAIT_S
+        self.replica = Replica(
+            settings.transport,
+            node.boot,
+            settings.role,
+            settings.locality,
+            self._log_settings,
+            settings.holds,
+            max_wait_s,
+        )
         self._rng = random.Random()
         self._fetching = False
         self.puller = Puller(node.transport, self.replica.snapshot, settings=self.replica.settings_snapshot)
-        self._met: Address | None = None
-        self._shunned: dict[Address, float] = {}
-        self._sought = -1e9
+        self._last_responder: Address | None = None
+        self._unresponsive_until: dict[Address, float] = {}
+        self._last_settings_search_at = -1e9
         self._session = Session(lambda: secrets.randbits(64))
         self.settings_available = Event()
         on = node.transport.on
         on(
             "round",
-            lambda s, b: wire.encode(self.replica.answer_revision_query(wire.decode_revision_query(b))),
+            lambda _, body: wire.encode(self.replica.answer_revision_query(wire.decode_revision_query(body))),
             inline=True,
         )
-        on("who", lambda s, b: wire.encode(self._who()), inline=True)
+        on("who", lambda _, body: wire.encode(self._process_status()), inline=True)
         node.gauge("revision", lambda: self.replica.revision)
         node.gauge("held_index", lambda: self.replica.state.index if self.replica.state else 0)
         node.gauge("fresh", lambda: self.replica.fresh(clock.now()))
         node.allow(lambda service: service in self.tree.doc.services)
 
     def __enter__(self) -> ReplicaTask:
-        """Begins to follow."""
-        self._jobs = [vital(gevent.spawn(self._follow)), vital(gevent.spawn(self._rounds))]
+        """Starts to follow the leader."""
+        self._jobs = [vital(gevent.spawn(self._follow)), vital(gevent.spawn(self._query_revisions))]
         if self.node.settings.serve_on:
-            self._jobs.append(vital(gevent.spawn(self._begin)))
+            self._jobs.append(vital(gevent.spawn(self._fetch_initial_settings)))
         return self
 
     def __exit__(self, *_) -> None:
-        """Ends."""
+        """Stops the jobs."""
         gevent.killall(self._jobs)
 
     @property
@@ -99,26 +113,26 @@
         return self.replica.tree
 
     def admits(self) -> bool:
-        """Whether requests may be admitted by what is held."""
+        """Whether requests may be admitted by the settings held."""
         return self.replica.admits(clock.now())
 
     def control(self) -> Address | None:
-        """The control process to ask: the leader, or one that may know it; None where none is known."""
+        """Returns the control process to ask: the leader, or another one; None if none is known."""
         if self.replica.leader is not None:
             return self.replica.leader
-        return next(iter(self._controls()), None)
-
-    def _controls(self) -> list[Address]:
-        """The control processes to ask, those just found silent last; seeds too, for membership may know nobody yet."""
-        alive = [r.addr for r in self.node.membership.alive("control")]
-        seeds = [a for a in self.node.settings.seeds if a not in alive]
-        for some in (alive, seeds):
-            self._rng.shuffle(some)
+        return next(iter(self._control_processes()), None)
+
+    def _control_processes(self) -> list[Address]:
+        """Returns the control processes and the seeds, as membership may be empty yet; unresponsive ones come last."""
+        alive = [record.addr for record in self.node.membership.alive("control")]
+        seeds = [address for address in self.node.settings.seeds if address not in alive]
+        for addresses in (alive, seeds):
+            self._rng.shuffle(addresses)
         now = clock.now()
-        return sorted([*alive, *seeds], key=lambda a: self._shunned.get(a, now) > now)
+        return sorted([*alive, *seeds], key=lambda address: self._unresponsive_until.get(address, now) > now)
 
     def offer(self, command: bytes, limit: float) -> wire.CommandResponse:
-        """Offers a command in short attempts, for a dead leader's machine answers nothing; all limits in s."""
+        """Offers a command until `limit` (s) in short attempts, as the machine of a dead leader doesn't respond."""
         end = clock.now() + limit
         call = Call(self._session, command, end)
         while (left := end - clock.now()) > 0:
@@ -128,26 +142,28 @@
                 continue
             left = min(left, ATTEMPT_TIMEOUT_S)
             data = call.data(self.replica.clock(now := clock.now()), now)
-            r = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
-            if r.is_err():
+            reply = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
+            if reply.is_err():
                 call.heard(wire.CommandResponse(Code.UNDECIDED), clock.now())
                 self._forget(to)
                 gevent.sleep(min(0.05, left))
                 continue
-            t = call.heard(wire.decode_command_response(r.ok_value), clock.now())
-            if t.code not in RETRYABLE:
-                return call.ended(t, RETRYABLE)
-            self.replica.leader = t.leader
+            response = call.heard(wire.decode_command_response(reply.ok_value), clock.now())
+            if response.code not in RETRYABLE:
+                return call.ended(response, RETRYABLE)
+            self.replica.leader = response.leader
             gevent.sleep(min(0.05, left))
         return wire.CommandResponse(Code.UNDECIDED)
 
-    def _forget(self, a: Address) -> None:
-        if self.replica.leader == a:
+    def _forget(self, address: Address) -> None:
+        """Avoids an unresponsive process for a while, and no longer takes it for the leader."""
+        if self.replica.leader == address:
             self.replica.leader = None
         now = clock.now()
-        self._shunned = {x: t for x, t in self._shunned.items() if t > now} | {a: now + SHUN}
+        unresponsive = {other: until for other, until in self._unresponsive_until.items() if until > now}
+        self._unresponsive_until = unresponsive | {address: now + AVOID_UNRESPONSIVE_S}
 
-    def _settings(self, built: Result[Tree, Findings]) -> None:
+    def _log_settings(self, built: Result[Tree, Findings]) -> None:
         if built.is_ok():
             self.node.counts.add("snapshots")
             return change(
@@ -157,178 +173,189 @@
             )
         change("snapshot_not_understood", revision=self.replica.revision, findings=[str(f) for f in built.err_value])
 
-    def _who(self) -> wire.ProcessStatus:
-        p, e = self.node.settings, self.replica
+    def _process_status(self) -> wire.ProcessStatus:
+        settings, replica = self.node.settings, self.replica
         return wire.ProcessStatus(
-            p.role,
+            settings.role,
             "",
-            p.transport,
-            p.locality,
-            p.seeds,
-            e.state is None,
-            e.group,
-            e.state.index if e.state else 0,
-            e.voters,
-            e.leader,
-            e.scope == "all",
+            settings.transport,
+            settings.locality,
+            settings.seeds,
+            replica.state is None,
+            replica.group,
+            replica.state.index if replica.state else 0,
+            replica.voters,
+            replica.leader,
+            replica.scope == "all",
         )
 
     def _follow(self) -> None:
         while True:
             to = self.replica.leader
             if to is None:
-                self._seek()
+                self._find_leader()
                 continue
-            max_wait_s = self.replica.max_wait_s if to == self._met else 0.0
-            f = self._want(to, max_wait_s, max_wait_s + OVER)
-            if f is None:
+            max_wait_s = self.replica.max_wait_s if to == self._last_responder else 0.0
+            response = self._request_entries(to, max_wait_s, max_wait_s + RESPONSE_GRACE_S)
+            if response is None:
                 self._forget(to)
                 continue
-            self._take(to, f)
-            if f.group is None:
-                gevent.sleep(0.05 if f.leader in (None, to) else 0.01)
-
-    def _want(self, to: Address, max_wait_s: float, limit: float) -> wire.ReplicationResponse | None:
-        r = self.node.transport.call(
-            to, "want", wire.encode(self.replica.replication_request(clock.now(), max_wait_s)), limit
-        )
-        return wire.decode_replication_response(r.ok_value) if r.is_ok() else None
-
-    def _take(self, of: Address, f: wire.ReplicationResponse) -> None:
-        warm(large_docs(f.entries))
-        self.replica.receive_response(f, clock.now())
-        self._note()
-        if f.group is None:
+            self._handle_response(to, response)
+            if response.group is None:
+                gevent.sleep(0.05 if response.leader in (None, to) else 0.01)
+
+    def _request_entries(self, to: Address, max_wait_s: float, limit: float) -> wire.ReplicationResponse | None:
+        request = self.replica.replication_request(clock.now(), max_wait_s)
+        reply = self.node.transport.call(to, "want", wire.encode(request), limit)
+        return wire.decode_replication_response(reply.ok_value) if reply.is_ok() else None
+
+    def _handle_response(self, sender: Address, response: wire.ReplicationResponse) -> None:
+        prebuild_trees(large_docs(response.entries))
+        self.replica.receive_response(response, clock.now())
+        self._note_settings()
+        if response.group is None:
             return
-        self._met = of
-        if f.needs_snapshot and not self._fetch(of, SETTINGS if self.replica.scope == "settings" else BASE):
+        self._last_responder = sender
+        what = SETTINGS if self.replica.scope == "settings" else BASE
+        if response.needs_snapshot and not self._fetch(sender, what):
             gevent.sleep(0.05)
 
-    def _seek(self) -> None:
-        """Asks a few control processes at once who leads; the first that names a leader that is not silent ends it."""
-        box: Queue = Queue()
-        asked = self._controls()[:SEEK_MOST]
-        for a in asked:
-            gevent.spawn(lambda a=a: box.put((a, self._want(a, 0.0, SEEK))))
+    def _find_leader(self) -> None:
+        """Asks a few control processes in parallel; the first to name a leader that is not unresponsive decides."""
+        responses: Queue = Queue()
+        asked = self._control_processes()[:MAX_LEADER_SEARCH_TARGETS]
+        for address in asked:
+            gevent.spawn(
+                lambda address=address: responses.put(
+                    (address, self._request_entries(address, 0.0, LEADER_SEARCH_TIMEOUT_S))
+                )
+            )
         for _ in asked:
             try:
-                a, f = box.get(timeout=SEEK + 0.1)
+                address, response = responses.get(timeout=LEADER_SEARCH_TIMEOUT_S + 0.1)
             except Empty:
                 break
-            if f is None:
-                self._forget(a)
-            elif f.group is not None and not self.replica.is_older_generation(f.group):
-                return self._take(a, f)
-            elif f.leader is not None and self._shunned.get(f.leader, -1e9) < clock.now():
-                self.replica.leader = f.leader
+            if response is None:
+                self._forget(address)
+            elif response.group is not None and not self.replica.is_older_generation(response.group):
+                return self._handle_response(address, response)
+            elif response.leader is not None and self._unresponsive_until.get(response.leader, -1e9) < clock.now():
+                self.replica.leader = response.leader
                 return
         if self.node.settings.serve_on:
-            self._fetch_anywhere()
+            self._search_settings()
         gevent.sleep(0.1)
 
-    def _begin(self) -> None:
-        """A proxy with nothing to go by takes the newest settings that anybody has, and waits for nobody silent.
+    def _fetch_initial_settings(self) -> None:
+        """Fetches the newest settings that any process has, without waiting for unresponsive ones.
 
-        It asks less and less often: where nobody has any, the whole fleet asks.
+        The retry delay doubles, since the whole fleet asks where no process has settings.
         """
-        gevent.sleep(FIRST)
-        pause = FIRST_AGAIN
+        gevent.sleep(INITIAL_FETCH_DELAY_S)
+        delay = INITIAL_RETRY_DELAY_S
         while not self.settings_available.is_set():
-            self._take_newest(FIRST_WAIT)
-            self.settings_available.wait(timeout=pause)
-            pause = min(2 * pause, ANYWHERE)
+            self._fetch_newest(INITIAL_FURTHER_ANSWERS_S)
+            self.settings_available.wait(timeout=delay)
+            delay = min(2 * delay, SETTINGS_SEARCH_INTERVAL_S)
 
-    def _fetch_anywhere(self) -> None:
-        """The newest settings that a control process or a peer holds, while nobody leads; never older than held."""
+    def _search_settings(self) -> None:
+        """Fetches newer settings from a control process or another replica while there is no leader."""
         now = clock.now()
-        if now - self._sought < ANYWHERE:
+        if now - self._last_settings_search_at < SETTINGS_SEARCH_INTERVAL_S:
             return
-        self._sought = now
-        self._take_newest(None)
-
-    def _take_newest(self, wait: float | None) -> None:
-        """Of all that answer, or of those that do within `wait` (s) once somebody who holds settings has."""
-        proxies = [r.addr for r in self.node.membership.alive("proxy") if r.addr != self.replica.addr]
-        to = [*self._controls()[: 2 * SEEK_MOST], *self._rng.sample(proxies, min(len(proxies), SEEK_MOST))]
-        known = self._known(to, wait)
-        for w in sorted(known, key=lambda w: (w.group.generation, w.index), reverse=True):
-            if self.replica.is_behind(Label(w.group, w.index, 0, w.voters, 0)) and self._fetch(w.addr, self._now):
+        self._last_settings_search_at = now
+        self._fetch_newest(None)
+
+    def _fetch_newest(self, wait: float | None) -> None:
+        """Fetches the newest state of all processes that answer, or that do within `wait` (s) of the first state."""
+        proxies = [record.addr for record in self.node.membership.alive("proxy") if record.addr != self.replica.addr]
+        controls = self._control_processes()[: 2 * MAX_LEADER_SEARCH_TARGETS]
+        sample = self._rng.sample(proxies, min(len(proxies), MAX_LEADER_SEARCH_TARGETS))
+        statuses = self._query_statuses([*controls, *sample], wait)
+        for status in sorted(statuses, key=lambda status: (status.group.generation, status.index), reverse=True):
+            label = Label(status.group, status.index, 0, status.voters, 0)
+            if self.replica.is_behind(label) and self._fetch(status.addr, self._current_state_kind):
                 return
 
-    def _known(self, to: list[Address], wait: float | None) -> list[wire.ProcessStatus]:
-        box: Queue = Queue()
-        for a in to:
-            gevent.spawn(lambda a=a: box.put(self.node.transport.call(a, "who", b"", FIRST_LIMIT)))
-        known: list[wire.ProcessStatus] = []
-        end = clock.now() + FIRST_LIMIT + 0.1
+    def _query_statuses(self, to: list[Address], wait: float | None) -> list[wire.ProcessStatus]:
+        replies: Queue = Queue()
+        for address in to:
+            gevent.spawn(
+                lambda address=address: replies.put(
+                    self.node.transport.call(address, "who", b"", STATUS_QUERY_TIMEOUT_S)
+                )
+            )
+        statuses: list[wire.ProcessStatus] = []
+        end = clock.now() + STATUS_QUERY_TIMEOUT_S + 0.1
         for _ in to:
             try:
-                r = box.get(timeout=max(0.001, end - clock.now()))
+                reply = replies.get(timeout=max(0.001, end - clock.now()))
             except Empty:
                 break
-            w = wire.decode_status(r.ok_value) if r.is_ok() else None
-            if w is None or w.group is None or w.voters is None:
+            status = wire.decode_status(reply.ok_value) if reply.is_ok() else None
+            if status is None or status.group is None or status.voters is None:
                 continue
-            if not known and wait is not None:
+            if not statuses and wait is not None:
                 end = min(end, clock.now() + wait)
-            known.append(w)
-        return known
+            statuses.append(status)
+        return statuses
 
-    def _note(self) -> None:
-        s = self.replica.state
-        if s is not None and s.items.revision:
+    def _note_settings(self) -> None:
+        state = self.replica.state
+        if state is not None and state.items.revision:
             self.settings_available.set()
 
     @property
-    def _now(self) -> bytes:
+    def _current_state_kind(self) -> bytes:
         return SETTINGS if self.replica.scope == "settings" else NOW
 
-    def _fetch(self, a: Address, what: bytes) -> bool:
-        r = self.puller.pull(a, what, self.replica.is_behind)
-        if r.is_err():
+    def _fetch(self, address: Address, what: bytes) -> bool:
+        pulled = self.puller.pull(address, what, self.replica.is_behind)
+        if pulled.is_err():
             return False
-        p, s = r.ok_value
-        warm([s.settings.doc] if len(s.settings.doc) > LARGE else [])
-        self.replica.install(p, s)
-        self._note()
+        snapshot, state = pulled.ok_value
+        prebuild_trees([state.settings.doc] if len(state.settings.doc) > LARGE_DOC_BYTES else [])
+        self.replica.install(snapshot, state)
+        self._note_settings()
         return True
 
-    def _rounds(self) -> None:
+    def _query_revisions(self) -> None:
+        """Asks other replicas for their revision while the leader is silent."""
         while True:
-            gevent.sleep(ROUND)
+            gevent.sleep(REVISION_QUERY_INTERVAL_S)
             now = clock.now()
             if not self.replica.leader_is_silent(now):
                 continue
-            m = self.replica.revision_query(now)
-            if m is None:
+            query = self.replica.revision_query(now)
+            if query is None:
                 continue
-            body = wire.encode(m)
-            others = [a for a in self.replica.roster() if a != self.replica.addr]
+            body = wire.encode(query)
+            others = [address for address in self.replica.roster() if address != self.replica.addr]
             if self.node.settings.serve_on:
-                others = self._rng.sample(others, min(len(others), ROUND_MOST))
-            for a in others:
-                gevent.spawn(self._ask, a, body)
+                others = self._rng.sample(others, min(len(others), MAX_REVISION_QUERY_TARGETS))
+            for address in others:
+                gevent.spawn(self._query_revision, address, body)
 
-    def _ask(self, a: Address, body: bytes) -> None:
-        r = self.node.transport.call(a, "round", body, 1.0)
-        if r.is_err() or not self.replica.receive_revision_reply(wire.decode_revision_reply(r.ok_value)):
+    def _query_revision(self, address: Address, body: bytes) -> None:
+        reply = self.node.transport.call(address, "round", body, 1.0)
+        if reply.is_err() or not self.replica.receive_revision_reply(wire.decode_revision_reply(reply.ok_value)):
             return
         if self._fetching:
             return
         self._fetching = True
         try:
-            self._fetch(a, self._now)
+            self._fetch(address, self._current_state_kind)
         finally:
             self._fetching = False
 
 
 def large_docs(entries: list[Entry]) -> list[bytes]:
-    """The configuration documents among these entries that take long to parse."""
-    datas = [e.data for e in entries if e.kind == COMMAND and len(e.data) > LARGE]
-    return [c.doc for c in map(decode_command, datas) if isinstance(c, Change)]
+    """Returns the configuration documents among the entries that take long to parse."""
+    datas = [entry.data for entry in entries if entry.kind == COMMAND and len(entry.data) > LARGE_DOC_BYTES]
+    return [command.doc for command in map(decode_command, datas) if isinstance(command, Change)]
 
 
-def warm(docs: list[bytes]) -> None:
-    """Parses large new trees off the hub, so that taking them in finds every part remembered."""
+def prebuild_trees(docs: list[bytes]) -> None:
+    """Builds large trees in the thread pool, so that the event loop later finds their parts cached."""
     for doc in docs:
         gevent.get_hub().threadpool.apply(build, (msgspec.json.decode(doc),))
