--- a/mallowvalve/control/bootstrap.py
+++ b/mallowvalve/control/bootstrap.py
@@ -1,4 +1,4 @@
-"""How a core machine starts: it founds a group, joins one, or gives up a state that another group has replaced."""
+"""Decides how a control process starts: it founds a group, joins one, or wipes a state that another group replaced."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from mallowvalve.raft.messages import ClusterConfiguration
 from mallowvalve.types import Address
 
-HOLD, HOLD_FOUND = 0.5, 2.0
+DECISION_DELAY_S = 0.5
+FOUNDING_DELAY_S = 2.0
 
 
 class FoundGroup(msgspec.Struct, frozen=True):
-    """`base` holds all if anybody does; `further` the settings part, where that went on beyond it."""
+    """Found a group from the whole state of `base`, if any, and newer settings of `settings_source`, if any."""
 
     generation: int
     voters: ClusterConfiguration
@@ -22,120 +23,131 @@
 
 
 class JoinGroup(msgspec.Struct, frozen=True):
-    """Join the source's group, from its newest stored snapshot."""
+    """Join the group of the source from its newest stored snapshot."""
 
     source: ProcessStatus
 
 
 class WipeState(msgspec.Struct, frozen=True):
-    """Forget the own state: it belongs to a group that another one has replaced."""
+    """Delete the local state, as another group has replaced its group."""
 
     pass
 
 
 class NoAction(msgspec.Struct, frozen=True):
-    """Do nothing yet."""
+    """Take no action yet, for the given reason."""
 
-    why: str
+    reason: str
 
 
 Decision = FoundGroup | JoinGroup | WipeState | NoAction
 
 
 class DecisionStabilizer:
-    """Lets a decision stand only once it has held for a while."""
+    """Confirms a decision only once it has stayed the same for a while; joining needs no confirmation."""
 
     __slots__ = ("_key", "_since")
 
     def __init__(self):
-        """Nothing was decided yet."""
+        """Creates a stabilizer without a decision."""
         self._key: object = None
         self._since = 0.0
 
-    def confirm(self, v: Decision, now: float) -> Decision | None:
-        """A decision, once it has been the same for long enough (s); None before."""
-        key = (v.generation, v.voters) if isinstance(v, FoundGroup) else type(v)
+    def confirm(self, decision: Decision, now: float) -> Decision | None:
+        """Returns the decision once it has stayed the same for long enough (s), None before."""
+        key = (decision.generation, decision.voters) if isinstance(decision, FoundGroup) else type(decision)
         if key != self._key:
             self._key, self._since = key, now
-        if isinstance(v, NoAction):
+        if isinstance(decision, NoAction):
             return None
-        held = now - self._since >= (HOLD_FOUND if isinstance(v, FoundGroup) else HOLD)
-        return v if held or isinstance(v, JoinGroup) else None
+        confirmed = now - self._since >= (FOUNDING_DELAY_S if isinstance(decision, FoundGroup) else DECISION_DELAY_S)
+        return decision if confirmed or isinstance(decision, JoinGroup) else None
 
 
 def decide(me: ProcessStatus, answers: list[ProcessStatus], first_generation: int, nothing_committed: bool) -> Decision:
-    """What to do by what others answer, and by what this process holds itself: it may know more than all of them."""
-    known = [w for w in [*answers, me] if w.group is not None and w.voters is not None]
-    best = max(known, key=lambda w: (w.group.generation, w.index), default=None)
+    """Decides from the statuses of others and of this process, which may know more than all of them."""
+    known = [status for status in [*answers, me] if status.group is not None and status.voters is not None]
+    best = max(known, key=lambda status: (status.group.generation, status.index), default=None)
     if best is None:
-        return _first(me, answers, first_generation) if me.blank else NoAction("alone")
+        return _decide_first_group(me, answers, first_generation) if me.blank else NoAction("alone")
     if me.group is not None and best.group.generation == me.group.generation:
-        strangers = [w for w in known if w.group.generation == me.group.generation and w.group != me.group]
-        if strangers and nothing_committed and any(w.role == "control" and w.leader for w in strangers):
+        same_generation = [status for status in known if status.group.generation == me.group.generation]
+        strangers = [status for status in same_generation if status.group != me.group]
+        if strangers and nothing_committed and any(other.role == "control" and other.leader for other in strangers):
             return WipeState()
-        return NoAction("member") if me.id in best.voters.all_voters() else _renew(me, answers, known, best)
-    return _join(me, known, best) or (_renew(me, answers, known, best) if me.blank else NoAction("behind"))
+        is_member = me.id in best.voters.all_voters()
+        return NoAction("member") if is_member else _decide_new_group(me, answers, known, best)
+    return _decide_join(me, known, best) or (
+        _decide_new_group(me, answers, known, best) if me.blank else NoAction("behind")
+    )
 
 
-def _first(me: ProcessStatus, answers: list[ProcessStatus], generation: int) -> Decision:
-    if me.addr not in _circle(me):
+def _decide_first_group(me: ProcessStatus, answers: list[ProcessStatus], generation: int) -> Decision:
+    """Founds the first group at the lowest address, once all seeds are blank and list the same seeds."""
+    if me.addr not in _seed_set(me):
         return NoAction("not a seed")
-    by = {w.addr: w for w in answers} | {me.addr: me}
-    silent = [a for a in _circle(me) if a not in by]
+    by_address = {status.addr: status for status in answers} | {me.addr: me}
+    silent = [address for address in _seed_set(me) if address not in by_address]
     if silent:
         return NoAction(f"silent seed {silent[0]}")
-    core = sorted((by[a] for a in _circle(me) if by[a].role == "control"), key=lambda w: w.addr)
-    odd = [w for w in core if not w.blank or set(_circle(w)) != set(_circle(me))]
+    seeds = [by_address[address] for address in _seed_set(me)]
+    core = sorted((status for status in seeds if status.role == "control"), key=lambda status: status.addr)
+    odd = [status for status in core if not status.blank or set(_seed_set(status)) != set(_seed_set(me))]
     if odd:
         return NoAction(f"seed {odd[0].addr} lists other seeds or is not blank")
-    if me.addr not in me.seeds and any(me.addr not in w.seeds for w in core if w.addr != me.addr):
+    if me.addr not in me.seeds and any(me.addr not in status.seeds for status in core if status.addr != me.addr):
         return NoAction("not a seed of the others")
     if core[0].addr != me.addr:
         return NoAction(f"{core[0].addr} founds")
-    return FoundGroup(generation, ClusterConfiguration({w.id: w.addr for w in core}), None)
+    return FoundGroup(generation, ClusterConfiguration({status.id: status.addr for status in core}), None)
 
 
-def _circle(w: ProcessStatus) -> list[Address]:
-    return sorted({*w.seeds, w.addr})
+def _seed_set(status: ProcessStatus) -> list[Address]:
+    return sorted({*status.seeds, status.addr})
 
 
-def _join(me: ProcessStatus, known: list[ProcessStatus], best: ProcessStatus) -> Decision | None:
-    homes = [w for w in known if w.group == best.group and w.role == "control"]
-    for w in homes:
-        if w.voters.address(me.id) is not None:
-            return JoinGroup(w)
-    if homes and not me.blank and me.group.generation < best.group.generation:
+def _decide_join(me: ProcessStatus, known: list[ProcessStatus], best: ProcessStatus) -> Decision | None:
+    members = [status for status in known if status.group == best.group and status.role == "control"]
+    for member in members:
+        if member.voters.address(me.id) is not None:
+            return JoinGroup(member)
+    if members and not me.blank and me.group.generation < best.group.generation:
         return WipeState()
     return None
 
 
-def _renew(
+def _decide_new_group(
     me: ProcessStatus, answers: list[ProcessStatus], known: list[ProcessStatus], best: ProcessStatus
 ) -> Decision:
-    """Founds anew if most voters of the newest configuration, and of each set of a joint one, came back empty."""
-    control = [w for w in [*answers, me] if w.role == "control"]
-    alive, at = {w.id for w in control}, {w.addr: w for w in control}
-    last = best.voters.voters
-    lost = {i: at[a] for i, a in best.voters.all_voters().items() if i not in alive and a in at}
-    for part in (last, best.voters.old_voters):
-        gone = len(part.keys() & lost.keys())
-        if part and 2 * gone <= len(part):
-            return NoAction(f"{gone} of {len(part)} voters came back empty")
-    founder = min(w.addr for w in lost.values())
+    """Founds a new generation if a majority of each voter set of the newest configuration came back empty."""
+    control = [status for status in [*answers, me] if status.role == "control"]
+    alive, by_address = {status.id for status in control}, {status.addr: status for status in control}
+    voters = best.voters.voters
+    lost = {
+        member: by_address[address]
+        for member, address in best.voters.all_voters().items()
+        if member not in alive and address in by_address
+    }
+    for voter_set in (voters, best.voters.old_voters):
+        empty = len(voter_set.keys() & lost.keys())
+        if voter_set and 2 * empty <= len(voter_set):
+            return NoAction(f"{empty} of {len(voter_set)} voters came back empty")
+    founder = min(status.addr for status in lost.values())
     if founder != me.addr:
-        return NoAction(f"{founder} founds anew")
-    voters = {(lost[i].id if i in lost else i): a for i, a in last.items()}
-    return FoundGroup(best.group.generation + 1, ClusterConfiguration(voters), *sources(known, best))
+        return NoAction(f"{founder} founds a new generation")
+    new_voters = {(lost[member].id if member in lost else member): address for member, address in voters.items()}
+    return FoundGroup(best.group.generation + 1, ClusterConfiguration(new_voters), *sources(known, best))
 
 
 def sources(known: list[ProcessStatus], best: ProcessStatus) -> tuple[ProcessStatus, ProcessStatus | None]:
-    """Whose whole state to go on from, and who knows the settings part further than that."""
-    whole = max((w for w in known if w.holds_all and w.group == best.group), key=lambda w: w.index, default=best)
+    """Returns the source of the whole state, and that of the settings part if that is newer."""
+    whole_states = (status for status in known if status.holds_all and status.group == best.group)
+    whole = max(whole_states, key=lambda status: status.index, default=best)
     return whole, best if best.index > whole.index else None
 
 
 def roster_majority_answered(base: ReplicatedState, answers: list[ProcessStatus]) -> bool:
-    """Whether enough of the roster answered to found anew: no acknowledged settings are held by the rest alone."""
+    """Whether a majority of the roster answered, so that no acknowledged settings are held only by the rest."""
     roster = base.settings.roster
-    heard = {str(w.addr) for w in answers}
-    return not roster or 2 * len(heard & roster.keys()) > len(roster)
+    answered = {str(status.addr) for status in answers}
+    return not roster or 2 * len(answered & roster.keys()) > len(roster)
--- a/mallowvalve/control/bootstrap_task.py
+++ b/mallowvalve/control/bootstrap_task.py
@@ -1,4 +1,4 @@
-"""The daemon's side of a start: asks other processes, and does what `bootstrap.decide` says."""
+"""Runs the bootstrap decisions of a control process: queries other processes and carries out `bootstrap.decide`."""
 
 from __future__ import annotations
 
@@ -33,192 +33,201 @@
 from mallowvalve.raft.messages import ClusterConfiguration, GroupId, HardState, RaftSnapshot
 from mallowvalve.types import Address
 
-FOUND_EVERY, BLANK_EVERY = 0.5, 0.15
-HERE = 1.0
-ASK = 0.8
-LEAVE_QUERY_TIMEOUT_S, LEAVE_RETRY_INTERVAL_S = 0.3, 0.1
-CALM = 5
-FEW = 4
-ID = 12
-HELD = 10.0
-EPOCH, TICK = 1_790_000_000, 4
+FOUNDING_INTERVAL_S = 0.5
+BLANK_INTERVAL_S = 0.15
+ANNOUNCEMENT_INTERVAL_S = 1.0
+STATUS_QUERY_TIMEOUT_S = 0.8
+LEAVE_QUERY_TIMEOUT_S = 0.3
+LEAVE_RETRY_INTERVAL_S = 0.1
+ROUNDS_PER_QUERY_WITH_LEADER = 5
+REPLICAS_QUERIED_WITH_LEADER = 4
+ID_LENGTH = 12
+STATE_HOLDER_VALIDITY_S = 10.0
+GENERATION_EPOCH_S = 1_790_000_000
+SECONDS_PER_GENERATION = 4
 
 
 def first_generation() -> int:
-    """Rises with the years, so that a fleet that lost everything does not count again from where it began."""
-    return max(1, int(time.time() - EPOCH) // TICK)
+    """Returns a generation that rises with time, so that a fleet that lost all state doesn't reuse generations."""
+    return max(1, int(time.time() - GENERATION_EPOCH_S) // SECONDS_PER_GENERATION)
 
 
 class BootstrapTask:
-    """Asks around, and founds, joins or wipes this core machine as `found.decide` says."""
+    """Queries other processes, and founds or joins a group or wipes the state as `bootstrap.decide` returns."""
 
-    __slots__ = ("control", "_judge", "_holders")
+    __slots__ = ("control", "_stabilizer", "_state_holders")
 
     def __init__(self, control):
-        """For one control process, whose loop runs `run`."""
-        self.control, self._judge = control, DecisionStabilizer()
-        self._holders: dict[Address, float] = {}
+        """Creates the task of a control process, whose loop runs `run`."""
+        self.control, self._stabilizer = control, DecisionStabilizer()
+        self._state_holders: dict[Address, float] = {}
 
     def run(self) -> None:
-        """Asks around for as long as the process lives; seldom while a leader is known."""
+        """Queries other processes for as long as this one runs; rarely while a leader is known."""
         for turn in itertools.count():
-            if self.control.core.leader() is not None and turn % CALM:
+            if self.control.core.leader() is not None and turn % ROUNDS_PER_QUERY_WITH_LEADER:
                 self.announce()
-                gevent.sleep(HERE)
+                gevent.sleep(ANNOUNCEMENT_INTERVAL_S)
                 continue
-            calm = self.control.core.leader() is not None
-            answers, v = self._look(calm)
-            if calm and isinstance(v, FoundGroup):
-                answers, v = self._look(False)
-            self._act(self._judge.confirm(v, clock.now()), answers)
+            has_leader = self.control.core.leader() is not None
+            answers, decision = self._decide(has_leader)
+            if has_leader and isinstance(decision, FoundGroup):
+                answers, decision = self._decide(False)
+            self._execute(self._stabilizer.confirm(decision, clock.now()), answers)
             self.announce()
-            joins = any(w.group is not None for w in answers)
-            gevent.sleep(HERE if self.control.core.raft is not None else BLANK_EVERY if joins else FOUND_EVERY)
+            group_exists = any(status.group is not None for status in answers)
+            blank_interval_s = BLANK_INTERVAL_S if group_exists else FOUNDING_INTERVAL_S
+            gevent.sleep(ANNOUNCEMENT_INTERVAL_S if self.control.core.raft is not None else blank_interval_s)
 
-    def _look(self, calm: bool) -> tuple[list[wire.ProcessStatus], Decision]:
-        answers = self._ask_all(calm)
+    def _decide(self, has_leader: bool) -> tuple[list[wire.ProcessStatus], Decision]:
+        answers = self._query_all(has_leader)
         nothing_committed = self.control.core.nothing_committed
         return answers, decide(self.control.process_status(), answers, first_generation(), nothing_committed)
 
-    def record_state_holder(self, w: wire.ReplicationRequest) -> None:
-        """Who asks for what comes after its state holds one: a blank core must not found without having asked it."""
-        if w.group is not None:
-            self._holders[w.addr] = clock.now()
+    def record_state_holder(self, request: wire.ReplicationRequest) -> None:
+        """Records a process that has a state: a blank core must query it before founding a group."""
+        if request.group is not None:
+            self._state_holders[request.addr] = clock.now()
 
-    def _ask_all(self, calm: bool = False) -> list[wire.ProcessStatus]:
-        """In calm times all control processes and a few others: too few to found on, enough to hear of a new group."""
-        p = self.control.node.settings
-        alive, self._holders = (
+    def _query_all(self, has_leader: bool = False) -> list[wire.ProcessStatus]:
+        """Returns the statuses of all processes; with a leader, of all control processes and a few others.
+
+        The few others aren't enough to found a group, but enough to learn of a new one.
+        """
+        settings = self.control.node.settings
+        alive, self._state_holders = (
             self.control.node.membership.alive(),
-            {a: t for a, t in self._holders.items() if clock.now() - t < HELD},
+            {
+                address: seen_at
+                for address, seen_at in self._state_holders.items()
+                if clock.now() - seen_at < STATE_HOLDER_VALIDITY_S
+            },
         )
-        others = {r.addr for r in alive if r.role != "control"} | self._holders.keys()
-        if calm and len(others) > FEW:
-            others = set(random.sample(sorted(others), FEW))
-        to = {r.addr for r in alive if r.role == "control"} | set(p.seeds) | others
+        others = {record.addr for record in alive if record.role != "control"} | self._state_holders.keys()
+        if has_leader and len(others) > REPLICAS_QUERIED_WITH_LEADER:
+            others = set(random.sample(sorted(others), REPLICAS_QUERIED_WITH_LEADER))
+        to = {record.addr for record in alive if record.role == "control"} | set(settings.seeds) | others
         if self.control.core.raft is not None:
             to |= set(self.control.core.raft.log.configuration.all_voters().values())
-        best = [w for w in self._ask(to - {p.transport})]
-        known = {a for w in best if w.voters for a in w.voters.all_voters().values()}
-        return best + self._ask(known - to - {p.transport})
+        answers = [status for status in self._query(to - {settings.transport})]
+        voters = {address for status in answers if status.voters for address in status.voters.all_voters().values()}
+        return answers + self._query(voters - to - {settings.transport})
 
-    def _ask(self, to: set[Address], limit: float = ASK) -> list[wire.ProcessStatus]:
-        jobs = [gevent.spawn(self.control.node.transport.call, a, "who", b"", limit) for a in sorted(to)]
+    def _query(self, to: set[Address], limit: float = STATUS_QUERY_TIMEOUT_S) -> list[wire.ProcessStatus]:
+        call = self.control.node.transport.call
+        jobs = [gevent.spawn(call, address, "who", b"", limit) for address in sorted(to)]
         gevent.joinall(jobs)
-        out = []
-        for j in jobs:
-            if j.value is not None and j.value.is_ok():
-                out.append(wire.decode_status(j.value.ok_value))
-        return out
-
-    def _act(self, v: Decision | None, answers: list[wire.ProcessStatus]) -> None:
-        if isinstance(v, FoundGroup):
-            base = self._fetch_state(v)
-            if v.base is not None and (base is None or not roster_majority_answered(base, answers)):
+        statuses = []
+        for job in jobs:
+            if job.value is not None and job.value.is_ok():
+                statuses.append(wire.decode_status(job.value.ok_value))
+        return statuses
+
+    def _execute(self, decision: Decision | None, answers: list[wire.ProcessStatus]) -> None:
+        if isinstance(decision, FoundGroup):
+            base = self._fetch_base_state(decision)
+            if decision.base is not None and (base is None or not roster_majority_answered(base, answers)):
                 return
-            group = GroupId(v.generation, uuid.uuid4().hex[:ID])
+            group = GroupId(decision.generation, uuid.uuid4().hex[:ID_LENGTH])
             change(
                 "founding",
-                generation=v.generation,
-                voters=[str(a) for a in v.voters.voters.values()],
-                base=str(v.base.addr) if v.base else None,
-                whole=v.base.holds_all if v.base else None,
-                settings=str(v.settings_source.addr) if v.settings_source else None,
+                generation=decision.generation,
+                voters=[str(address) for address in decision.voters.voters.values()],
+                base=str(decision.base.addr) if decision.base else None,
+                whole=decision.base.holds_all if decision.base else None,
+                settings=str(decision.settings_source.addr) if decision.settings_source else None,
             )
-            self._begin(founding(group, v.voters, base), None)
-        elif isinstance(v, JoinGroup):
-            r = self.control.puller.pull(v.source.addr, BASE)
-            if r.is_ok():
-                self._begin(*r.ok_value)
-        elif isinstance(v, WipeState):
+            self._start_from(founding(group, decision.voters, base), None)
+        elif isinstance(decision, JoinGroup):
+            pulled = self.control.puller.pull(decision.source.addr, BASE)
+            if pulled.is_ok():
+                self._start_from(*pulled.ok_value)
+        elif isinstance(decision, WipeState):
             self._wipe()
 
     def found_new_group(self) -> Result[FoundGroup, str]:
-        """An operator's word in place of proof that the old voters are gone for good."""
+        """Founds a new generation on an operator's request, without proof that the old voters are lost for good."""
         if self.control.core.raft is not None:
             return Err("this control process belongs to a group: ask one that is blank")
-        answers = self._ask_all()
-        known = [w for w in answers if w.group is not None and w.voters is not None]
+        answers = self._query_all()
+        known = [status for status in answers if status.group is not None and status.voters is not None]
         if not known:
             return Err("nobody who answers holds a state")
-        best = max(known, key=lambda w: (w.group.generation, w.index))
-        v = FoundGroup(
+        best = max(known, key=lambda status: (status.group.generation, status.index))
+        decision = FoundGroup(
             best.group.generation + 1,
             ClusterConfiguration({self.control.core.id: self.control.node.settings.transport}),
             *sources(known, best),
         )
-        base = self._fetch_state(v)
+        base = self._fetch_base_state(decision)
         if base is None:
-            return Err(f"{v.base.addr} did not hand over its state")
-        group = GroupId(v.generation, uuid.uuid4().hex[:ID])
-        change("founding_by_operator", generation=v.generation, base=str(v.base.addr), index=base.index)
-        self._begin(founding(group, v.voters, base), None)
-        return Ok(v)
-
-    def _fetch_state(self, v: FoundGroup) -> ReplicatedState | None:
-        base, settings_source = self._fetch_held(v.base), self._fetch_held(v.settings_source)
-        if v.settings_source is None or base is None or settings_source is None:
-            return base if v.settings_source is None else None
-        base.replace_settings(settings_source)
+            return Err(f"{decision.base.addr} did not hand over its state")
+        group = GroupId(decision.generation, uuid.uuid4().hex[:ID_LENGTH])
+        change("founding_by_operator", generation=decision.generation, base=str(decision.base.addr), index=base.index)
+        self._start_from(founding(group, decision.voters, base), None)
+        return Ok(decision)
+
+    def _fetch_base_state(self, decision: FoundGroup) -> ReplicatedState | None:
+        base, settings = self._fetch_state(decision.base), self._fetch_state(decision.settings_source)
+        if decision.settings_source is None or base is None or settings is None:
+            return base if decision.settings_source is None else None
+        base.replace_settings(settings)
         return base
 
-    def _fetch_held(self, w: wire.ProcessStatus | None) -> ReplicatedState | None:
-        if w is None:
+    def _fetch_state(self, source: wire.ProcessStatus | None) -> ReplicatedState | None:
+        if source is None:
             return None
-        what = NOW if w.holds_all else SETTINGS
-        r = self.control.puller.pull(w.addr, what, lambda offered: (offered.group, offered.index) >= (w.group, w.index))
-        return r.ok_value[1] if r.is_ok() else None
+        what, minimum = NOW if source.holds_all else SETTINGS, (source.group, source.index)
+        pulled = self.control.puller.pull(source.addr, what, lambda label: (label.group, label.index) >= minimum)
+        return pulled.ok_value[1] if pulled.is_ok() else None
 
-    def _begin(self, p: RaftSnapshot, s: ReplicatedState | None) -> None:
+    def _start_from(self, snapshot: RaftSnapshot, state: ReplicatedState | None) -> None:
         done = AsyncResult()
 
-        def act(now: float) -> None:
-            mine = self.control.core.raft
-            if mine is not None and mine.group.generation >= p.group.generation:
+        def start(now: float) -> None:
+            raft = self.control.core.raft
+            if raft is not None and raft.group.generation >= snapshot.group.generation:
                 return done.set(False)
             with self.control.disk_lock:
-                self.control.persist(
-                    lambda: store.restart_log(
-                        self.control.disk_log, p, store.encode_log_head(HardState(p.group, 0, ""), [])
-                    )
-                )
-            self.control.core.start(p, None, [], now, s)
+                log_head = store.encode_log_head(HardState(snapshot.group, 0, ""), [])
+                self.control.persist(lambda: store.restart_log(self.control.disk_log, snapshot, log_head))
+            self.control.core.start(snapshot, None, [], now, state)
             done.set(True)
 
-        self.control.post(act)
+        self.control.post(start)
         if done.get():
-            change("joined", generation=p.group.generation, index=p.index)
+            change("joined", generation=snapshot.group.generation, index=snapshot.index)
 
     def _wipe(self) -> None:
         done = AsyncResult()
 
-        def act(now: float) -> None:
-            new = uuid.uuid4().hex[:ID]
+        def wipe(now: float) -> None:
+            new_id = uuid.uuid4().hex[:ID_LENGTH]
             with self.control.disk_lock:
-                self.control.persist(lambda: self.control.disk_log.wipe(new))
-            self.control.core.stop(new)
+                self.control.persist(lambda: self.control.disk_log.wipe(new_id))
+            self.control.core.stop(new_id)
             done.set(True)
 
-        self.control.post(act)
+        self.control.post(wipe)
         done.get()
         change("wiped_to_rejoin")
 
     def leave(self, limit: float) -> None:
-        """Waits until this member's vote and copy are needed no more (`Leave`), for `limit` seconds at most."""
+        """Waits until this member's vote and copy aren't needed any more (`Leave`), for `limit` s at most."""
         begun, leave = clock.now(), Leave(self.control.core.id)
         while clock.now() - begun < limit:
-            control = [r.addr for r in self.control.node.membership.alive("control") if r.state == ALIVE]
+            control = [record.addr for record in self.control.node.membership.alive("control") if record.state == ALIVE]
             others = {*control, self.control.core.leader()} - {None, self.control.node.settings.transport}
-            if leave.may_leave(self.control.core.raft, self._ask(others, LEAVE_QUERY_TIMEOUT_S), control):
+            if leave.may_leave(self.control.core.raft, self._query(others, LEAVE_QUERY_TIMEOUT_S), control):
                 break
             self.announce()
             gevent.sleep(LEAVE_RETRY_INTERVAL_S)
         change("left_core", seconds=round(clock.now() - begun, 2), why=leave.why)
 
     def announce(self) -> None:
-        """Tells the leader, or whoever may know one, that this process is here."""
+        """Announces this process to the leader, or to all control processes if no leader is known."""
         body = wire.encode(msgspec.structs.replace(self.control.process_status(), seeds=[], voters=None))
-        alive = [r.addr for r in self.control.node.membership.alive("control")]
-        for a in self.control.core.announcement_targets(alive):
-            self.control.node.transport.cast(a, "here", body)
+        alive = [record.addr for record in self.control.node.membership.alive("control")]
+        for address in self.control.core.announcement_targets(alive):
+            self.control.node.transport.cast(address, "here", body)
         self.control.post(lambda now: self.control.core.announced(self.control.process_status(), now))
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -12,7 +12,7 @@
 from mallowvalve import clock, web
 from mallowvalve.configuration.items import Items
 from mallowvalve.control import http_operators, http_plain, http_upstreams, store
-from mallowvalve.control.bootstrap_task import ID
+from mallowvalve.control.bootstrap_task import ID_LENGTH
 from mallowvalve.control.lease import AnswerKind
 from mallowvalve.control.registry_task import RegistryTask
 from mallowvalve.control.task import ControlTask
@@ -34,7 +34,7 @@
         faults = Faults(settings.faults, settings.name)
         with Folder(settings.data) as folder:
             disk = FaultyDisk(folder, faults) if settings.faults is not None else folder
-            disk_log = DiskLog.open(disk, settings.fleet, uuid.uuid4().hex[:ID])
+            disk_log = DiskLog.open(disk, settings.fleet, uuid.uuid4().hex[:ID_LENGTH])
             if disk_log.is_err():
                 return Err([Finding(f"{settings.data}/{f.place}", f.text) for f in disk_log.err_value])
             loaded = store.load(disk_log.ok_value)
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -94,7 +94,7 @@
     t = BootstrapTask(None)
     t.record_state_holder(ReplicationRequest(P[0], 1, "proxy", Locality("eu", "x"), G, 9, 0, 0.0))
     t.record_state_holder(ReplicationRequest(P[1], 1, "proxy", Locality("eu", "x"), None, 0, 0, 0.0))
-    assert list(t._holders) == [P[0]]
+    assert list(t._state_holders) == [P[0]]
     j, me, others = DecisionStabilizer(), who("a", A), [who("b", B), who("c", C)]
     assert [j.confirm(decide(me, others, 7, False), n * 0.5) for n in range(4)] == [None] * 4
     wiped = [who("y", B), who("z", C), replica()]
--- a/tests/test_grown.py
+++ b/tests/test_grown.py
@@ -126,8 +126,8 @@
 def test_in_calm_times_a_control_process_asks_all_control_processes_and_few_others(monkeypatch):
     controls = [Address("10.2.0.1", n + 1) for n in range(8)]
     f, asked = BootstrapTask(Peers(controls, MANY)), set()
-    monkeypatch.setattr(BootstrapTask, "_ask", lambda self, to: asked.update(to) or [])
-    f._ask_all(True)
+    monkeypatch.setattr(BootstrapTask, "_query", lambda self, to: asked.update(to) or [])
+    f._query_all(True)
     assert set(controls) <= asked and len(asked) <= 8 + 4
-    f._ask_all()
+    f._query_all()
     assert set(controls) | set(MANY) <= asked
