--- a/mallowvalve/control/__init__.py
+++ b/mallowvalve/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: the replicated state, who holds it, and its HTTP."""
+"""The control plane: the replicated state, the processes that keep it, and their HTTP pages."""
--- a/mallowvalve/control/api.py
+++ b/mallowvalve/control/api.py
@@ -1,4 +1,4 @@
-"""What the operators' and the coordination pages share: confirmed reads, offers, keys, refusals."""
+"""The base of the operators' and the coordination pages: confirmed reads, commands, keys and rejections."""
 
 from __future__ import annotations
 
@@ -15,72 +15,73 @@
 from mallowvalve.finding import Finding
 from mallowvalve.types import Address
 
-KEY_BYTES = 200
-REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S = 8.0, 3.0
+MAX_KEY_CHARACTERS = 200
+REQUEST_TIMEOUT_S = 8.0
+ATTEMPT_TIMEOUT_S = 3.0
 
 
 class Api:
-    """What the operators' and the coordination pages share."""
+    """Base class of the operators' and the coordination pages."""
 
     def __init__(self, task: ControlTask):
-        """Pages of one control process."""
+        """Creates the pages of a control process."""
         self.task = task
 
     def confirm(self, req: falcon.Request, resp: falcon.Response) -> ReplicatedSettings | None:
-        """The settings, with all that was acknowledged before this call; None once the trouble was answered."""
+        """Returns the settings with all changes acknowledged before this call; None after a rejection was sent."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
-        t = self.task.read(2.0)
+        response = self.task.read(2.0)
         state = self.task.core.state
-        if t.code == Code.OK and state is not None:
+        if response.code == Code.OK and state is not None:
             return state.settings
-        self.reject(req, resp, t)
+        self.reject(req, resp, response)
         return None
 
-    def offer(self, req: falcon.Request, resp: falcon.Response, c: Change | Evacuate | Strike) -> None:
-        """Offers a command and answers with its outcome."""
+    def offer(self, req: falcon.Request, resp: falcon.Response, command: Change | Evacuate | Strike) -> None:
+        """Offers a command and responds with its outcome."""
         if not page_offer.may_begin(self.task, req, resp):
             return None
-        t = page_offer.offer(self.task, req, encode(c), REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
-        if t.code != Code.OK:
-            return self.reject(req, resp, t)
-        web.say(resp, {"revision": t.revision, "in_force": True})
+        response = page_offer.offer(self.task, req, encode(command), REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
+        if response.code != Code.OK:
+            return self.reject(req, resp, response)
+        web.say(resp, {"revision": response.revision, "in_force": True})
 
     def key(self, req: falcon.Request, resp: falcon.Response) -> str | None:
-        """The caller's key for its command, or a new one; None once a finding was answered."""
+        """Returns the caller's key for its command, or a new one; None after an invalid key was rejected."""
         key = req.get_header("Mallow-Key")
         if key is None:
             return uuid.uuid4().hex
-        if 0 < len(key) <= KEY_BYTES:
+        if 0 < len(key) <= MAX_KEY_CHARACTERS:
             return key
-        web.turn_away(req, resp, 400, [Finding("Mallow-Key", f"want 1 to {KEY_BYTES} characters")])
+        web.turn_away(req, resp, 400, [Finding("Mallow-Key", f"want 1 to {MAX_KEY_CHARACTERS} characters")])
         return None
 
     def name_is_valid(self, req: falcon.Request, resp: falcon.Response, name: str) -> bool:
-        """Whether the name may be used; otherwise a finding was answered."""
-        if len(name) <= KEY_BYTES and name.isprintable():
+        """Whether the name is valid; an invalid one is rejected."""
+        if len(name) <= MAX_KEY_CHARACTERS and name.isprintable():
             return True
-        web.turn_away(req, resp, 400, [Finding("name", f"want 1 to {KEY_BYTES} printable characters")])
+        web.turn_away(req, resp, 400, [Finding("name", f"want 1 to {MAX_KEY_CHARACTERS} printable characters")])
         return False
 
-    def reject(self, req: falcon.Request, resp: falcon.Response, t: CommandResponse) -> None:
-        """Answers with what became of a command that was not acknowledged."""
-        match t.code:
+    def reject(self, req: falcon.Request, resp: falcon.Response, response: CommandResponse) -> None:
+        """Responds with the outcome of a command that was not acknowledged."""
+        match response.code:
             case Code.LEADER | Code.REPLACED:
                 web.turn_away(req, resp, 503, [Finding("control", "no leader here just now")], 1)
-                if t.leader is not None:
-                    resp.set_header("Mallow-Leader", self.web_of(t.leader))
+                if response.leader is not None:
+                    resp.set_header("Mallow-Leader", self.web_address(response.leader))
             case Code.REUSED:
                 web.reject(resp, 409, web.UNDECIDED, [Finding("Mallow-Key", "was used for another command")])
             case Code.CONFLICT:
-                web.reject(resp, 409, web.NOT_RUN, [Finding("base", f"the revision is {t.revision} now")])
+                web.reject(resp, 409, web.NOT_RUN, [Finding("base", f"the revision is {response.revision} now")])
             case Code.GONE:
                 web.reject(resp, 409, web.NOT_RUN, [Finding("state", "changed meanwhile: look and say it again")])
             case _:
                 found = [Finding("control", "not confirmed in time; safe to repeat with the same key")]
                 web.reject(resp, 504, web.UNDECIDED, found, 1)
 
-    def web_of(self, transport: Address) -> str:
-        """The HTTP address of the process at a transport address; empty if it is not known."""
-        r = next((r for r in self.task.node.membership.view() if r.addr == transport), None)
-        return str(r.web) if r else ""
+    def web_address(self, transport: Address) -> str:
+        """Returns the HTTP address of the process at a transport address; empty if it is unknown."""
+        record = next((record for record in self.task.node.membership.view() if record.addr == transport), None)
+        return str(record.web) if record else ""
--- a/mallowvalve/control/core.py
+++ b/mallowvalve/control/core.py
@@ -173,7 +173,7 @@
 
     def address_of(self, member: str) -> Address | None:
         """Returns the address of the member, or None if it is unknown."""
-        return self._addresses.of(member, self.raft.log.configuration)
+        return self._addresses.lookup(member, self.raft.log.configuration)
 
     def process_status(self, role: str, seeds: list[Address]) -> ProcessStatus:
         """Returns the status that this process reports to others."""
@@ -191,7 +191,7 @@
     def announced(self, status: ProcessStatus, now: float) -> None:
         """Records the announcement of a control process of this group or of none."""
         if status.role == "control" and (status.group is None or self.raft and status.group == self.raft.group):
-            self._addresses.hear(status.id, status.addr)
+            self._addresses.record(status.id, status.addr)
             self.members.record_announcement(status, now)
 
     def timer(self, now: float) -> float:
@@ -215,7 +215,7 @@
         if self.raft is None or envelope.group != self.raft.group or envelope.to != self.id:
             self.counts.add("raft_foreign")
             return
-        self._addresses.hear(envelope.sender, envelope.address)
+        self._addresses.record(envelope.sender, envelope.address)
         self.raft.receive(envelope.sender, envelope.body, now)
 
     def peer_disconnected(self, peer: Address, now: float) -> None:
@@ -377,7 +377,7 @@
         if now - self._last_tick_at > TICK_INTERVAL_S and self.state.coordination.has_leases():
             self._last_tick_at = now
             self.raft.propose(COMMAND, encode(Tick()), self.clock.read(now))
-        if now - self._last_membership_check_at < reconfiguration.LOOK:
+        if now - self._last_membership_check_at < reconfiguration.CHECK_INTERVAL_S:
             return
         self._last_membership_check_at = now
         voters = self.members.next_voters(self.raft, now)
--- a/mallowvalve/control/main.py
+++ b/mallowvalve/control/main.py
@@ -1,4 +1,4 @@
-"""The control daemon: opens its folder and serves until it is told to stop."""
+"""The control daemon: opens its data folder and serves until it is asked to stop."""
 
 from __future__ import annotations
 
@@ -25,11 +25,13 @@
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address
 
-MEMORY, EVERY, MOST = "peers", 10.0, 64
+PEERS_FILE = "peers"
+PEERS_SAVE_INTERVAL_S = 10.0
+MAX_SAVED_PEERS = 64
 
 
 def run(settings: Settings) -> Result[None, Findings]:
-    """Serves until it is told to stop; findings where the folder cannot be used."""
+    """Serves until it is asked to stop; returns findings if the data folder cannot be used."""
     try:
         faults = Faults(settings.faults, settings.name)
         with Folder(settings.data) as folder:
@@ -42,53 +44,53 @@
                 return Err([Finding(f"{settings.data}/{f.place}", f.text) for f in loaded.err_value])
             serve(settings, disk_log.ok_value, loaded.ok_value, faults)
             return Ok(None)
-    except OSError as e:
-        return Err([Finding(str(settings.data), str(e))])
+    except OSError as error:
+        return Err([Finding(str(settings.data), str(error))])
 
 
-def remembered(disk: Disk) -> list[Address]:
-    """The peers' addresses that were written down; none where they cannot be read."""
-    if MEMORY not in disk.names():
+def load_peers(disk: Disk) -> list[Address]:
+    """Returns the saved addresses of peers; none if they cannot be read."""
+    if PEERS_FILE not in disk.names():
         return []
     try:
-        return msgspec.json.decode(disk.read(MEMORY), type=list[Address])
+        return msgspec.json.decode(disk.read(PEERS_FILE), type=list[Address])
     except msgspec.DecodeError:
         return []
 
 
-class Memory:
-    """Keeps peers' addresses on disk, for a start when all seeds are gone."""
+class PeersFile:
+    """Saves the peers' addresses on disk, for a start when all seeds are gone."""
 
-    __slots__ = ("node", "disk", "_job", "_last")
+    __slots__ = ("node", "disk", "_job", "_saved")
 
     def __init__(self, node: Node, disk: Disk):
-        """Nothing was written yet by this process."""
-        self.node, self.disk, self._last = node, disk, []
+        """Creates the task, which has saved nothing yet."""
+        self.node, self.disk, self._saved = node, disk, []
 
-    def __enter__(self) -> Memory:
-        """Begins to look."""
+    def __enter__(self) -> PeersFile:
+        """Starts to save the addresses from time to time."""
         self._job = gevent.spawn(self._run)
         return self
 
     def __exit__(self, *_) -> None:
-        """Ends."""
+        """Stops."""
         self._job.kill()
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(EVERY)
-            now = sorted(r.addr for r in self.node.membership.alive())[:MOST]
-            if not now or now == self._last:
+            gevent.sleep(PEERS_SAVE_INTERVAL_S)
+            peers = sorted(record.addr for record in self.node.membership.alive())[:MAX_SAVED_PEERS]
+            if not peers or peers == self._saved:
                 continue
             try:
-                gevent.get_hub().threadpool.apply(self.disk.put, (MEMORY, msgspec.json.encode(now)))
-                self._last = now
+                gevent.get_hub().threadpool.apply(self.disk.put, (PEERS_FILE, msgspec.json.encode(peers)))
+                self._saved = peers
             except OSError:
                 self.node.counts.add("disk_errors")
 
 
 def directory_pages(node: Node, task: ControlTask) -> directory.Pages:
-    """The directory's answers by what this process holds and knows."""
+    """Returns the directory's pages, which answer from the applied state and the membership of this process."""
 
     def evacuated() -> dict[str, int]:
         return task.core.state.settings.evacuated if task.core.state else {}
@@ -100,18 +102,18 @@
 
 
 def directory_server(node: Node, pages: directory.Pages) -> web.Server | None:
-    """The directory's answers, on an address of their own; None where this node gives none."""
-    its = node.settings
-    if its.directory is None:
+    """Returns the server of the directory on its own address, or None if none is configured."""
+    settings = node.settings
+    if settings.directory is None:
         return None
     app = web.make_app()
     directory.add_routes(app, pages)
-    return web.Server(its.directory, app, node.counts, its.connections)
+    return web.Server(settings.directory, app, node.counts, settings.connections)
 
 
 def serve(settings: Settings, disk_log: DiskLog, loaded: store.StoredState, faults: Faults) -> None:
-    """Puts the process together, and serves until it is told to stop."""
-    node = Node(settings, remembered(disk_log.disk), faults)
+    """Creates the parts of the process and serves until it is asked to stop."""
+    node = Node(settings, load_peers(disk_log.disk), faults)
     task = ControlTask(node, disk_log, loaded)
     registry = RegistryTask(task)
     http_operators.add_routes(node.app, task)
@@ -122,14 +124,14 @@
     node.gauge("votes", lambda: task.core.raft.counts.snapshot() if task.core.raft else {})
     pages = directory_pages(node, task)
     node.app.add_route("/-/named", directory.Named(pages))
-    directory_front = directory_server(node, pages)
+    directory_listener = directory_server(node, pages)
 
     def leave() -> None:
-        if directory_front is not None:
-            directory_front.draining = True
+        if directory_listener is not None:
+            directory_listener.draining = True
         task.begin_leaving()
 
-    with node, task, registry, Memory(node, disk_log.disk), directory_front or contextlib.nullcontext():
+    with node, task, registry, PeersFile(node, disk_log.disk), directory_listener or contextlib.nullcontext():
         node.run(
             lambda: task.core.may_answer(AnswerKind.HEARTBEAT, clock.now()) and not task.stalled,
             leave,
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -70,7 +70,7 @@
 
 def addresses_by_configuration() -> AbstractContextManager:
     """A member's messages go where its configuration has the receiver, whatever that one says itself."""
-    return patch.object(MemberAddresses, "of", lambda self, member, voters: voters.address(member))
+    return patch.object(MemberAddresses, "lookup", lambda self, member, voters: voters.address(member))
 
 
 @contextmanager
