--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -112,11 +112,11 @@
             gevent.spawn(self._offer, batch)
 
     def _offer(self, batch: list[tuple[Upstream, AsyncResult]]) -> None:
-        ok = self._registered(Registered([u for u, _ in batch]), COMMAND_TIMEOUT_S - BATCH_DELAY_S)
+        ok = self._offer_command(Registered([u for u, _ in batch]), COMMAND_TIMEOUT_S - BATCH_DELAY_S)
         for _, w in batch:
             w.set(ok)
 
-    def _registered(self, c: Registered, limit: float) -> bool:
+    def _offer_command(self, c: Registered, limit: float) -> bool:
         t = self.task.offer(encode(c), limit, ATTEMPT_TIMEOUT_S)
         self.task.node.counts.add(
             "registry_offered" if t.code == Code.OK else "registry_not_taken", len(c.changes) + len(c.forget)
@@ -152,7 +152,7 @@
         self.liveness.prune(registry, now)
         c = self.liveness.judge(registry, now)
         if c is not None and (self._judging is None or self._judging.ready()):
-            self._judging = gevent.spawn(self._registered, c, COMMAND_TIMEOUT_S)
+            self._judging = gevent.spawn(self._offer_command, c, COMMAND_TIMEOUT_S)
 
     def _report(self, registry: Registry, now: float) -> None:
         self.liveness.prune(registry, now)
--- a/mallowvalve/control/replica_task.py
+++ b/mallowvalve/control/replica_task.py
@@ -145,7 +145,7 @@
             reply = self.node.transport.call(to, "offer", wire.encode(wire.CommandRequest(data, left)), left)
             if reply.is_err():
                 call.heard(wire.CommandResponse(Code.UNDECIDED), clock.now())
-                self._forget(to)
+                self._avoid(to)
                 gevent.sleep(min(0.05, left))
                 continue
             response = call.heard(wire.decode_command_response(reply.ok_value), clock.now())
@@ -155,7 +155,7 @@
             gevent.sleep(min(0.05, left))
         return wire.CommandResponse(Code.UNDECIDED)
 
-    def _forget(self, address: Address) -> None:
+    def _avoid(self, address: Address) -> None:
         """Avoids an unresponsive process for a while, and no longer takes it for the leader."""
         if self.replica.leader == address:
             self.replica.leader = None
@@ -198,7 +198,7 @@
             max_wait_s = self.replica.max_wait_s if to == self._last_responder else 0.0
             response = self._request_entries(to, max_wait_s, max_wait_s + RESPONSE_GRACE_S)
             if response is None:
-                self._forget(to)
+                self._avoid(to)
                 continue
             self._handle_response(to, response)
             if response.group is None:
@@ -236,7 +236,7 @@
             except Empty:
                 break
             if response is None:
-                self._forget(address)
+                self._avoid(address)
             elif response.group is not None and not self.replica.is_older_generation(response.group):
                 return self._handle_response(address, response)
             elif response.leader is not None and self._unresponsive_until.get(response.leader, -1e9) < clock.now():
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -73,7 +73,7 @@
 
 class AtOnce(registry_task.RegistryTask):
     def offer(self, u):
-        return self._registered(Registered([u]), 0.9)
+        return self._offer_command(Registered([u]), 0.9)
 
 
 @pytest.fixture
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -282,7 +282,7 @@
     def control(self):
         return "leader"
 
-    def _forget(self, a):
+    def _avoid(self, a):
         """Goes on with the only one."""
 
 
