--- a/mallowvalve/control/registry_task.py
+++ b/mallowvalve/control/registry_task.py
@@ -1,4 +1,4 @@
-"""The daemon's side of the upstreams' registry."""
+"""Runs the registry of upstreams in a control process: batches changes, reports heartbeats, expires silent ones."""
 
 from __future__ import annotations
 
@@ -19,153 +19,171 @@
 from mallowvalve.upstreams.liveness import Heard, Liveness
 from mallowvalve.upstreams.registry import Registered, Registry, Upstream
 
-BATCH_DELAY_S, BATCH = 0.02, 512
-COMMAND_TIMEOUT_S, ATTEMPT_TIMEOUT_S = 0.9, 0.45
-SILENCE_CHECK_INTERVAL_S, REPORT_INTERVAL_S = 0.25, 1.0
+BATCH_DELAY_S = 0.02
+MAX_BATCH_CHANGES = 512
+COMMAND_TIMEOUT_S = 0.9
+ATTEMPT_TIMEOUT_S = 0.45
+SILENCE_CHECK_INTERVAL_S = 0.25
+REPORT_INTERVAL_S = 1.0
 REPORT_ACCEPTED = b"1"
 decode_report = msgspec.msgpack.Decoder(list[Heard]).decode
 
 
 class RegistryTask:
-    """Hears upstreams: offers what changes, tells the leader whom it heard, and judges silence if it leads."""
-
-    __slots__ = ("task", "liveness", "_box", "_jobs", "_judging", "_last_contact_at", "_told", "_reported")
+    """Handles upstreams' heartbeats: offers changes, reports heartbeats to the leader, and expires silence if it leads.
+
+    `_last_contact_at` is when the leader last accepted a report, or when this process last led (s).
+    """
+
+    __slots__ = (
+        "task",
+        "liveness",
+        "_changes",
+        "_jobs",
+        "_expiring",
+        "_last_contact_at",
+        "_reported_to",
+        "_reported_at",
+    )
 
     def __init__(self, task: ControlTask) -> None:
-        """For one control process."""
+        """Creates the registry task of a control process and registers its transport handler."""
         self.task = task
         self.liveness = Liveness(task.node.settings.heartbeat_ms / 1000)
-        self._box: Queue = Queue()
-        self._judging: gevent.Greenlet | None = None
+        self._changes: Queue = Queue()
+        self._expiring: gevent.Greenlet | None = None
         self._last_contact_at = clock.now()
-        self._told: Address | None = None
-        self._reported = 0.0
+        self._reported_to: Address | None = None
+        self._reported_at = 0.0
         task.node.transport.on("heard", self._on_heard, inline=True)
 
     def __enter__(self) -> RegistryTask:
-        """Begins to gather changes and to judge silence."""
+        """Starts to batch changes and to check for silence."""
         self._last_contact_at = clock.now()
         self._jobs = [vital(gevent.spawn(self._collect)), vital(gevent.spawn(self._run))]
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Ends; whoever still waits is not acknowledged."""
+        """Stops; pending changes are not acknowledged."""
         gevent.killall(self._jobs)
 
     @property
     def registry(self) -> Registry | None:
-        """The replicated registry as this process has it; None where it is blank."""
-        s = self.task.core.state
-        return s.registry if s is not None else None
-
-    def heartbeat(self, u: Upstream) -> bool:
-        """Whether the heartbeat is acknowledged: a plain one by what is known here, a change once it is in force."""
-        now, s = clock.now(), self.task.core.state
-        if s is None:
+        """The replicated registry as applied here; None if this process is blank."""
+        state = self.task.core.state
+        return state.registry if state is not None else None
+
+    def heartbeat(self, upstream: Upstream) -> bool:
+        """Whether the heartbeat is acknowledged: one without a change at once, a change once it is in force."""
+        now, state = clock.now(), self.task.core.state
+        if state is None:
             return False
-        c = self.liveness.heartbeat(u, s.registry, self.liveness.clock(s.clock, now), now)
-        if c is None:
+        changed = self.liveness.heartbeat(upstream, state.registry, self.liveness.clock(state.clock, now), now)
+        if changed is None:
             return self.has_recent_contact(now)
-        if c.instance not in s.registry.rows and s.registry.full(c.service):
+        if changed.instance not in state.registry.rows and state.registry.full(changed.service):
             self.task.node.counts.add("registry_full")
             return False
-        return self._notice(c) if c.state == "leaving" else self.offer(c)
+        return self._offer_notice(changed) if changed.state == "leaving" else self.offer(changed)
 
-    def deregister(self, u: Upstream) -> bool:
+    def deregister(self, upstream: Upstream) -> bool:
         """Whether the end of an upstream, known or not, is acknowledged."""
-        s = self.task.core.state
-        if s is None:
+        state = self.task.core.state
+        if state is None:
             return False
-        row = s.registry.rows.get(u.instance)
+        row = state.registry.rows.get(upstream.instance)
         known = row is not None and row.state == "gone" and self.liveness.is_acked(row)
-        return known and self.task.core.may_answer(AnswerKind.NOTICE, clock.now()) or self._notice(u)
+        return known and self.task.core.may_answer(AnswerKind.NOTICE, clock.now()) or self._offer_notice(upstream)
 
-    def _notice(self, u: Upstream) -> bool:
-        if not self.offer(u):
+    def _offer_notice(self, upstream: Upstream) -> bool:
+        if not self.offer(upstream):
             return False
-        self.liveness.acked(u)
+        self.liveness.acked(upstream)
         return True
 
-    def offer(self, u: Upstream) -> bool:
-        """Whether the change was acknowledged in time; changes of one moment go as one command."""
-        w = AsyncResult()
-        self._box.put((u, w))
+    def offer(self, upstream: Upstream) -> bool:
+        """Whether the change was acknowledged in time; changes offered at about the same time share a command."""
+        acknowledged = AsyncResult()
+        self._changes.put((upstream, acknowledged))
         try:
-            return bool(w.get(timeout=COMMAND_TIMEOUT_S))
+            return bool(acknowledged.get(timeout=COMMAND_TIMEOUT_S))
         except gevent.Timeout:
             return False
 
     def has_recent_contact(self, now: float) -> bool:
-        """Whether a majority was asked, and a leader told whom this process heard, inside the bound of a heartbeat."""
-        told = self.task.core.leads or lease.is_valid(AnswerKind.HEARTBEAT, self._last_contact_at, now)
-        return told and self.task.core.may_answer(AnswerKind.HEARTBEAT, now)
+        """Whether a majority confirmed, and the leader accepted a report, within the bound for heartbeats."""
+        reported = self.task.core.leads or lease.is_valid(AnswerKind.HEARTBEAT, self._last_contact_at, now)
+        return reported and self.task.core.may_answer(AnswerKind.HEARTBEAT, now)
 
     def _collect(self) -> None:
         while True:
-            batch = [self._box.get()]
+            batch = [self._changes.get()]
             gevent.sleep(BATCH_DELAY_S)
-            while len(batch) < BATCH:
+            while len(batch) < MAX_BATCH_CHANGES:
                 try:
-                    batch.append(self._box.get_nowait())
+                    batch.append(self._changes.get_nowait())
                 except Empty:
                     break
-            gevent.spawn(self._offer, batch)
+            gevent.spawn(self._offer_batch, batch)
 
-    def _offer(self, batch: list[tuple[Upstream, AsyncResult]]) -> None:
-        ok = self._offer_command(Registered([u for u, _ in batch]), COMMAND_TIMEOUT_S - BATCH_DELAY_S)
-        for _, w in batch:
-            w.set(ok)
+    def _offer_batch(self, batch: list[tuple[Upstream, AsyncResult]]) -> None:
+        command = Registered([upstream for upstream, _ in batch])
+        ok = self._offer_command(command, COMMAND_TIMEOUT_S - BATCH_DELAY_S)
+        for _, acknowledged in batch:
+            acknowledged.set(ok)
 
-    def _offer_command(self, c: Registered, limit: float) -> bool:
-        t = self.task.offer(encode(c), limit, ATTEMPT_TIMEOUT_S)
+    def _offer_command(self, command: Registered, limit: float) -> bool:
+        response = self.task.offer(encode(command), limit, ATTEMPT_TIMEOUT_S)
         self.task.node.counts.add(
-            "registry_offered" if t.code == Code.OK else "registry_not_taken", len(c.changes) + len(c.forget)
+            "registry_offered" if response.code == Code.OK else "registry_not_taken",
+            len(command.changes) + len(command.forget),
         )
-        if t.code != Code.OK:
+        if response.code != Code.OK:
             return False
-        for u in c.changes:
+        for upstream in command.changes:
             change(
-                f"upstream_{u.state}",
-                upstream=u.instance,
-                service=u.service,
-                address=str(u.address),
-                cold_ms=u.cold_until,
+                f"upstream_{upstream.state}",
+                upstream=upstream.instance,
+                service=upstream.service,
+                address=str(upstream.address),
+                cold_ms=upstream.cold_until,
             )
         return True
 
     def _run(self) -> None:
         while True:
             gevent.sleep(SILENCE_CHECK_INTERVAL_S)
-            now, s = clock.now(), self.task.core.state
-            if s is None:
+            now, state = clock.now(), self.task.core.state
+            if state is None:
                 continue
-            self.liveness.clock(s.clock, now)
+            self.liveness.clock(state.clock, now)
             if self.task.core.leads:
                 self._last_contact_at = now
-                self._judge(s.registry, now)
+                self._expire_silent(state.registry, now)
                 continue
             self.liveness.follow()
-            if now - self._reported >= REPORT_INTERVAL_S:
-                self._report(s.registry, now)
+            if now - self._reported_at >= REPORT_INTERVAL_S:
+                self._report(state.registry, now)
 
-    def _judge(self, registry: Registry, now: float) -> None:
+    def _expire_silent(self, registry: Registry, now: float) -> None:
         self.liveness.prune(registry, now)
-        c = self.liveness.judge(registry, now)
-        if c is not None and (self._judging is None or self._judging.ready()):
-            self._judging = gevent.spawn(self._offer_command, c, COMMAND_TIMEOUT_S)
+        command = self.liveness.judge(registry, now)
+        if command is not None and (self._expiring is None or self._expiring.ready()):
+            self._expiring = gevent.spawn(self._offer_command, command, COMMAND_TIMEOUT_S)
 
     def _report(self, registry: Registry, now: float) -> None:
+        """Reports to the leader the upstreams heard since the last report; to a new leader, within a silence period."""
         self.liveness.prune(registry, now)
         to = self.task.core.leader()
         if to is None:
             return
-        since = self._reported if to == self._told else now - self.liveness.silent
+        since = self._reported_at if to == self._reported_to else now - self.liveness.silent
         body = encode(self.liveness.report(since, now))
-        r = self.task.node.transport.call(to, "heard", body, REPORT_INTERVAL_S)
-        if isinstance(r, Ok) and r.ok_value == REPORT_ACCEPTED:
-            self._told, self._reported, self._last_contact_at = to, now, now
+        reply = self.task.node.transport.call(to, "heard", body, REPORT_INTERVAL_S)
+        if isinstance(reply, Ok) and reply.ok_value == REPORT_ACCEPTED:
+            self._reported_to, self._reported_at, self._last_contact_at = to, now, now
             return
-        self._told = None
+        self._reported_to = None
 
     def _on_heard(self, _sender: Address, body: bytes) -> bytes:
         heard = decode_report(body)
