--- a/tests/plants.py
+++ b/tests/plants.py
@@ -1,4 +1,4 @@
-"""Breaches planted into the product or its pages for a run: each takes out what some promise of the core rests on."""
+"""Faults injected into the product or its pages for a run; each disables the mechanism behind a guarantee."""
 
 from __future__ import annotations
 
@@ -17,65 +17,66 @@
 from sim.door import DoorNode
 from sim.worst_days import play_day
 
-AGAIN_S = 4.0
+REPEAT_DELAY_S = 4.0
 Plant = Callable[[], AbstractContextManager]
-whole_patch = DoorNode._patch
-whole_page = DoorNode._page
+original_patch = DoorNode._patch
+original_page = DoorNode._page
 
 
 def conflicts_confirmed() -> AbstractContextManager:
-    """The page answers 200 to an order that lost its race."""
+    """The page answers 200 to a change that failed with a conflict."""
 
     def lenient(self, c, say) -> None:
-        whole_patch(self, c, lambda a: say(pages.Answer(pages.OK) if a.status == pages.CONFLICT else a))
+        original_patch(self, c, lambda a: say(pages.Answer(pages.OK) if a.status == pages.CONFLICT else a))
 
     return patch.object(DoorNode, "_patch", lenient)
 
 
 def reads_unconfirmed() -> AbstractContextManager:
-    """A read is answered by what this machine has, without a round to a majority."""
+    """A read is answered from the local state, without a confirmation by a majority."""
 
     def read(self, token, limit, now) -> None:
-        ok = self.state is not None
-        self.replies.append((token, CommandResponse("ok", self.state.revision) if ok else CommandResponse("leader")))
+        has_state = self.state is not None
+        response = CommandResponse("ok", self.state.revision) if has_state else CommandResponse("leader")
+        self.replies.append((token, response))
 
     return patch.object(Core, "read", read)
 
 
 def watches_unconfirmed() -> AbstractContextManager:
-    """Any state counts as current."""
+    """Every state counts as recent enough to serve watches."""
     return patch.object(Core, "current", lambda self, now: self.raft is not None)
 
 
 def committed_alone() -> AbstractContextManager:
-    """What the leader has on its own disk counts as committed."""
+    """Entries that only the leader has saved count as committed."""
 
     def advance(self) -> None:
-        n = self._saved_index
-        if n > self.commit_index and self.log.term(n) == self.term:
-            self.commit_index = self.known_commit_index = n
+        index = self._saved_index
+        if index > self.commit_index and self.log.term(index) == self.term:
+            self.commit_index = self.known_commit_index = index
 
     return patch.object(Raft, "_advance", advance)
 
 
 def never_repaired() -> AbstractContextManager:
-    """The membership of the core never changes."""
+    """The voters and learners of the core never change."""
     return patch.object(MemberObservations, "next_voters", lambda self, raft, now: None)
 
 
 def leaves_at_once() -> AbstractContextManager:
-    """A member that is told to stop ends at once, whoever else holds what it holds."""
+    """A member that is asked to stop leaves at once, even if no other member has its state."""
     return patch.object(Leave, "may_leave", lambda self, *a: True)
 
 
 def addresses_by_configuration() -> AbstractContextManager:
-    """A member's messages go where its configuration has the receiver, whatever that one says itself."""
+    """Messages go to the configuration's address of the receiver, even if the receiver reported another one."""
     return patch.object(MemberAddresses, "lookup", lambda self, member, voters: voters.address(member))
 
 
 @contextmanager
 def callers_gone_served() -> Iterator[None]:
-    """A call is run although its caller has closed the connection, and however long ago a majority was heard."""
+    """A call runs although its caller has closed the connection or the last contact with a majority is too old."""
     gone = patch.object(door, "_has_left", lambda say: False)
     out_of_touch = patch.object(DoorNode, "_may_begin", lambda self, say: True)
     with gone, out_of_touch:
@@ -83,42 +84,42 @@
 
 
 def snapshots_lost() -> AbstractContextManager:
-    """A member that lacks what the log begins with takes no snapshot."""
+    """A member whose log lacks the compacted entries ignores snapshots."""
     return patch.object(Raft, "_on_install_snapshot", lambda self, src, m, now: None)
 
 
-def _said_again(chosen: Callable[[pages.Page], bool]) -> AbstractContextManager:
-    """The page runs a call a second time, as a call of its own, some seconds after its caller went on."""
+def _repeated(chosen: Callable[[pages.Page], bool]) -> AbstractContextManager:
+    """The page runs a call a second time, as a separate call, some seconds after the first."""
 
-    def twice(self, p, say) -> None:
-        whole_page(self, p, say)
-        if chosen(p):
-            self.wake(AGAIN_S, lambda: whole_page(self, p, lambda a: None))
+    def twice(self, page, say) -> None:
+        original_page(self, page, say)
+        if chosen(page):
+            self.wake(REPEAT_DELAY_S, lambda: original_page(self, page, lambda answer: None))
 
     return patch.object(DoorNode, "_page", twice)
 
 
 def evacuations_late() -> AbstractContextManager:
-    """Each order of a zone comes once more, seconds later."""
-    return _said_again(lambda p: isinstance(p, pages.TurnZone))
+    """Each change of a zone's evacuation is repeated seconds later."""
+    return _repeated(lambda page: isinstance(page, pages.TurnZone))
 
 
 def takes_late() -> AbstractContextManager:
-    """Each take comes once more, seconds later."""
-    return _said_again(lambda p: isinstance(p, pages.Coordinate) and isinstance(p.command, Take))
+    """Each `Take` is repeated seconds later."""
+    return _repeated(lambda page: isinstance(page, pages.Coordinate) and isinstance(page.command, Take))
 
 
 def counted_twice() -> AbstractContextManager:
-    """Each call for a number counts once more, seconds later."""
-    return _said_again(lambda p: isinstance(p, pages.Coordinate) and isinstance(p.command, Count))
+    """Each `Count` is repeated seconds later."""
+    return _repeated(lambda page: isinstance(page, pages.Coordinate) and isinstance(page.command, Count))
 
 
 def beats_always() -> AbstractContextManager:
-    """A machine thinks itself in touch whatever it hears."""
+    """A process considers its contact with the majority recent at all times."""
     return patch.object(DoorNode, "_in_touch", lambda self: True)
 
 
 def play_planted(plant: Plant, day: str, seed: int) -> list[str]:
-    """The findings of one seeded day with the breach in it."""
+    """Returns the findings of one seeded day with the fault injected."""
     with plant():
         return play_day(day, seed)[0]
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -1,9 +1,9 @@
-"""A model of wipes, replacements, moves and reused addresses inside the budget: never a second founding.
+"""A model of wipes, replacements, moves and reused addresses within the fault budget: no group is founded twice.
 
-The model keeps what a core decides (`decide` is the product's own): the configurations by index, which machine has
-which disk, and how far each state goes. A minority of the voters is lost at a time; before the next loss the core
-catches up, and so do most of the replicas. Whoever asks may hear any part of the others, but founds, as the task does
-(`heard_enough`), only when most of the replicas of the roster answer; the rest may lag by any number of changes.
+The model keeps what `decide` depends on: the configurations by index, the disk of each machine, and how recent each
+state is. A minority of the voters is lost at a time; before the next loss the core catches up, and so do most replicas.
+A process may get answers from any subset of the others, but founds, as the task does (`roster_majority_answered`),
+only when most of the replicas of the roster answer; the others may lag by any number of changes.
 """
 
 import random
@@ -15,11 +15,11 @@
 from mallowvalve.raft.messages import ClusterConfiguration, GroupId
 from mallowvalve.types import Address, Locality
 
-G = GroupId(1, "g")
-EU = Locality("eu", "x")
+GROUP = GroupId(1, "g")
+EU_ZONE = Locality("eu", "x")
 
 
-class Machine:
+class ModelMachine:
     def __init__(self, id, addr):
         self.id, self.addr = id, addr
         self.up, self.index = True, -1
@@ -29,164 +29,185 @@
         return self.index < 0
 
 
-class Core:
+class CoreModel:
     def __init__(self, rng, size):
-        self.rng, self.n, self.ports = rng, 0, 0
-        self.machines = [self.machine() for _ in range(size)]
+        self.rng, self.last_index, self.ports = rng, 0, 0
+        self.machines = [self.new_machine() for _ in range(size)]
         self.seeds = [m.addr for m in self.machines[:3]]
-        self.configs = [(0, ClusterConfiguration({m.id: m.addr for m in self.machines}))]
+        self.configurations = [(0, ClusterConfiguration({m.id: m.addr for m in self.machines}))]
         for m in self.machines:
             m.index = 0
-        self.proxies = [0, 0, 0]
+        self.replica_indices = [0, 0, 0]
 
-    def machine(self, addr=None):
+    def new_machine(self, addr=None):
         self.ports += 1
-        return Machine(f"m{self.ports}", addr or Address("10.0.0.1", self.ports))
+        return ModelMachine(f"m{self.ports}", addr or Address("10.0.0.1", self.ports))
 
     @property
     def voters(self):
-        return self.configs[-1][1]
+        return self.configurations[-1][1]
 
-    def at(self, index):
-        return next(v for i, v in reversed(self.configs) if i <= index)
+    def configuration_at(self, index):
+        return next(voters for since, voters in reversed(self.configurations) if since <= index)
 
-    def by(self, id):
+    def machine(self, id):
         return next((m for m in self.machines if m.id == id), None)
 
-    def whole(self, id):
-        m = self.by(id)
-        there = m is not None and m.up and self.voters.address(id) == m.addr
-        return there and m.index >= self.configs[-1][0]
+    def is_up_to_date(self, id):
+        machine = self.machine(id)
+        present = machine is not None and machine.up and self.voters.address(id) == machine.addr
+        return present and machine.index >= self.configurations[-1][0]
 
     def lost(self):
-        return [i for i in self.voters.voters if not self.whole(i)]
+        return [i for i in self.voters.voters if not self.is_up_to_date(i)]
 
     def may_lose(self, ids):
-        gone = {*self.lost(), *ids}
-        return all(
-            2 * len(gone & part.keys()) < len(part) for part in (self.voters.voters, self.voters.old_voters) if part
-        )
+        lost = {*self.lost(), *ids}
+        voter_sets = (self.voters.voters, self.voters.old_voters)
+        return all(2 * len(lost & voters.keys()) < len(voters) for voters in voter_sets if voters)
 
-    # what may happen
+    # Events
 
-    def loses(self):
-        """One voter is away with its disk, wiped, replaced, or away while another machine has its address."""
-        ids = [i for i in self.voters.all_voters() if self.whole(i) and self.may_lose([i])]
+    def lose_voter(self):
+        """Stops, wipes, replaces or moves one voter, or gives its address to another machine."""
+        ids = [id for id in self.voters.all_voters() if self.is_up_to_date(id) and self.may_lose([id])]
         if not ids:
             return
-        m = self.by(self.rng.choice(ids))
-        kind = self.rng.choice(["away", "wiped", "replaced", "reused", "moved"])
+        machine = self.machine(self.rng.choice(ids))
+        kind = self.rng.choice(["stopped", "wiped", "replaced", "reused", "moved"])
         if kind == "wiped":
-            self.machines[self.machines.index(m)] = self.machine(m.addr)
+            self.machines[self.machines.index(machine)] = self.new_machine(machine.addr)
             return
-        m.up = False
+        machine.up = False
         if kind == "replaced":
-            self.machines.append(self.machine())
+            self.machines.append(self.new_machine())
         elif kind == "reused":
-            self.machines.append(self.machine(m.addr))
+            self.machines.append(self.new_machine(machine.addr))
         elif kind == "moved":
-            old, m.addr = m.addr, self.machine().addr
-            m.up = True
+            old_address, machine.addr = machine.addr, self.new_machine().addr
+            machine.up = True
             if self.rng.random() < 0.5:
-                self.machines.append(self.machine(old))
+                self.machines.append(self.new_machine(old_address))
 
-    def returns(self):
-        """One that was away is back with its disk, at a new address where another has its old one."""
-        down = [m for m in self.machines if not m.up]
+    def restart_machine(self):
+        """Restarts a stopped machine with its disk, at a new address if another machine has the old one."""
+        down = [machine for machine in self.machines if not machine.up]
         if not down:
             return
-        m = self.rng.choice(down)
-        if any(o.up and o.addr == m.addr for o in self.machines):
-            m.addr = self.machine().addr
-        m.up = True
+        machine = self.rng.choice(down)
+        if any(other.up and other.addr == machine.addr for other in self.machines):
+            machine.addr = self.new_machine().addr
+        machine.up = True
 
     def change(self, voters):
-        self.n += 1
-        self.configs.append((self.n, voters))
-        sets = [part for part in (voters.voters, voters.old_voters) if part]
-        hold = [m for m in self.machines if m.up and not m.blank and voters.address(m.id)]
-        need = {m.id for m in hold if self.rng.random() < 0.7}
-        for part in sets:
-            while 2 * len(need & part.keys()) <= len(part):
-                need.add(self.rng.choice(sorted({m.id for m in hold} & part.keys() - need)))
-        for m in hold:
-            if m.id in need:
-                m.index = self.n
-
-    def steps(self):
-        """One step of the core's own: an address, a learner, a swap through a joint configuration."""
-        v = self.voters
-        if v.old_voters:
-            return self.change(ClusterConfiguration(v.voters, v.learners))
-        for m in self.machines:
-            if m.up and v.address(m.id) not in (None, m.addr):
-                moved = [{i: m.addr if i == m.id else a for i, a in p.items()} for p in (v.voters, v.learners)]
+        """Commits the configuration on a random majority of each of its voter sets."""
+        self.last_index += 1
+        self.configurations.append((self.last_index, voters))
+        voter_sets = [members for members in (voters.voters, voters.old_voters) if members]
+        reachable = [m for m in self.machines if m.up and not m.blank and voters.address(m.id)]
+        saved = {machine.id for machine in reachable if self.rng.random() < 0.7}
+        for members in voter_sets:
+            while 2 * len(saved & members.keys()) <= len(members):
+                saved.add(self.rng.choice(sorted({machine.id for machine in reachable} & members.keys() - saved)))
+        for machine in reachable:
+            if machine.id in saved:
+                machine.index = self.last_index
+
+    def reconfigure(self):
+        """Makes the core's next change: an address, a learner, or a replacement through a joint configuration."""
+        current = self.voters
+        if current.old_voters:
+            return self.change(ClusterConfiguration(current.voters, current.learners))
+        for machine in self.machines:
+            if machine.up and current.address(machine.id) not in (None, machine.addr):
+                moved = [
+                    {id: machine.addr if id == machine.id else address for id, address in members.items()}
+                    for members in (current.voters, current.learners)
+                ]
                 return self.change(ClusterConfiguration(*moved))
-        for m in self.machines:
-            if m.up and v.address(m.id) is None:
-                self.change(ClusterConfiguration(v.voters, {**v.learners, m.id: m.addr}))
+        for machine in self.machines:
+            if machine.up and current.address(machine.id) is None:
+                learners = {**current.learners, machine.id: machine.addr}
+                self.change(ClusterConfiguration(current.voters, learners))
                 return None
-        ripe = [i for i in v.learners if self.whole(i)]
-        out = [i for i in v.voters if self.by(i) is None or not self.by(i).up]
-        if ripe and out:
-            kept = {i: a for i, a in v.voters.items() if i != out[0]}
-            learners = {i: a for i, a in v.learners.items() if i != ripe[0]}
-            return self.change(ClusterConfiguration({**kept, ripe[0]: v.learners[ripe[0]]}, learners, v.voters))
+        caught_up = [id for id in current.learners if self.is_up_to_date(id)]
+        lost = [id for id in current.voters if self.machine(id) is None or not self.machine(id).up]
+        if caught_up and lost:
+            kept = {id: address for id, address in current.voters.items() if id != lost[0]}
+            learners = {id: address for id, address in current.learners.items() if id != caught_up[0]}
+            voters = {**kept, caught_up[0]: current.learners[caught_up[0]]}
+            return self.change(ClusterConfiguration(voters, learners, current.voters))
         return None
 
-    def follows(self):
-        """Some member or replica hears of more; a blank one starts from a snapshot that may not name it yet."""
-        for m in self.machines:
-            if m.up and self.voters.address(m.id) and self.rng.random() < 0.6:
-                low = self.configs[max(0, len(self.configs) - 4)][0] if m.blank else m.index
-                m.index = self.rng.randint(max(low, m.index), self.n)
-        for k in range(len(self.proxies)):
+    def replicate(self):
+        """Advances some members and replicas; a blank one starts from a snapshot that may not name it yet."""
+        for machine in self.machines:
+            if machine.up and self.voters.address(machine.id) and self.rng.random() < 0.6:
+                snapshot_index = self.configurations[max(0, len(self.configurations) - 4)][0]
+                lowest = snapshot_index if machine.blank else machine.index
+                machine.index = self.rng.randint(max(lowest, machine.index), self.last_index)
+        for replica in range(len(self.replica_indices)):
             if self.rng.random() < 0.3:
-                self.proxies[k] = self.rng.randint(self.proxies[k], self.n)
+                self.replica_indices[replica] = self.rng.randint(self.replica_indices[replica], self.last_index)
 
-    def catches_up(self):
+    def catch_up(self):
+        """Repairs the core, and brings all its members and most replicas up to date."""
         for _ in range(12):
-            self.steps()
-            for m in self.machines:
-                if m.up and self.voters.address(m.id):
-                    m.index = self.n
-        for k in self.rng.sample(range(len(self.proxies)), 2):
-            self.proxies[k] = self.n
-
-    # what each would decide
-
-    def who(self, m):
-        known = None if m.blank else G
-        held = None if m.blank else self.at(m.index)
-        return ProcessStatus("control", m.id, m.addr, EU, self.seeds, m.blank, known, max(0, m.index), held, None)
-
-    def answers(self, but):
-        out = [self.who(m) for m in self.machines if m.up and m is not but and self.rng.random() < 0.7]
-        for k, index in enumerate(self.proxies):
-            if self.rng.random() < 0.7:
-                a = Address("10.0.2.1", k + 1)
-                out.append(ProcessStatus("proxy", "", a, EU, [], False, G, index, self.at(index), None))
-        return out
+            self.reconfigure()
+            for machine in self.machines:
+                if machine.up and self.voters.address(machine.id):
+                    machine.index = self.last_index
+        for replica in self.rng.sample(range(len(self.replica_indices)), 2):
+            self.replica_indices[replica] = self.last_index
+
+    # Decisions
+
+    def status(self, machine):
+        group = None if machine.blank else GROUP
+        voters = None if machine.blank else self.configuration_at(machine.index)
+        index = max(0, machine.index)
+        return ProcessStatus(
+            "control", machine.id, machine.addr, EU_ZONE, self.seeds, machine.blank, group, index, voters, None
+        )
 
-    def founds(self):
-        for m in self.machines:
-            if not m.up:
+    def answers(self, asking):
+        """Returns the statuses of a random subset of the other machines and the replicas."""
+        others = [machine for machine in self.machines if machine.up and machine is not asking]
+        answers = [self.status(machine) for machine in others if self.rng.random() < 0.7]
+        for replica, index in enumerate(self.replica_indices):
+            if self.rng.random() < 0.7:
+                address, voters = Address("10.0.2.1", replica + 1), self.configuration_at(index)
+                answers.append(ProcessStatus("proxy", "", address, EU_ZONE, [], False, GROUP, index, voters, None))
+        return answers
+
+    def second_founding(self):
+        """Returns the machine that would found another group, with its answers and its decision, or None."""
+        for machine in self.machines:
+            if not machine.up:
                 continue
-            heard = self.answers(m)
-            if 2 * sum(w.role == "proxy" for w in heard) <= len(self.proxies):
+            answers = self.answers(machine)
+            if 2 * sum(status.role == "proxy" for status in answers) <= len(self.replica_indices):
                 continue
-            v = decide(self.who(m), heard, 1, False)
-            if isinstance(v, FoundGroup) and v.base is not None:
-                return m, heard, v
+            decision = decide(self.status(machine), answers, 1, False)
+            if isinstance(decision, FoundGroup) and decision.base is not None:
+                return machine, answers, decision
         return None
 
 
 @pytest.mark.parametrize("size", [3, 5])
-def test_no_second_founding_while_most_of_the_voters_disks_are_there(size):
+def test_no_group_is_founded_twice_while_the_disks_of_a_majority_of_voters_are_present(size):
     for seed in range(1500):
-        core = Core(random.Random(seed), size)
+        core = CoreModel(random.Random(seed), size)
+        events = [
+            core.lose_voter,
+            core.lose_voter,
+            core.restart_machine,
+            core.reconfigure,
+            core.replicate,
+            core.catch_up,
+        ]
         for _ in range(25):
-            act = core.rng.choice([core.loses, core.loses, core.returns, core.steps, core.follows, core.catches_up])
-            act()
-            found = core.founds()
-            assert found is None, (seed, core.configs[-3:], found)
+            event = core.rng.choice(events)
+            event()
+            founding = core.second_founding()
+            assert founding is None, (seed, core.configurations[-3:], founding)
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -1,4 +1,4 @@
-"""Polite stops of core members in the seeded simulator: no seat is given up before another member holds all."""
+"""Graceful stops of core members in the seeded simulator: no seat is given up before another member has caught up."""
 
 import random
 
@@ -15,191 +15,193 @@
 from sim.fleet import Fleet
 from sim.storms import check
 
-CATCH_UP = 4.0
-GRACE = 3.4
+CATCH_UP_S = 4.0
+GRACE_PERIOD_S = 3.4
 A, B, C, D = (Address("10.0.0.1", p) for p in (1, 2, 3, 4))
-G = GroupId(1, "g")
+GROUP = GroupId(1, "g")
 
 
-def member(voters, learners=(), old=()):
-    def ids(text):
-        return {i: a for i, a in zip("abcd", (A, B, C, D)) if i in text}
+def configuration(voters, learners=(), old=()):
+    def ids(names):
+        return {id: address for id, address in zip("abcd", (A, B, C, D)) if id in names}
 
     return ClusterConfiguration(ids(voters), ids(learners), ids(old))
 
 
-def raft(v):
-    return Raft("a", Log(RaftSnapshot(G, 0, 0, v, [])), 0, "", random.Random(1), 0.0)
+def raft_with(voters):
+    return Raft("a", Log(RaftSnapshot(GROUP, 0, 0, voters, [])), 0, "", random.Random(1), 0.0)
 
 
-def answer(v, group=G):
-    return ProcessStatus("control", "b", B, Locality("eu", "x"), [], False, group, 5, v, B)
+def status(voters, group=GROUP):
+    return ProcessStatus("control", "b", B, Locality("eu", "x"), [], False, group, 5, voters, B)
 
 
-def test_a_configuration_is_committed_before_one_of_its_members_goes():
+def test_a_member_leaves_only_once_its_configuration_is_committed():
     log = Log(
-        RaftSnapshot(G, 6, 1, member("abc", "", "abd"), []), [Entry(7, 2, CONFIGURATION, 0, encode(member("abc")))]
+        RaftSnapshot(GROUP, 6, 1, configuration("abc", "", "abd"), []),
+        [Entry(7, 2, CONFIGURATION, 0, encode(configuration("abc")))],
     )
-    machine = Raft("a", log, 2, "", random.Random(1), 0.0)
+    raft = Raft("a", log, 2, "", random.Random(1), 0.0)
     leave = Leave("a")
-    assert not leave.may_leave(machine, [], [B, C]) and leave.why is LeaveReason.WAITS
-    machine = Raft("a", log, 2, "", random.Random(1), 0.0, commit_index=7)
-    assert leave.may_leave(machine, [], [B, C]) and leave.why is LeaveReason.NOBODY
+    assert not leave.may_leave(raft, [], [B, C]) and leave.why is LeaveReason.WAITS
+    raft = Raft("a", log, 2, "", random.Random(1), 0.0, commit_index=7)
+    assert leave.may_leave(raft, [], [B, C]) and leave.why is LeaveReason.NOBODY
 
 
-def test_a_change_that_only_another_member_knows_of_is_waited_for():
-    machine = Raft("a", Log(RaftSnapshot(G, 6, 1, member("abc"), [])), 1, "", random.Random(1), 0.0)
-    joint = msgspec.structs.replace(answer(member("abd", "", "abc")), index=8)
+def test_a_member_waits_for_a_change_that_only_another_member_knows_of():
+    raft = Raft("a", Log(RaftSnapshot(GROUP, 6, 1, configuration("abc"), [])), 1, "", random.Random(1), 0.0)
+    joint = msgspec.structs.replace(status(configuration("abd", "", "abc")), index=8)
     leave = Leave("a")
-    assert not leave.may_leave(machine, [joint], [B, C]) and leave.why is LeaveReason.WAITS
+    assert not leave.may_leave(raft, [joint], [B, C]) and leave.why is LeaveReason.WAITS
 
 
-def test_what_a_member_that_lags_says_of_seats_does_not_count():
-    log = Log(RaftSnapshot(G, 6, 1, member("abc"), []))
-    machine = Raft("a", log, 1, "", random.Random(1), 0.0)
+def test_the_voters_that_a_lagging_member_reports_do_not_count():
+    log = Log(RaftSnapshot(GROUP, 6, 1, configuration("abc"), []))
+    raft = Raft("a", log, 1, "", random.Random(1), 0.0)
     leave = Leave("a")
-    assert not leave.may_leave(machine, [answer(member("bcd"))], [B, C, D]) and leave.why is LeaveReason.WAITS
-    assert leave.may_leave(machine, [msgspec.structs.replace(answer(member("bcd")), index=6)], [B, C, D])
+    assert not leave.may_leave(raft, [status(configuration("bcd"))], [B, C, D]) and leave.why is LeaveReason.WAITS
+    assert leave.may_leave(raft, [msgspec.structs.replace(status(configuration("bcd")), index=6)], [B, C, D])
 
 
-def came_back(id, at, leaving=False):
-    """A core process that holds no state, at an address whose former id may have a seat."""
-    who = ProcessStatus("control", id, at, Locality("eu", "x"), [], True, None, 0, None, None)
-    return msgspec.structs.replace(who, leaving=leaving)
+def blank_status(id, at, leaving=False):
+    """Returns the status of a blank core process, at an address whose former id may have a seat."""
+    status = ProcessStatus("control", id, at, Locality("eu", "x"), [], True, None, 0, None, None)
+    return msgspec.structs.replace(status, leaving=leaving)
 
 
 @pytest.mark.parametrize(
-    ("mine", "answers", "control", "why"),
+    ("own", "answers", "control", "why"),
     [
-        (member("abc"), [], [B, C], LeaveReason.NOBODY),
-        (member("abc"), [], [B, C, D], LeaveReason.WAITS),
-        (member("abc", "d"), [answer(member("bcd", "", "abc"))], [B, C, D], LeaveReason.WAITS),
-        (member("abc", "d"), [answer(member("bcd"))], [B, C, D], LeaveReason.REPLACED),
-        (member("abc", "d"), [answer(member("bcd"), GroupId(1, "other"))], [B, C, D], LeaveReason.WAITS),
-        (member("bcd", "", "abc"), [], [B, C, D], LeaveReason.WAITS),
-        (member("bcd"), [], [B, C, D], LeaveReason.REPLACED),
-        (member("bcd", "a"), [], [B, C, D], LeaveReason.NO_SEAT),
-        (ClusterConfiguration(member("abc").voters, {"x": B}), [], [B, C], LeaveReason.WAITS),
-        (ClusterConfiguration(member("abc").voters, {"x": D}), [], [B, C], LeaveReason.NOBODY),
-        (member("abc"), [came_back("x", B)], [B, C], LeaveReason.WAITS),
-        (member("abc"), [came_back("b", B)], [B, C], LeaveReason.NOBODY),
-        (member("abc"), [came_back("x", B, leaving=True)], [B, C], LeaveReason.NOBODY),
+        (configuration("abc"), [], [B, C], LeaveReason.NOBODY),
+        (configuration("abc"), [], [B, C, D], LeaveReason.WAITS),
+        (configuration("abc", "d"), [status(configuration("bcd", "", "abc"))], [B, C, D], LeaveReason.WAITS),
+        (configuration("abc", "d"), [status(configuration("bcd"))], [B, C, D], LeaveReason.REPLACED),
+        (configuration("abc", "d"), [status(configuration("bcd"), GroupId(1, "other"))], [B, C, D], LeaveReason.WAITS),
+        (configuration("bcd", "", "abc"), [], [B, C, D], LeaveReason.WAITS),
+        (configuration("bcd"), [], [B, C, D], LeaveReason.REPLACED),
+        (configuration("bcd", "a"), [], [B, C, D], LeaveReason.NO_SEAT),
+        (ClusterConfiguration(configuration("abc").voters, {"x": B}), [], [B, C], LeaveReason.WAITS),
+        (ClusterConfiguration(configuration("abc").voters, {"x": D}), [], [B, C], LeaveReason.NOBODY),
+        (configuration("abc"), [blank_status("x", B)], [B, C], LeaveReason.WAITS),
+        (configuration("abc"), [blank_status("b", B)], [B, C], LeaveReason.NOBODY),
+        (configuration("abc"), [blank_status("x", B, leaving=True)], [B, C], LeaveReason.NOBODY),
     ],
 )
-def test_a_member_goes_once_its_seat_is_taken_or_nobody_could_take_it(mine, answers, control, why):
+def test_a_member_leaves_once_its_seat_is_taken_or_no_process_could_take_it(own, answers, control, why):
     leave = Leave("a")
-    assert leave.may_leave(raft(mine), answers, control) == (why is not LeaveReason.WAITS) and leave.why is why
+    assert leave.may_leave(raft_with(own), answers, control) == (why is not LeaveReason.WAITS) and leave.why is why
 
 
-def test_a_blank_member_goes_at_once():
+def test_a_blank_member_leaves_at_once():
     assert Leave("a").may_leave(None, [], [B])
 
 
-def loaded(seed, cores):
-    f = Fleet(seed, cores=cores, proxies=3, directory_server=1)
-    f.load()
-    assert f.run_until(lambda: commits(f) and f.history.numbers, 30.0)
-    f.run(6.0)
-    return f
+def fleet_under_load(seed, cores):
+    fleet = Fleet(seed, cores=cores, proxies=3, directory_server=1)
+    fleet.load()
+    assert fleet.run_until(lambda: has_quorum(fleet) and fleet.history.numbers, 30.0)
+    fleet.run(6.0)
+    return fleet
 
 
-def commits(f):
-    lead = f.leader()
-    return lead is not None and f.world.now - lead.core.raft.last_quorum_contact() <= 1.0
+def has_quorum(fleet):
+    """Whether a majority has confirmed a leader within the last second."""
+    leader = fleet.leader()
+    return leader is not None and fleet.world.now - leader.core.raft.last_quorum_contact() <= 1.0
 
 
-def joins(f):
-    a = f._address("1", len(f.disks))
-    f.disks[a] = SimDisk(random.Random(f.rng.random()))
-    f.core.append(a)
-    f.start(a)
-    return a
+def add_core(fleet):
+    address = fleet._address("1", len(fleet.disks))
+    fleet.disks[address] = SimDisk(random.Random(fleet.rng.random()))
+    fleet.core.append(address)
+    fleet.start(address)
+    return address
 
 
-def leaves(f, a):
-    """The member's polite stop, to its end; returns why it ended and how long that took."""
-    node, begun = f.world.nodes[a], f.world.now
-    node.leave(GRACE)
-    assert f.run_until(lambda: not f.world.up(a), GRACE + 0.2)
-    f.core.remove(a)
-    return node.left, f.world.now - begun
+def stop_gracefully(fleet, address):
+    """Stops the member gracefully and returns why its wait ended and how long that took (s)."""
+    node, begun = fleet.world.nodes[address], fleet.world.now
+    node.leave(GRACE_PERIOD_S)
+    assert fleet.run_until(lambda: not fleet.world.up(address), GRACE_PERIOD_S + 0.2)
+    fleet.core.remove(address)
+    return node.left, fleet.world.now - begun
 
 
-def voters(f):
-    return set(f.leader().core.raft.log.configuration.all_voters().values())
+def voters(fleet):
+    return set(fleet.leader().core.raft.log.configuration.all_voters().values())
 
 
-def goes_on(f):
-    """Numbers are given on; what is still under way is answered or given up before the history is judged."""
-    before = len(f.history.numbers)
-    assert f.run_until(lambda: commits(f) and len(f.history.numbers) > before + 3, 15.0)
-    f.run(8.0)
-    assert check(f.history) == []
+def check_progress(fleet):
+    """Checks that numbers are still issued; pending calls end before the history is checked."""
+    before = len(fleet.history.numbers)
+    assert fleet.run_until(lambda: has_quorum(fleet) and len(fleet.history.numbers) > before + 3, 15.0)
+    fleet.run(8.0)
+    assert check(fleet.history) == []
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_the_only_copy_is_handed_on_before_its_holder_ends(seed):
-    f = loaded(seed, 1)
-    (only,) = f.core
-    new = joins(f)
-    f.run(f.rng.random())
-    assert leaves(f, only)[0] is LeaveReason.REPLACED
-    f.run(1.0)
-    assert voters(f) == {new}
-    goes_on(f)
+def test_the_only_copy_is_replicated_before_its_member_leaves(seed):
+    fleet = fleet_under_load(seed, 1)
+    (only,) = fleet.core
+    successor = add_core(fleet)
+    fleet.run(fleet.rng.random())
+    assert stop_gracefully(fleet, only)[0] is LeaveReason.REPLACED
+    fleet.run(1.0)
+    assert voters(fleet) == {successor}
+    check_progress(fleet)
 
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("leads", [True, False])
 def test_on_a_core_of_three_a_successor_takes_the_seat_and_the_next_loss_leaves_a_majority(seed, leads):
-    f = loaded(seed, 3)
-    lead = f.leader().addr
-    goes = lead if leads else f.rng.choice([a for a in f.core if a != lead])
-    new = joins(f)
-    f.run(0.5 * f.rng.random())
-    assert leaves(f, goes)[0] is LeaveReason.REPLACED
-    f.run(CATCH_UP)
-    assert voters(f) == set(f.core)
-    f.kill(f.rng.choice([a for a in f.core if a != new]))
-    goes_on(f)
+    fleet = fleet_under_load(seed, 3)
+    leader = fleet.leader().addr
+    leaving = leader if leads else fleet.rng.choice([address for address in fleet.core if address != leader])
+    successor = add_core(fleet)
+    fleet.run(0.5 * fleet.rng.random())
+    assert stop_gracefully(fleet, leaving)[0] is LeaveReason.REPLACED
+    fleet.run(CATCH_UP_S)
+    assert voters(fleet) == set(fleet.core)
+    fleet.kill(fleet.rng.choice([address for address in fleet.core if address != successor]))
+    check_progress(fleet)
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("cores", [6, 9])
-def test_members_that_leave_in_turn_give_their_seats_to_learners(cores, seed):
-    f = loaded(seed, cores)
+def test_learners_take_the_seats_of_members_that_leave_in_turn(cores, seed):
+    fleet = fleet_under_load(seed, cores)
     for _ in range(cores - 5):
-        goes = f.leader().addr if f.rng.random() < 0.5 else f.rng.choice(sorted(voters(f)))
-        why, took = leaves(f, goes)
+        leaving = fleet.leader().addr if fleet.rng.random() < 0.5 else fleet.rng.choice(sorted(voters(fleet)))
+        why, took = stop_gracefully(fleet, leaving)
         assert why is LeaveReason.REPLACED and took < 2.0
-        assert f.run_until(lambda: commits(f), 5.0) and goes not in voters(f)
-    f.kill(f.rng.choice(f.core))
-    f.kill(f.rng.choice([a for a in f.core if f.world.up(a)]))
-    goes_on(f)
+        assert fleet.run_until(lambda: has_quorum(fleet), 5.0) and leaving not in voters(fleet)
+    fleet.kill(fleet.rng.choice(fleet.core))
+    fleet.kill(fleet.rng.choice([address for address in fleet.core if fleet.world.up(address)]))
+    check_progress(fleet)
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("cores", [3, 5])
-def test_where_nobody_can_take_the_seat_a_plain_restart_is_not_delayed(cores, seed):
-    f = loaded(seed, cores)
-    f.run(10.0)
-    for a in list(f.core):
-        f.run_until(lambda: commits(f), 10.0)
-        why, took = leaves(f, a)
+def test_a_restart_is_not_delayed_where_no_process_can_take_the_seat(cores, seed):
+    fleet = fleet_under_load(seed, cores)
+    fleet.run(10.0)
+    for address in list(fleet.core):
+        fleet.run_until(lambda: has_quorum(fleet), 10.0)
+        why, took = stop_gracefully(fleet, address)
         assert why is LeaveReason.NOBODY and took < 0.3
-        f.core.append(a)
-        f.start(a)
-        f.run(CATCH_UP)
-    goes_on(f)
-    assert len(voters(f)) == cores
+        fleet.core.append(address)
+        fleet.start(address)
+        fleet.run(CATCH_UP_S)
+    check_progress(fleet)
+    assert len(voters(fleet)) == cores
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_a_successor_that_never_holds_all_is_waited_for_within_the_grace_only(seed):
-    f = loaded(seed, 3)
-    goes, new = f.core[0], joins(f)
-    f.world.split([new], [a for a in f.core if a != new])
-    why, took = leaves(f, goes)
-    assert why is LeaveReason.WAITS and GRACE <= took < GRACE + 0.3
-    f.world.heal()
-    goes_on(f)
+def test_the_wait_for_a_successor_that_never_catches_up_ends_with_the_grace_period(seed):
+    fleet = fleet_under_load(seed, 3)
+    leaving, successor = fleet.core[0], add_core(fleet)
+    fleet.world.split([successor], [address for address in fleet.core if address != successor])
+    why, took = stop_gracefully(fleet, leaving)
+    assert why is LeaveReason.WAITS and GRACE_PERIOD_S <= took < GRACE_PERIOD_S + 0.3
+    fleet.world.heal()
+    check_progress(fleet)
--- a/tests/test_leave_process.py
+++ b/tests/test_leave_process.py
@@ -1,4 +1,4 @@
-"""A polite stop of control processes as they run: sockets, signals and clocks of their own."""
+"""Graceful stops of real control processes, with sockets, signals and their own clocks."""
 
 import json
 
@@ -7,41 +7,41 @@
 from mallowvalve.localfleet.main import settle
 from tests.shapes import CONFIG, SHARES, ZONES
 
-POLITE = 4.0
+GRACE_PERIOD_S = 4.0
 
 
-def said(fleet, name, what):
+def log_events(fleet, name, kind):
     rows = [json.loads(line) for line in fleet.procs[name].log.read_text().splitlines()]
-    return [r for r in rows if r.get("message_type") == what]
+    return [row for row in rows if row.get("message_type") == kind]
 
 
-def about(p):
-    status, body = call(p.web, "GET", "/leader")[:2]
+def leader_page(process):
+    status, body = call(process.web, "GET", "/leader")[:2]
     return body if status == 200 else {}
 
 
 def leader(fleet):
-    live = [p for p in fleet.of("control") if p.up]
-    return until(lambda: next((p for p in live if about(p).get("role") == "leader"), None), 20)
+    live = [process for process in fleet.of("control") if process.up]
+    return until(lambda: next((p for p in live if leader_page(p).get("role") == "leader"), None), 20)
 
 
-def test_a_successor_has_the_seat_before_the_process_ends_and_the_next_loss_leaves_a_majority(tmp_path):
-    nodes = [Place("control", z) for z in ZONES[::2]] + [Place("proxy", "eu/eu-a")]
+def test_a_successor_takes_the_seat_before_the_process_stops_and_the_next_loss_leaves_a_majority(tmp_path):
+    nodes = [Place("control", zone) for zone in ZONES[::2]] + [Place("proxy", "eu/eu-a")]
     shape = Shape(nodes=nodes, upstreams=[], config=CONFIG, shares=SHARES, rate=1.0, clients=1)
-    with Fleet(shape, tmp_path, POLITE) as fleet:
+    with Fleet(shape, tmp_path, GRACE_PERIOD_S) as fleet:
         assert settle(fleet)
-        (plain, *_) = [p for p in fleet.of("control") if p is not leader(fleet)]
-        fleet.stop(plain.name)
-        (row,) = said(fleet, plain.name, "left_core")
+        (follower, *_) = [process for process in fleet.of("control") if process is not leader(fleet)]
+        fleet.stop(follower.name)
+        (row,) = log_events(fleet, follower.name, "left_core")
         assert (row["why"], row["seconds"] < 0.5) == ("nobody could take its seat", True)
-        fleet.start(plain.name)
-        assert until(lambda: about(plain).get("leader"), 20)
-        new = fleet.add_node("control", "us/us-b", "control9")
-        assert until(lambda: about(new).get("leader"), 20)
-        goes = leader(fleet)
-        fleet.stop(goes.name)
-        (row,) = said(fleet, goes.name, "left_core")
-        assert (row["why"], row["seconds"] < POLITE) == ("another has its seat", True)
-        fleet.kill(next(p for p in fleet.of("control") if p.up and p is not new).name)
-        left = leader(fleet)
-        assert until(lambda: call(left.web, "POST", "/numbers/n", {})[0] == 200, 10)
+        fleet.start(follower.name)
+        assert until(lambda: leader_page(follower).get("leader"), 20)
+        successor = fleet.add_node("control", "us/us-b", "control9")
+        assert until(lambda: leader_page(successor).get("leader"), 20)
+        leaving = leader(fleet)
+        fleet.stop(leaving.name)
+        (row,) = log_events(fleet, leaving.name, "left_core")
+        assert (row["why"], row["seconds"] < GRACE_PERIOD_S) == ("another has its seat", True)
+        fleet.kill(next(process for process in fleet.of("control") if process.up and process is not successor).name)
+        last_leader = leader(fleet)
+        assert until(lambda: call(last_leader.web, "POST", "/numbers/n", {})[0] == 200, 10)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Repairs of the core's voters in the seeded simulator: losses `CATCH_UP` seconds apart leave a majority each time."""
+"""Repairs of the core's voters in the seeded simulator: losses `CATCH_UP_S` apart leave a majority each time."""
 
 import random
 
@@ -13,82 +13,83 @@
 from sim.disk import SimDisk
 from sim.fleet import Fleet
 
-CATCH_UP = 4.0
-REUSE = 2.0
-BACK = 10.0
-CORES = (3, 5, 6, 9)
+CATCH_UP_S = 4.0
+ADDRESS_REUSE_S = 2.0
+RECOVERY_TIMEOUT_S = 10.0
+CORE_SIZES = (3, 5, 6, 9)
 
 
-def wiped(f, a):
-    """The machine is back at its address a second later, its disk empty."""
-    f.kill(a)
-    f.run(1.0)
-    f.disks[a] = SimDisk(random.Random(f.rng.random()))
-    f.start(a)
+def wiped(fleet, address):
+    """Restarts the machine at its address a second later with an empty disk."""
+    fleet.kill(address)
+    fleet.run(1.0)
+    fleet.disks[address] = SimDisk(random.Random(fleet.rng.random()))
+    fleet.start(address)
 
 
-def reused(f, a):
-    """The machine is gone for good; `REUSE` seconds later a new core machine has its address."""
-    f.kill(a)
-    f.run(REUSE)
-    f.disks[a] = SimDisk(random.Random(f.rng.random()))
-    f.start(a)
+def reused(fleet, address):
+    """Removes the machine for good; `ADDRESS_REUSE_S` later a new core machine has its address."""
+    fleet.kill(address)
+    fleet.run(ADDRESS_REUSE_S)
+    fleet.disks[address] = SimDisk(random.Random(fleet.rng.random()))
+    fleet.start(address)
 
 
-def replaced(f, a):
-    """The machine is gone for good, an empty one stands in for it at a new address."""
-    f.replace(a)
+def replaced(fleet, address):
+    """Removes the machine for good and starts an empty one at a new address."""
+    fleet.replace(address)
 
 
-def killed(f, a):
-    """The machine is gone for good, nothing comes in its place."""
-    f.kill(a)
-    f.core.remove(a)
+def killed(fleet, address):
+    """Removes the machine for good, without a replacement."""
+    fleet.kill(address)
+    fleet.core.remove(address)
 
 
-def moved(f, a):
-    """The machine is gone for good; `REUSE` seconds later a learner with its disk has its address."""
-    f.kill(a)
-    f.run(REUSE)
-    learner = f.rng.choice([x for x in f.core if x != a and x not in voters(f)])
-    f.kill(learner)
-    f.core.remove(learner)
-    f.disks[a] = f.disks[learner]
-    f.start(a)
+def moved(fleet, address):
+    """Removes the machine for good; `ADDRESS_REUSE_S` later a learner with its disk has its address."""
+    fleet.kill(address)
+    fleet.run(ADDRESS_REUSE_S)
+    learner = fleet.rng.choice([other for other in fleet.core if other != address and other not in voters(fleet)])
+    fleet.kill(learner)
+    fleet.core.remove(learner)
+    fleet.disks[address] = fleet.disks[learner]
+    fleet.start(address)
 
 
-def voters(f):
-    return sorted(f.leader().core.raft.log.configuration.voters.values())
+def voters(fleet):
+    return sorted(fleet.leader().core.raft.log.configuration.voters.values())
 
 
-def commits(f):
-    """A leader that a majority confirmed within the last second."""
-    lead = f.leader()
-    return lead is not None and f.world.now - lead.core.raft.last_quorum_contact() <= 1.0
+def has_quorum(fleet):
+    """Whether a majority has confirmed a leader within the last second."""
+    leader = fleet.leader()
+    return leader is not None and fleet.world.now - leader.core.raft.last_quorum_contact() <= 1.0
 
 
 def settled_fleet(seed, cores):
-    f = Fleet(seed, cores=cores, proxies=2, directory_server=1)
-    assert f.run_until(lambda: commits(f), 20.0)
-    f.run(8.0)
-    return f
+    fleet = Fleet(seed, cores=cores, proxies=2, directory_server=1)
+    assert fleet.run_until(lambda: has_quorum(fleet), 20.0)
+    fleet.run(8.0)
+    return fleet
 
 
-def lose_in_turn(f, how, times):
+def lose_in_turn(fleet, lose, times):
     for turn in range(times):
-        assert f.run_until(lambda: commits(f), BACK), f"no majority after {turn} losses"
-        lead = f.leader().addr
-        at = lead if f.rng.random() < 0.3 else f.rng.choice([a for a in voters(f) if f.world.up(a)])
-        how(f, at)
-        f.run(CATCH_UP)
-    assert f.run_until(lambda: commits(f), BACK), f"no majority after {times} losses"
+        assert fleet.run_until(lambda: has_quorum(fleet), RECOVERY_TIMEOUT_S), f"no majority after {turn} losses"
+        leader = fleet.leader().addr
+        use_leader = fleet.rng.random() < 0.3
+        lost = leader if use_leader else fleet.rng.choice([a for a in voters(fleet) if fleet.world.up(a)])
+        lose(fleet, lost)
+        fleet.run(CATCH_UP_S)
+    assert fleet.run_until(lambda: has_quorum(fleet), RECOVERY_TIMEOUT_S), f"no majority after {times} losses"
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("how", [wiped, reused, replaced])
-@pytest.mark.parametrize("cores", CORES)
-def test_a_loss_right_after_a_repair_leaves_a_majority(cores, how, seed):
-    lose_in_turn(settled_fleet(seed, cores), how, 4)
+@pytest.mark.parametrize("lose", [wiped, reused, replaced])
+@pytest.mark.parametrize("cores", CORE_SIZES)
+def test_a_loss_right_after_a_repair_leaves_a_majority(cores, lose, seed):
+    lose_in_turn(settled_fleet(seed, cores), lose, 4)
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -105,186 +106,192 @@
 
 @pytest.mark.parametrize("seed", range(3))
 def test_every_core_machine_is_replaced_in_turn_while_the_log_goes_back_to_the_first_voters(seed, monkeypatch):
-    """A learner that begins at the founding's snapshot knows none of today's members, its leader among them."""
+    """A learner that starts from the founding's snapshot knows no present member, not even its leader."""
     monkeypatch.setattr(ControlNode, "segment_bytes", 1 << 30)
-    f = settled_fleet(seed, 6)
-    for a in list(f.core):
-        f.replace(a)
-        whole = f.run_until(lambda a=a: commits(f) and len(voters(f)) == 5 and a not in voters(f), BACK)
-        assert whole, f"{len(f.core)} machines, {voters(f)} vote after {a} was replaced"
+    fleet = settled_fleet(seed, 6)
+    for address in list(fleet.core):
+        fleet.replace(address)
+        repaired = fleet.run_until(
+            lambda address=address: has_quorum(fleet) and len(voters(fleet)) == 5 and address not in voters(fleet),
+            RECOVERY_TIMEOUT_S,
+        )
+        assert repaired, f"{len(fleet.core)} machines, {voters(fleet)} vote after {address} was replaced"
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_two_of_three_voters_agree_though_one_came_back_with_its_disk_at_another_address(seed):
-    """The configuration names an address that nobody has, and without a leader nothing can write the new one."""
-    f = settled_fleet(seed, 3)
-    leader = f.leader().addr
-    moved_voter, stays = (a for a in f.core if a != leader)
-    f.kill(leader)
-    f.kill(moved_voter)
-    f.core.remove(leader)
-    f.core.remove(moved_voter)
-    there = Address("10.0.1.77", 7000)
-    f.place[there], f.disks[there] = f.place[moved_voter], f.disks.pop(moved_voter)
-    f.core.append(there)
-    f.start(there)
-    assert f.run_until(lambda: commits(f), BACK), "no leader"
-    assert f.run_until(lambda: there in voters(f) and stays in voters(f), BACK)
+    """The configuration has an address without a process, and without a leader no new configuration can be written."""
+    fleet = settled_fleet(seed, 3)
+    leader = fleet.leader().addr
+    moved_voter, unmoved_voter = (address for address in fleet.core if address != leader)
+    fleet.kill(leader)
+    fleet.kill(moved_voter)
+    fleet.core.remove(leader)
+    fleet.core.remove(moved_voter)
+    new_address = Address("10.0.1.77", 7000)
+    fleet.place[new_address], fleet.disks[new_address] = fleet.place[moved_voter], fleet.disks.pop(moved_voter)
+    fleet.core.append(new_address)
+    fleet.start(new_address)
+    assert fleet.run_until(lambda: has_quorum(fleet), RECOVERY_TIMEOUT_S), "no leader"
+    assert fleet.run_until(lambda: new_address in voters(fleet) and unmoved_voter in voters(fleet), RECOVERY_TIMEOUT_S)
 
 
 A, B, C, D, E, F, H = (Address("10.0.0.1", p) for p in range(1, 8))
-ALL = dict(zip("abcdefh", (A, B, C, D, E, F, H)))
-EU = Locality("eu", "eu-a")
+ADDRESSES = dict(zip("abcdefh", (A, B, C, D, E, F, H)))
+EU_ZONE = Locality("eu", "eu-a")
 NOW = 100.0
 
 
-def ids(text):
-    return {i: ALL[i] for i in text}
+def addresses(ids):
+    return {id: ADDRESSES[id] for id in ids}
 
 
-class Told:
-    """What next_voters reads of a leader's Raft machine."""
+class LeaderRaft:
+    """The part of a leader's Raft state that `next_voters` reads; `heard_ago_s` is per member."""
 
-    def __init__(self, voters, heard):
+    def __init__(self, voters, heard_ago_s):
         self.me = "a"
         self.log = Log(RaftSnapshot(GroupId(1, "g"), 500, 1, voters, []))
         self.commit_index = 500
-        self.heard = heard
+        self.heard_ago_s = heard_ago_s
 
     def progress(self):
-        out = {}
-        for i in self.log.configuration.members():
-            out[i] = Progress(501, NOW - self.heard.get(i, 0.0))
-            out[i].match_index = 500
-        return out
+        progress = {}
+        for id in self.log.configuration.members():
+            progress[id] = Progress(501, NOW - self.heard_ago_s.get(id, 0.0))
+            progress[id].match_index = 500
+        return progress
 
 
-def known(*leaving, boots=None):
+def observations(*leaving, boots=None):
     members = MemberObservations()
-    for i, a in ALL.items():
-        members.announcements[i] = MemberAnnouncement(a, EU, NOW, (boots or {}).get(i, 7), i in leaving)
+    for id, address in ADDRESSES.items():
+        members.announcements[id] = MemberAnnouncement(address, EU_ZONE, NOW, (boots or {}).get(id, 7), id in leaving)
     return members
 
 
-def wanted(members, voters, learners="", **heard):
-    members.announcements = {i: s for i, s in members.announcements.items() if i in voters + learners}
-    return members.next_voters(Told(ClusterConfiguration(ids(voters), ids(learners)), heard), NOW)
+def next_voters(members, voters, learners="", **heard_ago_s):
+    members.announcements = {id: known for id, known in members.announcements.items() if id in voters + learners}
+    configuration = ClusterConfiguration(addresses(voters), addresses(learners))
+    return members.next_voters(LeaderRaft(configuration, heard_ago_s), NOW)
 
 
-def test_a_verdict_counts_once_raft_does_not_hear_the_member_either():
-    members = known()
+def test_a_verdict_counts_only_once_raft_does_not_hear_the_member_either():
+    members = observations()
     members.departed = {B: 7}
-    assert wanted(members, "abc", "d", b=0.9) is None
-    assert wanted(members, "abc", "d", b=1.1) == ClusterConfiguration(ids("acd"))
+    assert next_voters(members, "abc", "d", b=0.9) is None
+    assert next_voters(members, "abc", "d", b=1.1) == ClusterConfiguration(addresses("acd"))
 
 
-def test_a_verdict_on_an_earlier_process_is_not_one_on_its_successor():
-    members = known(boots={"b": 8})
+def test_a_verdict_on_an_earlier_process_does_not_apply_to_the_next_one():
+    members = observations(boots={"b": 8})
     members.departed = {B: 7}
-    assert wanted(members, "abc", "d", b=2.0) is None
-    assert wanted(members, "abc", "d", b=3.1) == ClusterConfiguration(ids("acd"))
+    assert next_voters(members, "abc", "d", b=2.0) is None
+    assert next_voters(members, "abc", "d", b=3.1) == ClusterConfiguration(addresses("acd"))
 
 
-def test_silence_alone_counts_after_longer_only():
-    assert wanted(known(), "abc", "d", b=2.9) is None
-    assert wanted(known(), "abc", "d", b=3.1) == ClusterConfiguration(ids("acd"))
+def test_silence_without_a_verdict_counts_after_a_longer_time():
+    assert next_voters(observations(), "abc", "d", b=2.9) is None
+    assert next_voters(observations(), "abc", "d", b=3.1) == ClusterConfiguration(addresses("acd"))
 
 
-def test_a_goodbye_and_an_address_taken_count_at_once():
-    assert wanted(known("b"), "abc", "d") == ClusterConfiguration(ids("acd"))
-    members = known()
-    members.announcements["d"] = MemberAnnouncement(B, EU, NOW + 0.1, 9)
-    told = Told(ClusterConfiguration(ids("abc"), {"d": B}), {})
-    members.announcements = {i: s for i, s in members.announcements.items() if i in "acd"}
-    assert members.next_voters(told, NOW + 0.1) == ClusterConfiguration({"a": A, "c": C, "d": B})
+def test_a_leaving_member_and_a_reused_address_count_at_once():
+    assert next_voters(observations("b"), "abc", "d") == ClusterConfiguration(addresses("acd"))
+    members = observations()
+    members.announcements["d"] = MemberAnnouncement(B, EU_ZONE, NOW + 0.1, 9)
+    raft = LeaderRaft(ClusterConfiguration(addresses("abc"), {"d": B}), {})
+    members.announcements = {id: known for id, known in members.announcements.items() if id in "acd"}
+    assert members.next_voters(raft, NOW + 0.1) == ClusterConfiguration({"a": A, "c": C, "d": B})
 
 
-def test_an_address_that_a_process_of_another_role_has_counts_once_raft_is_silent():
-    members = known()
+def test_an_address_of_a_process_with_another_role_counts_once_raft_does_not_hear_the_member():
+    members = observations()
     members.update_detector_verdicts({}, {B})
-    assert wanted(members, "abc", "d", b=0.9) is None
-    assert wanted(members, "abc", "d", b=1.1) == ClusterConfiguration(ids("acd"))
+    assert next_voters(members, "abc", "d", b=0.9) is None
+    assert next_voters(members, "abc", "d", b=1.1) == ClusterConfiguration(addresses("acd"))
 
 
 def test_a_leader_that_leaves_gives_up_its_own_seat():
-    members = known()
+    members = observations()
     members.leaving = True
-    assert wanted(members, "abc", "d") == ClusterConfiguration(ids("bcd"))
+    assert next_voters(members, "abc", "d") == ClusterConfiguration(addresses("bcd"))
 
 
 def test_the_dead_are_replaced_before_the_leaving():
-    assert wanted(known("b"), "abc", "d", c=6.0) == ClusterConfiguration(ids("abd"))
-
-
-def test_no_voter_goes_where_no_majority_of_the_rest_is_alive():
-    assert wanted(known(), "abcde", "f", b=6.0, c=6.0) is not None
-    assert wanted(known(), "abcde", "f", b=6.0, c=6.0, d=6.0) == ClusterConfiguration(ids("acdef"))
-    assert wanted(known(), "abcde", "f", b=6.0, c=6.0, d=6.0, e=6.0) is None
-    assert wanted(known(), "abcde", b=6.0) is None
-
-
-def test_a_learner_that_lacks_what_was_committed_half_a_second_ago_takes_no_seat():
-    members = known()
-    members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
-    told = Told(ClusterConfiguration(ids("abc"), ids("d")), {"b": 6.0})
-    told.commit_index = 510
-    assert members.next_voters(told, NOW) is None
-    told.commit_index = 500
-    assert members.next_voters(told, NOW + 0.1) == ClusterConfiguration(ids("acd"))
-    members = known()
-    members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
+    assert next_voters(observations("b"), "abc", "d", c=6.0) == ClusterConfiguration(addresses("abd"))
+
+
+def test_no_voter_is_replaced_where_no_majority_would_be_alive():
+    assert next_voters(observations(), "abcde", "f", b=6.0, c=6.0) is not None
+    assert next_voters(observations(), "abcde", "f", b=6.0, c=6.0, d=6.0) == ClusterConfiguration(addresses("acdef"))
+    assert next_voters(observations(), "abcde", "f", b=6.0, c=6.0, d=6.0, e=6.0) is None
+    assert next_voters(observations(), "abcde", b=6.0) is None
+
+
+def test_a_learner_without_the_entries_committed_half_a_second_ago_takes_no_seat():
+    members = observations()
+    members.announcements = {id: known for id, known in members.announcements.items() if id in "abcd"}
+    raft = LeaderRaft(ClusterConfiguration(addresses("abc"), addresses("d")), {"b": 6.0})
+    raft.commit_index = 510
+    assert members.next_voters(raft, NOW) is None
+    raft.commit_index = 500
+    assert members.next_voters(raft, NOW + 0.1) == ClusterConfiguration(addresses("acd"))
+    members = observations()
+    members.announcements = {id: known for id, known in members.announcements.items() if id in "abcd"}
     for step in range(6):
-        told.commit_index = 500 + step
-        wanted_now = members.next_voters(told, NOW + step / 10)
-    assert wanted_now == ClusterConfiguration(ids("acd")), "it holds what was committed 0.5 s ago"
+        raft.commit_index = 500 + step
+        configuration = members.next_voters(raft, NOW + step / 10)
+    assert configuration == ClusterConfiguration(addresses("acd")), "it has the entries that were committed 0.5 s ago"
 
 
-def test_one_that_is_known_to_be_gone_does_not_come_back_as_a_learner():
-    for update_detector_verdicts in (({}, {D}), ({D: 7}, set())):
-        members = known()
-        members.update_detector_verdicts(*update_detector_verdicts)
-        members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
-        assert members.next_voters(Told(ClusterConfiguration(ids("abc")), {}), NOW) is None
+def test_a_departed_member_does_not_come_back_as_a_learner():
+    for verdicts in (({}, {D}), ({D: 7}, set())):
+        members = observations()
+        members.update_detector_verdicts(*verdicts)
+        members.announcements = {id: known for id, known in members.announcements.items() if id in "abcd"}
+        assert members.next_voters(LeaderRaft(ClusterConfiguration(addresses("abc")), {}), NOW) is None
     members.update_detector_verdicts({D: 6}, set())
-    assert members.next_voters(Told(ClusterConfiguration(ids("abc")), {}), NOW) == ClusterConfiguration(
-        ids("abc"), ids("d")
+    assert members.next_voters(LeaderRaft(ClusterConfiguration(addresses("abc")), {}), NOW) == ClusterConfiguration(
+        addresses("abc"), addresses("d")
     )
 
 
 def test_a_dead_voter_is_replaced_before_a_learner_is_dropped():
-    members = known()
+    members = observations()
     members.update_detector_verdicts({B: 7}, {E})
     announcements = members.announcements
-    members.announcements = {i: s for i, s in announcements.items() if i in "abcde"}
-    told = Told(ClusterConfiguration(ids("abc"), ids("de")), {"b": 6.0, "e": 6.0})
-    assert members.next_voters(told, NOW) == ClusterConfiguration(ids("acd"), ids("e"))
+    members.announcements = {id: known for id, known in announcements.items() if id in "abcde"}
+    raft = LeaderRaft(ClusterConfiguration(addresses("abc"), addresses("de")), {"b": 6.0, "e": 6.0})
+    assert members.next_voters(raft, NOW) == ClusterConfiguration(addresses("acd"), addresses("e"))
 
 
 def test_learners_that_leave_are_silent_or_lag_take_no_seat():
-    assert wanted(known("d"), "abc", "d", b=6.0) is None
-    assert wanted(known(), "abc", "d", b=6.0, d=1.5) is None
+    assert next_voters(observations("d"), "abc", "d", b=6.0) is None
+    assert next_voters(observations(), "abc", "d", b=6.0, d=1.5) is None
 
 
 def test_a_core_grows_to_an_odd_number_in_one_change():
-    assert wanted(known(), "a", "bc") == ClusterConfiguration(ids("abc"))
-    assert wanted(known(), "abc", "d") is None
-    assert wanted(known(), "abc", "defh") == ClusterConfiguration(ids("abcde"), ids("fh"))
+    assert next_voters(observations(), "a", "bc") == ClusterConfiguration(addresses("abc"))
+    assert next_voters(observations(), "abc", "d") is None
+    assert next_voters(observations(), "abc", "defh") == ClusterConfiguration(addresses("abcde"), addresses("fh"))
 
 
-def test_while_a_change_is_under_way_only_an_address_changes():
-    joint = ClusterConfiguration(ids("acd"), ids("e"), ids("abc"))
-    members = known()
-    assert members.next_voters(Told(joint, {"b": 9.0, "c": 9.0}), NOW) is None
-    members.announcements["c"] = MemberAnnouncement(H, EU, NOW, 7)
+def test_during_a_change_only_an_address_changes():
+    joint = ClusterConfiguration(addresses("acd"), addresses("e"), addresses("abc"))
+    members = observations()
+    assert members.next_voters(LeaderRaft(joint, {"b": 9.0, "c": 9.0}), NOW) is None
+    members.announcements["c"] = MemberAnnouncement(H, EU_ZONE, NOW, 7)
     del members.announcements["h"]
-    moved = members.next_voters(Told(joint, {}), NOW)
-    assert moved == ClusterConfiguration({**ids("ad"), "c": H}, ids("e"), {**ids("ab"), "c": H})
+    configuration = members.next_voters(LeaderRaft(joint, {}), NOW)
+    assert configuration == ClusterConfiguration(
+        {**addresses("ad"), "c": H}, addresses("e"), {**addresses("ab"), "c": H}
+    )
 
 
-def test_one_that_says_goodbye_does_not_come_back_as_a_learner():
-    members = known("d")
-    told = Told(ClusterConfiguration(ids("abc")), {})
-    members.announcements = {i: s for i, s in members.announcements.items() if i in "abcd"}
-    assert members.next_voters(told, NOW) is None
-    members.announcements["d"] = MemberAnnouncement(D, EU, NOW, 8)
-    assert members.next_voters(told, NOW) == ClusterConfiguration(ids("abc"), ids("d"))
+def test_a_leaving_member_does_not_come_back_as_a_learner():
+    members = observations("d")
+    raft = LeaderRaft(ClusterConfiguration(addresses("abc")), {})
+    members.announcements = {id: known for id, known in members.announcements.items() if id in "abcd"}
+    assert members.next_voters(raft, NOW) is None
+    members.announcements["d"] = MemberAnnouncement(D, EU_ZONE, NOW, 8)
+    assert members.next_voters(raft, NOW) == ClusterConfiguration(addresses("abc"), addresses("d"))
