--- a/tests/plants.py
+++ b/tests/fault_injection.py
@@ -18,7 +18,7 @@
 from sim.worst_days import play_day
 
 REPEAT_DELAY_S = 4.0
-Plant = Callable[[], AbstractContextManager]
+FaultInjection = Callable[[], AbstractContextManager]
 original_patch = DoorNode._patch
 original_page = DoorNode._page
 
@@ -48,7 +48,7 @@
     return patch.object(Core, "current", lambda self, now: self.raft is not None)
 
 
-def committed_alone() -> AbstractContextManager:
+def commits_without_majority() -> AbstractContextManager:
     """Entries that only the leader has saved count as committed."""
 
     def advance(self) -> None:
@@ -59,12 +59,12 @@
     return patch.object(Raft, "_advance", advance)
 
 
-def never_repaired() -> AbstractContextManager:
+def voters_never_replaced() -> AbstractContextManager:
     """The voters and learners of the core never change."""
     return patch.object(MemberObservations, "next_voters", lambda self, raft, now: None)
 
 
-def leaves_at_once() -> AbstractContextManager:
+def leaves_without_successor() -> AbstractContextManager:
     """A member that is asked to stop leaves at once, even if no other member has its state."""
     return patch.object(Leave, "may_leave", lambda self, *a: True)
 
@@ -75,7 +75,7 @@
 
 
 @contextmanager
-def callers_gone_served() -> Iterator[None]:
+def departed_callers_served() -> Iterator[None]:
     """A call runs although its caller has closed the connection or the last contact with a majority is too old."""
     gone = patch.object(door, "_has_left", lambda say: False)
     out_of_touch = patch.object(DoorNode, "_may_begin", lambda self, say: True)
@@ -99,27 +99,27 @@
     return patch.object(DoorNode, "_page", twice)
 
 
-def evacuations_late() -> AbstractContextManager:
+def evacuations_repeated() -> AbstractContextManager:
     """Each change of a zone's evacuation is repeated seconds later."""
     return _repeated(lambda page: isinstance(page, pages.TurnZone))
 
 
-def takes_late() -> AbstractContextManager:
+def takes_repeated() -> AbstractContextManager:
     """Each `Take` is repeated seconds later."""
     return _repeated(lambda page: isinstance(page, pages.Coordinate) and isinstance(page.command, Take))
 
 
-def counted_twice() -> AbstractContextManager:
+def counts_repeated() -> AbstractContextManager:
     """Each `Count` is repeated seconds later."""
     return _repeated(lambda page: isinstance(page, pages.Coordinate) and isinstance(page.command, Count))
 
 
-def beats_always() -> AbstractContextManager:
+def contact_always_recent() -> AbstractContextManager:
     """A process considers its contact with the majority recent at all times."""
     return patch.object(DoorNode, "_in_touch", lambda self: True)
 
 
-def play_planted(plant: Plant, day: str, seed: int) -> list[str]:
+def play_with_fault(plant: FaultInjection, day: str, seed: int) -> list[str]:
     """Returns the findings of one seeded day with the fault injected."""
     with plant():
         return play_day(day, seed)[0]
--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -5,26 +5,26 @@
 import pytest
 
 from sim.worst_days import DAYS, play_day
-from tests import plants
+from tests import fault_injection
 
 SEED = 11
 JOBS = 8
 # A watcher happened to stay at the cut machine; a zone was given back while its first order lay in a frozen one.
-SEED_OF = {plants.watches_unconfirmed: 14, plants.callers_gone_served: 16}
+SEED_OF = {fault_injection.watches_unconfirmed: 14, fault_injection.departed_callers_served: 16}
 PLANTED = (
-    ("races", plants.conflicts_confirmed, "contents were confirmed"),
-    ("cut_follower_both", plants.reads_unconfirmed, "was confirmed before"),
-    ("cut_half_both", plants.watches_unconfirmed, "answers a watch"),
-    ("cut_half_both", plants.beats_always, "confirmed a beat"),
-    ("loss_upon_repair_3", plants.never_repaired, "nothing confirmed for"),
-    ("cut_leader_both", plants.committed_alone, "confirmed a"),
-    ("only_copy_3", plants.leaves_at_once, "nothing confirmed for"),
-    ("many_changes", plants.snapshots_lost, "has not caught up"),
-    ("replaced_in_turn", plants.addresses_by_configuration, "nothing confirmed for"),
-    ("many_changes", plants.callers_gone_served, "shows otherwise"),
-    ("silences", plants.evacuations_late, "shows otherwise"),
-    ("silences", plants.takes_late, "a late take"),
-    ("silences", plants.counted_twice, "a call was counted twice"),
+    ("races", fault_injection.conflicts_confirmed, "contents were confirmed"),
+    ("cut_follower_both", fault_injection.reads_unconfirmed, "was confirmed before"),
+    ("cut_half_both", fault_injection.watches_unconfirmed, "answers a watch"),
+    ("cut_half_both", fault_injection.contact_always_recent, "confirmed a beat"),
+    ("loss_upon_repair_3", fault_injection.voters_never_replaced, "nothing confirmed for"),
+    ("cut_leader_both", fault_injection.commits_without_majority, "confirmed a"),
+    ("only_copy_3", fault_injection.leaves_without_successor, "nothing confirmed for"),
+    ("many_changes", fault_injection.snapshots_lost, "has not caught up"),
+    ("replaced_in_turn", fault_injection.addresses_by_configuration, "nothing confirmed for"),
+    ("many_changes", fault_injection.departed_callers_served, "shows otherwise"),
+    ("silences", fault_injection.evacuations_repeated, "shows otherwise"),
+    ("silences", fault_injection.takes_repeated, "a late take"),
+    ("silences", fault_injection.counts_repeated, "a call was counted twice"),
 )
 
 
@@ -41,7 +41,7 @@
 
 @pytest.fixture(scope="module")
 def planted(pool):
-    return {p: pool.submit(plants.play_planted, p[1], p[0], SEED_OF.get(p[1], SEED)) for p in PLANTED}
+    return {p: pool.submit(fault_injection.play_with_fault, p[1], p[0], SEED_OF.get(p[1], SEED)) for p in PLANTED}
 
 
 @pytest.mark.parametrize("day", DAYS)
