--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -119,7 +119,7 @@
     return patch.object(DoorNode, "_in_touch", lambda self: True)
 
 
-def play_with_fault(plant: FaultInjection, day: str, seed: int) -> list[str]:
+def play_with_fault(fault: FaultInjection, day: str, seed: int) -> list[str]:
     """Returns the findings of one seeded day with the fault injected."""
-    with plant():
+    with fault():
         return play_day(day, seed)[0]
--- a/tests/test_founding.py
+++ b/tests/test_founding.py
@@ -33,7 +33,7 @@
     def __init__(self, rng, size):
         self.rng, self.last_index, self.ports = rng, 0, 0
         self.machines = [self.new_machine() for _ in range(size)]
-        self.seeds = [m.addr for m in self.machines[:3]]
+        self.seeds = [machine.addr for machine in self.machines[:3]]
         self.configurations = [(0, ClusterConfiguration({m.id: m.addr for m in self.machines}))]
         for m in self.machines:
             m.index = 0
