--- a/mallowvalve/control/http_coordination.py
+++ b/mallowvalve/control/http_coordination.py
@@ -9,7 +9,7 @@
 from mallowvalve.control import http_submission
 from mallowvalve.control.api import Api
 from mallowvalve.control.outcome import Code
-from mallowvalve.control.replica_task import ATTEMPT
+from mallowvalve.control.replica_task import ATTEMPT_TIMEOUT_S
 from mallowvalve.control.state import encode
 from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.state import KeyedResult, KeyedResultCode, Lock, Next, Put, Renew, Unlock
@@ -50,7 +50,7 @@
         """Submits a command and responds with its result."""
         if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
-        response = http_submission.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT)
+        response = http_submission.offer(self.task, req, encode(command), CALL_TIMEOUT_S, ATTEMPT_TIMEOUT_S)
         if not response.body:
             return self.reject(req, resp, response)
         result = _decode_result(response.body)
@@ -69,7 +69,7 @@
     def on_post(self, req, resp, name: str, act: str) -> None:
         """Acquires, renews or releases the lock, as `act` in the path says."""
         doc = web.read_json(CoordinationDoc, req, resp)
-        key = self.key(req, resp) if doc is not None and self.named(req, resp, name) else None
+        key = self.key(req, resp) if doc is not None and self.name_is_valid(req, resp, name) else None
         if key is None:
             return
         if not doc.holder or len(doc.holder) > MAX_HOLDER_CHARACTERS or not MIN_HOLD_MS <= doc.ttl_ms <= MAX_HOLD_MS:
@@ -91,7 +91,7 @@
 
     def on_post(self, req, resp, name: str) -> None:
         """Responds with the next number of the counter."""
-        key = self.key(req, resp) if self.named(req, resp, name) else None
+        key = self.key(req, resp) if self.name_is_valid(req, resp, name) else None
         if key is not None:
             self.run(req, resp, Next(name, key))
 
@@ -128,7 +128,7 @@
         self._put(req, resp, name, None, None)
 
     def _put(self, req, resp, name: str, value: str | None, base: int | None) -> None:
-        key = self.key(req, resp) if self.named(req, resp, name) else None
+        key = self.key(req, resp) if self.name_is_valid(req, resp, name) else None
         if key is not None:
             self.run(req, resp, Put(name, value, base, key))
 
--- a/mallowvalve/control/http_items.py
+++ b/mallowvalve/control/http_items.py
@@ -12,7 +12,7 @@
 from mallowvalve.configuration.item_request import parse_amend
 from mallowvalve.configuration.items import LIMITS_KIND, Amend, Items
 from mallowvalve.control import http_submission
-from mallowvalve.control.api import ATTEMPT, LIMIT, Api
+from mallowvalve.control.api import ATTEMPT_TIMEOUT_S, REQUEST_TIMEOUT_S, Api
 from mallowvalve.control.outcome import Code
 from mallowvalve.control.state import Evacuate, encode
 from mallowvalve.finding import Finding, Findings
@@ -42,7 +42,7 @@
         """Submits a command and responds with its outcome; `effect` limits the time until it takes effect (s)."""
         if not http_submission.accept_or_redirect(self.task, req, resp):
             return None
-        response = http_submission.offer(self.task, req, encode(command), LIMIT, ATTEMPT, effect)
+        response = http_submission.offer(self.task, req, encode(command), REQUEST_TIMEOUT_S, ATTEMPT_TIMEOUT_S, effect)
         if response.code == Code.INVALID:
             return web.reject_early(req, resp, 400, _decode_findings(response.body))
         if response.code == Code.CONFLICT:
--- a/mallowvalve/control/http_operators.py
+++ b/mallowvalve/control/http_operators.py
@@ -203,7 +203,7 @@
             return
         if request.accept != RISK_STATEMENT:
             return web.reject_early(req, resp, 400, [Finding("accept", f"must say: {RISK_STATEMENT}")])
-        founded = self.task.founder.found_anew()
+        founded = self.task.bootstrap_task.found_new_group()
         if founded.is_err():
             return web.reject_early(req, resp, 409, [Finding("control", founded.err_value)])
         decision = founded.ok_value
--- a/mallowvalve/control/http_upstreams.py
+++ b/mallowvalve/control/http_upstreams.py
@@ -155,7 +155,7 @@
         if not 0 < len(instance) <= MAX_NAME_CHARACTERS or not instance.isprintable():
             found = [Finding("instance", f"want 1 to {MAX_NAME_CHARACTERS} printable characters")]
             return web.reject(resp, 400, web.NOT_RUN, found)
-        if not self.registry.gone(Upstream(instance, "", UNKNOWN_ADDRESS, Locality("", ""), 0, "gone")):
+        if not self.registry.deregister(Upstream(instance, "", UNKNOWN_ADDRESS, Locality("", ""), 0, "gone")):
             return self._reject_unconfirmed(req, resp)
         web.send_json(resp, {})
 
--- a/tests/test_http_upstreams.py
+++ b/tests/test_http_upstreams.py
@@ -75,7 +75,7 @@
 
 class AtOnce(registry_task.RegistryTask):
     def offer(self, upstream):
-        return self._registered(Registered([upstream]), 0.9)
+        return self._offer_command(Registered([upstream]), 0.9)
 
 
 @pytest.fixture
@@ -142,7 +142,7 @@
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     process.leads = False
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 200
-    task._touched -= lease.LEASE_BOUNDS[lease.AnswerKind.HEARTBEAT].seconds
+    task._last_contact_at -= lease.LEASE_BOUNDS[lease.AnswerKind.HEARTBEAT].seconds
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 3}).status_code == 503
     process.state = None
     for response in (client.simulate_put("/upstreams/i1", json=HEARTBEAT), client.simulate_delete("/upstreams/i1")):
@@ -214,7 +214,7 @@
         assert [job.get(timeout=5) for job in jobs] == [True] * 5
         assert [len(command.changes) for command in process.offered] == [5]
         process.forced_code = "undecided"
-        jobs = [gevent.spawn(task.gone, make_upstream(f"i{number}", state="gone")) for number in range(2)]
+        jobs = [gevent.spawn(task.deregister, make_upstream(f"i{number}", state="gone")) for number in range(2)]
         assert [job.get(timeout=5) for job in jobs] == [False] * 2
 
 
@@ -248,7 +248,7 @@
         for name, value in attributes.items():
             setattr(follower if name == "cut" else leading_task.task, name, value)
         task._report(follower.state.registry, at)
-        return task.in_touch(at)
+        return task.has_recent_contact(at)
 
     for instance in ("i1", "i2"):
         assert task.heartbeat(make_upstream(instance, at=f"10.0.0.{instance[1]}:80"))
@@ -305,7 +305,7 @@
     process, client, task = control
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT).status_code == 200
     report = msgspec.msgpack.encode([HeardInstance("i1", 5)])
-    assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.TAKEN
+    assert task._on_heard(Address("10.1.0.2", 1), report) == registry_task.REPORT_ACCEPTED
     process.quorum_contact_at = LONG_AGO
     assert process.leads and task._on_heard(Address("10.1.0.2", 1), report) == b""
     assert client.simulate_put("/upstreams/i1", json=HEARTBEAT | {"sequence": 2}).status_code == 503
@@ -333,4 +333,4 @@
 
     follower.call = late
     task._report(follower.state.registry, 100.0)
-    assert task.in_touch(102.4) and not task.in_touch(102.6)
+    assert task.has_recent_contact(102.4) and not task.has_recent_contact(102.6)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -223,7 +223,7 @@
         step_until(self.leading, 5.2, self.now)
         estimate = FleetClock()
         estimate.restart(self.leading.clock.read(self.now), clock.now())
-        self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
+        self.core, self._session, self._stopping = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
     def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
         waiter = AsyncResult()
@@ -288,7 +288,7 @@
     def __init__(self):
         self.submitted, estimate = [], FleetClock()
         estimate.restart(0, clock.now())
-        self.core, self._session, self._over = SimpleNamespace(clock=estimate), Session(lambda: 5), False
+        self.core, self._session, self._stopping = SimpleNamespace(clock=estimate), Session(lambda: 5), False
 
     def _offer_once(self, command: bytes, limit: float) -> CommandResponse:
         self.submitted.append(split_origin(command)[0])
@@ -317,7 +317,7 @@
     def control(self):
         return "leader"
 
-    def _forget(self, answer):
+    def _avoid(self, answer):
         """Keeps the only control process."""
 
 
