--- a/mallowvalve/localfleet/history.py
+++ b/mallowvalve/localfleet/history.py
@@ -7,7 +7,16 @@
 import msgspec
 
 from verification import histories, linearizability
-from verification.histories import Draw, Kind, Operation, Outcome, Put, Read, Take, outcome_of
+from verification.histories import (
+    DrawNumber,
+    ObjectKind,
+    Operation,
+    OperationOutcome,
+    PutValue,
+    ReadObject,
+    TakeLock,
+    outcome_from_code,
+)
 
 
 class Op(msgspec.Struct):
@@ -63,21 +72,21 @@
 
 
 def _operation(o: Op, ends: dict[tuple[str, int], float]) -> Operation:
-    kind: Kind
-    call: histories.Call
+    kind: ObjectKind
+    call: histories.OperationCall
     match o.kind:
         case "take":
-            kind, call = Kind.LOCK, Take(o.who, ends.get((o.name, o.revision), o.begun))
+            kind, call = ObjectKind.LOCK, TakeLock(o.who, ends.get((o.name, o.revision), o.begun))
         case "number":
-            kind, call = Kind.NUMBER, Draw()
+            kind, call = ObjectKind.NUMBER, DrawNumber()
         case "put":
-            kind, call = Kind.KEY, Put(o.value, o.base)
+            kind, call = ObjectKind.KEY, PutValue(o.value, o.base)
         case _:
-            kind, call = Kind.KEY, Read()
-    outcome = outcome_of(o.said)
+            kind, call = ObjectKind.KEY, ReadObject()
+    outcome = outcome_from_code(o.said)
     number = o.at if o.kind == "read" else o.revision
     value = o.value if o.kind == "read" else None
-    ended = None if outcome is Outcome.UNKNOWN else o.ended
+    ended = None if outcome is OperationOutcome.UNKNOWN else o.ended
     return Operation(kind, o.name, o.who, call, o.begun, ended, outcome, number, value)
 
 
--- a/sim/history.py
+++ b/sim/history.py
@@ -7,7 +7,7 @@
 from mallowvalve.localfleet import history
 from mallowvalve.localfleet.judge import Offered
 from verification import linearizability
-from verification.histories import Recorder
+from verification.histories import HistoryRecorder
 
 IN_FORCE = 3.0
 
@@ -71,7 +71,7 @@
         self.puts: list[tuple[float, float, int, str]] = []
         self.watched: list[tuple[float, str, int, str]] = []
         self.compacted: list[tuple[float, str, int]] = []
-        self.recorder = Recorder()
+        self.recorder = HistoryRecorder()
 
     def figures(self) -> dict[str, int]:
         reads = ("answer", "not-run", "undecided", "unknown", "silence")
--- a/sim/order_history.py
+++ b/sim/order_history.py
@@ -8,7 +8,17 @@
 from sim import pages
 from sim.orders import CellCall, Counted, Held, ItemsRead, Order, Orders, TakeCall
 from verification import linearizability
-from verification.histories import Amend, Call, Draw, Kind, Operation, Outcome, Put, Read, Take
+from verification.histories import (
+    AmendItem,
+    DrawNumber,
+    ObjectKind,
+    Operation,
+    OperationCall,
+    OperationOutcome,
+    PutValue,
+    ReadObject,
+    TakeLock,
+)
 
 REFUSED = (pages.CONFLICT, pages.INVALID)
 
@@ -32,17 +42,17 @@
     ]
 
 
-def _outcome(said: int) -> Outcome:
+def _outcome(said: int) -> OperationOutcome:
     if said == pages.OK:
-        return Outcome.DONE
-    return Outcome.REFUSED if said in REFUSED else Outcome.UNKNOWN
+        return OperationOutcome.DONE
+    return OperationOutcome.REFUSED if said in REFUSED else OperationOutcome.UNKNOWN
 
 
-def _told(kind: Kind, name: str, call: Call, x: Order | TakeCall | CellCall, number: int) -> Operation:
+def _told(kind: ObjectKind, name: str, call: OperationCall, x: Order | TakeCall | CellCall, number: int) -> Operation:
     outcome = _outcome(x.said)
-    if outcome is not Outcome.UNKNOWN and math.isfinite(x.ended):
+    if outcome is not OperationOutcome.UNKNOWN and math.isfinite(x.ended):
         return Operation(kind, name, _caller(x), call, x.begun, x.ended, outcome, number)
-    return Operation(kind, name, _caller(x), call, x.begun, None, Outcome.UNKNOWN)
+    return Operation(kind, name, _caller(x), call, x.begun, None, OperationOutcome.UNKNOWN)
 
 
 def _caller(x: Order | TakeCall | CellCall) -> str:
@@ -55,32 +65,38 @@
 
 
 def _order(x: Order) -> Operation:
-    return _told(Kind.ITEM, x.name, Amend(x.version, x.content), x, x.version)
+    return _told(ObjectKind.ITEM, x.name, AmendItem(x.version, x.content), x, x.version)
 
 
 def _item_read(r: ItemsRead, name: str) -> Operation:
     version, content = r.rows.get(name, (0, None))
-    return Operation(Kind.ITEM, name, r.by, Read(), r.begun, r.ended, Outcome.DONE, version, content)
+    return Operation(
+        ObjectKind.ITEM, name, r.by, ReadObject(), r.begun, r.ended, OperationOutcome.DONE, version, content
+    )
 
 
 def _take(t: TakeCall, held: Held | None) -> Operation:
     """A holder relies on its lock to the end of its own hold, and not at all where it never began one."""
     until = held.end if held is not None else t.begun
-    return _told(Kind.LOCK, t.name, Take(t.holder, until), t, t.token)
+    return _told(ObjectKind.LOCK, t.name, TakeLock(t.holder, until), t, t.token)
 
 
 def _number(n: Counted) -> Operation:
     if not n.value:
-        return Operation(Kind.NUMBER, n.name, "", Draw(), n.begun, None, Outcome.UNKNOWN)
-    return Operation(Kind.NUMBER, n.name, "", Draw(), n.begun, n.ended, Outcome.DONE, n.value)
+        return Operation(ObjectKind.NUMBER, n.name, "", DrawNumber(), n.begun, None, OperationOutcome.UNKNOWN)
+    return Operation(ObjectKind.NUMBER, n.name, "", DrawNumber(), n.begun, n.ended, OperationOutcome.DONE, n.value)
 
 
 def _cell(c: CellCall) -> Operation:
     if c.kind == "put":
-        return _told(Kind.KEY, c.name, Put(c.value, c.base), c, c.revision)
-    return Operation(Kind.KEY, c.name, "", Read(), c.begun, c.ended, Outcome.DONE, c.revision, c.value)
+        return _told(ObjectKind.KEY, c.name, PutValue(c.value, c.base), c, c.revision)
+    return Operation(
+        ObjectKind.KEY, c.name, "", ReadObject(), c.begun, c.ended, OperationOutcome.DONE, c.revision, c.value
+    )
 
 
 def _revision(c: CellCall) -> Operation:
     name = f"revision of {group_of(c.name)}"
-    return Operation(Kind.NUMBER, name, c.value or "", Draw(), c.begun, c.ended, Outcome.DONE, c.revision)
+    return Operation(
+        ObjectKind.NUMBER, name, c.value or "", DrawNumber(), c.begun, c.ended, OperationOutcome.DONE, c.revision
+    )
--- a/sim/users.py
+++ b/sim/users.py
@@ -17,7 +17,7 @@
 from sim.replica import offer
 from sim.world import Node, World
 from verification import histories
-from verification.histories import Kind, outcome_of
+from verification.histories import ObjectKind, outcome_from_code
 
 _said = msgspec.msgpack.Decoder(KeyedResult).decode
 LIMIT = 4.0
@@ -47,13 +47,13 @@
         offer(self, encode(c), self.now + limit, then, limit if isinstance(c, Change | Evacuate) else ATTEMPT)
 
     @property
-    def recorder(self) -> histories.Recorder:
+    def recorder(self) -> histories.HistoryRecorder:
         """Where the calls of all users are written down for the checker of histories."""
         return self.history.recorder
 
-    def record(self, kind: Kind, name: str, call: histories.Call) -> int:
+    def record(self, kind: ObjectKind, name: str, call: histories.OperationCall) -> int:
         """Write down a call that begins now; returns its place in the history."""
-        return self.recorder.called(kind, name, str(self.addr), call, self.now)
+        return self.recorder.record_call(kind, name, str(self.addr), call, self.now)
 
     def serial(self) -> str:
         self.n += 1
@@ -128,10 +128,10 @@
             return self.evacuate(self.rng.choice(self.zones), self.rng.random() < 0.5, name)
         doc = msgspec.json.encode(config(name, self.rng))
         base = self.base if self.rng.random() < 0.7 else None
-        place = self.record(Kind.KEY, CONFIGURATION, histories.Put(short(doc), base))
+        place = self.record(ObjectKind.KEY, CONFIGURATION, histories.PutValue(short(doc), base))
 
         def took(t: wire.CommandResponse) -> None:
-            self.recorder.answered(place, self.now, outcome_of(t.code), t.revision)
+            self.recorder.record_answer(place, self.now, outcome_from_code(t.code), t.revision)
             if t.code == Code.CONFLICT:
                 self.base = t.revision
             if t.code != Code.CONFLICT:
@@ -172,13 +172,13 @@
                 self.history.reads.append((begun, self.now, s.doc_revision, s.doc))
                 self.recorder.operations.append(
                     histories.Operation(
-                        Kind.KEY,
+                        ObjectKind.KEY,
                         CONFIGURATION,
                         str(self.addr),
-                        histories.Read(),
+                        histories.ReadObject(),
                         begun,
                         self.now,
-                        histories.Outcome.DONE,
+                        histories.OperationOutcome.DONE,
                         s.doc_revision,
                         None if none else short(s.doc),
                     )
@@ -198,12 +198,12 @@
     def _lock(self) -> None:
         ask, begun = self.serial(), self.now
         ttl = 2.0
-        place = self.record(Kind.LOCK, "l", histories.Take(str(self.addr), begun + ttl))
+        place = self.record(ObjectKind.LOCK, "l", histories.TakeLock(str(self.addr), begun + ttl))
 
         def took(t: wire.CommandResponse) -> None:
             s = _said(t.body) if t.body else None
             if s is not None:
-                self.recorder.answered(place, self.now, outcome_of(s.code), s.number)
+                self.recorder.record_answer(place, self.now, outcome_from_code(s.code), s.number)
             if s is None or s.code != "ok" or self.now >= begun + ttl:
                 return self.wake(0.2, self._lock)
             hold = self.rng.random() * 3
@@ -216,11 +216,11 @@
         self.propose(Lock("l", str(self.addr), int(ttl * 1000), ask), 3.0, took)
 
     def _free(self, token: int) -> None:
-        place = self.record(Kind.LOCK, "l", histories.Free(str(self.addr), token))
+        place = self.record(ObjectKind.LOCK, "l", histories.FreeLock(str(self.addr), token))
 
         def took(t: wire.CommandResponse) -> None:
             if t.body:
-                self.recorder.answered(place, self.now, outcome_of(_said(t.body).code))
+                self.recorder.record_answer(place, self.now, outcome_from_code(_said(t.body).code))
             self.wake(0.1, self._lock)
 
         self.propose(Unlock("l", str(self.addr), token, self.serial()), 2.0, took)
@@ -233,11 +233,13 @@
 
     def _next(self) -> None:
         begun = self.now
-        place = self.record(Kind.NUMBER, "n", histories.Draw())
+        place = self.record(ObjectKind.NUMBER, "n", histories.DrawNumber())
 
         def took(t: wire.CommandResponse) -> None:
             if t.body:
-                self.recorder.answered(place, self.now, outcome_of(_said(t.body).code), _said(t.body).number)
+                self.recorder.record_answer(
+                    place, self.now, outcome_from_code(_said(t.body).code), _said(t.body).number
+                )
                 self.history.numbers.append((begun, self.now, _said(t.body).number))
             self.wake(0.1 + self.rng.random() * 0.2, self._put)
 
@@ -245,11 +247,13 @@
 
     def _put(self) -> None:
         value, begun = self.serial(), self.now
-        place = self.record(Kind.KEY, "k", histories.Put(value))
+        place = self.record(ObjectKind.KEY, "k", histories.PutValue(value))
 
         def took(t: wire.CommandResponse) -> None:
             if t.body:
-                self.recorder.answered(place, self.now, outcome_of(_said(t.body).code), _said(t.body).number)
+                self.recorder.record_answer(
+                    place, self.now, outcome_from_code(_said(t.body).code), _said(t.body).number
+                )
             if t.body and _said(t.body).code == "ok":
                 self.history.puts.append((begun, self.now, _said(t.body).number, value))
             self.wake(0.1, self._next)
--- a/tests/concurrent.py
+++ b/tests/concurrent.py
@@ -4,9 +4,19 @@
 
 import msgspec
 
-from verification.histories import Amend, Draw, Free, Kind, Operation, Outcome, Put, Read, Take
+from verification.histories import (
+    AmendItem,
+    DrawNumber,
+    FreeLock,
+    ObjectKind,
+    Operation,
+    OperationOutcome,
+    PutValue,
+    ReadObject,
+    TakeLock,
+)
 
-DONE, REFUSED, UNKNOWN = Outcome.DONE, Outcome.REFUSED, Outcome.UNKNOWN
+DONE, REFUSED, UNKNOWN = OperationOutcome.DONE, OperationOutcome.REFUSED, OperationOutcome.UNKNOWN
 
 
 def op(kind, call, begun, ended, number=0, value=None, outcome=DONE, name="x"):
@@ -14,31 +24,31 @@
 
 
 def lock(call, begun, ended, token=0, outcome=DONE):
-    return op(Kind.LOCK, call, begun, ended, token, None, outcome, "l")
+    return op(ObjectKind.LOCK, call, begun, ended, token, None, outcome, "l")
 
 
 def draw(begun, ended, number, outcome=DONE):
-    return op(Kind.NUMBER, Draw(), begun, ended, number, None, outcome, "n")
+    return op(ObjectKind.NUMBER, DrawNumber(), begun, ended, number, None, outcome, "n")
 
 
 def put(begun, ended, value, revision=0, base=None, outcome=DONE):
-    return op(Kind.KEY, Put(value, base), begun, ended, revision, None, outcome, "k")
+    return op(ObjectKind.KEY, PutValue(value, base), begun, ended, revision, None, outcome, "k")
 
 
 def read(begun, ended, value, revision):
-    return op(Kind.KEY, Read(), begun, ended, revision, value, DONE, "k")
+    return op(ObjectKind.KEY, ReadObject(), begun, ended, revision, value, DONE, "k")
 
 
 def glance(begun, ended, revision):
-    return op(Kind.KEY, Read(shows_value=False), begun, ended, revision, None, DONE, "k")
+    return op(ObjectKind.KEY, ReadObject(shows_value=False), begun, ended, revision, None, DONE, "k")
 
 
 def amend(begun, ended, version, content, outcome=DONE):
-    return op(Kind.ITEM, Amend(version, content), begun, ended, version, None, outcome, "i")
+    return op(ObjectKind.ITEM, AmendItem(version, content), begun, ended, version, None, outcome, "i")
 
 
 def look(begun, ended, version, content):
-    return op(Kind.ITEM, Read(), begun, ended, version, content, DONE, "i")
+    return op(ObjectKind.ITEM, ReadObject(), begun, ended, version, content, DONE, "i")
 
 
 class Model:
@@ -56,19 +66,19 @@
     def take(self, n):
         who, until = self.rng.choice("ab"), self.now + self.rng.choice((0.5, 2.0))
         if self.held is not None and self.held[0] != who and self.held[2] > self.now:
-            return lock(Take(who, until), self.now, self.now, outcome=REFUSED)
+            return lock(TakeLock(who, until), self.now, self.now, outcome=REFUSED)
         if self.held is not None and self.held[0] == who and self.held[2] > self.now:
             until = max(until, self.held[2])
         self.token += self.rng.choice((1, 3))
         self.held = who, self.token, until
-        return lock(Take(who, until), self.now, self.now, self.token)
+        return lock(TakeLock(who, until), self.now, self.now, self.token)
 
     def free(self, n):
         if self.held is None:
             return self.draw(n)
         who, token, _ = self.held
         self.held = None
-        return lock(Free(who, token), self.now, self.now)
+        return lock(FreeLock(who, token), self.now, self.now)
 
     def draw(self, n):
         self.number += self.rng.choice((1, 2))
@@ -103,7 +113,7 @@
 def spread(rng, o):
     """The same operation with a call before it took effect and an answer after, or none."""
     begun, ended = o.begun - rng.uniform(0, 1.0), o.ended + rng.uniform(0, 1.0)
-    if o.outcome is DONE and not isinstance(o.call, Read) and rng.random() < 0.1:
+    if o.outcome is DONE and not isinstance(o.call, ReadObject) and rng.random() < 0.1:
         return msgspec.structs.replace(o, begun=begun, ended=None, outcome=UNKNOWN, number=0)
     return msgspec.structs.replace(o, begun=begun, ended=ended)
 
--- a/tests/plainplay.py
+++ b/tests/plainplay.py
@@ -7,7 +7,7 @@
 
 from mallowvalve.coordination.plain import Count, Extend, Free, PlainCoordination, Take, Write, group_of
 from verification import histories, linearizability
-from verification.histories import Kind, Operation, Outcome, outcome_of
+from verification.histories import ObjectKind, Operation, OperationOutcome, outcome_from_code
 
 CALL_TIMEOUT_MS = 1000
 KEYS = ("g.a", "g.b", "h.a")
@@ -327,16 +327,18 @@
 def check_linearizability(simulation: PlainSimulation) -> set[str]:
     """Returns the rules that the linearizability checker finds broken; what it leaves undecided counts as broken."""
     report = linearizability.check(recorded(simulation))
-    return {f"LINEAR {b.partition.kind}" for b in report.breaches} | {f"UNDECIDED {p}" for p in report.undecided}
+    return {f"LINEAR {b.partition.kind}" for b in report.violations} | {f"UNDECIDED {p}" for p in report.undecided}
 
 
 def recorded(simulation: PlainSimulation) -> list[Operation]:
     """Returns the calls as operations, and besides each group's revisions, as numbers that rise over all its keys."""
     writes = [write_operation(attempts) for attempts in write_attempts(simulation).values()]
     revisions = [
-        msgspec.structs.replace(o, kind=Kind.NUMBER, name=f"revision of {group_of(o.name)}", call=histories.Draw())
+        msgspec.structs.replace(
+            o, kind=ObjectKind.NUMBER, name=f"revision of {group_of(o.name)}", call=histories.DrawNumber()
+        )
         for o in writes
-        if o.outcome is Outcome.DONE
+        if o.outcome is OperationOutcome.DONE
     ]
     others = [o for call in simulation.calls if (o := other_operation(call)) is not None]
     return writes + revisions + others
@@ -354,8 +356,8 @@
 def write_operation(attempts: list[CallRecord]) -> Operation:
     """Returns the operation of one write, from its first attempt to its first answer."""
     call = min((c for c in attempts if answered(c)), key=lambda c: c.answered_ms, default=attempts[0])
-    put = histories.Put(call.command.value, call.command.base)
-    return operation(Kind.KEY, call, put, min(c.sent_ms for c in attempts))
+    put = histories.PutValue(call.command.value, call.command.base)
+    return operation(ObjectKind.KEY, call, put, min(c.sent_ms for c in attempts))
 
 
 def other_operation(call: CallRecord) -> Operation | None:
@@ -363,17 +365,21 @@
     command, sent_ms = call.command, call.sent_ms
     match command:
         case Take():
-            take = histories.Take(command.holder, (sent_ms + command.hold_ms) / 1000)
-            return operation(Kind.LOCK, call, take, sent_ms)
+            take = histories.TakeLock(command.holder, (sent_ms + command.hold_ms) / 1000)
+            return operation(ObjectKind.LOCK, call, take, sent_ms)
         case Extend():
-            extend = histories.Extend(command.holder, command.token, (sent_ms + command.hold_ms) / 1000)
-            return operation(Kind.LOCK, call, extend, sent_ms)
+            extend = histories.ExtendLock(command.holder, command.token, (sent_ms + command.hold_ms) / 1000)
+            return operation(ObjectKind.LOCK, call, extend, sent_ms)
         case Free():
-            return operation(Kind.LOCK, call, histories.Free(command.holder, command.token), sent_ms)
+            return operation(ObjectKind.LOCK, call, histories.FreeLock(command.holder, command.token), sent_ms)
         case Count():
-            return operation(Kind.NUMBER, call, histories.Draw(), sent_ms)
+            return operation(ObjectKind.NUMBER, call, histories.DrawNumber(), sent_ms)
         case str():
-            return operation(Kind.KEY, call, histories.Read(shows_value=False), sent_ms) if answered(call) else None
+            return (
+                operation(ObjectKind.KEY, call, histories.ReadObject(shows_value=False), sent_ms)
+                if answered(call)
+                else None
+            )
     return None
 
 
@@ -381,9 +387,9 @@
     return call.answered_ms is not None and call.answered_ms < float("inf")
 
 
-def operation(kind: Kind, call: CallRecord, invocation: histories.Call, sent_ms: float) -> Operation:
+def operation(kind: ObjectKind, call: CallRecord, invocation: histories.OperationCall, sent_ms: float) -> Operation:
     name = call.command if isinstance(call.command, str) else call.command.name
     if not answered(call):
-        return Operation(kind, name, call.caller, invocation, sent_ms / 1000, None, Outcome.UNKNOWN)
-    outcome = outcome_of(call.code)
+        return Operation(kind, name, call.caller, invocation, sent_ms / 1000, None, OperationOutcome.UNKNOWN)
+    outcome = outcome_from_code(call.code)
     return Operation(kind, name, call.caller, invocation, sent_ms / 1000, call.answered_ms / 1000, outcome, call.number)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -16,36 +16,43 @@
 from tests.concurrent import DONE, REFUSED, UNKNOWN, amend, concurrent, draw, glance, lock, look, op, put, read
 from tests.plainplay import check_linearizability, simulate
 from verification import histories
-from verification.histories import Draw, Extend, Free, Kind, Put, Take
+from verification.histories import DrawNumber, ExtendLock, FreeLock, ObjectKind, PutValue, TakeLock
 from verification.linearizability import FOUND, UNDECIDED, UNREADABLE, Partition, check, main_check
 from verification.specifications import SPECIFICATIONS
 
 SOUND = {
-    "a hold that lapses": [lock(Take("a", 5), 1, 2, 1), lock(Take("b", 9), 3, 6, 2)],
-    "a take that waits for the lapse inside its call": [lock(Take("a", 5), 1, 2, 1), lock(Take("b", 9), 1.5, 5, 2)],
-    "a hold that is freed": [lock(Take("a", 9), 1, 2, 1), lock(Free("a", 1), 3, 4), lock(Take("b", 9), 3.5, 3.6, 2)],
+    "a hold that lapses": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("b", 9), 3, 6, 2)],
+    "a take that waits for the lapse inside its call": [
+        lock(TakeLock("a", 5), 1, 2, 1),
+        lock(TakeLock("b", 9), 1.5, 5, 2),
+    ],
+    "a hold that is freed": [
+        lock(TakeLock("a", 9), 1, 2, 1),
+        lock(FreeLock("a", 1), 3, 4),
+        lock(TakeLock("b", 9), 3.5, 3.6, 2),
+    ],
     "a free that got no answer": [
-        lock(Take("a", 9), 1, 2, 1),
-        lock(Free("a", 1), 3, None, outcome=UNKNOWN),
-        lock(Take("b", 9), 5, 6, 2),
+        lock(TakeLock("a", 9), 1, 2, 1),
+        lock(FreeLock("a", 1), 3, None, outcome=UNKNOWN),
+        lock(TakeLock("b", 9), 5, 6, 2),
     ],
-    "a hold taken again by its holder": [lock(Take("a", 5), 1, 2, 1), lock(Take("a", 7), 3, 4, 3)],
+    "a hold taken again by its holder": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("a", 7), 3, 4, 3)],
     "an extension by any token of the unbroken hold": [
-        lock(Take("a", 5), 1, 2, 1),
-        lock(Take("a", 7), 3, 4, 3),
-        lock(Extend("a", 1, 9), 4, 5),
+        lock(TakeLock("a", 5), 1, 2, 1),
+        lock(TakeLock("a", 7), 3, 4, 3),
+        lock(ExtendLock("a", 1, 9), 4, 5),
     ],
     "a take that got no answer and left a gap": [
-        lock(Take("a", 99), 1, None, outcome=UNKNOWN),
-        lock(Take("b", 9), 2, 3, 7),
+        lock(TakeLock("a", 99), 1, None, outcome=UNKNOWN),
+        lock(TakeLock("b", 9), 2, 3, 7),
     ],
     "a holder that names the token of a take without an answer": [
-        lock(Take("a", 5), 1, 2, 1),
-        lock(Take("a", 9), 2, None, outcome=UNKNOWN),
-        lock(Free("a", 2), 3, 3.5),
-        lock(Take("b", 9), 4, 4.5, 3),
-        lock(Take("a", 20), 5, None, outcome=UNKNOWN),
-        lock(Extend("a", 4, 20), 10, 11),
+        lock(TakeLock("a", 5), 1, 2, 1),
+        lock(TakeLock("a", 9), 2, None, outcome=UNKNOWN),
+        lock(FreeLock("a", 2), 3, 3.5),
+        lock(TakeLock("b", 9), 4, 4.5, 3),
+        lock(TakeLock("a", 20), 5, None, outcome=UNKNOWN),
+        lock(ExtendLock("a", 4, 20), 10, 11),
     ],
     "numbers that cross": [draw(1, 4, 2), draw(2, 3, 1), draw(5, 6, 9)],
     "a put of unknown outcome that shows up late": [
@@ -120,27 +127,27 @@
     ],
     "a number given twice": [draw(1, 2, 5), draw(1, 3, 5)],
     "a number that falls": [draw(1, 2, 5), draw(3, 4, 4)],
-    "two holders": [lock(Take("a", 5), 1, 2, 1), lock(Take("b", 9), 3, 4, 2)],
+    "two holders": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("b", 9), 3, 4, 2)],
     "two holders after a free with an older token": [
-        lock(Take("a", 9), 1, 2, 1),
-        lock(Take("a", 9), 2, 3, 2),
-        lock(Free("a", 1), 3, 4),
-        lock(Take("b", 12), 5, 6, 3),
+        lock(TakeLock("a", 9), 1, 2, 1),
+        lock(TakeLock("a", 9), 2, 3, 2),
+        lock(FreeLock("a", 1), 3, 4),
+        lock(TakeLock("b", 12), 5, 6, 3),
     ],
     "two holders after an extension": [
-        lock(Take("a", 5), 1, 2, 1),
-        lock(Extend("a", 1, 9), 3, 4),
-        lock(Take("b", 9), 6, 7, 2),
+        lock(TakeLock("a", 5), 1, 2, 1),
+        lock(ExtendLock("a", 1, 9), 3, 4),
+        lock(TakeLock("b", 9), 6, 7, 2),
     ],
-    "a token used again": [lock(Take("a", 3), 1, 2, 1), lock(Take("b", 9), 4, 5, 1)],
+    "a token used again": [lock(TakeLock("a", 3), 1, 2, 1), lock(TakeLock("b", 9), 4, 5, 1)],
     "an extension of a hold that another broke": [
-        lock(Take("a", 3), 1, 2, 1),
-        lock(Take("b", 9), 4, 5, 2),
-        lock(Extend("a", 1, 12), 6, 7),
+        lock(TakeLock("a", 3), 1, 2, 1),
+        lock(TakeLock("b", 9), 4, 5, 2),
+        lock(ExtendLock("a", 1, 12), 6, 7),
     ],
     "an extension of a take without an answer while another holds": [
-        lock(Take("b", 9), 1, 2, 1),
-        lock(Extend("a", 4, 20), 3, 4),
+        lock(TakeLock("b", 9), 1, 2, 1),
+        lock(ExtendLock("a", 4, 20), 3, 4),
     ],
     "an item replaced under one version": [amend(1, 2, 5, "a"), amend(3, 4, 5, "b")],
     "an item replaced under one version before what overtakes it is called": [
@@ -171,12 +178,12 @@
     sound = [msgspec.structs.replace(o, name=f"{o.name}{n}") for n, some in enumerate(SOUND.values()) for o in some]
     bad = BREACHES[name]
     report = check(sound + bad)
-    assert [b.partition for b in report.breaches] == [Partition(bad[0].kind, bad[0].name)] and not report.undecided
+    assert [b.partition for b in report.violations] == [Partition(bad[0].kind, bad[0].name)] and not report.undecided
 
 
 def test_a_finding_names_the_shortest_prefix_and_what_fits_nowhere():
     more = [put(20 + n, 20.5 + n, f"v{n}", 20 + n) for n in range(50)]
-    (breach,) = check([*BREACHES["a stale read"], *more]).breaches
+    (breach,) = check([*BREACHES["a stale read"], *more]).violations
     assert breach.prefix == 3 and breach.stuck == [read(5, 6, "a", 1)]
     assert "read" in str(breach) and "value='b'" in str(breach) and "v1" not in str(breach)
 
@@ -184,8 +191,8 @@
 def test_steps_that_do_not_suffice_are_no_pass():
     many = [put(0, 100, f"v{n}", n + 1) for n in range(12)] + [read(0, 100, "nobody's", 50)]
     report = check(many, steps=1000)
-    assert report.undecided == [Partition(Kind.KEY, "k")] and "undecided" in report.findings()[0]
-    assert report.steps <= 1002 and not report.breaches
+    assert report.undecided == [Partition(ObjectKind.KEY, "k")] and "undecided" in report.findings()[0]
+    assert report.steps <= 1002 and not report.violations
 
 
 @settings(derandomize=True, max_examples=150, deadline=None)
@@ -201,7 +208,7 @@
     end = 3 + max(o.ended or o.begun for o in history)
     bad = [put(end, end + 1, "old", 1000), put(end + 2, end + 3, "new", 1001), read(end + 4, end + 5, "old", 1000)]
     report = check(history + bad)
-    assert [b.partition for b in report.breaches] == [Partition(Kind.KEY, "k")]
+    assert [b.partition for b in report.violations] == [Partition(ObjectKind.KEY, "k")]
 
 
 def ordered(operations):
@@ -229,7 +236,7 @@
 def scrambled(seed):
     """A short history on one object whose answers may be wrong."""
     rng = random.Random(seed)
-    kind = rng.choice(list(Kind))
+    kind = rng.choice(list(ObjectKind))
     some = [o for o in concurrent(rng.random(), 30) if o.kind is kind][:6]
     some = [
         msgspec.structs.replace(o, number=max(0, o.number + rng.choice((0, 0, 0, 0, -1, 1))))
@@ -248,9 +255,9 @@
             continue
         report = check(history)
         want = ordered(history)
-        assert bool(report.breaches) is not want and not report.undecided, seed
+        assert bool(report.violations) is not want and not report.undecided, seed
         said[history[0].kind, want] += 1
-    assert len(said) == 2 * len(Kind) and min(said.values()) >= 5, said
+    assert len(said) == 2 * len(ObjectKind) and min(said.values()) >= 5, said
 
 
 @pytest.mark.parametrize(
@@ -284,7 +291,7 @@
         msgspec.json.encode(draw(1, 2, 1)),
         b"{",
         msgspec.json.encode(draw(3, 2, 2)),
-        msgspec.json.encode(op(Kind.NUMBER, Put("a"), 1, 2)),
+        msgspec.json.encode(op(ObjectKind.NUMBER, PutValue("a"), 1, 2)),
         msgspec.json.encode(draw(1, None, 1)),
     ]
     path.write_bytes(b"\n".join(lines))
@@ -299,12 +306,12 @@
 
 def test_the_simulators_check_looks_at_its_recorded_history():
     h = sim.history.History()
-    place = h.recorder.called(Kind.NUMBER, "n", "u", Draw(), 1.0)
-    h.recorder.answered(place, 2.0, DONE, 7)
-    h.recorder.called(Kind.NUMBER, "n", "u", Draw(), 2.5)
+    place = h.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 1.0)
+    h.recorder.record_answer(place, 2.0, DONE, 7)
+    h.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 2.5)
     assert sim.history.check(h) == []
-    place = h.recorder.called(Kind.NUMBER, "n", "u", Draw(), 3.0)
-    h.recorder.answered(place, 4.0, DONE, 7)
+    place = h.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 3.0)
+    h.recorder.record_answer(place, 4.0, DONE, 7)
     assert any("number n" in f for f in sim.history.check(h))
 
 
--- a/verification/histories.py
+++ b/verification/histories.py
@@ -27,7 +27,7 @@
 from mallowvalve.finding import Finding, Findings
 
 
-class Kind(StrEnum):
+class ObjectKind(StrEnum):
     """What kind of object an operation is on."""
 
     LOCK = "lock"
@@ -36,7 +36,7 @@
     ITEM = "item"
 
 
-class Outcome(StrEnum):
+class OperationOutcome(StrEnum):
     """What its caller knows of an operation."""
 
     DONE = "done"
@@ -44,14 +44,14 @@
     UNKNOWN = "unknown"
 
 
-class Take(msgspec.Struct, frozen=True, tag="take"):
+class TakeLock(msgspec.Struct, frozen=True, tag="take"):
     """Take a lock; the holder relies on it up to `until` (s)."""
 
     holder: str
     until: float
 
 
-class Extend(msgspec.Struct, frozen=True, tag="extend"):
+class ExtendLock(msgspec.Struct, frozen=True, tag="extend"):
     """Lengthen a hold to `until` (s)."""
 
     holder: str
@@ -59,57 +59,57 @@
     until: float
 
 
-class Free(msgspec.Struct, frozen=True, tag="free"):
+class FreeLock(msgspec.Struct, frozen=True, tag="free"):
     """Give a lock back."""
 
     holder: str
     token: int
 
 
-class Draw(msgspec.Struct, frozen=True, tag="draw"):
+class DrawNumber(msgspec.Struct, frozen=True, tag="draw"):
     """Draw the next number."""
 
 
-class Put(msgspec.Struct, frozen=True, tag="put"):
+class PutValue(msgspec.Struct, frozen=True, tag="put"):
     """Put a value into a key, or remove it (None), if the key is at revision `base` (None: whatever it is at)."""
 
     value: str | None
     base: int | None = None
 
 
-class Read(msgspec.Struct, frozen=True, tag="read"):
+class ReadObject(msgspec.Struct, frozen=True, tag="read"):
     """Read a key or an item."""
 
     shows_value: bool = True
 
 
-class Amend(msgspec.Struct, frozen=True, tag="amend"):
+class AmendItem(msgspec.Struct, frozen=True, tag="amend"):
     """Give an item a content under a version."""
 
     version: int
     content: str | None
 
 
-Call = Take | Extend | Free | Draw | Put | Read | Amend
+OperationCall = TakeLock | ExtendLock | FreeLock | DrawNumber | PutValue | ReadObject | AmendItem
 
 
 class Operation(msgspec.Struct, frozen=True, omit_defaults=True):
     """One call and what its caller was told; times in seconds of one clock."""
 
-    kind: Kind
+    kind: ObjectKind
     name: str
     caller: str
-    call: Call
+    call: OperationCall
     begun: float
     ended: float | None
-    outcome: Outcome
+    outcome: OperationOutcome
     number: int = 0
     value: str | None = None
 
     @property
     def unknown(self) -> bool:
         """Whether it may or may not have taken effect."""
-        return self.outcome is Outcome.UNKNOWN
+        return self.outcome is OperationOutcome.UNKNOWN
 
     @property
     def latest(self) -> float:
@@ -121,7 +121,7 @@
         end = "..." if self.ended is None else f"{self.ended:.3f}"
         asked = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
         told = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
-        return f"[{self.begun:.3f}, {end}] {self.caller} {type(self.call).__name__.lower()} {asked} -> {told}"
+        return f"[{self.begun:.3f}, {end}] {self.caller} {self.call.__struct_config__.tag} {asked} -> {told}"
 
 
 _decode = msgspec.json.Decoder(Operation).decode
@@ -155,7 +155,7 @@
 def _wrong(operation: Operation) -> str:
     """What makes an operation impossible to judge, or nothing."""
     if operation.call.__class__ not in CALLS[operation.kind]:
-        return f"a {operation.kind} has no {type(operation.call).__name__.lower()}"
+        return f"a {operation.kind} has no {operation.call.__struct_config__.tag}"
     if operation.ended is None and not operation.unknown:
         return f"{operation.outcome} without its end"
     if operation.ended is not None and operation.ended < operation.begun:
@@ -166,14 +166,14 @@
 REFUSALS = ("conflict", "missing", "lost", "held", "gone", "late")
 
 
-def outcome_of(code: str) -> Outcome:
+def outcome_from_code(code: str) -> OperationOutcome:
     """What a service's answer says of a command; every code that is not known to be a promise leaves it open."""
     if code == "ok":
-        return Outcome.DONE
-    return Outcome.REFUSED if code in REFUSALS else Outcome.UNKNOWN
+        return OperationOutcome.DONE
+    return OperationOutcome.REFUSED if code in REFUSALS else OperationOutcome.UNKNOWN
 
 
-class Recorder:
+class HistoryRecorder:
     """A history under way: calls are written down when they are made, and again when they are answered."""
 
     __slots__ = ("operations",)
@@ -182,21 +182,21 @@
         """Begin an empty history."""
         self.operations: list[Operation] = []
 
-    def called(self, kind: Kind, name: str, caller: str, call: Call, begun: float) -> int:
+    def record_call(self, kind: ObjectKind, name: str, caller: str, call: OperationCall, begun: float) -> int:
         """Write down a call (s) that has no answer yet; returns its place."""
-        self.operations.append(Operation(kind, name, caller, call, begun, None, Outcome.UNKNOWN))
+        self.operations.append(Operation(kind, name, caller, call, begun, None, OperationOutcome.UNKNOWN))
         return len(self.operations) - 1
 
-    def answered(self, place: int, ended: float, outcome: Outcome, number: int = 0) -> None:
+    def record_answer(self, place: int, ended: float, outcome: OperationOutcome, number: int = 0) -> None:
         """Write down the answer (s) of a call; one of unknown outcome stays without its end."""
-        if outcome is not Outcome.UNKNOWN:
+        if outcome is not OperationOutcome.UNKNOWN:
             was = self.operations[place]
             self.operations[place] = msgspec.structs.replace(was, ended=ended, outcome=outcome, number=number)
 
 
-CALLS: dict[Kind, tuple[type, ...]] = {
-    Kind.LOCK: (Take, Extend, Free),
-    Kind.NUMBER: (Draw,),
-    Kind.KEY: (Put, Read),
-    Kind.ITEM: (Amend, Read),
+CALLS: dict[ObjectKind, tuple[type, ...]] = {
+    ObjectKind.LOCK: (TakeLock, ExtendLock, FreeLock),
+    ObjectKind.NUMBER: (DrawNumber,),
+    ObjectKind.KEY: (PutValue, ReadObject),
+    ObjectKind.ITEM: (AmendItem, ReadObject),
 }
--- a/verification/linearizability.py
+++ b/verification/linearizability.py
@@ -24,7 +24,7 @@
 import msgspec
 from result import Err
 
-from verification.histories import Kind, Operation, Outcome, Read, load
+from verification.histories import ObjectKind, Operation, OperationOutcome, ReadObject, load
 from verification.specifications import SPECIFICATIONS, Specification
 
 STEPS = 200_000
@@ -35,7 +35,7 @@
 class Partition(NamedTuple):
     """The object that a part of a history is about."""
 
-    kind: Kind
+    kind: ObjectKind
     name: str
 
     def __str__(self) -> str:
@@ -43,7 +43,7 @@
         return f"{self.kind} {self.name}"
 
 
-class Breach(msgspec.Struct, frozen=True):
+class Violation(msgspec.Struct, frozen=True):
     """A partition that cannot be ordered: its shortest prefix that shows it, and where the longest order ended.
 
     `prefix` counts the operations called up to some moment, `placed` is the longest order found among them, `stuck`
@@ -65,10 +65,10 @@
         return "\n".join(lines)
 
 
-class Report(msgspec.Struct):
+class CheckReport(msgspec.Struct):
     """What a check found: breaches, partitions left undecided, and how much was looked at."""
 
-    breaches: list[Breach] = []
+    violations: list[Violation] = []
     undecided: list[Partition] = []
     operations: int = 0
     partitions: int = 0
@@ -76,22 +76,24 @@
 
     def findings(self) -> list[str]:
         """One text for each breach and for each partition left undecided."""
-        return [str(b) for b in self.breaches] + [f"{p}: undecided, the steps did not suffice" for p in self.undecided]
+        return [str(b) for b in self.violations] + [
+            f"{p}: undecided, the steps did not suffice" for p in self.undecided
+        ]
 
     def __str__(self) -> str:
         """One line of figures."""
         return (
             f"{self.operations} operations, {self.partitions} partitions, {self.steps} steps: "
-            f"{len(self.breaches)} breached, {len(self.undecided)} undecided"
+            f"{len(self.violations)} breached, {len(self.undecided)} undecided"
         )
 
 
-def check(operations: list[Operation], steps: int = STEPS) -> Report:
+def check(operations: list[Operation], steps: int = STEPS) -> CheckReport:
     """Hold a history against the specification of each object in it, with at most `steps` for each object."""
     parts: dict[Partition, list[Operation]] = defaultdict(list)
     for o in operations:
         parts[Partition(o.kind, o.name)].append(o)
-    report = Report(operations=len(operations), partitions=len(parts))
+    report = CheckReport(operations=len(operations), partitions=len(parts))
     for partition, some in sorted(parts.items()):
         specification = SPECIFICATIONS[partition.kind]
         search = Search(specification, some, steps)
@@ -100,7 +102,7 @@
         if verdict is None:
             report.undecided.append(partition)
         elif not verdict:
-            report.breaches.append(_smallest(partition, specification, some, steps))
+            report.violations.append(_smallest(partition, specification, some, steps))
     return report
 
 
@@ -125,7 +127,7 @@
 
     def __init__(self, specification: Specification, operations: list[Operation], budget: int):
         """Take the operations on one object; `budget` is the most steps (answers of the specification) to ask for."""
-        kept = [o for o in operations if o.outcome is not Outcome.REFUSED]
+        kept = [o for o in operations if o.outcome is not OperationOutcome.REFUSED]
         needed = sorted(specification.needed(kept), key=lambda o: (o.begun, o.latest))
         self.certain = [o for o in needed if not o.unknown]
         self.unknown = [o for o in needed if o.unknown]
@@ -204,7 +206,7 @@
         return near + maybe
 
 
-def _smallest(partition: Partition, specification: Specification, some: list[Operation], steps: int) -> Breach:
+def _smallest(partition: Partition, specification: Specification, some: list[Operation], steps: int) -> Violation:
     """The shortest prefix in time that cannot be ordered: what a history shows by then, its calls under way unknown."""
     ends = sorted({o.latest for o in some if not o.unknown})
     low, high = 0, len(ends) - 1
@@ -217,18 +219,18 @@
     prefix = _until(some, ends[high])
     search = Search(specification, prefix, steps)
     search.run()
-    return Breach(partition, len(prefix), search.longest, search.stuck(), str(search.state()))
+    return Violation(partition, len(prefix), search.longest, search.stuck(), str(search.state()))
 
 
 def _until(operations: list[Operation], end: float) -> list[Operation]:
     """The history as it stood at `end` (s): later calls are gone, those under way have no answer yet."""
     begun = [o for o in operations if o.begun <= end]
     told = [o for o in begun if o.unknown or o.latest <= end]
-    under_way = [o for o in begun if not o.unknown and o.latest > end and o.outcome is not Outcome.REFUSED]
+    under_way = [o for o in begun if not o.unknown and o.latest > end and o.outcome is not OperationOutcome.REFUSED]
     open_ended = [
-        msgspec.structs.replace(o, ended=None, outcome=Outcome.UNKNOWN, number=0)
+        msgspec.structs.replace(o, ended=None, outcome=OperationOutcome.UNKNOWN, number=0)
         for o in under_way
-        if not isinstance(o.call, Read)
+        if not isinstance(o.call, ReadObject)
     ]
     return told + open_ended
 
@@ -244,6 +246,6 @@
     for finding in report.findings():
         click.echo(finding)
     click.echo(str(report))
-    if report.breaches:
+    if report.violations:
         return FOUND
     return UNDECIDED if report.undecided else 0
--- a/verification/specifications.py
+++ b/verification/specifications.py
@@ -14,7 +14,17 @@
 
 import msgspec
 
-from verification.histories import Amend, Draw, Extend, Free, Kind, Operation, Put, Read, Take
+from verification.histories import (
+    AmendItem,
+    DrawNumber,
+    ExtendLock,
+    FreeLock,
+    ObjectKind,
+    Operation,
+    PutValue,
+    ReadObject,
+    TakeLock,
+)
 
 State = TypeVar("State")
 
@@ -72,11 +82,11 @@
     def step(self, state: Holding, operation: Operation, now: float) -> tuple[Holding, float] | None:
         """Return the lock after the operation and when it can have been, or None."""
         match operation.call:
-            case Take():
+            case TakeLock():
                 return self._take(state, operation, operation.call, operation.number, now)
-            case Extend():
+            case ExtendLock():
                 return self._extend(state, operation, operation.call, now)
-            case Free(holder=holder, token=token):
+            case FreeLock(holder=holder, token=token):
                 if state.holder != holder or token < state.newest:
                     return state, now
                 return Holding(state.newest), now
@@ -84,10 +94,10 @@
 
     def needed(self, operations: list[Operation]) -> list[Operation]:
         """Leave out takes and extensions that may not have been."""
-        return [o for o in operations if not o.unknown or isinstance(o.call, Free)]
+        return [o for o in operations if not o.unknown or isinstance(o.call, FreeLock)]
 
     def _take(
-        self, state: Holding, operation: Operation, call: Take | Extend, token: int, now: float
+        self, state: Holding, operation: Operation, call: TakeLock | ExtendLock, token: int, now: float
     ) -> tuple[Holding, float] | None:
         if token <= state.newest:
             return None
@@ -99,7 +109,9 @@
             return None
         return Holding(token, call.holder, (token,), call.until), now
 
-    def _extend(self, state: Holding, operation: Operation, call: Extend, now: float) -> tuple[Holding, float] | None:
+    def _extend(
+        self, state: Holding, operation: Operation, call: ExtendLock, now: float
+    ) -> tuple[Holding, float] | None:
         if call.token > state.newest:
             return self._take(state, operation, call, call.token, now)
         if state.holder != call.holder or call.token not in state.tokens:
@@ -116,7 +128,7 @@
 
     def step(self, state: int, operation: Operation, now: float) -> tuple[int, float] | None:
         """Return the number given, if it is above the last one."""
-        if not isinstance(operation.call, Draw) or operation.number <= state:
+        if not isinstance(operation.call, DrawNumber) or operation.number <= state:
             return None
         return operation.number, now
 
@@ -154,9 +166,9 @@
         """Return the key after a put or a read, or None."""
         call = operation.call
         after = None
-        if isinstance(call, Put):
+        if isinstance(call, PutValue):
             after = self._put(state, operation, call)
-        elif isinstance(call, Read):
+        elif isinstance(call, ReadObject):
             after = self._read(state, operation, call)
         return None if after is None else (after, now)
 
@@ -167,11 +179,11 @@
         used: set[int] = set()
         for o in operations:
             match o.call:
-                case Read(shows_value=True):
+                case ReadObject(shows_value=True):
                     values.add(o.value)
-                case Read():
+                case ReadObject():
                     used.add(o.number)
-                case Put(base=base):
+                case PutValue(base=base):
                     used |= {base} if base is not None else set()
                     if not o.unknown:
                         given.add(o.number)
@@ -181,10 +193,10 @@
         return [
             o
             for o in operations
-            if not o.unknown or isinstance(o.call, Put) and (unexplained or o.call.value in values)
+            if not o.unknown or isinstance(o.call, PutValue) and (unexplained or o.call.value in values)
         ]
 
-    def _put(self, state: Cell, operation: Operation, call: Put) -> Cell | None:
+    def _put(self, state: Cell, operation: Operation, call: PutValue) -> Cell | None:
         revision = operation.number
         if not operation.unknown and call.value == state.value and _same(state, revision):
             return Cell(state.value, revision, max(state.floor, revision))
@@ -197,7 +209,7 @@
             return None
         return Cell(call.value, revision if call.value is not None else 0, revision)
 
-    def _read(self, state: Cell, operation: Operation, call: Read) -> Cell | None:
+    def _read(self, state: Cell, operation: Operation, call: ReadObject) -> Cell | None:
         if call.shows_value and operation.value != state.value:
             return None
         if call.shows_value and state.value is None:
@@ -234,10 +246,10 @@
     def step(self, state: Kept, operation: Operation, now: float) -> tuple[Kept, float] | None:
         """Return the item after an order or a read, or None."""
         call = operation.call
-        if isinstance(call, Read):
+        if isinstance(call, ReadObject):
             shown = operation.value == state.content and (state.content is None or operation.number == state.version)
             return (state, now) if shown else None
-        if not isinstance(call, Amend):
+        if not isinstance(call, AmendItem):
             return None
         if call.version > state.version:
             return Kept(call.version, call.content), now
@@ -247,27 +259,27 @@
 
     def needed(self, operations: list[Operation]) -> list[Operation]:
         """Leave out orders of unknown outcome that nobody saw and that need not have overtaken a disputed version."""
-        seen = {(o.number, o.value) for o in operations if isinstance(o.call, Read) and o.value is not None}
-        absent = any(isinstance(o.call, Read) and o.value is None for o in operations)
+        seen = {(o.number, o.value) for o in operations if isinstance(o.call, ReadObject) and o.value is not None}
+        absent = any(isinstance(o.call, ReadObject) and o.value is None for o in operations)
         contents: dict[int, set[str | None]] = {}
         for o in operations:
-            if isinstance(o.call, Amend):
+            if isinstance(o.call, AmendItem):
                 contents.setdefault(o.call.version, set()).add(o.call.content)
         disputed = min((v for v, some in contents.items() if len(some) > 1), default=None)
         out = []
         for o in operations:
             if not o.unknown:
                 out.append(o)
-            elif isinstance(o.call, Amend):
+            elif isinstance(o.call, AmendItem):
                 read = absent if o.call.content is None else (o.call.version, o.call.content) in seen
                 if read or disputed is not None and o.call.version > disputed:
                     out.append(o)
         return out
 
 
-SPECIFICATIONS: dict[Kind, Specification] = {
-    Kind.LOCK: LockSpecification(),
-    Kind.NUMBER: NumberSpecification(),
-    Kind.KEY: KeySpecification(),
-    Kind.ITEM: ItemSpecification(),
+SPECIFICATIONS: dict[ObjectKind, Specification] = {
+    ObjectKind.LOCK: LockSpecification(),
+    ObjectKind.NUMBER: NumberSpecification(),
+    ObjectKind.KEY: KeySpecification(),
+    ObjectKind.ITEM: ItemSpecification(),
 }
