--- a/tests/concurrent.py
+++ b/tests/concurrent.py
@@ -19,39 +19,39 @@
 DONE, REFUSED, UNKNOWN = OperationOutcome.DONE, OperationOutcome.REFUSED, OperationOutcome.UNKNOWN
 
 
-def op(kind, call, begun, ended, number=0, value=None, outcome=DONE, name="x"):
+def operation(kind, call, begun, ended, number=0, value=None, outcome=DONE, name="x"):
     return Operation(kind, name, "c", call, begun, ended, outcome, number, value)
 
 
 def lock(call, begun, ended, token=0, outcome=DONE):
-    return op(ObjectKind.LOCK, call, begun, ended, token, None, outcome, "l")
+    return operation(ObjectKind.LOCK, call, begun, ended, token, None, outcome, "l")
 
 
 def draw(begun, ended, number, outcome=DONE):
-    return op(ObjectKind.NUMBER, DrawNumber(), begun, ended, number, None, outcome, "n")
+    return operation(ObjectKind.NUMBER, DrawNumber(), begun, ended, number, None, outcome, "n")
 
 
 def put(begun, ended, value, revision=0, base=None, outcome=DONE):
-    return op(ObjectKind.KEY, PutValue(value, base), begun, ended, revision, None, outcome, "k")
+    return operation(ObjectKind.KEY, PutValue(value, base), begun, ended, revision, None, outcome, "k")
 
 
 def read(begun, ended, value, revision):
-    return op(ObjectKind.KEY, ReadObject(), begun, ended, revision, value, DONE, "k")
+    return operation(ObjectKind.KEY, ReadObject(), begun, ended, revision, value, DONE, "k")
 
 
-def glance(begun, ended, revision):
-    return op(ObjectKind.KEY, ReadObject(shows_value=False), begun, ended, revision, None, DONE, "k")
+def read_revision(begun, ended, revision):
+    return operation(ObjectKind.KEY, ReadObject(shows_value=False), begun, ended, revision, None, DONE, "k")
 
 
 def amend(begun, ended, version, content, outcome=DONE):
-    return op(ObjectKind.ITEM, AmendItem(version, content), begun, ended, version, None, outcome, "i")
+    return operation(ObjectKind.ITEM, AmendItem(version, content), begun, ended, version, None, outcome, "i")
 
 
-def look(begun, ended, version, content):
-    return op(ObjectKind.ITEM, ReadObject(), begun, ended, version, content, DONE, "i")
+def read_item(begun, ended, version, content):
+    return operation(ObjectKind.ITEM, ReadObject(), begun, ended, version, content, DONE, "i")
 
 
-class Model:
+class SequentialService:
     """A single-threaded service that answers at once; the time it answers at is what the histories are spread around."""
 
     def __init__(self, rng):
@@ -95,7 +95,7 @@
 
     def read(self, n):
         if self.rng.random() < 0.5:
-            return glance(self.now, self.now, self.key[1])
+            return read_revision(self.now, self.now, self.key[1])
         return read(self.now, self.now, *self.key)
 
     def amend(self, n):
@@ -107,7 +107,7 @@
 
     def look(self, n):
         version, content = self.item
-        return look(self.now, self.now, version if content is not None else 0, content)
+        return read_item(self.now, self.now, version if content is not None else 0, content)
 
 
 def spread(rng, o):
@@ -120,7 +120,7 @@
 
 def concurrent(seed, size):
     rng = random.Random(seed)
-    model = Model(rng)
+    model = SequentialService(rng)
     some = [spread(rng, model.step(n)) for n in range(size)]
     rng.shuffle(some)
     return some
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -13,11 +13,24 @@
 import sim.history
 from mallowvalve.localfleet import history
 from tests import test_plainplay
-from tests.concurrent import DONE, REFUSED, UNKNOWN, amend, concurrent, draw, glance, lock, look, op, put, read
+from tests.concurrent import (
+    DONE,
+    REFUSED,
+    UNKNOWN,
+    amend,
+    concurrent,
+    draw,
+    lock,
+    operation,
+    put,
+    read,
+    read_item,
+    read_revision,
+)
 from tests.plainplay import check_linearizability, simulate
 from verification import histories
 from verification.histories import DrawNumber, ExtendLock, FreeLock, ObjectKind, PutValue, TakeLock
-from verification.linearizability import FOUND, UNDECIDED, UNREADABLE, Partition, check, main_check
+from verification.linearizability import EXIT_UNDECIDED, EXIT_UNREADABLE, EXIT_VIOLATION, Partition, check, check_file
 from verification.specifications import SPECIFICATIONS
 
 SOUND = {
@@ -64,9 +77,9 @@
     "a put of unknown outcome that never was": [put(1, None, "a", outcome=UNKNOWN), read(2, 3, None, 0)],
     "a put on what an unknown one gave": [
         put(1, None, "a", outcome=UNKNOWN),
-        glance(2, 3, 5),
+        read_revision(2, 3, 5),
         put(4, 5, "b", 6, base=5),
-        glance(6, 7, 6),
+        read_revision(6, 7, 6),
     ],
     "a put that was refused": [put(1, 2, "a", 1), put(3, 4, "b", 1, 0, REFUSED), read(5, 6, "a", 1)],
     "the same put confirmed again": [put(1, 2, "a", 1), put(3, 4, "a", 1), read(5, 6, "a", 1)],
@@ -82,7 +95,7 @@
         put(3, None, None, outcome=UNKNOWN),
         put(4, 5, "b", 3, base=0),
     ],
-    "an order that was overtaken": [amend(1, 2, 5, "b"), amend(3, 4, 4, "a"), look(5, 6, 5, "b")],
+    "an order that was overtaken": [amend(1, 2, 5, "b"), amend(3, 4, 4, "a"), read_item(5, 6, 5, "b")],
     "an order under a version that was held by another, overtaken by one of unknown outcome": [
         amend(1, 2, 5, "a"),
         amend(3, None, 6, "c", UNKNOWN),
@@ -91,19 +104,19 @@
     "an item that a drop of unknown outcome took away": [
         amend(1, 2, 5, "a"),
         amend(3, None, 6, None, UNKNOWN),
-        look(4, 5, 0, None),
+        read_item(4, 5, 0, None),
     ],
-    "one order confirmed twice": [amend(1, 2, 5, "b"), amend(3, 4, 5, "b"), look(5, 6, 5, "b")],
+    "one order confirmed twice": [amend(1, 2, 5, "b"), amend(3, 4, 5, "b"), read_item(5, 6, 5, "b")],
     "two orders that race, one refused": [
         amend(1, 4, 5, "a", REFUSED),
         amend(1, 4, 5, "b"),
-        look(5, 6, 5, "b"),
+        read_item(5, 6, 5, "b"),
     ],
 }
 
 BREACHES = {
     "a stale read": [put(1, 2, "a", 1), put(3, 4, "b", 2), read(5, 6, "a", 1)],
-    "a stale read of a revision": [put(1, 2, "a", 1), put(3, 4, "b", 2), glance(5, 6, 1)],
+    "a stale read of a revision": [put(1, 2, "a", 1), put(3, 4, "b", 2), read_revision(5, 6, 1)],
     "two readers who see two puts in two orders": [
         put(1, 9, "a", 1),
         put(1, 9, "b", 2),
@@ -159,11 +172,11 @@
         amend(1, 2, 5, "a"),
         amend(3, 4, 6, "c"),
         amend(5, 6, 5, "b"),
-        look(7, 8, 5, "b"),
+        read_item(7, 8, 5, "b"),
     ],
-    "an item that is gone without a drop": [amend(1, 2, 5, "a"), look(3, 4, 0, None)],
-    "an item that slips back": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b"), look(5, 6, 5, "a")],
-    "a refused order that shows up": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b", REFUSED), look(5, 6, 6, "b")],
+    "an item that is gone without a drop": [amend(1, 2, 5, "a"), read_item(3, 4, 0, None)],
+    "an item that slips back": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b"), read_item(5, 6, 5, "a")],
+    "a refused order that shows up": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b", REFUSED), read_item(5, 6, 6, "b")],
 }
 
 
@@ -184,7 +197,7 @@
 def test_a_finding_names_the_shortest_prefix_and_what_fits_nowhere():
     more = [put(20 + n, 20.5 + n, f"v{n}", 20 + n) for n in range(50)]
     (breach,) = check([*BREACHES["a stale read"], *more]).violations
-    assert breach.prefix == 3 and breach.stuck == [read(5, 6, "a", 1)]
+    assert breach.prefix == 3 and breach.blocked == [read(5, 6, "a", 1)]
     assert "read" in str(breach) and "value='b'" in str(breach) and "v1" not in str(breach)
 
 
@@ -280,9 +293,9 @@
     path = tmp_path / "h.jsonl"
     histories.write(path, [o for some in SOUND.values() for o in some][:3])
     assert histories.load(path).is_ok()
-    assert main_check(path) == FOUND and "lock l" in capsys.readouterr().out
+    assert check_file(path) == EXIT_VIOLATION and "lock l" in capsys.readouterr().out
     histories.write(path, concurrent(5, 200))
-    assert main_check(path) == 0 and "0 breached, 0 undecided" in capsys.readouterr().out
+    assert check_file(path) == 0 and "0 breached, 0 undecided" in capsys.readouterr().out
 
 
 def test_a_file_that_is_not_a_history_is_refused_with_its_lines(tmp_path: Path, capsys):
@@ -291,17 +304,17 @@
         msgspec.json.encode(draw(1, 2, 1)),
         b"{",
         msgspec.json.encode(draw(3, 2, 2)),
-        msgspec.json.encode(op(ObjectKind.NUMBER, PutValue("a"), 1, 2)),
+        msgspec.json.encode(operation(ObjectKind.NUMBER, PutValue("a"), 1, 2)),
         msgspec.json.encode(draw(1, None, 1)),
     ]
     path.write_bytes(b"\n".join(lines))
-    assert main_check(path) == UNREADABLE
+    assert check_file(path) == EXIT_UNREADABLE
     said = capsys.readouterr().err.splitlines()
     assert [line.split(":")[1] for line in said] == ["2", "3", "4", "5"]
 
 
 def test_the_commands_codes_tell_a_breach_from_what_was_not_decided():
-    assert len({0, FOUND, UNDECIDED, UNREADABLE}) == 4
+    assert len({0, EXIT_VIOLATION, EXIT_UNDECIDED, EXIT_UNREADABLE}) == 4
 
 
 def test_the_simulators_check_looks_at_its_recorded_history():
--- a/tests/test_verification_explorer.py
+++ b/tests/test_verification_explorer.py
@@ -10,14 +10,14 @@
 from mallowvalve.raft import log
 from verification import steps, trace
 from verification.__main__ import main
-from verification.bounds import UNBOUNDED, WALK, Bounds
+from verification.bounds import RANDOM_WALK, UNBOUNDED, Bounds
 from verification.cluster import Cluster, ImpossibleError
 from verification.control_cluster import ControlCluster
-from verification.control_faults import CONTROL, WATCHING
-from verification.disk import WHOLE, PowerDisk, PowerLossError
-from verification.explorer import breadth_first, lines, replay, walk, walks
-from verification.faults import CHANGING, FAULTS, WIPING
-from verification.weather import Weather
+from verification.control_faults import CONTROL_BOUNDS, WATCHING_BOUNDS
+from verification.disk import WHOLE_WRITE_THOUSANDTHS, PowerLossDisk, PowerLossError
+from verification.explorer import breadth_first, numbered_lines, random_walk, random_walks, replay
+from verification.faults import CHANGING_BOUNDS, FAULTS, WIPING_BOUNDS
+from verification.scheduler import StepScheduler
 
 NEAREST = {
     "an election": (Bounds(terms=2), 3000),
@@ -28,16 +28,20 @@
     "a snapshot for a member that lags": (Bounds(led=True, compactions=1, repeats=1, terms=1), 2000),
 }
 PATHS = {
-    "three members": (WALK, 25, 600),
-    "five members": (replace(WALK, members=5), 8, 2000),
-    "changes of voters": (CHANGING, 25, 600),
-    "lost disks": (WIPING, 25, 600),
-    "five members, lost disks": (replace(WIPING, members=5), 8, 2000),
-    "one clock": (replace(WALK, shared_clock=True, passes=UNBOUNDED), 20, 600),
-    "control machines": (CONTROL, 20, 600),
-    "control machines, five members": (replace(CONTROL, members=5), 8, 2000),
-    "control machines that change members": (replace(CONTROL, spares=2, greetings=UNBOUNDED), 20, 600),
-    "control machines that lose disks": (replace(CONTROL, spares=2, greetings=UNBOUNDED, wipes=UNBOUNDED), 20, 600),
+    "three members": (RANDOM_WALK, 25, 600),
+    "five members": (replace(RANDOM_WALK, members=5), 8, 2000),
+    "changes of voters": (CHANGING_BOUNDS, 25, 600),
+    "lost disks": (WIPING_BOUNDS, 25, 600),
+    "five members, lost disks": (replace(WIPING_BOUNDS, members=5), 8, 2000),
+    "one clock": (replace(RANDOM_WALK, shared_clock=True, passes=UNBOUNDED), 20, 600),
+    "control machines": (CONTROL_BOUNDS, 20, 600),
+    "control machines, five members": (replace(CONTROL_BOUNDS, members=5), 8, 2000),
+    "control machines that change members": (replace(CONTROL_BOUNDS, spares=2, greetings=UNBOUNDED), 20, 600),
+    "control machines that lose disks": (
+        replace(CONTROL_BOUNDS, spares=2, greetings=UNBOUNDED, wipes=UNBOUNDED),
+        20,
+        600,
+    ),
 }
 
 
@@ -58,85 +62,87 @@
 @pytest.mark.parametrize("name", PATHS)
 def test_every_state_on_random_paths_holds_and_the_paths_reach_what_they_should(name):
     bounds, seeds, length = PATHS[name]
-    result = walks(bounds, range(seeds), length, ControlCluster if name.startswith("control") else Cluster)
+    result = random_walks(bounds, range(seeds), length, ControlCluster if name.startswith("control") else Cluster)
     assert (result.broken, result.trace) == ("", [])
     assert result.states == seeds * length
     for what in ("elections", "commits", "crashes", "reads", "compactions", "repeats", "commands"):
-        assert result.seen[what] >= seeds
+        assert result.coverage[what] >= seeds
     for what in ("changes", "wipes", "passes", "greetings"):
-        assert bool(result.seen.get(what)) == bool(getattr(bounds, what))
+        assert bool(result.coverage.get(what)) == bool(getattr(bounds, what))
 
 
 def test_a_watch_lags_by_no_entry_that_was_acknowledged_longer_ago_than_its_bound(monkeypatch):
     monkeypatch.setattr(lease, "MAX_WATCH_LAG_ENTRIES", 0)
-    result = walks(WATCHING, range(40), 600, ControlCluster)
+    result = random_walks(WATCHING_BOUNDS, range(40), 600, ControlCluster)
     assert (result.broken, result.trace) == ("", [])
 
 
 def test_paths_hold_where_entries_travel_one_at_a_time(monkeypatch):
     monkeypatch.setattr(log, "MAX_ENTRIES_PER_MESSAGE", 1)
-    assert walks(WALK, range(20), 600).broken == ""
+    assert random_walks(RANDOM_WALK, range(20), 600).broken == ""
 
 
 def test_a_seed_takes_the_same_path_each_time():
-    assert walk(WIPING, 7, 400) == walk(WIPING, 7, 400)
-    assert walk(WIPING, 7, 400) != walk(WIPING, 8, 400)
+    assert random_walk(WIPING_BOUNDS, 7, 400) == random_walk(WIPING_BOUNDS, 7, 400)
+    assert random_walk(WIPING_BOUNDS, 7, 400) != random_walk(WIPING_BOUNDS, 8, 400)
 
 
 def test_a_fork_leaves_the_state_it_came_from_as_it_was():
-    cluster, weather = Cluster(WIPING), Weather(random.Random(3))
+    cluster, scheduler = Cluster(WIPING_BOUNDS), StepScheduler(random.Random(3))
     for _ in range(400):
-        step = weather.choose(cluster)
-        before, fork = cluster.key(), cluster.fork()
+        step = scheduler.choose(cluster)
+        before, fork = cluster.state_key(), cluster.fork()
         fork.apply(step)
-        assert cluster.key() == before
+        assert cluster.state_key() == before
         cluster.apply(step)
-        assert cluster.key() == fork.key()
+        assert cluster.state_key() == fork.state_key()
 
 
 def test_a_trace_is_replayed_from_its_file_and_breaks_where_it_broke(tmp_path):
     fault = next(fault for fault in FAULTS if fault.name == "votes only for logs as new")
-    with fault.out() as make:
-        found = walks(fault.bounds, range(20), 600, make)
+    with fault.injected() as make_cluster:
+        found = random_walks(fault.bounds, range(20), 600, make_cluster)
         file = tmp_path / "trace.json"
-        trace.write(file, trace.Recorded(fault.bounds, found.seed, found.trace, found.broken))
-        recorded = trace.read(file)
-        assert replay(recorded.steps, recorded.bounds, recorded.seed, make) == found.broken == recorded.broken
+        trace.write_trace(file, trace.RecordedTrace(fault.bounds, found.seed, found.trace, found.broken))
+        recorded = trace.read_trace(file)
+        assert replay(recorded.steps, recorded.bounds, recorded.seed, make_cluster) == found.broken == recorded.broken
         shorter = recorded.steps[:-1]
-        assert replay(shorter, recorded.bounds, recorded.seed, make) is None
-    assert len(found.trace) < 60 and len(lines(found.trace)) == len(found.trace)
+        assert replay(shorter, recorded.bounds, recorded.seed, make_cluster) is None
+    assert len(found.trace) < 60 and len(numbered_lines(found.trace)) == len(found.trace)
 
 
 def test_breadth_first_gives_the_shortest_trace():
     fault = next(fault for fault in FAULTS if fault.name == "a majority, not half")
-    with fault.out() as make:
-        found = breadth_first(Bounds(), 1000, make=make)
+    with fault.injected() as make_cluster:
+        found = breadth_first(Bounds(), 1000, make_cluster=make_cluster)
     assert found.broken.startswith("commit without a quorum")
     assert found.trace == [steps.Timeout("n0")]
 
 
 def test_a_step_of_another_state_is_refused():
-    for step in (steps.Save("n0"), steps.Timeout("n9"), steps.Deliver("n0", "n1", "TimeoutNow(term=1)")):
+    for step in (steps.SaveToDisk("n0"), steps.Timeout("n9"), steps.DeliverMessage("n0", "n1", "TimeoutNow(term=1)")):
         with pytest.raises(ImpossibleError):
-            replay([step], WALK)
+            replay([step], RANDOM_WALK)
 
 
-@pytest.mark.parametrize("kept", [0, WHOLE // 2, WHOLE])
+@pytest.mark.parametrize("kept", [0, WHOLE_WRITE_THOUSANDTHS // 2, WHOLE_WRITE_THOUSANDTHS])
 def test_a_write_under_way_at_a_loss_of_power_is_there_whole_or_not_at_all(kept):
-    cluster = Cluster(replace(WALK, members=1))
+    cluster = Cluster(replace(RANDOM_WALK, members=1))
     cluster.apply(steps.Timeout("n0"))
-    assert cluster.members["n0"].raft.term == 1 and cluster.members["n0"].unsaved is not None
-    assert cluster.apply(steps.Crash("n0", kept)) is None
+    assert cluster.members["n0"].raft.term == 1 and cluster.members["n0"].pending_save is not None
+    assert cluster.apply(steps.CrashMember("n0", kept)) is None
     raft = cluster.members["n0"].raft
-    assert (raft.term, raft.vote, raft.log.last_index) == ((1, "n0", 1) if kept == WHOLE else (0, "", 0))
+    assert (raft.term, raft.vote, raft.log.last_index) == (
+        (1, "n0", 1) if kept == WHOLE_WRITE_THOUSANDTHS else (0, "", 0)
+    )
 
 
 def test_a_disk_keeps_what_was_synced_before_it_lost_power():
-    disk = PowerDisk()
+    disk = PowerLossDisk()
     disk.append("a", b"12")
     disk.sync("a")
     disk.append("a", b"3456")
-    disk.fail_at = WHOLE // 2
+    disk.kept_thousandths = WHOLE_WRITE_THOUSANDTHS // 2
     with pytest.raises(PowerLossError):
         disk.sync("a")
     assert disk.read("a") == b"1234"
@@ -156,7 +162,7 @@
     assert said.exit_code == 0 and "passes" in said.output
     assert run(main, ["explore", "--control"]).exit_code == 2
     file = tmp_path / "trace.json"
-    trace.write(file, trace.Recorded(WALK, 1, walk(WALK, 1, 30).trace))
+    trace.write_trace(file, trace.RecordedTrace(RANDOM_WALK, 1, random_walk(RANDOM_WALK, 1, 30).trace))
     said = run(main, ["replay", str(file)])
     assert said.exit_code == 0 and "  30. " in said.output and "every check held" in said.output
     file.write_bytes(b"{}")
@@ -178,8 +184,8 @@
 
 
 def test_every_kind_of_step_is_taken_and_survives_its_encoding():
-    taken = [step for seed in range(20) for step in walk(WIPING, seed, 600).trace]
-    taken += walk(replace(CONTROL, spares=1, greetings=UNBOUNDED), 1, 300, ControlCluster).trace
+    taken = [step for seed in range(20) for step in random_walk(WIPING_BOUNDS, seed, 600).trace]
+    taken += random_walk(replace(CONTROL_BOUNDS, spares=1, greetings=UNBOUNDED), 1, 300, ControlCluster).trace
     kinds = Counter(type(step) for step in taken)
     assert set(kinds) == set(steps.Step.__args__)
     assert msgspec.json.decode(msgspec.json.encode(taken), type=list[steps.Step]) == taken
--- a/verification/__main__.py
+++ b/verification/__main__.py
@@ -15,10 +15,11 @@
 from verification.cluster import Cluster, ImpossibleError
 from verification.control_cluster import ControlCluster
 from verification.control_faults import CONTROL_FAULTS
-from verification.explorer import Result, breadth_first, lines, replay, walks
+from verification.explorer import SearchResult, breadth_first, numbered_lines, random_walks, replay
 from verification.faults import FAULTS
 
-BREADTH, RANDOM = "breadth", "random"
+BREADTH = "breadth"
+RANDOM = "random"
 SMALL = Bounds()
 SHARED = ("members", "spares", "led", "contested", "shared_clock")
 COUNTED = [name for name in Bounds.__struct_fields__ if name not in SHARED]
@@ -69,11 +70,11 @@
     else:
         until = began + seconds if seconds else float("inf")
         numbers = (seed for seed in range(first, first + seeds) if time.monotonic() < until)
-        result = walks(bounds, numbers, depth, ControlCluster if control else Cluster)
+        result = random_walks(bounds, numbers, depth, ControlCluster if control else Cluster)
     report(result, time.monotonic() - began)
     if result.broken:
         if out is not None:
-            traces.write(out, traces.Recorded(bounds, result.seed, result.trace, result.broken, control))
+            traces.write_trace(out, traces.RecordedTrace(bounds, result.seed, result.trace, result.broken, control))
         sys.exit(1)
 
 
@@ -83,20 +84,20 @@
     return UNBOUNDED if unbounded and name not in ("changes", "wipes", "greetings") else getattr(SMALL, name)
 
 
-def report(result: Result, seconds: float) -> None:
+def report(result: SearchResult, seconds: float) -> None:
     """Prints what a search saw, and a failure's trace."""
     over = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
     pace = round(result.states / seconds) if seconds else 0
     click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{over}, {pace} states/s")
-    if result.seen:
-        click.echo("seen: " + ", ".join(f"{what} {number}" for what, number in sorted(result.seen.items())))
+    if result.coverage:
+        click.echo("seen: " + ", ".join(f"{what} {number}" for what, number in sorted(result.coverage.items())))
     if not result.broken:
         click.echo("every check held")
         return
     click.echo(f"BROKEN: {result.broken}")
     if result.seed is not None:
         click.echo(f"seed {result.seed}, the path shortened to {len(result.trace)} steps:")
-    for text in lines(result.trace):
+    for text in numbered_lines(result.trace):
         click.echo(text)
 
 
@@ -105,12 +106,12 @@
 def replay_file(file: Path) -> None:
     """Take the steps of a trace that `explore --out` wrote; exits with 1 where it still fails."""
     try:
-        recorded = traces.read(file)
-        make = ControlCluster if recorded.control else Cluster
-        broken = replay(recorded.steps, recorded.bounds, recorded.seed, make)
+        recorded = traces.read_trace(file)
+        make_cluster = ControlCluster if recorded.control else Cluster
+        broken = replay(recorded.steps, recorded.bounds, recorded.seed, make_cluster)
     except (msgspec.DecodeError, ImpossibleError) as error:
         raise click.ClickException(f"{file}: {error}") from None
-    for text in lines(recorded.steps):
+    for text in numbered_lines(recorded.steps):
         click.echo(text)
     click.echo(f"BROKEN: {broken}" if broken else "every check held")
     sys.exit(1 if broken else 0)
@@ -126,8 +127,8 @@
         if names and not any(name in fault.name for name in names):
             continue
         began = time.monotonic()
-        with fault.out() as make:
-            result = walks(fault.bounds, range(seeds), fault.length, make, fault.weights)
+        with fault.injected() as make_cluster:
+            result = random_walks(fault.bounds, range(seeds), fault.length, make_cluster, fault.weights)
         blunt += not result.broken
         told = f"{result.broken}; trace of {len(result.trace)}" if result.broken else "NOT NOTICED"
         took = time.monotonic() - began
@@ -139,7 +140,7 @@
 @click.argument("file", type=click.Path(exists=True, path_type=Path))
 def check(file: Path) -> None:
     """Check a recorded history for linearizability; exits with 0 only if an order explains every part of it."""
-    sys.exit(import_module("verification.linearizability").main_check(file))
+    sys.exit(import_module("verification.linearizability").check_file(file))
 
 
 if __name__ == "__main__":
--- a/verification/bounds.py
+++ b/verification/bounds.py
@@ -33,7 +33,7 @@
     contested: bool = False
 
 
-WALK = Bounds(
+RANDOM_WALK = Bounds(
     members=3,
     spares=0,
     terms=UNBOUNDED,
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -14,46 +14,46 @@
 from verification import steps
 from verification.bounds import Bounds
 from verification.cluster import Cluster, ImpossibleError
-from verification.control_member import ControlMember, Frame, Reply
-from verification.invariants import Members, Record
-from verification.member import Member, Sent
+from verification.control_member import CommandReply, ControlMember, OfferedFrame
+from verification.invariants import InvariantChecker, Members
+from verification.member import SentMessages, SimulatedMember
 
-CALL_S = 3.0
-OPEN_MOST = 4
-WATCH_S = lease.LEASE_BOUNDS[lease.AnswerKind.WATCH].seconds
+CALL_TIMEOUT_S = 3.0
+MAX_OPEN_CALLS = 4
+WATCH_LEASE_S = lease.LEASE_BOUNDS[lease.AnswerKind.WATCH].seconds
 
 
-class Caller(msgspec.Struct):
+class ClientCall(msgspec.Struct):
     """One call: its frames so far, and the caller's own word on it once it is done."""
 
     call: Call
     frames: list[bytes] = []
-    said: str = ""
+    final_code: str = ""
     revisions: set[int] = set()
 
 
-def _frames(caller: Caller) -> set[int]:
+def _offerable_frames(client_call: ClientCall) -> set[int]:
     """Those that may come now: the first and the last once more, and a new one while the caller waits."""
-    newest = len(caller.frames) - 1
-    return {0, newest} if caller.said else {0, newest, newest + 1}
+    newest = len(client_call.frames) - 1
+    return {0, newest} if client_call.final_code else {0, newest, newest + 1}
 
 
-class ControlRecord(Record):
+class ControlInvariantChecker(InvariantChecker):
     """Checks of calls and leases besides those of Raft."""
 
-    __slots__ = ("callers", "acknowledged_at")
+    __slots__ = ("client_calls", "acknowledged_at")
 
     def __init__(self) -> None:
         """Nothing has happened."""
         super().__init__()
-        self.callers: list[Caller] = []
+        self.client_calls: list[ClientCall] = []
         self.acknowledged_at: list[tuple[float, int]] = []
 
-    def check(self, members: Members, touched: Member) -> str | None:
+    def check(self, members: Members, touched: SimulatedMember) -> str | None:
         """Checks all that the last step, at one member, can have broken."""
-        return super().check(members, touched) or self.once(touched) or self.fresh_watches(touched)
+        return super().check(members, touched) or self.at_most_once(touched) or self.fresh_watches(touched)
 
-    def once(self, touched: ControlMember) -> str | None:
+    def at_most_once(self, touched: ControlMember) -> str | None:
         """Each call took effect once at most, in an entry of a time up to its not-after; one refused took none."""
         seen: dict[str, int] = {}
         for event in touched.core.state.coordination.events:
@@ -61,88 +61,88 @@
             if event.name in seen:
                 return f"once: call {number} took effect at {seen[event.name]} and {event.revision}"
             seen[event.name] = event.revision
-            latest = max(unseal(frame)[0].not_after for frame in self.callers[number].frames)
+            latest = max(unseal(frame)[0].not_after for frame in self.client_calls[number].frames)
             if event.applied_at_ms > latest:
                 return f"not after: call {number} took effect at {event.applied_at_ms} ms, its end was {latest}"
         return None
 
-    def answered(self, caller: Caller, number: int, revision: int, now: float) -> str | None:
+    def record_acknowledgement(self, client_call: ClientCall, number: int, revision: int, now: float) -> str | None:
         """A call was acknowledged; always with the same revision."""
-        caller.revisions.add(revision)
-        if len(caller.revisions) > 1:
-            return f"once: call {number} was acknowledged with revisions {sorted(caller.revisions)}"
+        client_call.revisions.add(revision)
+        if len(client_call.revisions) > 1:
+            return f"once: call {number} was acknowledged with revisions {sorted(client_call.revisions)}"
         index = Revision(revision).index
-        if index > self.acknowledged:
-            self.acknowledged = index
+        if index > self.acknowledged_index:
+            self.acknowledged_index = index
             self.acknowledged_at.append((now, index))
         return None
 
     def fresh_watches(self, touched: ControlMember) -> str | None:
         """Who answers watches has all but the permitted lag of what was acknowledged longer ago than their bound."""
-        if not touched.current():
+        if not touched.may_answer_watches():
             return None
-        before = touched.now - WATCH_S
+        before = touched.now - WATCH_LEASE_S
         floor = max((index for at, index in self.acknowledged_at if at <= before), default=0)
         if touched.applied.index + lease.MAX_WATCH_LAG_ENTRIES >= floor:
             return None
-        return f"stale watch: {touched.id} holds {touched.applied.index}, {floor} was acknowledged over {WATCH_S} s ago"
+        return f"stale watch: {touched.id} holds {touched.applied.index}, {floor} was acknowledged over {WATCH_LEASE_S} s ago"
 
 
 class ControlCluster(Cluster):
     """Members of the control plane, on one clock, and their callers, all of one session."""
 
     __slots__ = ("session",)
-    checks = ControlRecord
+    checker_class = ControlInvariantChecker
 
-    def __init__(self, bounds: Bounds, seed: int | None = None, machine=None, member=ControlMember):
+    def __init__(self, bounds: Bounds, seed: int | None = None, raft_class=None, member_class=ControlMember):
         """With a seed only: its states have no identity."""
         self.session = Session(lambda: 1)
-        super().__init__(bounds, seed=seed, member=member)
+        super().__init__(bounds, seed=seed, member_class=member_class)
 
-    def _at(self, step: steps.Step, member: ControlMember) -> Sent:
-        if member.unsaved is None and isinstance(step, steps.Offer):
-            return self._offer(step, member)
-        if member.unsaved is None and isinstance(step, steps.Here):
+    def _apply_at_member(self, step: steps.Step, member: ControlMember) -> SentMessages:
+        if member.pending_save is None and isinstance(step, steps.OfferCall):
+            return self._offer_frame(step, member)
+        if member.pending_save is None and isinstance(step, steps.AnnounceMember):
             if step.other not in self.members:
                 raise ImpossibleError(step.other)
-            self._spend("greetings")
-            return member.here(self.members[step.other].who(step.leaving))
-        return super()._at(step, member)
-
-    def _offer(self, step: steps.Offer, member: ControlMember) -> Sent:
-        callers = self.record.callers
-        frames = len(callers[step.call].frames) if step.call < len(callers) else 0
-        if step.call > len(callers) or step.frame > frames:
+            self._count_event("greetings")
+            return member.receive_status(self.members[step.other].process_status(step.leaving))
+        return super()._apply_at_member(step, member)
+
+    def _offer_frame(self, step: steps.OfferCall, member: ControlMember) -> SentMessages:
+        client_calls = self.invariants.client_calls
+        frames = len(client_calls[step.call].frames) if step.call < len(client_calls) else 0
+        if step.call > len(client_calls) or step.frame > frames:
             raise ImpossibleError(f"call {step.call}, frame {step.frame}")
-        self._spend("commands")
-        if step.call == len(callers):
+        self._count_event("commands")
+        if step.call == len(client_calls):
             command = encode(Put(str(step.call), "x"))
-            callers.append(Caller(Call(self.session, command, member.now + CALL_S)))
-        caller = callers[step.call]
-        if step.frame == len(caller.frames):
-            caller.frames.append(caller.call.data(member.core.clock.estimate(member.now), member.now))
-        frame = Frame(step.call, step.frame, step.unheard)
-        return member.offer(caller.frames[step.frame], frame, member.now + CALL_S)
-
-    def _apply(self, step: steps.Step) -> str | None:
-        broken = super()._apply(step)
+            client_calls.append(ClientCall(Call(self.session, command, member.now + CALL_TIMEOUT_S)))
+        client_call = client_calls[step.call]
+        if step.frame == len(client_call.frames):
+            client_call.frames.append(client_call.call.data(member.core.clock.estimate(member.now), member.now))
+        frame = OfferedFrame(step.call, step.frame, step.unheard)
+        return member.offer_frame(client_call.frames[step.frame], frame, member.now + CALL_TIMEOUT_S)
+
+    def _apply_step(self, step: steps.Step) -> str | None:
+        broken = super()._apply_step(step)
         for member in self.members.values():
             replies, member.replies = member.replies, []
             for reply in replies:
-                broken = broken or self._heard(reply, member.now)
+                broken = broken or self._receive_reply(reply, member.now)
         return broken
 
-    def _heard(self, reply: Reply, now: float) -> str | None:
-        caller = self.record.callers[reply.call]
-        if reply.took.code == Code.OK:
-            broken = self.record.answered(caller, reply.call, reply.took.revision, now)
+    def _receive_reply(self, reply: CommandReply, now: float) -> str | None:
+        client_call = self.invariants.client_calls[reply.call]
+        if reply.response.code == Code.OK:
+            broken = self.invariants.record_acknowledgement(client_call, reply.call, reply.response.revision, now)
             if broken:
                 return broken
-        if reply.unheard or caller.said or reply.frame != len(caller.frames) - 1:
+        if reply.unheard or client_call.final_code or reply.frame != len(client_call.frames) - 1:
             return None
-        took = caller.call.heard(reply.took, now)
-        if took.code not in RETRYABLE:
-            caller.said = took.code
+        response = client_call.call.heard(reply.response, now)
+        if response.code not in RETRYABLE:
+            client_call.final_code = response.code
         return None
 
     def _propose_options(self) -> Iterator[steps.Step]:
@@ -152,25 +152,25 @@
         yield from ()
 
     def _read_options(self) -> Iterator[steps.Step]:
-        if self._left("reads"):
-            yield from (steps.Read(member.id) for member in self.idle() if member.core.leads)
+        if self._allows("reads"):
+            yield from (steps.RequestRead(member.id) for member in self.idle_members() if member.core.leads)
 
     def _offer_options(self) -> Iterator[steps.Step]:
-        if not self._left("commands"):
+        if not self._allows("commands"):
             return
-        callers = self.record.callers
-        members = list(self.idle())
+        client_calls = self.invariants.client_calls
+        members = list(self.idle_members())
         leading = [member for member in members if member.raft.leads] or members
         for unheard in (False, True):
-            yield from (steps.Offer(member.id, len(callers), 0, unheard) for member in leading)
-            for number in range(max(0, len(callers) - OPEN_MOST), len(callers)):
-                for frame in _frames(callers[number]):
-                    yield from (steps.Offer(member.id, number, frame, unheard) for member in leading)
+            yield from (steps.OfferCall(member.id, len(client_calls), 0, unheard) for member in leading)
+            for number in range(max(0, len(client_calls) - MAX_OPEN_CALLS), len(client_calls)):
+                for frame in _offerable_frames(client_calls[number]):
+                    yield from (steps.OfferCall(member.id, number, frame, unheard) for member in leading)
 
     def _here_options(self) -> Iterator[steps.Step]:
-        if not self._left("greetings"):
+        if not self._allows("greetings"):
             return
-        for member in self.idle():
+        for member in self.idle_members():
             for other in self.members:
                 if other != member.id:
-                    yield from (steps.Here(member.id, other, leaving) for leaving in (False, True))
+                    yield from (steps.AnnounceMember(member.id, other, leaving) for leaving in (False, True))
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -17,26 +17,27 @@
 from mallowvalve.settings import Acks
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address, Locality, Revision
-from verification.disk import PowerDisk
+from verification.disk import PowerLossDisk
 from verification.identity import digest
-from verification.member import FLEET, TIMES, Answered, Member, Sent
+from verification.member import FLEET, TIMINGS, AnsweredRead, SentMessages, SimulatedMember
 
 ACKS = Acks(settings="commit", coordination="commit")
-HERE = Locality("region", "zone")
-HOST, PORT = "10.0.0.1", 7001
+LOCALITY = Locality("region", "zone")
+HOST = "10.0.0.1"
+FIRST_PORT = 7001
 ROLE = "control"
 
 
-class Reply(msgspec.Struct, frozen=True):
+class CommandReply(msgspec.Struct, frozen=True):
     """What a member said to a frame of a caller's call."""
 
     call: int
     frame: int
     unheard: bool
-    took: CommandResponse
+    response: CommandResponse
 
 
-class Frame(msgspec.Struct, frozen=True):
+class OfferedFrame(msgspec.Struct, frozen=True):
     """The token of a frame that was offered."""
 
     call: int
@@ -44,13 +45,13 @@
     unheard: bool
 
 
-class Floor(msgspec.Struct, frozen=True):
+class ReadFloor(msgspec.Struct, frozen=True):
     """The token of a read: what had been acknowledged when it was asked."""
 
     index: int
 
 
-class View:
+class AppliedControlState:
     """The applied state as the checks see it: its index, and a digest of all that calls did to it."""
 
     __slots__ = ("index", "history")
@@ -66,41 +67,41 @@
         )
 
 
-class ControlMember(Member):
+class ControlMember(SimulatedMember):
     """Runs a `Core` over the disk log; `replies` are for the callers, and emptied by who hands them on."""
 
     __slots__ = ("core", "replies", "boot")
 
     @staticmethod
-    def first(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
+    def founding_snapshot(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
         """The snapshot that all members begin from."""
         return founding(group, voters, None)
 
-    def _start(self, disk: PowerDisk) -> None:
+    def _start(self, disk: PowerLossDisk) -> None:
         self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
         loaded = store.load(self.disk_log).unwrap()
-        self.core = Core(self.id, address(self.id), HERE, self.rng, ACKS, TIMES)
+        self.core = Core(self.id, address(self.id), LOCALITY, self.rng, ACKS, TIMINGS)
         self.core.start(loaded.snapshot, loaded.hard, loaded.entries, self.now)
         self.raft: Raft = self.core.raft
-        self.reached, self.unsaved, self.voters = 0, None, None
-        self.acknowledged, self.answers = [], []
-        self.replies: list[Reply] = []
-        self._key = None
-        self._hold(loaded.hard)
-        self._look()
-
-    def step(self, act=lambda raft: None) -> Sent:
+        self.highest_applied, self.pending_save, self.configuration_before_step = 0, None, None
+        self.acknowledged_indexes, self.read_answers = [], []
+        self.replies: list[CommandReply] = []
+        self._cached_state_key = None
+        self._note_durable(loaded.hard)
+        self._update_applied_state()
+
+    def step(self, act=lambda raft: None) -> SentMessages:
         """Does something to the machine, and gives the messages that need not wait for the disk."""
-        self.begin()
+        self.begin_step()
         act(self.raft)
         self.core.tick(self.now)
         ready = self.core.ready(self.now)
         if ready.hard_state is None and not ready.entries and ready.snapshot is None:
-            return ready.before_save + self._after(ready)
-        self.unsaved = ready, self.raft.hard_state()
+            return ready.before_save + self._finish_step(ready)
+        self.pending_save = ready, self.raft.hard_state()
         return ready.before_save
 
-    def receive(self, sender: str, message: Message) -> Sent:
+    def receive(self, sender: str, message: Message) -> SentMessages:
         """Takes in a message; the state of a snapshot is built beside the machine first, as its daemon does."""
         if (
             isinstance(message, InstallSnapshot)
@@ -112,19 +113,19 @@
         envelope = Envelope(self.raft.group, sender, self.id, address(sender), message)
         return self.step(lambda raft: self.core.receive(envelope, self.now))
 
-    def offer(self, data: bytes, frame: Frame, limit: float) -> Sent:
+    def offer_frame(self, data: bytes, frame: OfferedFrame, limit: float) -> SentMessages:
         """A frame of a call comes; `limit` is when its answer is given up (s)."""
         return self.step(lambda raft: self.core.propose(data, frame, limit, self.now))
 
-    def read(self, floor: int) -> Sent:
+    def read(self, floor: int) -> SentMessages:
         """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
-        return self.step(lambda raft: self.core.read(Floor(floor), float("inf"), self.now))
+        return self.step(lambda raft: self.core.read(ReadFloor(floor), float("inf"), self.now))
 
-    def here(self, who: ProcessStatus) -> Sent:
+    def receive_status(self, process_status: ProcessStatus) -> SentMessages:
         """Hears of another member."""
-        return self.step(lambda raft: self.core.announced(who, self.now))
+        return self.step(lambda raft: self.core.announced(process_status, self.now))
 
-    def who(self, leaving: bool) -> ProcessStatus:
+    def process_status(self, leaving: bool) -> ProcessStatus:
         """What it says of itself."""
         return replace(self.core.process_status(ROLE, []), leaving=leaving)
 
@@ -135,31 +136,31 @@
         tail = [entry for entry in self.raft.log.entries if entry.index > snapshot.index]
         store.turn(self.disk_log, snapshot, store.head(self.raft.hard_state(), tail))
         self.core.compact(snapshot)
-        self._hold(self.raft.hard_state())
+        self._note_durable(self.raft.hard_state())
 
-    def current(self) -> bool:
+    def may_answer_watches(self) -> bool:
         """Whether it would answer watches from what it holds."""
         return self.core.current(self.now)
 
-    def _after(self, ready) -> Sent:
+    def _finish_step(self, ready) -> SentMessages:
         self.core.saved(ready, self.now)
-        self._look()
+        self._update_applied_state()
         replies, self.core.replies = self.core.replies, []
-        for token, took in replies:
-            if isinstance(token, Frame):
-                self.replies.append(Reply(token.call, token.frame, token.unheard, took))
-            elif took.code == Code.OK:
-                self.answers.append(Answered(token.index, Revision(took.revision).index))
+        for token, response in replies:
+            if isinstance(token, OfferedFrame):
+                self.replies.append(CommandReply(token.call, token.frame, token.unheard, response))
+            elif response.code == Code.OK:
+                self.read_answers.append(AnsweredRead(token.index, Revision(response.revision).index))
         return ready.after_save
 
-    def _look(self) -> None:
+    def _update_applied_state(self) -> None:
         with contextlib.suppress(AttributeError):
             if self.applied.index == self.core.state.index:
                 return
-        self.applied = View(self.core)
-        self.reached = max(self.reached, self.applied.index)
+        self.applied = AppliedControlState(self.core)
+        self.highest_applied = max(self.highest_applied, self.applied.index)
 
 
 def address(name: str) -> Address:
     """The address of a member, by the number in its name."""
-    return Address(HOST, PORT + int(name[1:]))
+    return Address(HOST, FIRST_PORT + int(name[1:]))
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -6,34 +6,34 @@
 
 from sim.disk import SimDisk
 
-WHOLE = 1000
+WHOLE_WRITE_THOUSANDTHS = 1000
 
 
 class PowerLossError(Exception):
     """The disk lost power before the write under way was confirmed."""
 
 
-class PowerDisk(SimDisk):
+class PowerLossDisk(SimDisk):
     """Once `fail_at` is set, the next sync keeps that many thousandths of what it lacks and raises PowerLossError."""
 
     def __init__(self) -> None:
         """An empty disk, with power."""
         super().__init__(random.Random(0))
-        self.fail_at: int | None = None
+        self.kept_thousandths: int | None = None
 
-    def lose_names(self, rng: random.Random) -> None:
+    def restore_power(self, rng: random.Random) -> None:
         """The power is back; each file removed since the folder was last synced may be back too, by `rng`."""
         self.rng = rng
         self.crash()
 
     def sync(self, name: str) -> None:
         """Confirms a file, or loses power."""
-        if self.fail_at is None:
+        if self.kept_thousandths is None:
             super().sync(name)
             return
         safe = self.safe.get(name, 0)
-        kept = safe + (len(self.files[name]) - safe) * self.fail_at // WHOLE
+        kept = safe + (len(self.files[name]) - safe) * self.kept_thousandths // WHOLE_WRITE_THOUSANDTHS
         del self.files[name][kept:]
         self.safe[name] = kept
-        self.fail_at = None
+        self.kept_thousandths = None
         raise PowerLossError(name)
--- a/verification/faults.py
+++ b/verification/faults.py
@@ -28,21 +28,21 @@
 from mallowvalve.raft.rounds import HeartbeatRounds
 from mallowvalve.storage import log as storage_log
 from verification import steps
-from verification.bounds import UNBOUNDED, WALK, Bounds
+from verification.bounds import RANDOM_WALK, UNBOUNDED, Bounds
 from verification.cluster import Cluster
-from verification.weather import WEIGHTS
+from verification.scheduler import STEP_WEIGHTS
 
-NEWEST = 1 << 30
-HEAD_BYTES = 12
-CHANGING = replace(WALK, spares=2, changes=UNBOUNDED)
-STEADY = replace(WALK, crashes=0, compactions=0, reads=0, silences=0, repeats=0)
-READING = replace(STEADY, reads=UNBOUNDED)
-RACING = {**WEIGHTS, steps.Timeout: 250, steps.Crash: 120, steps.Lose: 0}
-VOTING = replace(STEADY, contested=True, crashes=UNBOUNDED, commands=0)
-SWAPPING = replace(STEADY, spares=3, changes=UNBOUNDED)
-SNAPSHOTS = replace(STEADY, compactions=UNBOUNDED, repeats=UNBOUNDED)
-WIPING = replace(CHANGING, wipes=UNBOUNDED)
-Reach = Callable[[str], int]
+HIGHEST_INDEX = 1 << 30
+RECORD_HEAD_BYTES = 12
+CHANGING_BOUNDS = replace(RANDOM_WALK, spares=2, changes=UNBOUNDED)
+STEADY_BOUNDS = replace(RANDOM_WALK, crashes=0, compactions=0, reads=0, silences=0, repeats=0)
+READING_BOUNDS = replace(STEADY_BOUNDS, reads=UNBOUNDED)
+RACING_WEIGHTS = {**STEP_WEIGHTS, steps.Timeout: 250, steps.CrashMember: 120, steps.LoseMessage: 0}
+VOTING_BOUNDS = replace(STEADY_BOUNDS, contested=True, crashes=UNBOUNDED, commands=0)
+SWAPPING_BOUNDS = replace(STEADY_BOUNDS, spares=3, changes=UNBOUNDED)
+SNAPSHOT_BOUNDS = replace(STEADY_BOUNDS, compactions=UNBOUNDED, repeats=UNBOUNDED)
+WIPING_BOUNDS = replace(CHANGING_BOUNDS, wipes=UNBOUNDED)
+IndexOfMember = Callable[[str], int]
 
 
 class VoteNotSaved(Raft):
@@ -64,7 +64,7 @@
         return out
 
 
-class SpeaksBeforeSaving(Raft):
+class SendsBeforeSaving(Raft):
     """Sends what it should send only once its disk has confirmed."""
 
     def ready(self, now: float) -> Ready:
@@ -77,20 +77,20 @@
 class VotesForAnyLog(Raft):
     """Votes for a candidate whatever its log holds."""
 
-    def _on_request_vote(self, src: str, m: RequestVote, now: float) -> None:
-        super()._on_request_vote(src, replace(m, last_index=NEWEST, last_term=NEWEST), now)
+    def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
+        super()._on_request_vote(sender, replace(message, last_index=HIGHEST_INDEX, last_term=HIGHEST_INDEX), now)
 
 
 class VotesTwice(Raft):
     """Forgets within a term that it has voted."""
 
-    def _on_request_vote(self, src: str, m: RequestVote, now: float) -> None:
-        if not m.pre_vote and not self.leads:
+    def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
+        if not message.pre_vote and not self.leads:
             self.vote = ""
-        super()._on_request_vote(src, m, now)
+        super()._on_request_vote(sender, message, now)
 
 
-class CommitsFormerTerms(Raft):
+class CommitsEarlierTerms(Raft):
     """Commits an entry of a former term by counting who holds it (the paper's figure 8)."""
 
     def _advance(self) -> None:
@@ -101,7 +101,7 @@
         self.commit_index = max(self.commit_index, count)
 
 
-class ReadsUnconfirmed(Raft):
+class UnconfirmedReads(Raft):
     """Takes a read as confirmed by rounds that went out before it was asked."""
 
     def request_confirmation_round(self) -> int:
@@ -109,15 +109,15 @@
         return self.rounds.confirmed
 
 
-class ChangesAtOnce(Raft):
+class ConcurrentChanges(Raft):
     """Begins a change of voters while another is under way."""
 
-    def change_configuration(self, v: ClusterConfiguration, at: int) -> int | None:
+    def change_configuration(self, wanted: ClusterConfiguration, at: int) -> int | None:
         """Begins the change."""
         if not self.leads:
             return None
-        joint = replace(v, old_voters=self.log.configuration.voters)
-        return self._append(joint if v.voters != joint.old_voters else v)
+        joint = replace(wanted, old_voters=self.log.configuration.voters)
+        return self._append(joint if wanted.voters != joint.old_voters else wanted)
 
     def _append(self, voters: ClusterConfiguration) -> int:
         entry = Entry(self.log.last_index + 1, self.term, CONFIGURATION, 0, encode(voters))
@@ -127,72 +127,75 @@
         return entry.index
 
 
-class ChangesInOneStep(Raft):
+class SingleStepChange(Raft):
     """Goes to other voters without a joint configuration between."""
 
-    def change_configuration(self, v: ClusterConfiguration, at: int) -> int | None:
+    def change_configuration(self, wanted: ClusterConfiguration, at: int) -> int | None:
         """Begins the change."""
-        return self.propose(CONFIGURATION, encode(v), at)
+        return self.propose(CONFIGURATION, encode(wanted), at)
 
 
-class TakesOlderSnapshots(Raft):
+class InstallsOlderSnapshots(Raft):
     """Installs a snapshot over a log that is committed further on."""
 
-    def _on_install_snapshot(self, src: str, m: InstallSnapshot, now: float) -> None:
-        if m.snapshot.state:
+    def _on_install_snapshot(self, sender: str, message: InstallSnapshot, now: float) -> None:
+        if message.snapshot.state:
             self.commit_index = 0
-        super()._on_install_snapshot(src, m, now)
+        super()._on_install_snapshot(sender, message, now)
 
 
-class KeepsConflicts(Raft):
+class AcceptsConflictingEntries(Raft):
     """Takes entries behind an entry of another term than the leader's."""
 
-    def receive(self, src: str, m: Any, now: float) -> None:
+    def receive(self, sender: str, message: Any, now: float) -> None:
         """Takes in a message."""
-        if hasattr(m, "previous_term") and self.log.snapshot_index <= m.previous_index <= self.log.last_index:
-            m = replace(m, previous_term=self.log.term(m.previous_index))
-        super().receive(src, m, now)
+        if (
+            hasattr(message, "previous_term")
+            and self.log.snapshot_index <= message.previous_index <= self.log.last_index
+        ):
+            message = replace(message, previous_term=self.log.term(message.previous_index))
+        super().receive(sender, message, now)
 
 
-def _unchecked(data: bytes, at: int) -> bytes | None:
+def _record_without_checksum(data: bytes, at: int) -> bytes | None:
     """A record that is taken without its checksum, as far as it goes."""
-    if len(data) < at + HEAD_BYTES:
+    if len(data) < at + RECORD_HEAD_BYTES:
         return None
     size = int.from_bytes(data[at + 4 : at + 8])
-    return data[at + HEAD_BYTES : at + HEAD_BYTES + size]
+    return data[at + RECORD_HEAD_BYTES : at + RECORD_HEAD_BYTES + size]
 
 
-class SameIdAfterWipe(Cluster):
+class ReusesIdAfterWipe(Cluster):
     """A member that lost its disk comes back under its former id."""
 
-    def _wipe(self, step: steps.Wipe) -> str | None:
+    def _wipe(self, step: steps.WipeDisk) -> str | None:
         broken = super()._wipe(step)
         member = self.members.pop(step.fresh)
         self._add(step.member, member.raft.log.snapshot, member.seed, member.now)
-        self.record.gone.discard(step.member)
+        self.invariants.wiped_members.discard(step.member)
         return broken
 
 
-def _majority(names: Any, reach: Reach) -> int:
-    return sorted(map(reach, names), reverse=True)[len(names) // 2]
+def _majority_index(names: Any, index_of: IndexOfMember) -> int:
+    return sorted(map(index_of, names), reverse=True)[len(names) // 2]
 
 
-def _new_voters_only(voters: ClusterConfiguration, reach: Reach) -> int:
+def _new_voters_only(voters: ClusterConfiguration, index_of: IndexOfMember) -> int:
     """A joint configuration that asks no majority of the former voters."""
-    return _majority(voters.voters, reach)
+    return _majority_index(voters.voters, index_of)
 
 
-def _learners_too(voters: ClusterConfiguration, reach: Reach) -> int:
+def _learners_as_voters(voters: ClusterConfiguration, index_of: IndexOfMember) -> int:
     """A configuration in which learners count as voters."""
-    return _majority(voters.members(), reach)
+    return _majority_index(voters.members(), index_of)
 
 
-def _half(voters: ClusterConfiguration, reach: Reach) -> int:
+def _half_of_voters(voters: ClusterConfiguration, index_of: IndexOfMember) -> int:
     """A configuration whose quorum is one member short of a majority."""
-    return max(map(reach, voters.voters))
+    return max(map(index_of, voters.voters))
 
 
-def _always_answered(rounds: HeartbeatRounds, seq: int) -> None:
+def _always_confirmed(rounds: HeartbeatRounds, round_number: int) -> None:
     """Rounds that are confirmed as soon as they are sent."""
     rounds.confirmed = rounds.round_number
 
@@ -201,70 +204,109 @@
     """A protection, what takes it out, the run that has to fail, and the names of what may break."""
 
     name: str
-    breaks: tuple[str, ...]
-    machine: type[Raft] = Raft
+    expected_failures: tuple[str, ...]
+    raft_class: type[Raft] = Raft
     patches: tuple[tuple[Any, str, Any], ...] = ()
-    bounds: Bounds = WALK
-    cluster: type[Cluster] = Cluster
+    bounds: Bounds = RANDOM_WALK
+    cluster_class: type[Cluster] = Cluster
     length: int = 600
-    weights: dict[type[steps.Step], int] = msgspec.field(default_factory=lambda: WEIGHTS)
+    weights: dict[type[steps.Step], int] = msgspec.field(default_factory=lambda: STEP_WEIGHTS)
 
     @contextmanager
-    def out(self) -> Iterator[Callable[..., Cluster]]:
+    def injected(self) -> Iterator[Callable[..., Cluster]]:
         """Takes the protection out for a while; gives what makes clusters without it."""
         with ExitStack() as stack:
             for owner, name, method in self.patches:
                 stack.enter_context(patch.object(owner, name, method))
-            yield lambda bounds, seed=None: self.cluster(bounds, machine=self.machine, seed=seed)
+            yield lambda bounds, seed=None: self.cluster_class(bounds, raft_class=self.raft_class, seed=seed)
 
 
-ELECTION, LOG, STATE = "election safety", "log matching", "state machine safety"
-COMPLETE, QUORUM, CHANGE, STALE = "leader completeness", "commit without a quorum", "one change at a time", "stale read"
-LOST = "lost"
+ELECTION_SAFETY = "election safety"
+LOG_MATCHING = "log matching"
+STATE_MACHINE_SAFETY = "state machine safety"
+LEADER_COMPLETENESS = "leader completeness"
+COMMIT_WITHOUT_QUORUM = "commit without a quorum"
+ONE_CHANGE_AT_A_TIME = "one change at a time"
+STALE_READ = "stale read"
+LOST_ENTRY = "lost"
 
 FAULTS = (
-    Fault("vote saved before it is sent", (ELECTION,), VoteNotSaved, bounds=VOTING, weights=RACING, length=100),
-    Fault("one vote a term", (ELECTION,), VotesTwice, bounds=VOTING, weights=RACING, length=100),
+    Fault(
+        "vote saved before it is sent",
+        (ELECTION_SAFETY,),
+        VoteNotSaved,
+        bounds=VOTING_BOUNDS,
+        weights=RACING_WEIGHTS,
+        length=100,
+    ),
+    Fault("one vote a term", (ELECTION_SAFETY,), VotesTwice, bounds=VOTING_BOUNDS, weights=RACING_WEIGHTS, length=100),
     Fault(
         "term saved before it is acted on",
-        (ELECTION, LOG, STATE),
+        (ELECTION_SAFETY, LOG_MATCHING, STATE_MACHINE_SAFETY),
         TermNotSaved,
-        bounds=VOTING,
-        weights=RACING,
+        bounds=VOTING_BOUNDS,
+        weights=RACING_WEIGHTS,
         length=100,
     ),
-    Fault("nothing said before the disk confirms", (ELECTION, QUORUM, COMPLETE), SpeaksBeforeSaving),
+    Fault(
+        "nothing said before the disk confirms",
+        (ELECTION_SAFETY, COMMIT_WITHOUT_QUORUM, LEADER_COMPLETENESS),
+        SendsBeforeSaving,
+    ),
     Fault(
         "a torn record is cut off",
-        ("exception", ELECTION, QUORUM),
-        patches=((storage_log, "decode_record", _unchecked),),
+        ("exception", ELECTION_SAFETY, COMMIT_WITHOUT_QUORUM),
+        patches=((storage_log, "decode_record", _record_without_checksum),),
     ),
-    Fault("votes only for logs as new", (COMPLETE, STATE), VotesForAnyLog),
+    Fault("votes only for logs as new", (LEADER_COMPLETENESS, STATE_MACHINE_SAFETY), VotesForAnyLog),
     Fault(
         "former terms commit by an entry of the term",
-        (COMPLETE, STATE),
-        CommitsFormerTerms,
+        (LEADER_COMPLETENESS, STATE_MACHINE_SAFETY),
+        CommitsEarlierTerms,
         ((log, "MAX_ENTRIES_PER_MESSAGE", 1),),
-        bounds=STEADY,
+        bounds=STEADY_BOUNDS,
+    ),
+    Fault(
+        "entries only behind their predecessor",
+        (LOG_MATCHING, STATE_MACHINE_SAFETY, COMMIT_WITHOUT_QUORUM),
+        AcceptsConflictingEntries,
     ),
-    Fault("entries only behind their predecessor", (LOG, STATE, QUORUM), KeepsConflicts),
-    Fault("reads wait for a round sent after them", (STALE,), ReadsUnconfirmed, bounds=READING),
-    Fault("rounds need answers", (STALE,), patches=((HeartbeatRounds, "confirm", _always_answered),), bounds=READING),
-    Fault("a majority, not half", (ELECTION, QUORUM), patches=((ClusterConfiguration, "majority_value", _half),)),
-    Fault("no snapshot over a newer log", (STATE, COMPLETE, QUORUM), TakesOlderSnapshots, bounds=SNAPSHOTS),
-    Fault("one change of voters at a time", (CHANGE,), ChangesAtOnce, bounds=CHANGING),
-    Fault("a joint configuration between two", (CHANGE,), ChangesInOneStep, bounds=CHANGING),
+    Fault("reads wait for a round sent after them", (STALE_READ,), UnconfirmedReads, bounds=READING_BOUNDS),
+    Fault(
+        "rounds need answers",
+        (STALE_READ,),
+        patches=((HeartbeatRounds, "confirm", _always_confirmed),),
+        bounds=READING_BOUNDS,
+    ),
+    Fault(
+        "a majority, not half",
+        (ELECTION_SAFETY, COMMIT_WITHOUT_QUORUM),
+        patches=((ClusterConfiguration, "majority_value", _half_of_voters),),
+    ),
+    Fault(
+        "no snapshot over a newer log",
+        (STATE_MACHINE_SAFETY, LEADER_COMPLETENESS, COMMIT_WITHOUT_QUORUM),
+        InstallsOlderSnapshots,
+        bounds=SNAPSHOT_BOUNDS,
+    ),
+    Fault("one change of voters at a time", (ONE_CHANGE_AT_A_TIME,), ConcurrentChanges, bounds=CHANGING_BOUNDS),
+    Fault("a joint configuration between two", (ONE_CHANGE_AT_A_TIME,), SingleStepChange, bounds=CHANGING_BOUNDS),
     Fault(
         "both majorities while joint",
-        (QUORUM, ELECTION, COMPLETE),
+        (COMMIT_WITHOUT_QUORUM, ELECTION_SAFETY, LEADER_COMPLETENESS),
         patches=((ClusterConfiguration, "majority_value", _new_voters_only),),
-        bounds=SWAPPING,
+        bounds=SWAPPING_BOUNDS,
     ),
     Fault(
         "learners have no vote",
-        (QUORUM, ELECTION),
-        patches=((ClusterConfiguration, "majority_value", _learners_too),),
-        bounds=CHANGING,
+        (COMMIT_WITHOUT_QUORUM, ELECTION_SAFETY),
+        patches=((ClusterConfiguration, "majority_value", _learners_as_voters),),
+        bounds=CHANGING_BOUNDS,
+    ),
+    Fault(
+        "a new id after a lost disk",
+        (COMMIT_WITHOUT_QUORUM, ELECTION_SAFETY, LEADER_COMPLETENESS, LOST_ENTRY),
+        bounds=WIPING_BOUNDS,
+        cluster_class=ReusesIdAfterWipe,
     ),
-    Fault("a new id after a lost disk", (QUORUM, ELECTION, COMPLETE, LOST), bounds=WIPING, cluster=SameIdAfterWipe),
 )
--- a/verification/histories.py
+++ b/verification/histories.py
@@ -145,16 +145,16 @@
         except (msgspec.DecodeError, UnicodeDecodeError) as e:
             found.append(Finding(f"{path.name}:{n}", str(e)))
             continue
-        wrong = _wrong(operation)
+        wrong = _invalid_reason(operation)
         if wrong:
             found.append(Finding(f"{path.name}:{n}", wrong))
         operations.append(operation)
     return Err(found) if found else Ok(operations)
 
 
-def _wrong(operation: Operation) -> str:
+def _invalid_reason(operation: Operation) -> str:
     """What makes an operation impossible to judge, or nothing."""
-    if operation.call.__class__ not in CALLS[operation.kind]:
+    if operation.call.__class__ not in CALL_TYPES[operation.kind]:
         return f"a {operation.kind} has no {operation.call.__struct_config__.tag}"
     if operation.ended is None and not operation.unknown:
         return f"{operation.outcome} without its end"
@@ -163,14 +163,14 @@
     return ""
 
 
-REFUSALS = ("conflict", "missing", "lost", "held", "gone", "late")
+REFUSAL_CODES = ("conflict", "missing", "lost", "held", "gone", "late")
 
 
 def outcome_from_code(code: str) -> OperationOutcome:
     """What a service's answer says of a command; every code that is not known to be a promise leaves it open."""
     if code == "ok":
         return OperationOutcome.DONE
-    return OperationOutcome.REFUSED if code in REFUSALS else OperationOutcome.UNKNOWN
+    return OperationOutcome.REFUSED if code in REFUSAL_CODES else OperationOutcome.UNKNOWN
 
 
 class HistoryRecorder:
@@ -194,7 +194,7 @@
             self.operations[place] = msgspec.structs.replace(was, ended=ended, outcome=outcome, number=number)
 
 
-CALLS: dict[ObjectKind, tuple[type, ...]] = {
+CALL_TYPES: dict[ObjectKind, tuple[type, ...]] = {
     ObjectKind.LOCK: (TakeLock, ExtendLock, FreeLock),
     ObjectKind.NUMBER: (DrawNumber,),
     ObjectKind.KEY: (PutValue, ReadObject),
--- a/verification/invariants.py
+++ b/verification/invariants.py
@@ -9,36 +9,42 @@
 
 from mallowvalve.raft.messages import CONFIGURATION, ClusterConfiguration, Entry, decode_configuration
 from verification.identity import digest
-from verification.member import Member
+from verification.member import SimulatedMember
 
-Members = dict[str, Member]
+Members = dict[str, SimulatedMember]
 
 
-class Record:
+class InvariantChecker:
     """The leader of each term, each committed entry with the term in which it was first seen as committed."""
 
-    __slots__ = ("leaders", "committed", "histories", "acknowledged", "gone")
+    __slots__ = ("leaders", "committed", "state_digests", "acknowledged_index", "wiped_members")
 
     def __init__(self) -> None:
         """Nothing has happened."""
         self.leaders: dict[int, str] = {}
         self.committed: list[tuple[Entry, int]] = []
-        self.histories: dict[int, bytes] = {}
-        self.acknowledged = 0
-        self.gone: set[str] = set()
+        self.state_digests: dict[int, bytes] = {}
+        self.acknowledged_index = 0
+        self.wiped_members: set[str] = set()
 
-    def copy(self) -> Record:
+    def copy(self) -> InvariantChecker:
         """A record that goes on by itself."""
-        other = object.__new__(Record)
+        other = object.__new__(InvariantChecker)
         other.leaders, other.committed = dict(self.leaders), list(self.committed)
-        other.histories, other.acknowledged, other.gone = dict(self.histories), self.acknowledged, set(self.gone)
+        other.state_digests, other.acknowledged_index, other.wiped_members = (
+            dict(self.state_digests),
+            self.acknowledged_index,
+            set(self.wiped_members),
+        )
         return other
 
-    def key(self) -> bytes:
+    def state_key(self) -> bytes:
         """The identity of what is remembered."""
-        return digest([sorted(self.leaders.items()), self.committed, self.acknowledged, sorted(self.gone)])
+        return digest(
+            [sorted(self.leaders.items()), self.committed, self.acknowledged_index, sorted(self.wiped_members)]
+        )
 
-    def check(self, members: Members, touched: Member) -> str | None:
+    def check(self, members: Members, touched: SimulatedMember) -> str | None:
         """Checks all that the last step, at one member, can have broken."""
         broken = (
             self.election_safety(touched)
@@ -48,30 +54,30 @@
             or self.one_change_at_a_time(touched)
             or self.fresh_reads(touched)
         )
-        touched.voters = None
+        touched.configuration_before_step = None
         return broken
 
-    def election_safety(self, touched: Member) -> str | None:
+    def election_safety(self, touched: SimulatedMember) -> str | None:
         """At most one leader is elected in a term."""
         if not touched.raft.leads:
             return None
-        had = self.leaders.setdefault(touched.raft.term, touched.id)
-        if had == touched.id:
+        previous = self.leaders.setdefault(touched.raft.term, touched.id)
+        if previous == touched.id:
             return None
-        return f"election safety: {had} and {touched.id} both led term {touched.raft.term}"
+        return f"election safety: {previous} and {touched.id} both led term {touched.raft.term}"
 
-    def log_matching(self, members: Members, touched: Member) -> str | None:
+    def log_matching(self, members: Members, touched: SimulatedMember) -> str | None:
         """Two logs with the same term at an index hold the same entries up to there."""
         for other in members.values():
-            if other is not touched and not _match(touched, other):
+            if other is not touched and not _logs_match(touched, other):
                 return f"log matching: the logs of {touched.id} and {other.id} differ before an entry they share"
         return None
 
-    def state_machine_safety(self, members: Members, touched: Member) -> str | None:
+    def state_machine_safety(self, members: Members, touched: SimulatedMember) -> str | None:
         """No two members apply different entries at an index; what is committed is on the disks of a quorum."""
         applied, log = touched.applied.index, touched.raft.log
-        if applied < touched.reached:
-            return f"state machine safety: {touched.id} went back from {touched.reached} to {applied}"
+        if applied < touched.highest_applied:
+            return f"state machine safety: {touched.id} went back from {touched.highest_applied} to {applied}"
         for index in range(log.snapshot_index + 1, min(applied, len(self.committed)) + 1):
             if log.term(index) is None or log.get(index) != self.committed[index - 1][0]:
                 return f"state machine safety: {touched.id} applied another entry at {index}"
@@ -79,15 +85,17 @@
             if not log.snapshot_index < index <= log.last_index:
                 return f"state machine safety: {touched.id} applied entry {index}, which nobody committed"
             self.committed.append((log.get(index), touched.raft.term))
-            voters = touched.voters or log.configuration
-            if not _quorum(_holders(members, index, log.get(index).term) | self.gone, voters):
-                return f"commit without a quorum: entry {index} is not on the disks of a quorum of {_seats(voters)}"
-        had = self.histories.setdefault(applied, touched.applied.history)
-        if had != touched.applied.history:
+            voters = touched.configuration_before_step or log.configuration
+            if not _is_quorum(_disks_with_entry(members, index, log.get(index).term) | self.wiped_members, voters):
+                return (
+                    f"commit without a quorum: entry {index} is not on the disks of a quorum of {_voter_names(voters)}"
+                )
+        previous = self.state_digests.setdefault(applied, touched.applied.history)
+        if previous != touched.applied.history:
             return f"state machine safety: {touched.id} has another state at {applied}"
         return None
 
-    def leader_completeness(self, touched: Member) -> str | None:
+    def leader_completeness(self, touched: SimulatedMember) -> str | None:
         """What was committed in a term is in the log of every later term's leader."""
         raft = touched.raft
         if not raft.leads:
@@ -97,7 +105,7 @@
                 return f"leader completeness: {touched.id} leads term {raft.term} without entry {entry.index}"
         return None
 
-    def may_lose(self, members: Members, name: str) -> bool:
+    def may_wipe(self, members: Members, name: str) -> bool:
         """Whether the budget allows the loss of a disk: less than half of each set of voters lacks what is committed.
 
         A member that is new, or back, counts as lost until it holds all that is committed.
@@ -105,18 +113,18 @@
         whole = set(members) - {name}
         if self.committed:
             entry = self.committed[-1][0]
-            whole &= _holders(members, entry.index, entry.term)
-        return all(_quorum(whole, voters) for member in members.values() for voters in _configurations(member))
+            whole &= _disks_with_entry(members, entry.index, entry.term)
+        return all(_is_quorum(whole, voters) for member in members.values() for voters in _configurations(member))
 
-    def nothing_lost(self, members: Members) -> str | None:
+    def committed_entries_survive(self, members: Members) -> str | None:
         """Those without an entry that was committed cannot elect a leader among themselves."""
         for entry, _ in self.committed:
-            lacking = set(members) - _holders(members, entry.index, entry.term)
-            if any(_quorum(lacking, voters) for member in members.values() for voters in _configurations(member)):
+            lacking = set(members) - _disks_with_entry(members, entry.index, entry.term)
+            if any(_is_quorum(lacking, voters) for member in members.values() for voters in _configurations(member)):
                 return f"lost: entry {entry.index} was committed, and a quorum is without it"
         return None
 
-    def one_change_at_a_time(self, touched: Member) -> str | None:
+    def one_change_at_a_time(self, touched: SimulatedMember) -> str | None:
         """A leader's log holds one change of voters at most that is not committed; quorums before and after it meet."""
         log = touched.raft.log
         if not touched.raft.leads:
@@ -128,21 +136,21 @@
         sets = _configurations(touched)
         for before, after in itertools.pairwise(sets):
             if not _quorums_meet(before, after):
-                return f"one change at a time: quorums of {_seats(before)} and of {_seats(after)} need not meet"
+                return f"one change at a time: quorums of {_voter_names(before)} and of {_voter_names(after)} need not meet"
         return None
 
-    def fresh_reads(self, touched: Member) -> str | None:
+    def fresh_reads(self, touched: SimulatedMember) -> str | None:
         """A confirmed read shows all that had been acknowledged when it was asked."""
-        for index in touched.acknowledged:
-            self.acknowledged = max(self.acknowledged, index)
-        stale = [read for read in touched.answers if read.index < read.floor]
-        touched.acknowledged, touched.answers = [], []
+        for index in touched.acknowledged_indexes:
+            self.acknowledged_index = max(self.acknowledged_index, index)
+        stale = [read for read in touched.read_answers if read.index < read.floor]
+        touched.acknowledged_indexes, touched.read_answers = [], []
         if stale:
             return f"stale read: {touched.id} answered from {stale[0].index}, {stale[0].floor} was acknowledged"
         return None
 
 
-def _match(one: Member, two: Member) -> bool:
+def _logs_match(one: SimulatedMember, two: SimulatedMember) -> bool:
     left, right = one.raft.log, two.raft.log
     low = max(left.snapshot_index, right.snapshot_index)
     high = min(left.last_index, right.last_index)
@@ -156,16 +164,16 @@
     )
 
 
-def _holders(members: Members, index: int, term: int) -> set[str]:
-    return {name for name, member in members.items() if _holds(member, index, term)}
+def _disks_with_entry(members: Members, index: int, term: int) -> set[str]:
+    return {name for name, member in members.items() if _disk_has_entry(member, index, term)}
 
 
-def _holds(member: Member, index: int, term: int) -> bool:
+def _disk_has_entry(member: SimulatedMember, index: int, term: int) -> bool:
     """Whether a disk holds the entry, or a snapshot that covers it."""
-    return index <= member.held.base or member.held.term(index) == term
+    return index <= member.durable.base or member.durable.term(index) == term
 
 
-def _configurations(member: Member) -> list[ClusterConfiguration]:
+def _configurations(member: SimulatedMember) -> list[ClusterConfiguration]:
     """All sets of voters that a member's log names since its base."""
     log = member.raft.log
     return [
@@ -174,7 +182,7 @@
     ]
 
 
-def _quorum(names: set[str], voters: ClusterConfiguration) -> bool:
+def _is_quorum(names: set[str], voters: ClusterConfiguration) -> bool:
     """A majority of the voters, and of the former voters while both count."""
     sides = [side for side in (voters.voters, getattr(voters, "old_voters", {})) if side]
     return all(2 * len(names & side.keys()) > len(side) for side in sides)
@@ -187,11 +195,11 @@
     )
     for size in range(len(everyone) + 1):
         for part in itertools.combinations(everyone, size):
-            if _quorum(set(part), before) and _quorum(set(everyone) - set(part), after):
+            if _is_quorum(set(part), before) and _is_quorum(set(everyone) - set(part), after):
                 return False
     return True
 
 
-def _seats(voters: ClusterConfiguration) -> str:
+def _voter_names(voters: ClusterConfiguration) -> str:
     old = getattr(voters, "old_voters", {})
     return "+".join(sorted(voters.voters)) + (" with " + "+".join(sorted(old)) if old else "")
--- a/verification/linearizability.py
+++ b/verification/linearizability.py
@@ -27,9 +27,11 @@
 from verification.histories import ObjectKind, Operation, OperationOutcome, ReadObject, load
 from verification.specifications import SPECIFICATIONS, Specification
 
-STEPS = 200_000
-SHOWN = 8
-FOUND, UNDECIDED, UNREADABLE = 1, 2, 3
+MAX_STEPS = 200_000
+MAX_SHOWN_OPERATIONS = 8
+EXIT_VIOLATION = 1
+EXIT_UNDECIDED = 2
+EXIT_UNREADABLE = 3
 
 
 class Partition(NamedTuple):
@@ -53,15 +55,15 @@
     partition: Partition
     prefix: int
     placed: list[Operation]
-    stuck: list[Operation]
+    blocked: list[Operation]
     state: str
 
     def __str__(self) -> str:
         """Several lines: the partition, the end of the longest order, and the operations that fit nowhere."""
         lines = [f"{self.partition}: {self.prefix} operations cannot be ordered; the longest order ends with"]
-        lines += [f"    {o}" for o in self.placed[-SHOWN:]]
+        lines += [f"    {operation}" for operation in self.placed[-MAX_SHOWN_OPERATIONS:]]
         lines += [f"  then {self.state}", "  where none of these can follow"]
-        lines += [f"    {o}" for o in self.stuck[:SHOWN]]
+        lines += [f"    {operation}" for operation in self.blocked[:MAX_SHOWN_OPERATIONS]]
         return "\n".join(lines)
 
 
@@ -88,11 +90,11 @@
         )
 
 
-def check(operations: list[Operation], steps: int = STEPS) -> CheckReport:
+def check(operations: list[Operation], steps: int = MAX_STEPS) -> CheckReport:
     """Hold a history against the specification of each object in it, with at most `steps` for each object."""
     parts: dict[Partition, list[Operation]] = defaultdict(list)
-    for o in operations:
-        parts[Partition(o.kind, o.name)].append(o)
+    for operation in operations:
+        parts[Partition(operation.kind, operation.name)].append(operation)
     report = CheckReport(operations=len(operations), partitions=len(parts))
     for partition, some in sorted(parts.items()):
         specification = SPECIFICATIONS[partition.kind]
@@ -102,46 +104,46 @@
         if verdict is None:
             report.undecided.append(partition)
         elif not verdict:
-            report.violations.append(_smallest(partition, specification, some, steps))
+            report.violations.append(_smallest_violation(partition, specification, some, steps))
     return report
 
 
-class Visit(NamedTuple):
+class SearchNode(NamedTuple):
     """A node of the search: all certain operations before `first` are placed, and those that `ahead` and `maybe` mark.
 
     Bit i of `ahead` stands for the certain operation first + i, of `maybe` for the i-th of unknown outcome; `now` is
     the earliest time (s) that the next one can have.
     """
 
-    first: int
-    ahead: int
-    maybe: int
+    next_certain: int
+    placed_certain: int
+    placed_unknown: int
     state: Any
-    now: float
+    earliest: float
 
 
 class Search:
     """The search for an order of one object's operations."""
 
-    __slots__ = ("certain", "unknown", "specification", "budget", "steps", "longest", "_at")
+    __slots__ = ("certain", "unknown", "specification", "budget", "steps", "longest", "_longest_node")
 
     def __init__(self, specification: Specification, operations: list[Operation], budget: int):
         """Take the operations on one object; `budget` is the most steps (answers of the specification) to ask for."""
-        kept = [o for o in operations if o.outcome is not OperationOutcome.REFUSED]
-        needed = sorted(specification.needed(kept), key=lambda o: (o.begun, o.latest))
-        self.certain = [o for o in needed if not o.unknown]
-        self.unknown = [o for o in needed if o.unknown]
+        kept = [operation for operation in operations if operation.outcome is not OperationOutcome.REFUSED]
+        relevant = sorted(specification.relevant(kept), key=lambda operation: (operation.begun, operation.latest))
+        self.certain = [operation for operation in relevant if not operation.unknown]
+        self.unknown = [operation for operation in relevant if operation.unknown]
         self.specification, self.budget, self.steps = specification, budget, 0
         self.longest: list[Operation] = []
-        self._at = Visit(0, 0, 0, specification.initial(), 0.0)
+        self._longest_node = SearchNode(0, 0, 0, specification.initial(), 0.0)
 
     def run(self) -> bool | None:
         """Whether the operations can be ordered; None where the budget did not suffice."""
-        start = Visit(0, 0, 0, self.specification.initial(), float("-inf"))
-        self._at = start
+        start = SearchNode(0, 0, 0, self.specification.initial(), float("-inf"))
+        self._longest_node = start
         seen = {start}
         path: list[Operation] = []
-        stack = [self._next(start)]
+        stack = [self._successors(start)]
         if not self.certain:
             return True
         while stack:
@@ -153,99 +155,115 @@
                 if path:
                     path.pop()
                 continue
-            operation, visit = found
-            if visit in seen:
+            operation, node = found
+            if node in seen:
                 continue
-            seen.add(visit)
+            seen.add(node)
             path.append(operation)
             if len(path) > len(self.longest):
-                self.longest, self._at = list(path), visit
-            if visit.first == len(self.certain):
+                self.longest, self._longest_node = list(path), node
+            if node.next_certain == len(self.certain):
                 return True
-            stack.append(self._next(visit))
+            stack.append(self._successors(node))
         return False
 
     def state(self) -> Any:
         """The state at the end of the longest order found."""
-        return self._at.state
+        return self._longest_node.state
 
-    def stuck(self) -> list[Operation]:
+    def blocked(self) -> list[Operation]:
         """The operations that had to come next after the longest order found."""
-        return [o for _, o in self._candidates(self._at)]
+        return [operation for _, operation in self._candidates(self._longest_node)]
 
-    def _next(self, visit: Visit) -> Iterator[tuple[Operation, Visit]]:
+    def _successors(self, node: SearchNode) -> Iterator[tuple[Operation, SearchNode]]:
         """Each operation that may come next and is legal, with the node after it."""
-        for i, o in self._candidates(visit):
+        for position, operation in self._candidates(node):
             self.steps += 1
             if self.steps > self.budget:
                 return
-            after = self.specification.step(visit.state, o, max(visit.now, o.begun))
-            if after is None or after[1] > o.latest:
+            after = self.specification.step(node.state, operation, max(node.earliest, operation.begun))
+            if after is None or after[1] > operation.latest:
                 continue
-            if o.unknown:
-                yield o, Visit(visit.first, visit.ahead, visit.maybe | 1 << i, *after)
+            if operation.unknown:
+                yield (
+                    operation,
+                    SearchNode(node.next_certain, node.placed_certain, node.placed_unknown | 1 << position, *after),
+                )
                 continue
-            first, ahead = visit.first, visit.ahead | 1 << (i - visit.first)
-            while ahead & 1:
-                first, ahead = first + 1, ahead >> 1
-            yield o, Visit(first, ahead, visit.maybe, *after)
+            next_certain, placed_certain = node.next_certain, node.placed_certain | 1 << (position - node.next_certain)
+            while placed_certain & 1:
+                next_certain, placed_certain = next_certain + 1, placed_certain >> 1
+            yield operation, SearchNode(next_certain, placed_certain, node.placed_unknown, *after)
 
-    def _candidates(self, visit: Visit) -> list[tuple[int, Operation]]:
+    def _candidates(self, node: SearchNode) -> list[tuple[int, Operation]]:
         """Operations that began before each one not yet placed had ended; certain ones first, by their answers."""
         end = float("inf")
         some: list[tuple[int, Operation]] = []
-        for i in range(visit.first, len(self.certain)):
-            o = self.certain[i]
-            if o.begun > end:
+        for position in range(node.next_certain, len(self.certain)):
+            operation = self.certain[position]
+            if operation.begun > end:
                 break
-            if not visit.ahead >> (i - visit.first) & 1:
-                end = min(end, o.latest)
-                some.append((i, o))
-        near = sorted(((i, o) for i, o in some if o.begun <= end), key=lambda x: (x[1].number, x[1].latest))
-        maybe = [(i, o) for i, o in enumerate(self.unknown) if not visit.maybe >> i & 1 and o.begun <= end]
-        return near + maybe
+            if not node.placed_certain >> (position - node.next_certain) & 1:
+                end = min(end, operation.latest)
+                some.append((position, operation))
+        certain = sorted(
+            ((position, operation) for position, operation in some if operation.begun <= end),
+            key=lambda candidate: (candidate[1].number, candidate[1].latest),
+        )
+        unplaced_unknown = [
+            (position, operation)
+            for position, operation in enumerate(self.unknown)
+            if not node.placed_unknown >> position & 1 and operation.begun <= end
+        ]
+        return certain + unplaced_unknown
 
 
-def _smallest(partition: Partition, specification: Specification, some: list[Operation], steps: int) -> Violation:
+def _smallest_violation(
+    partition: Partition, specification: Specification, some: list[Operation], steps: int
+) -> Violation:
     """The shortest prefix in time that cannot be ordered: what a history shows by then, its calls under way unknown."""
-    ends = sorted({o.latest for o in some if not o.unknown})
+    ends = sorted({operation.latest for operation in some if not operation.unknown})
     low, high = 0, len(ends) - 1
     while low < high:
         middle = (low + high) // 2
-        if Search(specification, _until(some, ends[middle]), steps).run() is False:
+        if Search(specification, _history_until(some, ends[middle]), steps).run() is False:
             high = middle
         else:
             low = middle + 1
-    prefix = _until(some, ends[high])
+    prefix = _history_until(some, ends[high])
     search = Search(specification, prefix, steps)
     search.run()
-    return Violation(partition, len(prefix), search.longest, search.stuck(), str(search.state()))
+    return Violation(partition, len(prefix), search.longest, search.blocked(), str(search.state()))
 
 
-def _until(operations: list[Operation], end: float) -> list[Operation]:
+def _history_until(operations: list[Operation], end: float) -> list[Operation]:
     """The history as it stood at `end` (s): later calls are gone, those under way have no answer yet."""
-    begun = [o for o in operations if o.begun <= end]
-    told = [o for o in begun if o.unknown or o.latest <= end]
-    under_way = [o for o in begun if not o.unknown and o.latest > end and o.outcome is not OperationOutcome.REFUSED]
+    begun = [operation for operation in operations if operation.begun <= end]
+    known = [operation for operation in begun if operation.unknown or operation.latest <= end]
+    under_way = [
+        operation
+        for operation in begun
+        if not operation.unknown and operation.latest > end and operation.outcome is not OperationOutcome.REFUSED
+    ]
     open_ended = [
-        msgspec.structs.replace(o, ended=None, outcome=OperationOutcome.UNKNOWN, number=0)
-        for o in under_way
-        if not isinstance(o.call, ReadObject)
+        msgspec.structs.replace(operation, ended=None, outcome=OperationOutcome.UNKNOWN, number=0)
+        for operation in under_way
+        if not isinstance(operation.call, ReadObject)
     ]
-    return told + open_ended
+    return known + open_ended
 
 
-def main_check(path: str | Path) -> int:
+def check_file(path: str | Path) -> int:
     """Check a recorded history and print what was found; 0 only if every partition was ordered."""
     operations = load(Path(path))
     if isinstance(operations, Err):
         for f in operations.err_value:
             click.echo(str(f), err=True)
-        return UNREADABLE
+        return EXIT_UNREADABLE
     report = check(operations.ok_value)
     for finding in report.findings():
         click.echo(finding)
     click.echo(str(report))
     if report.violations:
-        return FOUND
-    return UNDECIDED if report.undecided else 0
+        return EXIT_VIOLATION
+    return EXIT_UNDECIDED if report.undecided else 0
--- a/verification/member.py
+++ b/verification/member.py
@@ -22,16 +22,23 @@
 from mallowvalve.raft.progress import RaftTimings, Ready
 from mallowvalve.raft.raft import Raft
 from mallowvalve.storage.log import DiskLog
-from verification.disk import PowerDisk, PowerLossError
-from verification.identity import TIMELESS, UNCOUNTED, Still, clone, digest, shape
+from verification.disk import PowerLossDisk, PowerLossError
+from verification.identity import (
+    EXCLUDED_SLOTS,
+    EXCLUDED_SLOTS_WITHOUT_LEASES,
+    ZeroRandom,
+    canonical_form,
+    clone,
+    digest,
+)
 
 FLEET = "verification"
-TIMES = RaftTimings()
-FROZEN_FOR = 3 * TIMES.election_timeout
-Sent = list[tuple[str, Message]]
+TIMINGS = RaftTimings()
+FREEZE_S = 3 * TIMINGS.election_timeout
+SentMessages = list[tuple[str, Message]]
 
 
-class Applied:
+class AppliedHistory:
     """A state that is nothing but its history: a digest over all commands, in their order."""
 
     __slots__ = ("index", "history")
@@ -51,7 +58,7 @@
         return index
 
 
-class Held(msgspec.Struct, frozen=True):
+class DurableLog(msgspec.Struct, frozen=True):
     """What a member's disk holds: the base and the terms of the entries after it, and the last hard state written."""
 
     base: int = 0
@@ -67,183 +74,190 @@
         return self.terms[at - 1] if 0 < at <= len(self.terms) else None
 
 
-class Answered(msgspec.Struct, frozen=True):
+class AnsweredRead(msgspec.Struct, frozen=True):
     """A read that was answered: what had been acknowledged when it was asked, and the index it was answered from."""
 
     floor: int
     index: int
 
 
-class Member:
+class SimulatedMember:
     """Runs one machine; `acknowledged` and `answers` are filled for whoever checks, and emptied by them."""
 
     __slots__ = (
         "id",
-        "machine",
+        "raft_class",
         "seed",
         "rng",
         "now",
         "disk_log",
         "raft",
         "applied",
-        "held",
-        "reached",
-        "voters",
-        "unsaved",
-        "reads",
-        "proposed",
-        "acknowledged",
-        "answers",
-        "_key",
+        "durable",
+        "highest_applied",
+        "configuration_before_step",
+        "pending_save",
+        "pending_reads",
+        "proposed_terms",
+        "acknowledged_indexes",
+        "read_answers",
+        "_cached_state_key",
     )
 
-    def __init__(self, id: str, machine: type[Raft], seed: int | None, snapshot: RaftSnapshot, now: float = 0.0):
+    def __init__(self, id: str, raft_class: type[Raft], seed: int | None, snapshot: RaftSnapshot, now: float = 0.0):
         """With no `seed` its random numbers are all 0; `now` is what its clock shows (s)."""
-        self.id, self.machine, self.seed, self.now = id, machine, seed, now
-        self.rng = Still() if seed is None else random.Random(f"{seed} {id}")
-        disk = PowerDisk()
+        self.id, self.raft_class, self.seed, self.now = id, raft_class, seed, now
+        self.rng = ZeroRandom() if seed is None else random.Random(f"{seed} {id}")
+        disk = PowerLossDisk()
         store.turn(DiskLog.open(disk, FLEET, id).unwrap(), snapshot, store.head(HardState(snapshot.group, 0, ""), []))
         self._start(disk)
 
     @staticmethod
-    def first(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
+    def founding_snapshot(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
         """The snapshot that all members begin from."""
         return RaftSnapshot(group, 0, 0, voters, [b""])
 
-    def _start(self, disk: PowerDisk) -> None:
+    def _start(self, disk: PowerLossDisk) -> None:
         self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
         loaded = store.load(self.disk_log).unwrap()
         snapshot = loaded.snapshot
         hard = loaded.hard or HardState(snapshot.group, 0, "")
         log = Log(snapshot, loaded.entries)
-        self.raft = self.machine(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMES, hard.commit_index)
-        self.applied = Applied(snapshot)
-        self.reached = 0
-        self.voters: ClusterConfiguration | None = None
-        self.unsaved: tuple[Ready, HardState] | None = None
-        self.reads, self.proposed = PendingReads(), {}
-        self.acknowledged: list[int] = []
-        self.answers: list[Answered] = []
-        self._key: bytes | None = None
-        self._hold(hard)
-        self._apply()
-        self.acknowledged = []
-
-    def step(self, act: Callable[[Raft], Any] = lambda raft: None) -> Sent:
+        self.raft = self.raft_class(self.id, log, hard.term, hard.vote, self.rng, self.now, TIMINGS, hard.commit_index)
+        self.applied = AppliedHistory(snapshot)
+        self.highest_applied = 0
+        self.configuration_before_step: ClusterConfiguration | None = None
+        self.pending_save: tuple[Ready, HardState] | None = None
+        self.pending_reads, self.proposed_terms = PendingReads(), {}
+        self.acknowledged_indexes: list[int] = []
+        self.read_answers: list[AnsweredRead] = []
+        self._cached_state_key: bytes | None = None
+        self._note_durable(hard)
+        self._apply_committed()
+        self.acknowledged_indexes = []
+
+    def step(self, act: Callable[[Raft], Any] = lambda raft: None) -> SentMessages:
         """Does something to the machine, and gives the messages that need not wait for the disk."""
-        self.begin()
+        self.begin_step()
         act(self.raft)
         self.raft.tick(self.now)
         ready = self.raft.ready(self.now)
         if ready.hard_state is None and not ready.entries and ready.snapshot is None:
-            return ready.before_save + self._after(ready)
-        self.unsaved = ready, self.raft.hard_state()
+            return ready.before_save + self._finish_step(ready)
+        self.pending_save = ready, self.raft.hard_state()
         return ready.before_save
 
-    def begin(self) -> None:
+    def begin_step(self) -> None:
         """Notes the voters in force before a step: by them it commits, also if it then goes on to others."""
-        self._key = None
-        self.voters = self.voters or self.raft.log.configuration
+        self._cached_state_key = None
+        self.configuration_before_step = self.configuration_before_step or self.raft.log.configuration
 
-    def save(self) -> Sent:
+    def save(self) -> SentMessages:
         """The disk has it all; gives the messages that waited for it."""
-        self.begin()
-        ready, hard = self.unsaved
+        self.begin_step()
+        ready, hard = self.pending_save
         store.save(self.disk_log, ready, hard)
-        self.unsaved = None
-        self._hold(hard if ready.hard_state is not None or ready.snapshot is not None else self.held.hard)
-        return self._after(ready)
+        self.pending_save = None
+        self._note_durable(hard if ready.hard_state is not None or ready.snapshot is not None else self.durable.hard)
+        return self._finish_step(ready)
 
     def crash(self, kept: int) -> None:
         """Loses power, with `kept` thousandths of the write under way on the disk, and starts again from it."""
-        self._key = None
-        if self.unsaved is not None:
-            ready, hard = self.unsaved
-            self.disk_log.disk.fail_at = kept
+        self._cached_state_key = None
+        if self.pending_save is not None:
+            ready, hard = self.pending_save
+            self.disk_log.disk.kept_thousandths = kept
             with contextlib.suppress(PowerLossError):
                 store.save(self.disk_log, ready, hard)
-            self.disk_log.disk.fail_at = None
+            self.disk_log.disk.kept_thousandths = None
         if self.seed is not None:
-            self.disk_log.disk.lose_names(self.rng)
+            self.disk_log.disk.restore_power(self.rng)
         self._start(self.disk_log.disk)
 
-    def receive(self, sender: str, message: Message) -> Sent:
+    def receive(self, sender: str, message: Message) -> SentMessages:
         """Takes in a message."""
         return self.step(lambda raft: raft.receive(sender, message, self.now))
 
-    def propose(self, data: bytes) -> Sent:
+    def propose(self, data: bytes) -> SentMessages:
         """Offers a command to the machine."""
 
         def act(raft: Raft) -> None:
             index = raft.propose(COMMAND, data, 0)
             if index is not None:
-                self.proposed[index] = raft.term
+                self.proposed_terms[index] = raft.term
 
         return self.step(act)
 
-    def read(self, floor: int) -> Sent:
+    def read(self, floor: int) -> SentMessages:
         """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
         if not self.raft.committed_in_term:
             return []
         return self.step(
-            lambda raft: self.reads.add(
+            lambda raft: self.pending_reads.add(
                 PendingRead(floor, raft.request_confirmation_round(), raft.commit_index, float("inf"))
             )
         )
 
     def compact(self) -> None:
         """Writes a snapshot of the applied state, and the log turns to it."""
-        self._key = None
+        self._cached_state_key = None
         raft, index = self.raft, self.applied.index
         term, voters = raft.log.term(index), raft.log.configuration_at(index)
         snapshot = RaftSnapshot(raft.group, index, term, voters, [self.applied.history])
         tail = [entry for entry in raft.log.entries if entry.index > index]
         store.turn(self.disk_log, snapshot, store.head(raft.hard_state(), tail))
         raft.log.compact(snapshot)
-        self._hold(raft.hard_state())
+        self._note_durable(raft.hard_state())
 
-    def key(self, timed: bool) -> bytes:
+    def state_key(self, timed: bool) -> bytes:
         """The identity of the member's state; `timed` with the stamps by which it is in touch."""
-        if self._key is None:
-            volatile = [self.raft, self.unsaved, self.reads, self.proposed]
-            self._key = digest(
-                [self.id, self.held, self.applied.history, shape(volatile, self.now, UNCOUNTED if timed else TIMELESS)]
+        if self._cached_state_key is None:
+            volatile = [self.raft, self.pending_save, self.pending_reads, self.proposed_terms]
+            self._cached_state_key = digest(
+                [
+                    self.id,
+                    self.durable,
+                    self.applied.history,
+                    canonical_form(volatile, self.now, EXCLUDED_SLOTS if timed else EXCLUDED_SLOTS_WITHOUT_LEASES),
+                ]
             )
-        return self._key
+        return self._cached_state_key
 
-    def copy(self) -> Member:
+    def copy(self) -> SimulatedMember:
         """A member in the same state."""
         return clone(self)
 
-    def _hold(self, hard: HardState | None) -> None:
+    def _note_durable(self, hard: HardState | None) -> None:
         log = self.raft.log
-        self.held = Held(log.snapshot_index, log.snapshot.term, tuple(entry.term for entry in log.entries), hard)
+        self.durable = DurableLog(
+            log.snapshot_index, log.snapshot.term, tuple(entry.term for entry in log.entries), hard
+        )
 
-    def _after(self, ready: Ready) -> Sent:
+    def _finish_step(self, ready: Ready) -> SentMessages:
         if ready.snapshot is not None:
-            self.applied = Applied(ready.snapshot)
+            self.applied = AppliedHistory(ready.snapshot)
         self.raft.saved(ready)
-        self._apply()
-        self._answer()
+        self._apply_committed()
+        self._answer_reads()
         return ready.after_save
 
-    def _apply(self) -> None:
+    def _apply_committed(self) -> None:
         while self.applied.index < self.raft.commit_index:
             entry = self.raft.log.get(self.applied.index + 1)
             self.applied.apply(entry)
-            if self.proposed.pop(entry.index, None) == entry.term:
-                self.acknowledged.append(entry.index)
-        self.reached = max(self.reached, self.applied.index)
+            if self.proposed_terms.pop(entry.index, None) == entry.term:
+                self.acknowledged_indexes.append(entry.index)
+        self.highest_applied = max(self.highest_applied, self.applied.index)
 
-    def _answer(self) -> None:
+    def _answer_reads(self) -> None:
         if not self.raft.leads:
-            self.reads.fail()
-            self.proposed.clear()
+            self.pending_reads.fail()
+            self.proposed_terms.clear()
             return
-        answered = self.reads.answer(self.raft.rounds.confirmed, self.applied, self.raft.term, self.now)
-        self.answers += [Answered(floor, took.revision) for floor, took in answered]
+        answered = self.pending_reads.answer(self.raft.rounds.confirmed, self.applied, self.raft.term, self.now)
+        self.read_answers += [AnsweredRead(floor, took.revision) for floor, took in answered]
 
 
-def announced(snapshot: RaftSnapshot) -> RaftSnapshot:
+def snapshot_announcement(snapshot: RaftSnapshot) -> RaftSnapshot:
     """A snapshot as its announcement names it: without its state, which is fetched afterwards."""
     return replace(snapshot, state=[])
--- a/verification/reconfigurations.py
+++ b/verification/reconfigurations.py
@@ -6,26 +6,26 @@
 
 from mallowvalve.raft.messages import ClusterConfiguration
 
-Seats = tuple[tuple[str, ...], tuple[str, ...]]
+MemberSets = tuple[tuple[str, ...], tuple[str, ...]]
 
 
-def proposals(now: ClusterConfiguration, names: list[str]) -> Iterator[Seats]:
+def possible_changes(current: ClusterConfiguration, names: list[str]) -> Iterator[MemberSets]:
     """Changes from the voters of now: a learner more, a learner's vote, a voter less, voters for learners."""
-    if now.old_voters:
+    if current.old_voters:
         return
-    voters, learners = tuple(now.voters), tuple(now.learners)
+    voters, learners = tuple(current.voters), tuple(current.learners)
     if learners and all(name in names for name in learners):
         yield learners, voters
     for name in names:
         if name not in voters and name not in learners:
             yield voters, (*learners, name)
-    for leaver in voters:
+    for removed in voters:
         if len(voters) > 1:
-            yield _without(voters, leaver), learners
+            yield _without(voters, removed), learners
     for learner in learners:
         if learner in names:
             yield (*voters, learner), _without(learners, learner)
-            yield from (((*_without(voters, out), learner), _without(learners, learner)) for out in voters)
+            yield from (((*_without(voters, replaced), learner), _without(learners, learner)) for replaced in voters)
         else:
             yield voters, _without(learners, learner)
 
--- a/verification/specifications.py
+++ b/verification/specifications.py
@@ -43,7 +43,7 @@
         """
         ...
 
-    def needed(self, operations: list[Operation]) -> list[Operation]:
+    def relevant(self, operations: list[Operation]) -> list[Operation]:
         """Return the operations that the search must consider.
 
         An operation without a known outcome may be left out where "it never took effect" allows every answer that
@@ -52,7 +52,7 @@
         ...
 
 
-class Holding(msgspec.Struct, frozen=True):
+class LockState(msgspec.Struct, frozen=True):
     """A lock's state: its newest token, who holds it, the tokens of the unbroken hold, and the promise's end (s)."""
 
     newest: int = 0
@@ -75,11 +75,11 @@
     as that take and its free as a free of the newest token.
     """
 
-    def initial(self) -> Holding:
+    def initial(self) -> LockState:
         """Return a lock that nobody ever held."""
-        return Holding()
+        return LockState()
 
-    def step(self, state: Holding, operation: Operation, now: float) -> tuple[Holding, float] | None:
+    def step(self, state: LockState, operation: Operation, now: float) -> tuple[LockState, float] | None:
         """Return the lock after the operation and when it can have been, or None."""
         match operation.call:
             case TakeLock():
@@ -89,34 +89,34 @@
             case FreeLock(holder=holder, token=token):
                 if state.holder != holder or token < state.newest:
                     return state, now
-                return Holding(state.newest), now
+                return LockState(state.newest), now
         return None
 
-    def needed(self, operations: list[Operation]) -> list[Operation]:
+    def relevant(self, operations: list[Operation]) -> list[Operation]:
         """Leave out takes and extensions that may not have been."""
-        return [o for o in operations if not o.unknown or isinstance(o.call, FreeLock)]
+        return [operation for operation in operations if not operation.unknown or isinstance(operation.call, FreeLock)]
 
     def _take(
-        self, state: Holding, operation: Operation, call: TakeLock | ExtendLock, token: int, now: float
-    ) -> tuple[Holding, float] | None:
+        self, state: LockState, operation: Operation, call: TakeLock | ExtendLock, token: int, now: float
+    ) -> tuple[LockState, float] | None:
         if token <= state.newest:
             return None
         if state.holder == call.holder:
-            return Holding(token, call.holder, (*state.tokens, token), max(state.until, call.until)), now
+            return LockState(token, call.holder, (*state.tokens, token), max(state.until, call.until)), now
         if state.holder is not None:
             now = max(now, state.until)
         if now > operation.latest:
             return None
-        return Holding(token, call.holder, (token,), call.until), now
+        return LockState(token, call.holder, (token,), call.until), now
 
     def _extend(
-        self, state: Holding, operation: Operation, call: ExtendLock, now: float
-    ) -> tuple[Holding, float] | None:
+        self, state: LockState, operation: Operation, call: ExtendLock, now: float
+    ) -> tuple[LockState, float] | None:
         if call.token > state.newest:
             return self._take(state, operation, call, call.token, now)
         if state.holder != call.holder or call.token not in state.tokens:
             return None
-        return Holding(state.newest, state.holder, state.tokens, max(state.until, call.until)), now
+        return LockState(state.newest, state.holder, state.tokens, max(state.until, call.until)), now
 
 
 class NumberSpecification:
@@ -132,12 +132,12 @@
             return None
         return operation.number, now
 
-    def needed(self, operations: list[Operation]) -> list[Operation]:
+    def relevant(self, operations: list[Operation]) -> list[Operation]:
         """Leave out draws that may not have been: they only leave gaps."""
-        return [o for o in operations if not o.unknown]
+        return [operation for operation in operations if not operation.unknown]
 
 
-class Cell(msgspec.Struct, frozen=True):
+class KeyState(msgspec.Struct, frozen=True):
     """A key's state.
 
     `shown` is the revision a reader is told (0 without a value), or None while it is not known because the outcome of
@@ -158,11 +158,11 @@
     whole store counts them.
     """
 
-    def initial(self) -> Cell:
+    def initial(self) -> KeyState:
         """Return a key without a value."""
-        return Cell()
+        return KeyState()
 
-    def step(self, state: Cell, operation: Operation, now: float) -> tuple[Cell, float] | None:
+    def step(self, state: KeyState, operation: Operation, now: float) -> tuple[KeyState, float] | None:
         """Return the key after a put or a read, or None."""
         call = operation.call
         after = None
@@ -172,59 +172,61 @@
             after = self._read(state, operation, call)
         return None if after is None else (after, now)
 
-    def needed(self, operations: list[Operation]) -> list[Operation]:
+    def relevant(self, operations: list[Operation]) -> list[Operation]:
         """Leave out puts of unknown outcome that nobody saw: neither their value nor a revision nobody else gave."""
         values: set[str | None] = set()
         given: set[int] = set()
         used: set[int] = set()
-        for o in operations:
-            match o.call:
+        for operation in operations:
+            match operation.call:
                 case ReadObject(shows_value=True):
-                    values.add(o.value)
+                    values.add(operation.value)
                 case ReadObject():
-                    used.add(o.number)
+                    used.add(operation.number)
                 case PutValue(base=base):
                     used |= {base} if base is not None else set()
-                    if not o.unknown:
-                        given.add(o.number)
+                    if not operation.unknown:
+                        given.add(operation.number)
         if 0 in used:
             values.add(None)
         unexplained = bool(used - given - {0})
         return [
-            o
-            for o in operations
-            if not o.unknown or isinstance(o.call, PutValue) and (unexplained or o.call.value in values)
+            operation
+            for operation in operations
+            if not operation.unknown
+            or isinstance(operation.call, PutValue)
+            and (unexplained or operation.call.value in values)
         ]
 
-    def _put(self, state: Cell, operation: Operation, call: PutValue) -> Cell | None:
+    def _put(self, state: KeyState, operation: Operation, call: PutValue) -> KeyState | None:
         revision = operation.number
-        if not operation.unknown and call.value == state.value and _same(state, revision):
-            return Cell(state.value, revision, max(state.floor, revision))
-        if call.base is not None and not _same(state, call.base):
+        if not operation.unknown and call.value == state.value and _may_be_at(state, revision):
+            return KeyState(state.value, revision, max(state.floor, revision))
+        if call.base is not None and not _may_be_at(state, call.base):
             return None
         floor = state.floor if call.base is None else max(state.floor, call.base)
         if operation.unknown:
-            return Cell(call.value, None if call.value is not None else 0, floor)
+            return KeyState(call.value, None if call.value is not None else 0, floor)
         if revision <= floor:
             return None
-        return Cell(call.value, revision if call.value is not None else 0, revision)
+        return KeyState(call.value, revision if call.value is not None else 0, revision)
 
-    def _read(self, state: Cell, operation: Operation, call: ReadObject) -> Cell | None:
+    def _read(self, state: KeyState, operation: Operation, call: ReadObject) -> KeyState | None:
         if call.shows_value and operation.value != state.value:
             return None
         if call.shows_value and state.value is None:
             return state
-        if not _same(state, operation.number):
+        if not _may_be_at(state, operation.number):
             return None
-        return Cell(state.value, operation.number, max(state.floor, operation.number))
+        return KeyState(state.value, operation.number, max(state.floor, operation.number))
 
 
-def _same(state: Cell, revision: int) -> bool:
+def _may_be_at(state: KeyState, revision: int) -> bool:
     """Whether the key may be at this revision; one that a put of unknown outcome gave lies above what went before."""
     return revision == state.shown if state.shown is not None else revision > state.floor
 
 
-class Kept(msgspec.Struct, frozen=True):
+class ItemState(msgspec.Struct, frozen=True):
     """An item's state: the version in force and its content, None where that version dropped it."""
 
     version: int = 0
@@ -239,11 +241,11 @@
     content, and changes nothing. A read shows the version and content in force, or that there is none.
     """
 
-    def initial(self) -> Kept:
+    def initial(self) -> ItemState:
         """Return an item that was never given."""
-        return Kept()
+        return ItemState()
 
-    def step(self, state: Kept, operation: Operation, now: float) -> tuple[Kept, float] | None:
+    def step(self, state: ItemState, operation: Operation, now: float) -> tuple[ItemState, float] | None:
         """Return the item after an order or a read, or None."""
         call = operation.call
         if isinstance(call, ReadObject):
@@ -252,28 +254,36 @@
         if not isinstance(call, AmendItem):
             return None
         if call.version > state.version:
-            return Kept(call.version, call.content), now
+            return ItemState(call.version, call.content), now
         if operation.unknown or call.version == state.version and call.content != state.content:
             return None
         return state, now
 
-    def needed(self, operations: list[Operation]) -> list[Operation]:
+    def relevant(self, operations: list[Operation]) -> list[Operation]:
         """Leave out orders of unknown outcome that nobody saw and that need not have overtaken a disputed version."""
-        seen = {(o.number, o.value) for o in operations if isinstance(o.call, ReadObject) and o.value is not None}
-        absent = any(isinstance(o.call, ReadObject) and o.value is None for o in operations)
+        seen = {
+            (operation.number, operation.value)
+            for operation in operations
+            if isinstance(operation.call, ReadObject) and operation.value is not None
+        }
+        absent = any(isinstance(operation.call, ReadObject) and operation.value is None for operation in operations)
         contents: dict[int, set[str | None]] = {}
-        for o in operations:
-            if isinstance(o.call, AmendItem):
-                contents.setdefault(o.call.version, set()).add(o.call.content)
+        for operation in operations:
+            if isinstance(operation.call, AmendItem):
+                contents.setdefault(operation.call.version, set()).add(operation.call.content)
         disputed = min((v for v, some in contents.items() if len(some) > 1), default=None)
         out = []
-        for o in operations:
-            if not o.unknown:
-                out.append(o)
-            elif isinstance(o.call, AmendItem):
-                read = absent if o.call.content is None else (o.call.version, o.call.content) in seen
-                if read or disputed is not None and o.call.version > disputed:
-                    out.append(o)
+        for operation in operations:
+            if not operation.unknown:
+                out.append(operation)
+            elif isinstance(operation.call, AmendItem):
+                read = (
+                    absent
+                    if operation.call.content is None
+                    else (operation.call.version, operation.call.content) in seen
+                )
+                if read or disputed is not None and operation.call.version > disputed:
+                    out.append(operation)
         return out
 
 
--- a/verification/steps.py
+++ b/verification/steps.py
@@ -11,20 +11,20 @@
     member: str
 
 
-class Pass(msgspec.Struct, frozen=True, tag="pass", omit_defaults=True):
+class PassTime(msgspec.Struct, frozen=True, tag="pass", omit_defaults=True):
     """All clocks move on together; all but a frozen member see it at once, that one at its next step."""
 
     ms: int
     frozen: str = ""
 
 
-class Silence(msgspec.Struct, frozen=True, tag="silence"):
+class FreezeMember(msgspec.Struct, frozen=True, tag="silence"):
     """The member was frozen: its clock shows several election time-outs more, nothing else happened to it."""
 
     member: str
 
 
-class Deliver(msgspec.Struct, frozen=True, tag="deliver", omit_defaults=True):
+class DeliverMessage(msgspec.Struct, frozen=True, tag="deliver", omit_defaults=True):
     """A message in flight arrives; with `keep` it stays in flight and may arrive again at any later step."""
 
     sender: str
@@ -33,7 +33,7 @@
     keep: bool = False
 
 
-class Lose(msgspec.Struct, frozen=True, tag="lose"):
+class LoseMessage(msgspec.Struct, frozen=True, tag="lose"):
     """A message in flight is lost for good."""
 
     sender: str
@@ -41,20 +41,20 @@
     message: str
 
 
-class Save(msgspec.Struct, frozen=True, tag="save"):
+class SaveToDisk(msgspec.Struct, frozen=True, tag="save"):
     """The member's write reaches its disk; what waited for that is sent."""
 
     member: str
 
 
-class Crash(msgspec.Struct, frozen=True, tag="crash"):
+class CrashMember(msgspec.Struct, frozen=True, tag="crash"):
     """Loss of power and a restart from disk; of a write under way `kept` thousandths are on the disk."""
 
     member: str
     kept: int = 0
 
 
-class Wipe(msgspec.Struct, frozen=True, tag="wipe"):
+class WipeDisk(msgspec.Struct, frozen=True, tag="wipe"):
     """The member's disk is lost: a new one under the id `fresh` begins from the base snapshot of `source`."""
 
     member: str
@@ -69,13 +69,13 @@
     command: str
 
 
-class Read(msgspec.Struct, frozen=True, tag="read"):
+class RequestRead(msgspec.Struct, frozen=True, tag="read"):
     """A leader is asked for a read that a quorum has to confirm."""
 
     member: str
 
 
-class Reconfigure(msgspec.Struct, frozen=True, tag="reconfigure"):
+class ChangeConfiguration(msgspec.Struct, frozen=True, tag="reconfigure"):
     """A leader is asked for other voters and learners."""
 
     member: str
@@ -83,7 +83,7 @@
     learners: tuple[str, ...]
 
 
-class Offer(msgspec.Struct, frozen=True, tag="offer", omit_defaults=True):
+class OfferCall(msgspec.Struct, frozen=True, tag="offer", omit_defaults=True):
     """A caller's command comes to a member: its next frame, or one sent before that was doubled or held on its way.
 
     With `unheard` the caller never gets the answer.
@@ -95,7 +95,7 @@
     unheard: bool = False
 
 
-class Here(msgspec.Struct, frozen=True, tag="here", omit_defaults=True):
+class AnnounceMember(msgspec.Struct, frozen=True, tag="here", omit_defaults=True):
     """The member hears from another that it is there, or that it is `leaving`."""
 
     member: str
@@ -103,13 +103,13 @@
     leaving: bool = False
 
 
-class HandOver(msgspec.Struct, frozen=True, tag="hand-over"):
+class TransferLeadership(msgspec.Struct, frozen=True, tag="hand-over"):
     """A leader is asked to let another lead."""
 
     member: str
 
 
-class Compact(msgspec.Struct, frozen=True, tag="compact"):
+class CompactLog(msgspec.Struct, frozen=True, tag="compact"):
     """The member writes a snapshot of its state and drops the log that it covers."""
 
     member: str
@@ -117,28 +117,28 @@
 
 Step = (
     Timeout
-    | Pass
-    | Silence
-    | Deliver
-    | Lose
-    | Save
-    | Crash
-    | Wipe
+    | PassTime
+    | FreezeMember
+    | DeliverMessage
+    | LoseMessage
+    | SaveToDisk
+    | CrashMember
+    | WipeDisk
     | Propose
-    | Offer
-    | Here
-    | Read
-    | Reconfigure
-    | HandOver
-    | Compact
+    | OfferCall
+    | AnnounceMember
+    | RequestRead
+    | ChangeConfiguration
+    | TransferLeadership
+    | CompactLog
 )
 Trace = list[Step]
 
 
-def line(step: Step) -> str:
+def describe_step(step: Step) -> str:
     """One step as a person reads it."""
     name = str(step.__struct_config__.tag)
-    if isinstance(step, Deliver | Lose):
-        again = ", kept in flight" if isinstance(step, Deliver) and step.keep else ""
+    if isinstance(step, DeliverMessage | LoseMessage):
+        again = ", kept in flight" if isinstance(step, DeliverMessage) and step.keep else ""
         return f"{name} {step.sender} -> {step.to} {step.message}{again}"
     return " ".join([name, *(f"{field}={getattr(step, field)!r}" for field in step.__struct_fields__)])
--- a/verification/trace.py
+++ b/verification/trace.py
@@ -10,7 +10,7 @@
 from verification.steps import Step
 
 
-class Recorded(msgspec.Struct, frozen=True):
+class RecordedTrace(msgspec.Struct, frozen=True):
     """A trace with all that a replay needs; `seed` is that of the members' own random numbers, None for none.
 
     `control` tells whole control machines from Raft alone.
@@ -23,11 +23,11 @@
     control: bool = False
 
 
-def write(path: Path, recorded: Recorded) -> None:
+def write_trace(path: Path, recorded: RecordedTrace) -> None:
     """Writes a trace to a file, to be read by `read` or by a person."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(recorded), indent=1) + b"\n")
 
 
-def read(path: Path) -> Recorded:
+def read_trace(path: Path) -> RecordedTrace:
     """Reads a trace; raises msgspec.DecodeError or OSError where the file is none."""
-    return msgspec.json.decode(path.read_bytes(), type=Recorded)
+    return msgspec.json.decode(path.read_bytes(), type=RecordedTrace)
