--- a/verification/__main__.py
+++ b/verification/__main__.py
@@ -20,9 +20,9 @@
 
 BREADTH = "breadth"
 RANDOM = "random"
-SMALL = Bounds()
-SHARED = ("members", "spares", "led", "contested", "shared_clock")
-COUNTED = [name for name in Bounds.__struct_fields__ if name not in SHARED]
+DEFAULT_BOUNDS = Bounds()
+OPTIONS_WITHOUT_COUNT = ("members", "spares", "led", "contested", "shared_clock")
+COUNT_OPTIONS = [name for name in Bounds.__struct_fields__ if name not in OPTIONS_WITHOUT_COUNT]
 
 
 @click.group()
@@ -32,8 +32,8 @@
 
 def bounds_options(command: click.Command) -> click.Command:
     """An option for each count that a path may hold."""
-    for name in reversed(COUNTED):
-        text = f"most {name} of a path; breadth first {getattr(SMALL, name)} if not given, random unbounded"
+    for name in reversed(COUNT_OPTIONS):
+        text = f"most {name} of a path; breadth first {getattr(DEFAULT_BOUNDS, name)} if not given, random unbounded"
         command = click.option(f"--{name}", type=click.IntRange(0), help=text)(command)
     return command
 
@@ -61,17 +61,17 @@
     if control and not unbounded:
         raise click.UsageError("--control needs --mode random: its states have no identity")
     limits["shared_clock"] = limits["shared_clock"] or control
-    counts = {name: limits.pop(name) for name in COUNTED}
+    counts = {name: limits.pop(name) for name in COUNT_OPTIONS}
     counts = {name: _count(name, value, unbounded) for name, value in counts.items()}
     bounds = Bounds(**limits, **counts)
-    began = time.monotonic()
+    started_at = time.monotonic()
     if mode == BREADTH:
         result = breadth_first(bounds, states, depth)
     else:
-        until = began + seconds if seconds else float("inf")
-        numbers = (seed for seed in range(first, first + seeds) if time.monotonic() < until)
+        deadline = started_at + seconds if seconds else float("inf")
+        numbers = (seed for seed in range(first, first + seeds) if time.monotonic() < deadline)
         result = random_walks(bounds, numbers, depth, ControlCluster if control else Cluster)
-    report(result, time.monotonic() - began)
+    report(result, time.monotonic() - started_at)
     if result.broken:
         if out is not None:
             traces.write_trace(out, traces.RecordedTrace(bounds, result.seed, result.trace, result.broken, control))
@@ -81,16 +81,16 @@
 def _count(name: str, value: int | None, unbounded: bool) -> int:
     if value is not None:
         return value
-    return UNBOUNDED if unbounded and name not in ("changes", "wipes", "greetings") else getattr(SMALL, name)
+    return UNBOUNDED if unbounded and name not in ("changes", "wipes", "greetings") else getattr(DEFAULT_BOUNDS, name)
 
 
 def report(result: SearchResult, seconds: float) -> None:
     """Prints what a search saw, and a failure's trace."""
-    over = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
-    pace = round(result.states / seconds) if seconds else 0
-    click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{over}, {pace} states/s")
+    scope = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
+    states_per_s = round(result.states / seconds) if seconds else 0
+    click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{scope}, {states_per_s} states/s")
     if result.coverage:
-        click.echo("seen: " + ", ".join(f"{what} {number}" for what, number in sorted(result.coverage.items())))
+        click.echo("seen: " + ", ".join(f"{event} {count}" for event, count in sorted(result.coverage.items())))
     if not result.broken:
         click.echo("every check held")
         return
@@ -122,18 +122,18 @@
 @click.argument("names", nargs=-1)
 def teeth(seeds, names) -> None:
     """Take each protection out in turn (or those whose name holds one of NAMES) and count states to a failure."""
-    blunt = 0
+    unnoticed_count = 0
     for fault in FAULTS + CONTROL_FAULTS:
         if names and not any(name in fault.name for name in names):
             continue
-        began = time.monotonic()
+        started_at = time.monotonic()
         with fault.injected() as make_cluster:
             result = random_walks(fault.bounds, range(seeds), fault.length, make_cluster, fault.weights)
-        blunt += not result.broken
-        told = f"{result.broken}; trace of {len(result.trace)}" if result.broken else "NOT NOTICED"
-        took = time.monotonic() - began
-        click.echo(f"{fault.name}: {result.states} states, {result.seeds} seeds, {took:.1f} s: {told}")
-    sys.exit(1 if blunt else 0)
+        unnoticed_count += not result.broken
+        verdict = f"{result.broken}; trace of {len(result.trace)}" if result.broken else "NOT NOTICED"
+        elapsed_s = time.monotonic() - started_at
+        click.echo(f"{fault.name}: {result.states} states, {result.seeds} seeds, {elapsed_s:.1f} s: {verdict}")
+    sys.exit(1 if unnoticed_count else 0)
 
 
 @main.command()
--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -184,7 +184,7 @@
             case steps.ChangeConfiguration():
                 self._count_event("changes")
                 voters = ClusterConfiguration(
-                    *[{name: address(name) for name in part} for part in (step.voters, step.learners)]
+                    *[{name: address(name) for name in names} for names in (step.voters, step.learners)]
                 )
                 return member.step(lambda raft: raft.change_configuration(voters, 0))
             case steps.TransferLeadership():
@@ -213,11 +213,11 @@
         if step.member not in self.members or step.source not in self.members or step.fresh in self.members:
             raise ImpossibleError(step.member)
         self._count_event("wipes")
-        lost = self.members.pop(step.member)
+        wiped = self.members.pop(step.member)
         for message_key in [message_key for message_key in self.in_flight if message_key[1] == step.member]:
             del self.in_flight[message_key]
         self.invariants.wiped_members.add(step.member)
-        self._add(step.fresh, self.members[step.source].raft.log.snapshot, lost.seed, lost.now)
+        self._add(step.fresh, self.members[step.source].raft.log.snapshot, wiped.seed, wiped.now)
         return self.invariants.committed_entries_survive(self.members)
 
     def _time_out(self, member: SimulatedMember) -> SentMessages:
@@ -226,11 +226,11 @@
         member.now = max(member.now, member.raft.timer())
         return member.step(lambda raft: None)
 
-    def _count_event(self, what: str) -> None:
-        self.event_counts[what] = self.event_counts.get(what, 0) + 1
+    def _count_event(self, event: str) -> None:
+        self.event_counts[event] = self.event_counts.get(event, 0) + 1
 
-    def _allows(self, what: str) -> bool:
-        return self.event_counts.get(what, 0) < getattr(self.bounds, what)
+    def _allows(self, event: str) -> bool:
+        return self.event_counts.get(event, 0) < getattr(self.bounds, event)
 
     def _send(self, sender: str, sent: SentMessages) -> None:
         """An announcement of a snapshot is followed by what its receiver fetches: each is a message of its own."""
@@ -238,8 +238,8 @@
             if to not in self.members:
                 continue
             if isinstance(message, InstallSnapshot):
-                told = replace(message, snapshot=snapshot_announcement(message.snapshot))
-                self.in_flight[(sender, to, repr(told))] = told
+                announcement = replace(message, snapshot=snapshot_announcement(message.snapshot))
+                self.in_flight[(sender, to, repr(announcement))] = announcement
             self.in_flight[(sender, to, repr(message))] = message
 
     def options(self, kind: type[steps.Step]) -> Iterator[steps.Step]:
@@ -294,7 +294,7 @@
             return
         for member in self.members.values():
             kept = KEPT_THOUSANDTHS if member.pending_save is not None else (0,)
-            yield from (steps.CrashMember(member.id, part) for part in kept)
+            yield from (steps.CrashMember(member.id, thousandths) for thousandths in kept)
 
     def _propose_options(self) -> Iterator[steps.Step]:
         command = f"c{self.event_counts.get('commands', 0)}"
@@ -348,9 +348,9 @@
 
     def _contest_first_term(self) -> None:
         """The first two members are candidates of the first term, and the third has voted for neither."""
-        for one in ("n0", "n1"):
-            self.apply(steps.Timeout(one))
-            for ends in ((one, "n2"), ("n2", one)):
+        for candidate in ("n0", "n1"):
+            self.apply(steps.Timeout(candidate))
+            for ends in ((candidate, "n2"), ("n2", candidate)):
                 self.apply(
                     next(
                         steps.DeliverMessage(*message_key) for message_key in self.in_flight if message_key[:2] == ends
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -85,7 +85,10 @@
         floor = max((index for at, index in self.acknowledged_at if at <= before), default=0)
         if touched.applied.index + lease.MAX_WATCH_LAG_ENTRIES >= floor:
             return None
-        return f"stale watch: {touched.id} holds {touched.applied.index}, {floor} was acknowledged over {WATCH_LEASE_S} s ago"
+        return (
+            f"stale watch: {touched.id} holds {touched.applied.index}, "
+            f"{floor} was acknowledged over {WATCH_LEASE_S} s ago"
+        )
 
 
 class ControlCluster(Cluster):
--- a/verification/control_faults.py
+++ b/verification/control_faults.py
@@ -45,7 +45,7 @@
     return _original_judge(sessions, replace(origin, not_after=max(sessions.latest, at)), at)
 
 
-def _count_contact_from_arrival(contact: QuorumContact, sure: float, now: float) -> None:
+def _count_contact_from_arrival(contact: QuorumContact, confirmed_stamp: float, now: float) -> None:
     """Contact that is counted from when the leader's word came."""
     contact.confirmed_at = now
 
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -31,9 +31,11 @@
         if self.kept_thousandths is None:
             super().sync(name)
             return
-        safe = self.safe.get(name, 0)
-        kept = safe + (len(self.files[name]) - safe) * self.kept_thousandths // WHOLE_WRITE_THOUSANDTHS
-        del self.files[name][kept:]
-        self.safe[name] = kept
+        synced_bytes = self.safe.get(name, 0)
+        kept_bytes = (
+            synced_bytes + (len(self.files[name]) - synced_bytes) * self.kept_thousandths // WHOLE_WRITE_THOUSANDTHS
+        )
+        del self.files[name][kept_bytes:]
+        self.safe[name] = kept_bytes
         self.kept_thousandths = None
         raise PowerLossError(name)
--- a/verification/explorer.py
+++ b/verification/explorer.py
@@ -36,7 +36,7 @@
 
 
 def breadth_first(
-    bounds: Bounds, most: int, depth: int = 1 << 30, make_cluster: ClusterFactory = Cluster
+    bounds: Bounds, max_states: int, depth: int = 1 << 30, make_cluster: ClusterFactory = Cluster
 ) -> SearchResult:
     """Visits every state within the bounds, nearest first, until `most` states: its trace to a failure is shortest."""
     first = make_cluster(bounds)
@@ -60,7 +60,7 @@
                 continue
             seen.add(key)
             result.states, result.depth = result.states + 1, distance + 1
-            if result.states >= most:
+            if result.states >= max_states:
                 return result
             queue.append((following, extended_path, distance + 1))
     result.complete = True
@@ -120,8 +120,8 @@
             total.steps + path_result.steps,
         )
         total.depth = max(total.depth, path_result.depth)
-        for what, number in path_result.coverage.items():
-            total.coverage[what] = total.coverage.get(what, 0) + number
+        for event, count in path_result.coverage.items():
+            total.coverage[event] = total.coverage.get(event, 0) + count
         if path_result.broken:
             total.seed = seed
             total.trace = shorten(path_result.trace, path_result.broken, partial(make_cluster, bounds, seed=seed))
@@ -143,40 +143,40 @@
     return None
 
 
-def shorten(trace: Trace, broken: str, first: Callable[[], Any]) -> Trace:
+def shorten(trace: Trace, broken: str, make_first_cluster: Callable[[], Any]) -> Trace:
     """Leaves out steps as long as the same invariant still breaks; steps that have become impossible go too.
 
     It ends with what it has once it has taken `SHORTEN_STEPS`, a count and no time, so that it ends the same extended_path again.
     """
-    taken = 0
+    applied_steps = 0
     kind = broken.partition(":")[0]
     size = len(trace) // 2
     while size:
-        before, at = len(trace), 0
-        while at < len(trace) and taken < MAX_SHORTEN_STEPS:
-            taken += len(trace)
-            shorter = _possible_steps(trace[:at] + trace[at + size :], kind, first())
+        previous_length, start = len(trace), 0
+        while start < len(trace) and applied_steps < MAX_SHORTEN_STEPS:
+            applied_steps += len(trace)
+            shorter = _possible_steps(trace[:start] + trace[start + size :], kind, make_first_cluster())
             if shorter is None or len(shorter) >= len(trace):
-                at += size
+                start += size
             else:
                 trace = shorter
-        if size > 1 or len(trace) == before:
+        if size > 1 or len(trace) == previous_length:
             size //= 2
     return trace
 
 
 def _possible_steps(trace: Trace, kind: str, cluster: Any) -> Trace | None:
     """The steps that can be taken, up to a failure of this kind; None if there is none."""
-    taken: list[Step] = []
-    for wanted in trace:
-        step = _closest_step(wanted, cluster)
+    applied: list[Step] = []
+    for original in trace:
+        step = _closest_step(original, cluster)
         try:
             broken = cluster.apply(step)
         except ImpossibleError:
             continue
-        taken.append(step)
+        applied.append(step)
         if broken:
-            return taken if broken.partition(":")[0] == kind else None
+            return applied if broken.partition(":")[0] == kind else None
     return None
 
 
@@ -185,8 +185,8 @@
     if not isinstance(step, DeliverMessage | LoseMessage) or (step.sender, step.to, step.message) in cluster.in_flight:
         return step
     kind = step.message.partition("(")[0]
-    alike = [text for *ends, text in cluster.in_flight if ends == [step.sender, step.to] and text.startswith(kind)]
-    return msgspec.structs.replace(step, message=alike[-1]) if alike else step
+    candidates = [text for *ends, text in cluster.in_flight if ends == [step.sender, step.to] and text.startswith(kind)]
+    return msgspec.structs.replace(step, message=candidates[-1]) if candidates else step
 
 
 def numbered_lines(trace: Trace) -> list[str]:
--- a/verification/faults.py
+++ b/verification/faults.py
@@ -58,10 +58,10 @@
 
     def ready(self, now: float) -> Ready:
         """What is to be written and sent."""
-        out = super().ready(now)
-        if not out.entries and out.snapshot is None:
-            out.hard_state = None
-        return out
+        ready = super().ready(now)
+        if not ready.entries and ready.snapshot is None:
+            ready.hard_state = None
+        return ready
 
 
 class SendsBeforeSaving(Raft):
@@ -69,9 +69,9 @@
 
     def ready(self, now: float) -> Ready:
         """What is to be written and sent."""
-        out = super().ready(now)
-        out.before_save, out.after_save = out.before_save + out.after_save, []
-        return out
+        ready = super().ready(now)
+        ready.before_save, ready.after_save = ready.before_save + ready.after_save, []
+        return ready
 
 
 class VotesForAnyLog(Raft):
@@ -95,10 +95,10 @@
 
     def _advance(self) -> None:
         super()._advance()
-        count = self.log.configuration.majority_value(
+        replicated_index = self.log.configuration.majority_value(
             lambda name: self._saved_index if name == self.me else self._progress_of(name).match_index
         )
-        self.commit_index = max(self.commit_index, count)
+        self.commit_index = max(self.commit_index, replicated_index)
 
 
 class UnconfirmedReads(Raft):
--- a/verification/histories.py
+++ b/verification/histories.py
@@ -119,9 +119,9 @@
     def __str__(self) -> str:
         """One line for findings."""
         end = "..." if self.ended is None else f"{self.ended:.3f}"
-        asked = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
-        told = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
-        return f"[{self.begun:.3f}, {end}] {self.caller} {self.call.__struct_config__.tag} {asked} -> {told}"
+        arguments = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
+        answer = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
+        return f"[{self.begun:.3f}, {end}] {self.caller} {self.call.__struct_config__.tag} {arguments} -> {answer}"
 
 
 _decode = msgspec.json.Decoder(Operation).decode
@@ -136,20 +136,20 @@
 def load(path: Path) -> Result[list[Operation], Findings]:
     """Return a recorded history, or findings that name each line which is not understood."""
     operations: list[Operation] = []
-    found: Findings = []
-    for n, line in enumerate(path.read_bytes().splitlines(), 1):
+    findings: Findings = []
+    for number, line in enumerate(path.read_bytes().splitlines(), 1):
         if not line.strip():
             continue
         try:
             operation = _decode(line)
-        except (msgspec.DecodeError, UnicodeDecodeError) as e:
-            found.append(Finding(f"{path.name}:{n}", str(e)))
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            findings.append(Finding(f"{path.name}:{number}", str(error)))
             continue
-        wrong = _invalid_reason(operation)
-        if wrong:
-            found.append(Finding(f"{path.name}:{n}", wrong))
+        reason = _invalid_reason(operation)
+        if reason:
+            findings.append(Finding(f"{path.name}:{number}", reason))
         operations.append(operation)
-    return Err(found) if found else Ok(operations)
+    return Err(findings) if findings else Ok(operations)
 
 
 def _invalid_reason(operation: Operation) -> str:
@@ -190,8 +190,8 @@
     def record_answer(self, place: int, ended: float, outcome: OperationOutcome, number: int = 0) -> None:
         """Write down the answer (s) of a call; one of unknown outcome stays without its end."""
         if outcome is not OperationOutcome.UNKNOWN:
-            was = self.operations[place]
-            self.operations[place] = msgspec.structs.replace(was, ended=ended, outcome=outcome, number=number)
+            call = self.operations[place]
+            self.operations[place] = msgspec.structs.replace(call, ended=ended, outcome=outcome, number=number)
 
 
 CALL_TYPES: dict[ObjectKind, tuple[type, ...]] = {
--- a/verification/identity.py
+++ b/verification/identity.py
@@ -88,11 +88,11 @@
     if isinstance(state, dict):
         return sorted((key, canonical_form(value, now, excluded)) for key, value in state.items())
     if isinstance(state, set | frozenset):
-        return sorted(canonical_form(part, now, excluded) for part in state)
+        return sorted(canonical_form(element, now, excluded) for element in state)
     if isinstance(state, tuple) and state and state[0] == NO_MEMBER:
         return NO_MEMBER
     if isinstance(state, list | tuple | deque):
-        return [canonical_form(part, now, excluded) for part in state]
+        return [canonical_form(element, now, excluded) for element in state]
     if isinstance(state, msgspec.Struct):
         return [canonical_form(getattr(state, name), now, excluded) for name in state.__struct_fields__]
     return [
@@ -104,13 +104,13 @@
     """What makes two messages the same: all that they say, stamps relative to the clock of all, or without them."""
     if not any(isinstance(value, float) for value in msgspec.structs.astuple(message)):
         return message
-    parts = msgspec.structs.astuple(message)
-    return [0 if now is None and isinstance(part, float) else canonical_form(part, now or 0.0) for part in parts]
+    values = msgspec.structs.astuple(message)
+    return [0 if now is None and isinstance(value, float) else canonical_form(value, now or 0.0) for value in values]
 
 
-def digest(shaped: Any) -> bytes:
+def digest(canonical: Any) -> bytes:
     """A name of 16 bytes for plain values."""
-    return hashlib.blake2b(repr(shaped).encode(), digest_size=16).digest()
+    return hashlib.blake2b(repr(canonical).encode(), digest_size=16).digest()
 
 
 class ZeroRandom(random.Random):
--- a/verification/invariants.py
+++ b/verification/invariants.py
@@ -110,11 +110,11 @@
 
         A member that is new, or back, counts as lost until it holds all that is committed.
         """
-        whole = set(members) - {name}
+        complete = set(members) - {name}
         if self.committed:
             entry = self.committed[-1][0]
-            whole &= _disks_with_entry(members, entry.index, entry.term)
-        return all(_is_quorum(whole, voters) for member in members.values() for voters in _configurations(member))
+            complete &= _disks_with_entry(members, entry.index, entry.term)
+        return all(_is_quorum(complete, voters) for member in members.values() for voters in _configurations(member))
 
     def committed_entries_survive(self, members: Members) -> str | None:
         """Those without an entry that was committed cannot elect a leader among themselves."""
@@ -130,13 +130,16 @@
         if not touched.raft.leads:
             return None
         changes = [entry for entry in log.entries if entry.kind == CONFIGURATION]
-        done = max(touched.raft.commit_index, len(self.committed))
-        if sum(entry.index > done for entry in changes) > 1:
+        committed_index = max(touched.raft.commit_index, len(self.committed))
+        if sum(entry.index > committed_index for entry in changes) > 1:
             return f"one change at a time: {touched.id} has two changes of voters under way"
-        sets = _configurations(touched)
-        for before, after in itertools.pairwise(sets):
+        configurations = _configurations(touched)
+        for before, after in itertools.pairwise(configurations):
             if not _quorums_meet(before, after):
-                return f"one change at a time: quorums of {_voter_names(before)} and of {_voter_names(after)} need not meet"
+                return (
+                    f"one change at a time: quorums of {_voter_names(before)} "
+                    f"and of {_voter_names(after)} need not meet"
+                )
         return None
 
     def fresh_reads(self, touched: SimulatedMember) -> str | None:
@@ -150,8 +153,8 @@
         return None
 
 
-def _logs_match(one: SimulatedMember, two: SimulatedMember) -> bool:
-    left, right = one.raft.log, two.raft.log
+def _logs_match(one_member: SimulatedMember, other_member: SimulatedMember) -> bool:
+    left, right = one_member.raft.log, other_member.raft.log
     low = max(left.snapshot_index, right.snapshot_index)
     high = min(left.last_index, right.last_index)
     while high > low and left.term(high) != right.term(high):
@@ -194,12 +197,12 @@
         {*before.voters, *after.voters, *getattr(before, "old_voters", {}), *getattr(after, "old_voters", {})}
     )
     for size in range(len(everyone) + 1):
-        for part in itertools.combinations(everyone, size):
-            if _is_quorum(set(part), before) and _is_quorum(set(everyone) - set(part), after):
+        for group in itertools.combinations(everyone, size):
+            if _is_quorum(set(group), before) and _is_quorum(set(everyone) - set(group), after):
                 return False
     return True
 
 
 def _voter_names(voters: ClusterConfiguration) -> str:
-    old = getattr(voters, "old_voters", {})
-    return "+".join(sorted(voters.voters)) + (" with " + "+".join(sorted(old)) if old else "")
+    old_voters = getattr(voters, "old_voters", {})
+    return "+".join(sorted(voters.voters)) + (" with " + "+".join(sorted(old_voters)) if old_voters else "")
--- a/verification/linearizability.py
+++ b/verification/linearizability.py
@@ -92,19 +92,19 @@
 
 def check(operations: list[Operation], steps: int = MAX_STEPS) -> CheckReport:
     """Hold a history against the specification of each object in it, with at most `steps` for each object."""
-    parts: dict[Partition, list[Operation]] = defaultdict(list)
+    operations_by_partition: dict[Partition, list[Operation]] = defaultdict(list)
     for operation in operations:
-        parts[Partition(operation.kind, operation.name)].append(operation)
-    report = CheckReport(operations=len(operations), partitions=len(parts))
-    for partition, some in sorted(parts.items()):
+        operations_by_partition[Partition(operation.kind, operation.name)].append(operation)
+    report = CheckReport(operations=len(operations), partitions=len(operations_by_partition))
+    for partition, partition_operations in sorted(operations_by_partition.items()):
         specification = SPECIFICATIONS[partition.kind]
-        search = Search(specification, some, steps)
+        search = Search(specification, partition_operations, steps)
         verdict = search.run()
         report.steps += search.steps
         if verdict is None:
             report.undecided.append(partition)
         elif not verdict:
-            report.violations.append(_smallest_violation(partition, specification, some, steps))
+            report.violations.append(_smallest_violation(partition, specification, partition_operations, steps))
     return report
 
 
@@ -129,8 +129,8 @@
 
     def __init__(self, specification: Specification, operations: list[Operation], budget: int):
         """Take the operations on one object; `budget` is the most steps (answers of the specification) to ask for."""
-        kept = [operation for operation in operations if operation.outcome is not OperationOutcome.REFUSED]
-        relevant = sorted(specification.relevant(kept), key=lambda operation: (operation.begun, operation.latest))
+        accepted = [operation for operation in operations if operation.outcome is not OperationOutcome.REFUSED]
+        relevant = sorted(specification.relevant(accepted), key=lambda operation: (operation.begun, operation.latest))
         self.certain = [operation for operation in relevant if not operation.unknown]
         self.unknown = [operation for operation in relevant if operation.unknown]
         self.specification, self.budget, self.steps = specification, budget, 0
@@ -198,16 +198,16 @@
     def _candidates(self, node: SearchNode) -> list[tuple[int, Operation]]:
         """Operations that began before each one not yet placed had ended; certain ones first, by their answers."""
         end = float("inf")
-        some: list[tuple[int, Operation]] = []
+        unplaced: list[tuple[int, Operation]] = []
         for position in range(node.next_certain, len(self.certain)):
             operation = self.certain[position]
             if operation.begun > end:
                 break
             if not node.placed_certain >> (position - node.next_certain) & 1:
                 end = min(end, operation.latest)
-                some.append((position, operation))
+                unplaced.append((position, operation))
         certain = sorted(
-            ((position, operation) for position, operation in some if operation.begun <= end),
+            ((position, operation) for position, operation in unplaced if operation.begun <= end),
             key=lambda candidate: (candidate[1].number, candidate[1].latest),
         )
         unplaced_unknown = [
@@ -219,18 +219,18 @@
 
 
 def _smallest_violation(
-    partition: Partition, specification: Specification, some: list[Operation], steps: int
+    partition: Partition, specification: Specification, operations: list[Operation], steps: int
 ) -> Violation:
     """The shortest prefix in time that cannot be ordered: what a history shows by then, its calls under way unknown."""
-    ends = sorted({operation.latest for operation in some if not operation.unknown})
+    ends = sorted({operation.latest for operation in operations if not operation.unknown})
     low, high = 0, len(ends) - 1
     while low < high:
         middle = (low + high) // 2
-        if Search(specification, _history_until(some, ends[middle]), steps).run() is False:
+        if Search(specification, _history_until(operations, ends[middle]), steps).run() is False:
             high = middle
         else:
             low = middle + 1
-    prefix = _history_until(some, ends[high])
+    prefix = _history_until(operations, ends[high])
     search = Search(specification, prefix, steps)
     search.run()
     return Violation(partition, len(prefix), search.longest, search.blocked(), str(search.state()))
@@ -257,8 +257,8 @@
     """Check a recorded history and print what was found; 0 only if every partition was ordered."""
     operations = load(Path(path))
     if isinstance(operations, Err):
-        for f in operations.err_value:
-            click.echo(str(f), err=True)
+        for finding in operations.err_value:
+            click.echo(str(finding), err=True)
         return EXIT_UNREADABLE
     report = check(operations.ok_value)
     for finding in report.findings():
--- a/verification/member.py
+++ b/verification/member.py
@@ -68,10 +68,10 @@
 
     def term(self, index: int) -> int | None:
         """The term of the entry held at an index, None if there is none."""
-        at = index - self.base
-        if at == 0:
+        position = index - self.base
+        if position == 0:
             return self.base_term
-        return self.terms[at - 1] if 0 < at <= len(self.terms) else None
+        return self.terms[position - 1] if 0 < position <= len(self.terms) else None
 
 
 class AnsweredRead(msgspec.Struct, frozen=True):
@@ -255,7 +255,7 @@
             self.proposed_terms.clear()
             return
         answered = self.pending_reads.answer(self.raft.rounds.confirmed, self.applied, self.raft.term, self.now)
-        self.read_answers += [AnsweredRead(floor, took.revision) for floor, took in answered]
+        self.read_answers += [AnsweredRead(floor, result.revision) for floor, result in answered]
 
 
 def snapshot_announcement(snapshot: RaftSnapshot) -> RaftSnapshot:
--- a/verification/scheduler.py
+++ b/verification/scheduler.py
@@ -71,12 +71,12 @@
     def _deliverable(self, options: list[steps.DeliverMessage]) -> list[steps.DeliverMessage]:
         """Those over links that are not dark, mostly the oldest; few of them are kept in flight."""
         keep = self.rng.random() < DUPLICATE_PROBABILITY
-        lit = [step for step in options if (step.sender, step.to) not in self._blocked_links]
-        some = [step for step in lit if step.keep == keep] or lit
-        return some[:OLDEST_CHOICES] if self.rng.random() < IN_ORDER_PROBABILITY else some
+        reachable = [step for step in options if (step.sender, step.to) not in self._blocked_links]
+        preferred = [step for step in reachable if step.keep == keep] or reachable
+        return preferred[:OLDEST_CHOICES] if self.rng.random() < IN_ORDER_PROBABILITY else preferred
 
     def _advance_phase(self, cluster: Any) -> None:
-        """Now and then other links are dark: none, or each between two members, or some alone, often a leader."""
+        """Now and then other links are dark: none, or each between two members, or some isolated, often a leader."""
         self._phase_steps_left -= 1
         if self._phase_steps_left > 0:
             return
@@ -86,20 +86,20 @@
             return
         names = list(cluster.members)
         if len(names) > 1 and self.rng.random() < SINGLE_PAIR_PROBABILITY:
-            one, other = self.rng.sample(names, 2)
-            self._blocked_links = {(one, other), (other, one)}
+            first, second = self.rng.sample(names, 2)
+            self._blocked_links = {(first, second), (second, first)}
             return
         leaders = [name for name, member in cluster.members.items() if member.raft.leads]
-        alone = set(self.rng.sample(names, self.rng.randint(1, (len(names) + 1) // 2)))
+        isolated = set(self.rng.sample(names, self.rng.randint(1, (len(names) + 1) // 2)))
         if leaders and self.rng.random() < ISOLATE_LEADER_PROBABILITY:
-            alone = {self.rng.choice(leaders)}
+            isolated = {self.rng.choice(leaders)}
         inward, outward = self.rng.choice([(True, True), (True, True), (True, False), (False, True)])
-        for one in alone:
-            for other in set(names) - alone:
+        for member in isolated:
+            for peer in set(names) - isolated:
                 if outward:
-                    self._blocked_links.add((one, other))
+                    self._blocked_links.add((member, peer))
                 if inward:
-                    self._blocked_links.add((other, one))
+                    self._blocked_links.add((peer, member))
 
 
 def _calm_options(kind: type[steps.Step], options: list[Any], cluster: Any) -> list[Any]:
--- a/verification/specifications.py
+++ b/verification/specifications.py
@@ -29,6 +29,12 @@
 State = TypeVar("State")
 
 
+def _finding_text(name: str, state: msgspec.Struct) -> str:
+    """Returns the fields of a state under the name that findings have always printed for it."""
+    fields = ", ".join(f"{field}={getattr(state, field)!r}" for field in state.__struct_fields__)
+    return f"{name}({fields})"
+
+
 class Specification(Protocol[State]):
     """The sequential object that one partition of a history is held against."""
 
@@ -60,6 +66,10 @@
     tokens: tuple[int, ...] = ()
     until: float = 0.0
 
+    def __str__(self) -> str:
+        """Returns the text that findings print."""
+        return _finding_text("Holding", self)
+
 
 class LockSpecification:
     """A lock with fencing tokens whose hold lapses by time.
@@ -148,6 +158,10 @@
     shown: int | None = 0
     floor: int = 0
 
+    def __str__(self) -> str:
+        """Returns the text that findings print."""
+        return _finding_text("Cell", self)
+
 
 class KeySpecification:
     """A key with a value and a revision that rises strictly with each put.
@@ -232,6 +246,10 @@
     version: int = 0
     content: str | None = None
 
+    def __str__(self) -> str:
+        """Returns the text that findings print."""
+        return _finding_text("Kept", self)
+
 
 class ItemSpecification:
     """An item whose highest version wins.
@@ -271,11 +289,11 @@
         for operation in operations:
             if isinstance(operation.call, AmendItem):
                 contents.setdefault(operation.call.version, set()).add(operation.call.content)
-        disputed = min((v for v, some in contents.items() if len(some) > 1), default=None)
-        out = []
+        disputed = min((version for version, variants in contents.items() if len(variants) > 1), default=None)
+        relevant = []
         for operation in operations:
             if not operation.unknown:
-                out.append(operation)
+                relevant.append(operation)
             elif isinstance(operation.call, AmendItem):
                 read = (
                     absent
@@ -283,8 +301,8 @@
                     else (operation.call.version, operation.call.content) in seen
                 )
                 if read or disputed is not None and operation.call.version > disputed:
-                    out.append(operation)
-        return out
+                    relevant.append(operation)
+        return relevant
 
 
 SPECIFICATIONS: dict[ObjectKind, Specification] = {
