--- a/verification/__main__.py
+++ b/verification/__main__.py
@@ -1,4 +1,4 @@
-"""The commands: search states, replay a trace, take protections out, check a recorded history."""
+"""Command line: explores states, replays a trace, injects faults, checks a recorded history."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def bounds_options(command: click.Command) -> click.Command:
-    """An option for each count that a path may hold."""
+    """Adds an option for each count that bounds a path."""
     for name in reversed(COUNT_OPTIONS):
         text = f"most {name} of a path; breadth first {getattr(DEFAULT_BOUNDS, name)} if not given, random unbounded"
         command = click.option(f"--{name}", type=click.IntRange(0), help=text)(command)
@@ -85,7 +85,7 @@
 
 
 def report(result: SearchResult, seconds: float) -> None:
-    """Prints what a search saw, and a failure's trace."""
+    """Prints the figures of a search, and the trace of a failure."""
     scope = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
     states_per_s = round(result.states / seconds) if seconds else 0
     click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{scope}, {states_per_s} states/s")
--- a/verification/bounds.py
+++ b/verification/bounds.py
@@ -1,4 +1,4 @@
-"""How far an exploration goes: how many of each kind of event one path may hold."""
+"""Bounds of an exploration: the highest number of events of each kind in one path."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """Counts of one path, but for `members` and `spares`, which are machines, and `terms`, the highest term.
+    """The highest number of events of each kind in one path.
 
-    `led` starts with an elected leader, `contested` with two candidates of the first term.
+    `members` and `spares` count machines, and `terms` is the highest term. A path with `led` starts with an elected
+    leader, one with `contested` with two candidates of the first term.
     """
 
     members: int = 3
--- a/verification/cluster.py
+++ b/verification/cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of members and the messages between them: which steps are possible, and what each does."""
+"""A cluster of members and the messages between them: the steps that are possible and their effects."""
 
 from __future__ import annotations
 
@@ -25,18 +25,20 @@
 FIRST_PORT = 7001
 CLOCK_ADVANCES_MS = (30, 300)
 KEPT_THOUSANDTHS = (0, WHOLE_WRITE_THOUSANDTHS // 2, WHOLE_WRITE_THOUSANDTHS)
+"""The parts of a pending write that a crash may leave on the disk."""
 FAILURE_EXCEPTIONS = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError, MsgspecError, UnwrapError)
+"""Exceptions of the product that count as a violation found by the search."""
 MessageKey = tuple[str, str, str]
 
 
 class ImpossibleError(Exception):
-    """A step that this state does not allow: the trace belongs to another state."""
+    """Raised for a step that the current state doesn't allow, as in a trace of another state."""
 
 
 class Cluster:
-    """The members, what is in flight, what was spent of the bounds, and the record of what the checks remember.
+    """The members, the messages in flight, the counts of events so far, and the invariant checker.
 
-    A message in flight is known by its sender, its receiver and its text, so two that say the same are one.
+    A message in flight is identified by its sender, its receiver and its text, so two equal messages count as one.
     """
 
     __slots__ = (
@@ -58,7 +60,7 @@
         seed: int | None = None,
         member_class: type[SimulatedMember] = SimulatedMember,
     ):
-        """With no `seed` the members' random numbers are all 0, which the breadth-first search needs."""
+        """Without a `seed` all random numbers of the members are 0, which the breadth-first search requires."""
         self.bounds, self.raft_class, self.member_class = bounds, raft_class, member_class
         names = [f"n{number}" for number in range(bounds.members)]
         first = member_class.founding_snapshot(GROUP, ClusterConfiguration({name: address(name) for name in names}))
@@ -78,7 +80,7 @@
         self.members[name] = self.member_class(name, self.raft_class, seed, snapshot, now)
 
     def fork(self) -> Cluster:
-        """A cluster in the same state; members are copied once they are touched. For clusters without a seed."""
+        """Returns a cluster in the same state, which copies a member at its first change. Requires no seed."""
         other = object.__new__(Cluster)
         other.bounds, other.raft_class, other.member_class = self.bounds, self.raft_class, self.member_class
         other.members, other.in_flight, other.event_counts = (
@@ -91,7 +93,7 @@
         return other
 
     def state_key(self) -> bytes:
-        """The identity of the state: members, messages in flight, what the bounds still allow, and what is recorded."""
+        """Returns the identity of the state: members, messages in flight, event counts, checker state."""
         timed = self.bounds.shared_clock
         now = next(iter(self.members.values())).now if timed else None
         members = [member.state_key(timed) for member in self.members.values()]
@@ -101,7 +103,7 @@
         return digest([members, in_flight, sorted(self.event_counts.items()), self.invariants.state_key()])
 
     def apply(self, step: steps.Step) -> str | None:
-        """Takes one step and checks the state; gives what is broken, if anything. Raises ImpossibleError."""
+        """Applies one step and checks the state; returns the violation, if any. Raises ImpossibleError."""
         try:
             return self._apply_step(step)
         except FAILURE_EXCEPTIONS as error:
@@ -125,7 +127,10 @@
         return self._send_and_check(touched, sent)
 
     def _send_and_check(self, name: str, sent: SentMessages) -> str | None:
-        """Sends and checks; where no crash can come between, a write is done at once, and checked by itself."""
+        """Puts messages in flight and checks the state.
+
+        Where the bounds allow no more crashes, a pending write completes at once and is checked by itself.
+        """
         member = self.members[name]
         self._send(name, sent)
         broken = self.invariants.check(self.members, member)
@@ -197,7 +202,7 @@
         raise ImpossibleError(str(step))
 
     def _pass_time(self, step: steps.PassTime) -> str | None:
-        """Time passes for all; those that neither are frozen nor wait for their disk see it at once."""
+        """Advances all clocks; members that are neither frozen nor waiting for their disk react at once."""
         self._count_event("passes")
         for name in list(self.members):
             member = self._own_member(name)
@@ -233,7 +238,10 @@
         return self.event_counts.get(event, 0) < getattr(self.bounds, event)
 
     def _send(self, sender: str, sent: SentMessages) -> None:
-        """An announcement of a snapshot is followed by what its receiver fetches: each is a message of its own."""
+        """Puts messages in flight.
+
+        The announcement of a snapshot and the snapshot that its receiver fetches afterwards are two messages.
+        """
         for to, message in sent:
             if to not in self.members:
                 continue
@@ -243,22 +251,25 @@
             self.in_flight[(sender, to, repr(message))] = message
 
     def options(self, kind: type[steps.Step]) -> Iterator[steps.Step]:
-        """The steps of one kind that this state and the bounds allow."""
+        """Returns the steps of one kind that the state and the bounds allow."""
         tag = str(kind.__struct_config__.tag)
         return getattr(self, f"_{tag.replace('-', '_')}_options")()
 
     def all_steps(self) -> Iterator[steps.Step]:
-        """All steps that this state and the bounds allow; what is never delivered is as good as lost."""
+        """Yields all steps that the state and the bounds allow.
+
+        Losses are left out, since a message that is never delivered is equivalent to a lost one.
+        """
         for kind in get_args(steps.Step):
             if kind is not steps.LoseMessage:
                 yield from self.options(kind)
 
     def idle_members(self) -> Iterator[SimulatedMember]:
-        """The members that do not wait for their disk."""
+        """Returns the members that don't wait for their disk."""
         return (member for member in self.members.values() if member.pending_save is None)
 
     def idle_leaders(self, budget: str) -> Iterator[SimulatedMember]:
-        """The idle members that lead, if the budget allows something of this kind."""
+        """Returns the idle leaders, if the bounds allow another event of this kind."""
         return (member for member in self.idle_members() if member.raft.leads and self._allows(budget))
 
     def _timeout_options(self) -> Iterator[steps.Step]:
@@ -336,7 +347,7 @@
                 yield steps.ChangeConfiguration(member.id, voters, learners)
 
     def _elect_first_leader(self) -> None:
-        """The first member is elected and its first entry is everywhere: a start further on."""
+        """Elects the first member and replicates its first entry everywhere."""
         self.apply(steps.Timeout("n0"))
         while True:
             for member in self.members.values():
@@ -347,7 +358,7 @@
             self.apply(steps.DeliverMessage(*next(iter(self.in_flight))))
 
     def _contest_first_term(self) -> None:
-        """The first two members are candidates of the first term, and the third has voted for neither."""
+        """Makes the first two members candidates of the first term; the third votes for neither."""
         for candidate in ("n0", "n1"):
             self.apply(steps.Timeout(candidate))
             for ends in ((candidate, "n2"), ("n2", candidate)):
@@ -361,5 +372,5 @@
 
 
 def address(name: str) -> Address:
-    """The address of a member, by the number in its name."""
+    """Returns the address of a member, derived from the number in its name."""
     return Address(HOST, FIRST_PORT + int(name[1:]))
--- a/verification/control_cluster.py
+++ b/verification/control_cluster.py
@@ -1,4 +1,4 @@
-"""A cluster of whole control machines with callers: their calls are offered, offered again, and come late."""
+"""A cluster of control-plane members with clients, whose calls are sent, retried and delivered late."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ClientCall(msgspec.Struct):
-    """One call: its frames so far, and the caller's own word on it once it is done."""
+    """One call: the frames sent so far, and the final code that its client received ("" while it waits)."""
 
     call: Call
     frames: list[bytes] = []
@@ -33,28 +33,31 @@
 
 
 def _offerable_frames(client_call: ClientCall) -> set[int]:
-    """Those that may come now: the first and the last once more, and a new one while the caller waits."""
+    """Returns the frames that may arrive now: the first and the last, and a new one while the client waits."""
     newest = len(client_call.frames) - 1
     return {0, newest} if client_call.final_code else {0, newest, newest + 1}
 
 
 class ControlInvariantChecker(InvariantChecker):
-    """Checks of calls and leases besides those of Raft."""
+    """Checks the invariants of client calls and leases besides those of Raft."""
 
     __slots__ = ("client_calls", "acknowledged_at")
 
     def __init__(self) -> None:
-        """Nothing has happened."""
+        """Starts with no calls and no acknowledgements."""
         super().__init__()
         self.client_calls: list[ClientCall] = []
         self.acknowledged_at: list[tuple[float, int]] = []
 
     def check(self, members: Members, touched: SimulatedMember) -> str | None:
-        """Checks all that the last step, at one member, can have broken."""
+        """Checks every invariant that the last step, at one member, can have violated."""
         return super().check(members, touched) or self.at_most_once(touched) or self.fresh_watches(touched)
 
     def at_most_once(self, touched: ControlMember) -> str | None:
-        """Each call took effect once at most, in an entry of a time up to its not-after; one refused took none."""
+        """Each call takes effect at most once, in an entry timed no later than its not-after.
+
+        A refused call takes no effect.
+        """
         seen: dict[str, int] = {}
         for event in touched.core.state.coordination.events:
             number = int(event.name)
@@ -67,7 +70,7 @@
         return None
 
     def record_acknowledgement(self, client_call: ClientCall, number: int, revision: int, now: float) -> str | None:
-        """A call was acknowledged; always with the same revision."""
+        """Records that a call was acknowledged; its revision must never change."""
         client_call.revisions.add(revision)
         if len(client_call.revisions) > 1:
             return f"once: call {number} was acknowledged with revisions {sorted(client_call.revisions)}"
@@ -78,7 +81,10 @@
         return None
 
     def fresh_watches(self, touched: ControlMember) -> str | None:
-        """Who answers watches has all but the permitted lag of what was acknowledged longer ago than their bound."""
+        """A member that answers watches lags by no more than the permitted number of entries.
+
+        The lag counts from the last entry that was acknowledged at least one watch lease ago.
+        """
         if not touched.may_answer_watches():
             return None
         before = touched.now - WATCH_LEASE_S
@@ -92,13 +98,13 @@
 
 
 class ControlCluster(Cluster):
-    """Members of the control plane, on one clock, and their callers, all of one session."""
+    """Members of the control plane on one shared clock, and clients that share one session."""
 
     __slots__ = ("session",)
     checker_class = ControlInvariantChecker
 
     def __init__(self, bounds: Bounds, seed: int | None = None, raft_class=None, member_class=ControlMember):
-        """With a seed only: its states have no identity."""
+        """Requires a seed, since states of control-plane members have no identity."""
         self.session = Session(lambda: 1)
         super().__init__(bounds, seed=seed, member_class=member_class)
 
--- a/verification/control_faults.py
+++ b/verification/control_faults.py
@@ -1,4 +1,4 @@
-"""Protections of the control machine taken out one at a time: sessions, not-after, leases."""
+"""Injected faults of the control plane: each removes one protection of sessions, not-after times or leases."""
 
 from __future__ import annotations
 
@@ -24,34 +24,37 @@
 NOT_AFTER = "not after"
 STALE_WATCH = "stale watch"
 NO_WATCH_LAG = ((lease, "MAX_WATCH_LAG_ENTRIES", 0),)
-"""With it a watch may lag by no entry, so that short logs show what long ones would."""
+"""Permits a watch no lag, so that the short logs of a random walk show the violations that long logs would."""
 
 _original_judge = Sessions.judge
 _original_on_append_entries = Raft._on_append_entries
 
 
 def _discard_outcome(sessions: Sessions, origin: Origin, outcome: Outcome) -> None:
-    """A memory of nothing."""
+    """Stores no outcome."""
 
 
 def _discard_rows(sessions: Sessions, rows: list[Kept]) -> None:
-    """A snapshot that brings no memory."""
+    """Takes over no outcomes from a snapshot."""
 
 
 def _ignore_not_after(sessions: Sessions, origin: Origin, at: int) -> Outcome | Code | None:
-    """A judgement that takes the late for timely."""
+    """Judges a late command as if it had arrived in time."""
     if (origin.session, origin.number) in sessions.rows:
         return _original_judge(sessions, origin, at)
     return _original_judge(sessions, replace(origin, not_after=max(sessions.latest, at)), at)
 
 
 def _count_contact_from_arrival(contact: QuorumContact, confirmed_stamp: float, now: float) -> None:
-    """Contact that is counted from when the leader's word came."""
+    """Counts quorum contact from the arrival of the leader's message, not from the question."""
     contact.confirmed_at = now
 
 
 def _commit_index_from_matching_appends(raft: Raft, sender: str, message: AppendEntries, now: float) -> None:
-    """What is decided is heard only from an append that fits the log, contact from every one."""
+    """Learns the commit index only from an append that matches the log.
+
+    Quorum contact still counts from every append.
+    """
     previous = raft.known_commit_index
     _original_on_append_entries(raft, sender, message, now)
     if not raft._after_save[-1][1].ok:
@@ -59,12 +62,12 @@
 
 
 def _contact_is_now(raft: Raft) -> float:
-    """A leader, or a follower, that takes itself to be in touch for ever."""
+    """Reports permanent contact with a quorum, at a leader and at a follower."""
     return raft._now
 
 
 def _current_in_any_term(core: Core, now: float) -> bool:
-    """Watches served from a state of an earlier term."""
+    """Serves watches from a state of an earlier term."""
     return (
         core.may_answer(lease.AnswerKind.WATCH, now)
         and core.state.index + lease.MAX_WATCH_LAG_ENTRIES >= core.raft.known_commit_index
@@ -72,7 +75,7 @@
 
 
 def _leads_before_applying(core: Core) -> bool:
-    """A leader that answers before it has applied what former ones acknowledged."""
+    """Answers as leader before all entries that earlier leaders acknowledged are applied."""
     return core.raft is not None and core.raft.leads
 
 
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -1,4 +1,4 @@
-"""A member with the whole control machine: Raft, the replicated state with its sessions, leases and reconfiguration."""
+"""A member that runs the whole control plane: Raft, replicated state, sessions, leases and reconfiguration."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True):
-    """What a member said to a frame of a caller's call."""
+    """The response of a member to a frame of a client's call."""
 
     call: int
     frame: int
@@ -38,7 +38,7 @@
 
 
 class OfferedFrame(msgspec.Struct, frozen=True):
-    """The token of a frame that was offered."""
+    """The token that identifies an offered frame in its reply."""
 
     call: int
     frame: int
@@ -46,18 +46,18 @@
 
 
 class ReadFloor(msgspec.Struct, frozen=True):
-    """The token of a read: what had been acknowledged when it was asked."""
+    """The token of a read: the highest index that was acknowledged when the read started."""
 
     index: int
 
 
 class AppliedControlState:
-    """The applied state as the checks see it: its index, and a digest of all that calls did to it."""
+    """The applied state for the checks: its index, and a digest of all effects of calls."""
 
     __slots__ = ("index", "history")
 
     def __init__(self, core: Core):
-        """The state that the machine holds now."""
+        """Summarizes the state that `core` has applied."""
         state = core.state
         self.index = state.index
         rows = sorted((key, kept.outcome) for key, kept in state.sessions.rows.items())
@@ -68,13 +68,13 @@
 
 
 class ControlMember(SimulatedMember):
-    """Runs a `Core` over the disk log; `replies` are for the callers, and emptied by who hands them on."""
+    """Runs a `Core` over the disk log; the cluster takes `replies` and delivers them to the clients."""
 
     __slots__ = ("core", "replies", "boot")
 
     @staticmethod
     def founding_snapshot(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
-        """The snapshot that all members begin from."""
+        """Returns the snapshot that all members start from."""
         return founding(group, voters, None)
 
     def _start(self, disk: PowerLossDisk) -> None:
@@ -91,7 +91,7 @@
         self._update_applied_state()
 
     def step(self, act=lambda raft: None) -> SentMessages:
-        """Does something to the machine, and gives the messages that need not wait for the disk."""
+        """Runs an action on the state machine and returns the messages that don't wait for the disk."""
         self.begin_step()
         act(self.raft)
         self.core.tick(self.now)
@@ -102,7 +102,7 @@
         return ready.before_save
 
     def receive(self, sender: str, message: Message) -> SentMessages:
-        """Takes in a message; the state of a snapshot is built beside the machine first, as its daemon does."""
+        """Processes a message; decodes the state of a snapshot beforehand, as the daemon does."""
         if (
             isinstance(message, InstallSnapshot)
             and message.snapshot.state
@@ -114,23 +114,23 @@
         return self.step(lambda raft: self.core.receive(envelope, self.now))
 
     def offer_frame(self, data: bytes, frame: OfferedFrame, limit: float) -> SentMessages:
-        """A frame of a call comes; `limit` is when its answer is given up (s)."""
+        """Processes a frame of a call; `limit` is the time at which its answer is given up (s)."""
         return self.step(lambda raft: self.core.propose(data, frame, limit, self.now))
 
     def read(self, floor: int) -> SentMessages:
-        """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
+        """Starts a confirmed read; `floor` is the highest index acknowledged so far."""
         return self.step(lambda raft: self.core.read(ReadFloor(floor), float("inf"), self.now))
 
     def receive_status(self, process_status: ProcessStatus) -> SentMessages:
-        """Hears of another member."""
+        """Processes the status of another member."""
         return self.step(lambda raft: self.core.announced(process_status, self.now))
 
     def process_status(self, leaving: bool) -> ProcessStatus:
-        """What it says of itself."""
+        """Returns the status that this member announces."""
         return replace(self.core.process_status(ROLE, []), leaving=leaving)
 
     def compact(self) -> None:
-        """Writes a snapshot of the state, and the log turns to it."""
+        """Writes a snapshot of the state and starts the log anew from it."""
         head, pieces = self.core.snapshot()
         snapshot = replace(head, state=list(pieces))
         tail = [entry for entry in self.raft.log.entries if entry.index > snapshot.index]
@@ -139,7 +139,7 @@
         self._note_durable(self.raft.hard_state())
 
     def may_answer_watches(self) -> bool:
-        """Whether it would answer watches from what it holds."""
+        """Returns whether the member would answer watches from its local state."""
         return self.core.current(self.now)
 
     def _finish_step(self, ready) -> SentMessages:
@@ -162,5 +162,5 @@
 
 
 def address(name: str) -> Address:
-    """The address of a member, by the number in its name."""
+    """Returns the address of a member, derived from the number in its name."""
     return Address(HOST, FIRST_PORT + int(name[1:]))
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk that loses power inside a write."""
+"""A simulated disk that can lose power during a write."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 
 
 class PowerLossError(Exception):
-    """The disk lost power before the write under way was confirmed."""
+    """Raised when the disk loses power before the current write is confirmed."""
 
 
 class PowerLossDisk(SimDisk):
-    """Once `fail_at` is set, the next sync keeps that many thousandths of what it lacks and raises PowerLossError."""
+    """A disk whose next sync loses power once `kept_thousandths` is set.
+
+    That sync keeps the given thousandths of the unsynced bytes and raises PowerLossError.
+    """
 
     def __init__(self) -> None:
-        """An empty disk, with power."""
+        """Creates an empty disk with power."""
         super().__init__(random.Random(0))
         self.kept_thousandths: int | None = None
 
     def restore_power(self, rng: random.Random) -> None:
-        """The power is back; each file removed since the folder was last synced may be back too, by `rng`."""
+        """Restores power; `rng` decides which files removed since the last folder sync reappear."""
         self.rng = rng
         self.crash()
 
     def sync(self, name: str) -> None:
-        """Confirms a file, or loses power."""
+        """Confirms a file, or loses power and raises PowerLossError."""
         if self.kept_thousandths is None:
             super().sync(name)
             return
--- a/verification/explorer.py
+++ b/verification/explorer.py
@@ -1,4 +1,4 @@
-"""The two searches over states, the replay of a trace, and its shortening."""
+"""Breadth-first and random search over states, and the replay and shortening of traces."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class SearchResult(msgspec.Struct):
-    """What a search saw; `broken` is empty and `trace` of no meaning where every state held."""
+    """The figures of a search; `trace` is meaningful only where `broken` names a violation."""
 
     states: int = 0
     steps: int = 0
@@ -38,7 +38,10 @@
 def breadth_first(
     bounds: Bounds, max_states: int, depth: int = 1 << 30, make_cluster: ClusterFactory = Cluster
 ) -> SearchResult:
-    """Visits every state within the bounds, nearest first, until `most` states: its trace to a failure is shortest."""
+    """Visits the states within the bounds in breadth-first order, up to `max_states`.
+
+    The trace of a violation is therefore as short as possible.
+    """
     first = make_cluster(bounds)
     seen = {first.state_key()}
     queue: deque[tuple[Any, tuple | None, int]] = deque([(first, None, 0)])
@@ -78,7 +81,7 @@
 def random_walk(
     bounds: Bounds, seed: int, length: int, make_cluster: ClusterFactory = Cluster, weights: StepWeights = STEP_WEIGHTS
 ) -> SearchResult:
-    """One path of random steps; the same seed takes the same path."""
+    """Follows one path of random steps; the same seed gives the same path."""
     cluster, scheduler = make_cluster(bounds, seed=seed), StepScheduler(random.Random(seed), weights)
     result = SearchResult(seeds=1, seed=seed)
     for _ in range(length):
@@ -93,7 +96,7 @@
 
 
 def _coverage(cluster: Any) -> dict[str, int]:
-    """What a path came to, so that a search that reached nothing is not taken for a proof."""
+    """Counts the events of a path, so that a search that reached nothing isn't mistaken for a proof."""
     committed = [entry for entry, _ in cluster.invariants.committed]
     reached = {
         "elections": len(cluster.invariants.leaders),
@@ -110,7 +113,7 @@
     make_cluster: ClusterFactory = Cluster,
     weights: StepWeights = STEP_WEIGHTS,
 ) -> SearchResult:
-    """Random paths, one a seed, up to the first failure, whose trace is then shortened."""
+    """Follows one random path per seed up to the first violation, and shortens its trace."""
     total = SearchResult()
     for seed in seeds:
         path_result = random_walk(bounds, seed, length, make_cluster, weights)
@@ -131,7 +134,7 @@
 
 
 def replay(trace: Trace, bounds: Bounds, seed: int | None = None, make_cluster: ClusterFactory = Cluster) -> str | None:
-    """Takes the steps of a trace from the first state; gives what breaks, if anything. Raises ImpossibleError."""
+    """Applies the steps of a trace to the initial state; returns the violation, if any. Raises ImpossibleError."""
     return _first_failure(trace, make_cluster(bounds, seed=seed))
 
 
@@ -144,9 +147,9 @@
 
 
 def shorten(trace: Trace, broken: str, make_first_cluster: Callable[[], Any]) -> Trace:
-    """Leaves out steps as long as the same invariant still breaks; steps that have become impossible go too.
+    """Removes steps while the same invariant still fails, as well as steps that become impossible.
 
-    It ends with what it has once it has taken `SHORTEN_STEPS`, a count and no time, so that it ends the same extended_path again.
+    The search ends after `MAX_SHORTEN_STEPS`, which is a count and not a time, so that its result is reproducible.
     """
     applied_steps = 0
     kind = broken.partition(":")[0]
@@ -166,7 +169,7 @@
 
 
 def _possible_steps(trace: Trace, kind: str, cluster: Any) -> Trace | None:
-    """The steps that can be taken, up to a failure of this kind; None if there is none."""
+    """Returns the possible steps up to a violation of this kind, or None if none occurs."""
     applied: list[Step] = []
     for original in trace:
         step = _closest_step(original, cluster)
@@ -181,7 +184,7 @@
 
 
 def _closest_step(step: Step, cluster: Any) -> Step:
-    """The step itself, or for a message that is not in flight the newest of its kind between the same two."""
+    """Returns the step, with a message that isn't in flight replaced by the newest of its type on that link."""
     if not isinstance(step, DeliverMessage | LoseMessage) or (step.sender, step.to, step.message) in cluster.in_flight:
         return step
     kind = step.message.partition("(")[0]
@@ -190,5 +193,5 @@
 
 
 def numbered_lines(trace: Trace) -> list[str]:
-    """A trace as a numbered list."""
+    """Returns a trace as numbered lines."""
     return [f"{number:4d}. {describe_step(step)}" for number, step in enumerate(trace, 1)]
--- a/verification/faults.py
+++ b/verification/faults.py
@@ -1,6 +1,6 @@
-"""Protections taken out one at a time: machines of which each lacks one, to see that the checks would notice.
+"""Injected faults: machines that each lack one protection, to prove that the checks detect its absence.
 
-Each is a subclass of a product's machine or a method put in its place for a while; the product knows nothing of it.
+Each fault is a subclass of a product class or a temporary replacement of a method; the product contains none of them.
 """
 
 from __future__ import annotations
@@ -33,6 +33,7 @@
 from verification.scheduler import STEP_WEIGHTS
 
 HIGHEST_INDEX = 1 << 30
+"""An index and a term above those of every log."""
 RECORD_HEAD_BYTES = 12
 CHANGING_BOUNDS = replace(RANDOM_WALK, spares=2, changes=UNBOUNDED)
 STEADY_BOUNDS = replace(RANDOM_WALK, crashes=0, compactions=0, reads=0, silences=0, repeats=0)
@@ -49,15 +50,15 @@
     """Writes its term without its vote."""
 
     def hard_state(self) -> HardState:
-        """What is written."""
+        """Returns the hard state to write."""
         return replace(super().hard_state(), vote="")
 
 
 class TermNotSaved(Raft):
-    """Writes nothing of a term that it enters without a vote or an entry."""
+    """Doesn't write a term that it enters without a vote or an entry."""
 
     def ready(self, now: float) -> Ready:
-        """What is to be written and sent."""
+        """Returns what to write and what to send."""
         ready = super().ready(now)
         if not ready.entries and ready.snapshot is None:
             ready.hard_state = None
@@ -65,24 +66,24 @@
 
 
 class SendsBeforeSaving(Raft):
-    """Sends what it should send only once its disk has confirmed."""
+    """Sends at once the messages that must wait for the disk."""
 
     def ready(self, now: float) -> Ready:
-        """What is to be written and sent."""
+        """Returns what to write and what to send."""
         ready = super().ready(now)
         ready.before_save, ready.after_save = ready.before_save + ready.after_save, []
         return ready
 
 
 class VotesForAnyLog(Raft):
-    """Votes for a candidate whatever its log holds."""
+    """Votes for a candidate regardless of its log."""
 
     def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
         super()._on_request_vote(sender, replace(message, last_index=HIGHEST_INDEX, last_term=HIGHEST_INDEX), now)
 
 
 class VotesTwice(Raft):
-    """Forgets within a term that it has voted."""
+    """Forgets its vote within a term."""
 
     def _on_request_vote(self, sender: str, message: RequestVote, now: float) -> None:
         if not message.pre_vote and not self.leads:
@@ -91,7 +92,7 @@
 
 
 class CommitsEarlierTerms(Raft):
-    """Commits an entry of a former term by counting who holds it (the paper's figure 8)."""
+    """Commits an entry of an earlier term by counting replicas (figure 8 of the Raft paper)."""
 
     def _advance(self) -> None:
         super()._advance()
@@ -102,18 +103,18 @@
 
 
 class UnconfirmedReads(Raft):
-    """Takes a read as confirmed by rounds that went out before it was asked."""
+    """Regards a read as confirmed by rounds that were sent before the read started."""
 
     def request_confirmation_round(self) -> int:
-        """The round that a read waits for."""
+        """Returns the round that a read waits for."""
         return self.rounds.confirmed
 
 
 class ConcurrentChanges(Raft):
-    """Begins a change of voters while another is under way."""
+    """Starts a configuration change while another is in progress."""
 
     def change_configuration(self, wanted: ClusterConfiguration, at: int) -> int | None:
-        """Begins the change."""
+        """Starts the change."""
         if not self.leads:
             return None
         joint = replace(wanted, old_voters=self.log.configuration.voters)
@@ -128,15 +129,15 @@
 
 
 class SingleStepChange(Raft):
-    """Goes to other voters without a joint configuration between."""
+    """Changes voters without a joint configuration in between."""
 
     def change_configuration(self, wanted: ClusterConfiguration, at: int) -> int | None:
-        """Begins the change."""
+        """Starts the change."""
         return self.propose(CONFIGURATION, encode(wanted), at)
 
 
 class InstallsOlderSnapshots(Raft):
-    """Installs a snapshot over a log that is committed further on."""
+    """Installs a snapshot over a log with a higher commit index."""
 
     def _on_install_snapshot(self, sender: str, message: InstallSnapshot, now: float) -> None:
         if message.snapshot.state:
@@ -145,10 +146,10 @@
 
 
 class AcceptsConflictingEntries(Raft):
-    """Takes entries behind an entry of another term than the leader's."""
+    """Appends entries after an entry whose term differs from the leader's."""
 
     def receive(self, sender: str, message: Any, now: float) -> None:
-        """Takes in a message."""
+        """Processes a message."""
         if (
             hasattr(message, "previous_term")
             and self.log.snapshot_index <= message.previous_index <= self.log.last_index
@@ -158,7 +159,7 @@
 
 
 def _record_without_checksum(data: bytes, at: int) -> bytes | None:
-    """A record that is taken without its checksum, as far as it goes."""
+    """Decodes a record without verifying its checksum, even if it is truncated."""
     if len(data) < at + RECORD_HEAD_BYTES:
         return None
     size = int.from_bytes(data[at + 4 : at + 8])
@@ -166,7 +167,7 @@
 
 
 class ReusesIdAfterWipe(Cluster):
-    """A member that lost its disk comes back under its former id."""
+    """Brings a member that lost its disk back under its former id."""
 
     def _wipe(self, step: steps.WipeDisk) -> str | None:
         broken = super()._wipe(step)
@@ -181,27 +182,27 @@
 
 
 def _new_voters_only(voters: ClusterConfiguration, index_of: IndexOfMember) -> int:
-    """A joint configuration that asks no majority of the former voters."""
+    """Requires no majority of the old voters in a joint configuration."""
     return _majority_index(voters.voters, index_of)
 
 
 def _learners_as_voters(voters: ClusterConfiguration, index_of: IndexOfMember) -> int:
-    """A configuration in which learners count as voters."""
+    """Counts learners as voters."""
     return _majority_index(voters.members(), index_of)
 
 
 def _half_of_voters(voters: ClusterConfiguration, index_of: IndexOfMember) -> int:
-    """A configuration whose quorum is one member short of a majority."""
+    """Accepts a quorum that is one member short of a majority."""
     return max(map(index_of, voters.voters))
 
 
 def _always_confirmed(rounds: HeartbeatRounds, round_number: int) -> None:
-    """Rounds that are confirmed as soon as they are sent."""
+    """Confirms rounds as soon as they are sent."""
     rounds.confirmed = rounds.round_number
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """A protection, what takes it out, the run that has to fail, and the names of what may break."""
+    """A protection, its removal, the run that must fail, and the invariants that may fail."""
 
     name: str
     expected_failures: tuple[str, ...]
@@ -214,7 +215,7 @@
 
     @contextmanager
     def injected(self) -> Iterator[Callable[..., Cluster]]:
-        """Takes the protection out for a while; gives what makes clusters without it."""
+        """Removes the protection temporarily and yields a factory of clusters without it."""
         with ExitStack() as stack:
             for owner, name, method in self.patches:
                 stack.enter_context(patch.object(owner, name, method))
--- a/verification/histories.py
+++ b/verification/histories.py
@@ -1,15 +1,15 @@
-"""Recorded histories: what callers asked and were told, and the file format they are kept in.
+"""Recorded histories: the calls of clients with their answers, and the file format that stores them.
 
-A file holds one operation a line, as JSON. Its fields:
+A file contains one operation per line, as JSON. Its fields:
 
-- `kind`: `lock`, `number`, `key` or `item`; `name`: of the object. Kind and name together are one partition.
-- `caller`: who asked; shown in findings only.
+- `kind`: `lock`, `number`, `key` or `item`; `name`: of the object. Kind and name together identify a partition.
+- `caller`: the client; only findings show it.
 - `call`: an object with the field `type`:
-  `take` (`holder`, `until`: the time in s up to which the holder relied on the lock), `extend` (`holder`, `token`,
-  `until`), `free` (`holder`, `token`), `draw`, `put` (`value`, null to remove it; `base`, the revision it rests on or
-  null), `read` (`shows_value`: false where the reader was told only a revision), `amend` (`version`, `content`).
+  `take` (`holder`, `until`: the time in s up to which the holder relies on the lock), `extend` (`holder`, `token`,
+  `until`), `free` (`holder`, `token`), `draw`, `put` (`value`, null to remove it; `base`, the expected revision or
+  null), `read` (`shows_value`: false if the answer contained only a revision), `amend` (`version`, `content`).
 - `begun`, `ended`: in seconds of one clock; `ended` is absent while there is no answer.
-- `outcome`: `done`, `refused` (with a promise: it had no effect and never will) or `unknown` (it may have taken
+- `outcome`: `done`, `refused` (guaranteed to have no effect, now or later) or `unknown` (it may have taken
   effect at any time after `begun`, or never).
 - `number`: the answer's token, number, revision or version; `value`: the answer's value or content.
 """
@@ -28,7 +28,7 @@
 
 
 class ObjectKind(StrEnum):
-    """What kind of object an operation is on."""
+    """The kind of object that an operation acts on."""
 
     LOCK = "lock"
     NUMBER = "number"
@@ -37,7 +37,7 @@
 
 
 class OperationOutcome(StrEnum):
-    """What its caller knows of an operation."""
+    """The outcome of an operation as its client knows it."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -45,14 +45,14 @@
 
 
 class TakeLock(msgspec.Struct, frozen=True, tag="take"):
-    """Take a lock; the holder relies on it up to `until` (s)."""
+    """Takes a lock; the holder relies on it up to `until` (s)."""
 
     holder: str
     until: float
 
 
 class ExtendLock(msgspec.Struct, frozen=True, tag="extend"):
-    """Lengthen a hold to `until` (s)."""
+    """Extends a held lock to `until` (s)."""
 
     holder: str
     token: int
@@ -60,31 +60,31 @@
 
 
 class FreeLock(msgspec.Struct, frozen=True, tag="free"):
-    """Give a lock back."""
+    """Releases a lock."""
 
     holder: str
     token: int
 
 
 class DrawNumber(msgspec.Struct, frozen=True, tag="draw"):
-    """Draw the next number."""
+    """Draws the next number."""
 
 
 class PutValue(msgspec.Struct, frozen=True, tag="put"):
-    """Put a value into a key, or remove it (None), if the key is at revision `base` (None: whatever it is at)."""
+    """Sets the value of a key, or removes it (None), if the key is at revision `base` (None: at any revision)."""
 
     value: str | None
     base: int | None = None
 
 
 class ReadObject(msgspec.Struct, frozen=True, tag="read"):
-    """Read a key or an item."""
+    """Reads a key or an item."""
 
     shows_value: bool = True
 
 
 class AmendItem(msgspec.Struct, frozen=True, tag="amend"):
-    """Give an item a content under a version."""
+    """Sets the content of an item under a version."""
 
     version: int
     content: str | None
@@ -94,7 +94,7 @@
 
 
 class Operation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One call and what its caller was told; times in seconds of one clock."""
+    """One call and its answer; times in seconds of one clock."""
 
     kind: ObjectKind
     name: str
@@ -108,16 +108,16 @@
 
     @property
     def unknown(self) -> bool:
-        """Whether it may or may not have taken effect."""
+        """Returns whether the outcome is unknown."""
         return self.outcome is OperationOutcome.UNKNOWN
 
     @property
     def latest(self) -> float:
-        """The latest time (s) at which it can have taken effect."""
+        """Returns the latest time (s) at which the operation can have taken effect."""
         return math.inf if self.unknown or self.ended is None else self.ended
 
     def __str__(self) -> str:
-        """One line for findings."""
+        """Returns one line for findings."""
         end = "..." if self.ended is None else f"{self.ended:.3f}"
         arguments = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
         answer = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
@@ -129,12 +129,12 @@
 
 
 def write(path: Path, operations: Iterable[Operation]) -> None:
-    """Write a history, one operation a line."""
+    """Writes a history, one operation per line."""
     path.write_bytes(b"".join(_encode(o) + b"\n" for o in operations))
 
 
 def load(path: Path) -> Result[list[Operation], Findings]:
-    """Return a recorded history, or findings that name each line which is not understood."""
+    """Returns a recorded history, or findings that name each invalid line."""
     operations: list[Operation] = []
     findings: Findings = []
     for number, line in enumerate(path.read_bytes().splitlines(), 1):
@@ -153,7 +153,7 @@
 
 
 def _invalid_reason(operation: Operation) -> str:
-    """What makes an operation impossible to judge, or nothing."""
+    """Returns why an operation can't be checked, or an empty string."""
     if operation.call.__class__ not in CALL_TYPES[operation.kind]:
         return f"a {operation.kind} has no {operation.call.__struct_config__.tag}"
     if operation.ended is None and not operation.unknown:
@@ -167,28 +167,28 @@
 
 
 def outcome_from_code(code: str) -> OperationOutcome:
-    """What a service's answer says of a command; every code that is not known to be a promise leaves it open."""
+    """Returns the outcome that an answer's code stands for; any code but a known refusal leaves it unknown."""
     if code == "ok":
         return OperationOutcome.DONE
     return OperationOutcome.REFUSED if code in REFUSAL_CODES else OperationOutcome.UNKNOWN
 
 
 class HistoryRecorder:
-    """A history under way: calls are written down when they are made, and again when they are answered."""
+    """Records a history: each call when it is made, and again when it is answered."""
 
     __slots__ = ("operations",)
 
     def __init__(self) -> None:
-        """Begin an empty history."""
+        """Starts an empty history."""
         self.operations: list[Operation] = []
 
     def record_call(self, kind: ObjectKind, name: str, caller: str, call: OperationCall, begun: float) -> int:
-        """Write down a call (s) that has no answer yet; returns its place."""
+        """Records a call made at `begun` (s) that has no answer yet; returns its position."""
         self.operations.append(Operation(kind, name, caller, call, begun, None, OperationOutcome.UNKNOWN))
         return len(self.operations) - 1
 
     def record_answer(self, place: int, ended: float, outcome: OperationOutcome, number: int = 0) -> None:
-        """Write down the answer (s) of a call; one of unknown outcome stays without its end."""
+        """Records the answer of a call at `ended` (s); a call of unknown outcome stays open."""
         if outcome is not OperationOutcome.UNKNOWN:
             call = self.operations[place]
             self.operations[place] = msgspec.structs.replace(call, ended=ended, outcome=outcome, number=number)
--- a/verification/identity.py
+++ b/verification/identity.py
@@ -1,7 +1,7 @@
-"""Copies of machines and the identity of their states, for whatever slots a machine has.
+"""Copies of state machines and the identity of their states, derived from the slots of their classes.
 
-A machine's floats are times of its own clock in seconds, so its identity takes them relative to that clock;
-whatever is further away than `FAR` is equally far. Counters and random numbers are no part of it.
+Floats in a machine are times of its own clock in seconds, so its identity takes them relative to that clock. All times
+further away than `TIME_HORIZON_S` count as equal. Counters and random generators are not part of the identity.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 TIME_DIGITS = 3
 EXCLUDED_SLOTS = frozenset({"rng", "counts", "times", "_now"})
 EXCLUDED_SLOTS_WITHOUT_LEASES = EXCLUDED_SLOTS | {"contact_stamps", "_quorum_contact"}
-"""Where each member has a clock of its own no lease is checked, so who is in touch makes no state another one."""
+"""The slots left out where each member has its own clock: no lease is checked there, so contact times don't matter."""
 NO_MEMBER = ""
-"""A pair of a member and a time says nothing if it names no member."""
+"""A pair of a member and a time whose member is empty means that there is none, so its time is left out."""
 PLAIN_TYPES = (int, float, str, bytes, bool, type(None), type)
 
 _copiers: dict[type, Callable[[Any], Any]] = {}
 
 
 def clone(state: Any) -> Any:
-    """A deep copy; frozen structs, random generators and counters are shared."""
+    """Returns a deep copy that shares frozen structs, random generators and counters."""
     cls = type(state)
     copier = _copiers.get(cls)
     if copier is None:
@@ -72,14 +72,14 @@
 
 
 def slots_of(cls: type) -> list[str]:
-    """The slots of a class and its bases."""
+    """Returns the slots of a class and its bases."""
     return [name for base in reversed(cls.__mro__) for name in getattr(base, "__slots__", ())]
 
 
 def canonical_form(state: Any, now: float, excluded: frozenset[str] = EXCLUDED_SLOTS) -> Any:
-    """What makes two machines the same, as plain values; `now` is what the machine's clock shows (s).
+    """Returns plain values that are equal for equal states; `now` is the time of the machine's clock (s).
 
-    Slots named in `without` are left out.
+    Slots named in `excluded` are left out.
     """
     if isinstance(state, float):
         return round(max(-TIME_HORIZON_S, min(TIME_HORIZON_S, state - now)), TIME_DIGITS)
@@ -101,7 +101,10 @@
 
 
 def message_identity(message: msgspec.Struct, now: float | None) -> Any:
-    """What makes two messages the same: all that they say, stamps relative to the clock of all, or without them."""
+    """Returns a value that is equal for equal messages.
+
+    Times are relative to the shared clock `now` (s), and are left out if `now` is None.
+    """
     if not any(isinstance(value, float) for value in msgspec.structs.astuple(message)):
         return message
     values = msgspec.structs.astuple(message)
@@ -109,13 +112,16 @@
 
 
 def digest(canonical: Any) -> bytes:
-    """A name of 16 bytes for plain values."""
+    """Returns a 16-byte digest of plain values."""
     return hashlib.blake2b(repr(canonical).encode(), digest_size=16).digest()
 
 
 class ZeroRandom(random.Random):
-    """Random numbers that are all 0: any clock may move on first, so nothing is lost by equal time-outs."""
+    """A random generator that always returns 0.
+
+    Equal timeouts lose no behaviour, since any clock may advance first.
+    """
 
     def random(self) -> float:
-        """Always 0."""
+        """Returns 0."""
         return 0.0
--- a/verification/invariants.py
+++ b/verification/invariants.py
@@ -1,6 +1,6 @@
-"""What holds in every state, and what has to be remembered on the way to check it.
+"""The invariants of every state, and the history that their checks need.
 
-The names are those of the Raft paper, figure 3; each check says what it found, or None.
+The names are those of figure 3 of the Raft paper. Each check returns a description of the violation, or None.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class InvariantChecker:
-    """The leader of each term, each committed entry with the term in which it was first seen as committed."""
+    """Records the leader of each term, and each committed entry with the term that first committed it."""
 
     __slots__ = ("leaders", "committed", "state_digests", "acknowledged_index", "wiped_members")
 
     def __init__(self) -> None:
-        """Nothing has happened."""
+        """Starts with an empty history."""
         self.leaders: dict[int, str] = {}
         self.committed: list[tuple[Entry, int]] = []
         self.state_digests: dict[int, bytes] = {}
@@ -28,7 +28,7 @@
         self.wiped_members: set[str] = set()
 
     def copy(self) -> InvariantChecker:
-        """A record that goes on by itself."""
+        """Returns an independent copy."""
         other = object.__new__(InvariantChecker)
         other.leaders, other.committed = dict(self.leaders), list(self.committed)
         other.state_digests, other.acknowledged_index, other.wiped_members = (
@@ -39,13 +39,13 @@
         return other
 
     def state_key(self) -> bytes:
-        """The identity of what is remembered."""
+        """Returns the identity of the recorded history."""
         return digest(
             [sorted(self.leaders.items()), self.committed, self.acknowledged_index, sorted(self.wiped_members)]
         )
 
     def check(self, members: Members, touched: SimulatedMember) -> str | None:
-        """Checks all that the last step, at one member, can have broken."""
+        """Checks every invariant that the last step, at one member, can have violated."""
         broken = (
             self.election_safety(touched)
             or self.log_matching(members, touched)
@@ -67,14 +67,17 @@
         return f"election safety: {previous} and {touched.id} both led term {touched.raft.term}"
 
     def log_matching(self, members: Members, touched: SimulatedMember) -> str | None:
-        """Two logs with the same term at an index hold the same entries up to there."""
+        """Two logs with the same term at an index contain the same entries up to that index."""
         for other in members.values():
             if other is not touched and not _logs_match(touched, other):
                 return f"log matching: the logs of {touched.id} and {other.id} differ before an entry they share"
         return None
 
     def state_machine_safety(self, members: Members, touched: SimulatedMember) -> str | None:
-        """No two members apply different entries at an index; what is committed is on the disks of a quorum."""
+        """No two members apply different entries at an index.
+
+        A committed entry is also on the disks of a quorum.
+        """
         applied, log = touched.applied.index, touched.raft.log
         if applied < touched.highest_applied:
             return f"state machine safety: {touched.id} went back from {touched.highest_applied} to {applied}"
@@ -96,7 +99,7 @@
         return None
 
     def leader_completeness(self, touched: SimulatedMember) -> str | None:
-        """What was committed in a term is in the log of every later term's leader."""
+        """An entry committed in a term is in the log of the leader of every later term."""
         raft = touched.raft
         if not raft.leads:
             return None
@@ -106,9 +109,9 @@
         return None
 
     def may_wipe(self, members: Members, name: str) -> bool:
-        """Whether the budget allows the loss of a disk: less than half of each set of voters lacks what is committed.
+        """Returns whether a disk may be lost: a quorum of each voter set must keep all committed entries.
 
-        A member that is new, or back, counts as lost until it holds all that is committed.
+        A new or restored member counts as lost until it stores all committed entries.
         """
         complete = set(members) - {name}
         if self.committed:
@@ -117,7 +120,7 @@
         return all(_is_quorum(complete, voters) for member in members.values() for voters in _configurations(member))
 
     def committed_entries_survive(self, members: Members) -> str | None:
-        """Those without an entry that was committed cannot elect a leader among themselves."""
+        """The members that lack a committed entry form no quorum."""
         for entry, _ in self.committed:
             lacking = set(members) - _disks_with_entry(members, entry.index, entry.term)
             if any(_is_quorum(lacking, voters) for member in members.values() for voters in _configurations(member)):
@@ -125,7 +128,10 @@
         return None
 
     def one_change_at_a_time(self, touched: SimulatedMember) -> str | None:
-        """A leader's log holds one change of voters at most that is not committed; quorums before and after it meet."""
+        """A leader's log contains at most one uncommitted configuration change.
+
+        The quorums before and after a change intersect.
+        """
         log = touched.raft.log
         if not touched.raft.leads:
             return None
@@ -143,7 +149,7 @@
         return None
 
     def fresh_reads(self, touched: SimulatedMember) -> str | None:
-        """A confirmed read shows all that had been acknowledged when it was asked."""
+        """A confirmed read reflects everything that was acknowledged before it started."""
         for index in touched.acknowledged_indexes:
             self.acknowledged_index = max(self.acknowledged_index, index)
         stale = [read for read in touched.read_answers if read.index < read.floor]
@@ -172,12 +178,12 @@
 
 
 def _disk_has_entry(member: SimulatedMember, index: int, term: int) -> bool:
-    """Whether a disk holds the entry, or a snapshot that covers it."""
+    """Returns whether a disk contains the entry, or a snapshot that covers it."""
     return index <= member.durable.base or member.durable.term(index) == term
 
 
 def _configurations(member: SimulatedMember) -> list[ClusterConfiguration]:
-    """All sets of voters that a member's log names since its base."""
+    """Returns all configurations in a member's log since its base."""
     log = member.raft.log
     return [
         log.snapshot.configuration,
@@ -186,13 +192,16 @@
 
 
 def _is_quorum(names: set[str], voters: ClusterConfiguration) -> bool:
-    """A majority of the voters, and of the former voters while both count."""
+    """Returns whether the names include a majority of the voters, and of the old voters in a joint configuration."""
     sides = [side for side in (voters.voters, getattr(voters, "old_voters", {})) if side]
     return all(2 * len(names & side.keys()) > len(side) for side in sides)
 
 
 def _quorums_meet(before: ClusterConfiguration, after: ClusterConfiguration) -> bool:
-    """Whether each quorum of the one shares a member with each quorum of the other: no split gives both one."""
+    """Returns whether every quorum of one configuration intersects every quorum of the other.
+
+    They don't if some split of the members gives each configuration a quorum.
+    """
     everyone = sorted(
         {*before.voters, *after.voters, *getattr(before, "old_voters", {}), *getattr(after, "old_voters", {})}
     )
--- a/verification/linearizability.py
+++ b/verification/linearizability.py
@@ -1,16 +1,16 @@
-"""A checker of histories for linearizability: Wing and Gong's search with Lowe's pruning, one partition at a time.
+"""A linearizability checker for histories: Wing and Gong's search with Lowe's pruning, one partition at a time.
 
-Herlihy and Wing (1990): a history is linearizable if each operation can be given one moment between its call and its
-answer at which it took effect, so that a single-threaded object would have answered the same. An object composed of
+Herlihy and Wing (1990): a history is linearizable if each operation can be assigned one moment between its call and its
+answer at which it takes effect, such that a single-threaded object gives the same answers. An object composed of
 independent ones is linearizable exactly if each of them is, so a history is partitioned by kind and name.
 
-The search (Wing and Gong 1993) takes, again and again, one of the operations that may come next: those that began
-before any operation that is not yet placed had ended. Lowe (2017) adds a memory of the pairs of placed operations and
-state that have been visited, for nothing new comes of reaching one twice.
+The search (Wing and Gong 1993) repeatedly places one of the possible next operations: those that began before any
+operation not yet placed had ended. Lowe (2017) adds a cache of the visited pairs of placed operations and state,
+since a second visit of a pair gives nothing new.
 
 An operation of unknown outcome may be placed at any time after its call, or never; a refused one is never placed, so
-that nothing may show its effect. The search is bounded by a number of steps for each partition; where they do not
-suffice the verdict is *undecided*, which is counted and is not a pass.
+no answer may show its effect. The number of search steps per partition is limited; a partition that exceeds the limit
+is *undecided*, which is counted and is not a pass.
 """
 
 from __future__ import annotations
@@ -35,21 +35,21 @@
 
 
 class Partition(NamedTuple):
-    """The object that a part of a history is about."""
+    """The object that a part of a history belongs to."""
 
     kind: ObjectKind
     name: str
 
     def __str__(self) -> str:
-        """Kind and name, as findings show them."""
+        """Returns kind and name for findings."""
         return f"{self.kind} {self.name}"
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """A partition that cannot be ordered: its shortest prefix that shows it, and where the longest order ended.
+    """A partition that can't be ordered: its shortest prefix without an order, and the longest order found.
 
-    `prefix` counts the operations called up to some moment, `placed` is the longest order found among them, `stuck`
-    are those that had to come next and fit nowhere.
+    `prefix` is the number of operations in that prefix, `placed` the longest order found among them, and `blocked` the
+    operations that had to come next and fit nowhere.
     """
 
     partition: Partition
@@ -59,7 +59,7 @@
     state: str
 
     def __str__(self) -> str:
-        """Several lines: the partition, the end of the longest order, and the operations that fit nowhere."""
+        """Returns several lines: the partition, the end of the longest order, and the operations that fit nowhere."""
         lines = [f"{self.partition}: {self.prefix} operations cannot be ordered; the longest order ends with"]
         lines += [f"    {operation}" for operation in self.placed[-MAX_SHOWN_OPERATIONS:]]
         lines += [f"  then {self.state}", "  where none of these can follow"]
@@ -68,7 +68,7 @@
 
 
 class CheckReport(msgspec.Struct):
-    """What a check found: breaches, partitions left undecided, and how much was looked at."""
+    """The result of a check: violations, undecided partitions, and figures."""
 
     violations: list[Violation] = []
     undecided: list[Partition] = []
@@ -77,13 +77,13 @@
     steps: int = 0
 
     def findings(self) -> list[str]:
-        """One text for each breach and for each partition left undecided."""
+        """Returns one text for each violation and for each undecided partition."""
         return [str(b) for b in self.violations] + [
             f"{p}: undecided, the steps did not suffice" for p in self.undecided
         ]
 
     def __str__(self) -> str:
-        """One line of figures."""
+        """Returns one line of figures."""
         return (
             f"{self.operations} operations, {self.partitions} partitions, {self.steps} steps: "
             f"{len(self.violations)} breached, {len(self.undecided)} undecided"
@@ -91,7 +91,7 @@
 
 
 def check(operations: list[Operation], steps: int = MAX_STEPS) -> CheckReport:
-    """Hold a history against the specification of each object in it, with at most `steps` for each object."""
+    """Checks a history against the specification of each object in it, with at most `steps` search steps per object."""
     operations_by_partition: dict[Partition, list[Operation]] = defaultdict(list)
     for operation in operations:
         operations_by_partition[Partition(operation.kind, operation.name)].append(operation)
@@ -109,10 +109,11 @@
 
 
 class SearchNode(NamedTuple):
-    """A node of the search: all certain operations before `first` are placed, and those that `ahead` and `maybe` mark.
+    """A node of the search: the operations placed so far, and the state after them.
 
-    Bit i of `ahead` stands for the certain operation first + i, of `maybe` for the i-th of unknown outcome; `now` is
-    the earliest time (s) that the next one can have.
+    All certain operations before `next_certain` are placed. Bit i of `placed_certain` stands for the certain operation
+    next_certain + i, bit i of `placed_unknown` for the i-th operation of unknown outcome. `earliest` is the earliest
+    time (s) at which the next operation can take effect.
     """
 
     next_certain: int
@@ -123,12 +124,12 @@
 
 
 class Search:
-    """The search for an order of one object's operations."""
+    """The search for an order of the operations on one object."""
 
     __slots__ = ("certain", "unknown", "specification", "budget", "steps", "longest", "_longest_node")
 
     def __init__(self, specification: Specification, operations: list[Operation], budget: int):
-        """Take the operations on one object; `budget` is the most steps (answers of the specification) to ask for."""
+        """Prepares the search; `budget` limits the number of steps, which are calls of the specification."""
         accepted = [operation for operation in operations if operation.outcome is not OperationOutcome.REFUSED]
         relevant = sorted(specification.relevant(accepted), key=lambda operation: (operation.begun, operation.latest))
         self.certain = [operation for operation in relevant if not operation.unknown]
@@ -138,7 +139,7 @@
         self._longest_node = SearchNode(0, 0, 0, specification.initial(), 0.0)
 
     def run(self) -> bool | None:
-        """Whether the operations can be ordered; None where the budget did not suffice."""
+        """Returns whether the operations can be ordered, or None if the budget didn't suffice."""
         start = SearchNode(0, 0, 0, self.specification.initial(), float("-inf"))
         self._longest_node = start
         seen = {start}
@@ -168,15 +169,15 @@
         return False
 
     def state(self) -> Any:
-        """The state at the end of the longest order found."""
+        """Returns the state at the end of the longest order found."""
         return self._longest_node.state
 
     def blocked(self) -> list[Operation]:
-        """The operations that had to come next after the longest order found."""
+        """Returns the operations that had to come next after the longest order found."""
         return [operation for _, operation in self._candidates(self._longest_node)]
 
     def _successors(self, node: SearchNode) -> Iterator[tuple[Operation, SearchNode]]:
-        """Each operation that may come next and is legal, with the node after it."""
+        """Yields each legal next operation with the node after it."""
         for position, operation in self._candidates(node):
             self.steps += 1
             if self.steps > self.budget:
@@ -196,7 +197,10 @@
             yield operation, SearchNode(next_certain, placed_certain, node.placed_unknown, *after)
 
     def _candidates(self, node: SearchNode) -> list[tuple[int, Operation]]:
-        """Operations that began before each one not yet placed had ended; certain ones first, by their answers."""
+        """Returns the operations that began before any unplaced one had ended.
+
+        Certain operations come first, in the order of their answers.
+        """
         end = float("inf")
         unplaced: list[tuple[int, Operation]] = []
         for position in range(node.next_certain, len(self.certain)):
@@ -221,7 +225,10 @@
 def _smallest_violation(
     partition: Partition, specification: Specification, operations: list[Operation], steps: int
 ) -> Violation:
-    """The shortest prefix in time that cannot be ordered: what a history shows by then, its calls under way unknown."""
+    """Returns the violation in the shortest prefix in time that can't be ordered.
+
+    Calls in progress at the end of the prefix have an unknown outcome.
+    """
     ends = sorted({operation.latest for operation in operations if not operation.unknown})
     low, high = 0, len(ends) - 1
     while low < high:
@@ -237,7 +244,7 @@
 
 
 def _history_until(operations: list[Operation], end: float) -> list[Operation]:
-    """The history as it stood at `end` (s): later calls are gone, those under way have no answer yet."""
+    """Returns the history as of `end` (s): without later calls, and with calls in progress unanswered."""
     begun = [operation for operation in operations if operation.begun <= end]
     known = [operation for operation in begun if operation.unknown or operation.latest <= end]
     under_way = [
@@ -254,7 +261,7 @@
 
 
 def check_file(path: str | Path) -> int:
-    """Check a recorded history and print what was found; 0 only if every partition was ordered."""
+    """Checks a recorded history and prints the findings; returns 0 only if every partition could be ordered."""
     operations = load(Path(path))
     if isinstance(operations, Err):
         for finding in operations.err_value:
--- a/verification/member.py
+++ b/verification/member.py
@@ -1,7 +1,7 @@
-"""One member: the product's Raft machine over the product's disk log, run as its daemon runs them.
+"""One simulated member: the product's Raft state machine over its disk log, driven as the daemon drives it.
 
-A step of the machine hands out what to save and what to send; what it says `early` goes out at once, the rest
-only once the disk has it. In between the member does nothing else, but it may lose power.
+A step of the state machine returns what to save and what to send. Messages in `before_save` go out at once, all others
+only after the disk confirms the write. In between the member takes no other step, but it may crash.
 """
 
 from __future__ import annotations
@@ -39,27 +39,27 @@
 
 
 class AppliedHistory:
-    """A state that is nothing but its history: a digest over all commands, in their order."""
+    """An applied state that consists of its history only: a digest of all commands in order."""
 
     __slots__ = ("index", "history")
 
     def __init__(self, snapshot: RaftSnapshot):
-        """The state that a snapshot holds."""
+        """Restores the state from a snapshot."""
         self.index, self.history = snapshot.index, snapshot.state[0]
 
     def apply(self, entry: Entry) -> None:
-        """Takes in the next entry."""
+        """Applies the next entry."""
         self.index = entry.index
         if entry.kind == COMMAND:
             self.history = hashlib.blake2b(self.history + entry.data, digest_size=8).digest()
 
     def revision_at(self, index: int) -> int:
-        """As the control state's; here the index itself."""
+        """Returns the revision at an index, which is the index itself here."""
         return index
 
 
 class DurableLog(msgspec.Struct, frozen=True):
-    """What a member's disk holds: the base and the terms of the entries after it, and the last hard state written."""
+    """The content of a member's disk: the base, the terms of the entries after it, and the last hard state."""
 
     base: int = 0
     base_term: int = 0
@@ -67,7 +67,7 @@
     hard: HardState | None = None
 
     def term(self, index: int) -> int | None:
-        """The term of the entry held at an index, None if there is none."""
+        """Returns the term of the entry at an index, or None if there is none."""
         position = index - self.base
         if position == 0:
             return self.base_term
@@ -75,14 +75,14 @@
 
 
 class AnsweredRead(msgspec.Struct, frozen=True):
-    """A read that was answered: what had been acknowledged when it was asked, and the index it was answered from."""
+    """An answered read: the index acknowledged when it started, and the index that the answer is from."""
 
     floor: int
     index: int
 
 
 class SimulatedMember:
-    """Runs one machine; `acknowledged` and `answers` are filled for whoever checks, and emptied by them."""
+    """Runs one state machine; the checker reads and clears `acknowledged_indexes` and `read_answers`."""
 
     __slots__ = (
         "id",
@@ -105,7 +105,7 @@
     )
 
     def __init__(self, id: str, raft_class: type[Raft], seed: int | None, snapshot: RaftSnapshot, now: float = 0.0):
-        """With no `seed` its random numbers are all 0; `now` is what its clock shows (s)."""
+        """Without a `seed` all random numbers are 0; `now` is the time of the member's clock (s)."""
         self.id, self.raft_class, self.seed, self.now = id, raft_class, seed, now
         self.rng = ZeroRandom() if seed is None else random.Random(f"{seed} {id}")
         disk = PowerLossDisk()
@@ -114,7 +114,7 @@
 
     @staticmethod
     def founding_snapshot(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
-        """The snapshot that all members begin from."""
+        """Returns the snapshot that all members start from."""
         return RaftSnapshot(group, 0, 0, voters, [b""])
 
     def _start(self, disk: PowerLossDisk) -> None:
@@ -137,7 +137,7 @@
         self.acknowledged_indexes = []
 
     def step(self, act: Callable[[Raft], Any] = lambda raft: None) -> SentMessages:
-        """Does something to the machine, and gives the messages that need not wait for the disk."""
+        """Runs an action on the state machine and returns the messages that don't wait for the disk."""
         self.begin_step()
         act(self.raft)
         self.raft.tick(self.now)
@@ -148,12 +148,12 @@
         return ready.before_save
 
     def begin_step(self) -> None:
-        """Notes the voters in force before a step: by them it commits, also if it then goes on to others."""
+        """Records the configuration before a step, by which the step commits even if it changes it."""
         self._cached_state_key = None
         self.configuration_before_step = self.configuration_before_step or self.raft.log.configuration
 
     def save(self) -> SentMessages:
-        """The disk has it all; gives the messages that waited for it."""
+        """Completes the pending write and returns the messages that waited for it."""
         self.begin_step()
         ready, hard = self.pending_save
         store.save(self.disk_log, ready, hard)
@@ -162,7 +162,7 @@
         return self._finish_step(ready)
 
     def crash(self, kept: int) -> None:
-        """Loses power, with `kept` thousandths of the write under way on the disk, and starts again from it."""
+        """Loses power with `kept` thousandths of the pending write on the disk, and restarts from the disk."""
         self._cached_state_key = None
         if self.pending_save is not None:
             ready, hard = self.pending_save
@@ -175,11 +175,11 @@
         self._start(self.disk_log.disk)
 
     def receive(self, sender: str, message: Message) -> SentMessages:
-        """Takes in a message."""
+        """Processes a message."""
         return self.step(lambda raft: raft.receive(sender, message, self.now))
 
     def propose(self, data: bytes) -> SentMessages:
-        """Offers a command to the machine."""
+        """Proposes a command to the state machine."""
 
         def act(raft: Raft) -> None:
             index = raft.propose(COMMAND, data, 0)
@@ -189,7 +189,7 @@
         return self.step(act)
 
     def read(self, floor: int) -> SentMessages:
-        """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
+        """Starts a confirmed read; `floor` is the highest index acknowledged so far."""
         if not self.raft.committed_in_term:
             return []
         return self.step(
@@ -199,7 +199,7 @@
         )
 
     def compact(self) -> None:
-        """Writes a snapshot of the applied state, and the log turns to it."""
+        """Writes a snapshot of the applied state and starts the log anew from it."""
         self._cached_state_key = None
         raft, index = self.raft, self.applied.index
         term, voters = raft.log.term(index), raft.log.configuration_at(index)
@@ -210,7 +210,7 @@
         self._note_durable(raft.hard_state())
 
     def state_key(self, timed: bool) -> bytes:
-        """The identity of the member's state; `timed` with the stamps by which it is in touch."""
+        """Returns the identity of the member's state; `timed` includes the times of quorum contact."""
         if self._cached_state_key is None:
             volatile = [self.raft, self.pending_save, self.pending_reads, self.proposed_terms]
             self._cached_state_key = digest(
@@ -224,7 +224,7 @@
         return self._cached_state_key
 
     def copy(self) -> SimulatedMember:
-        """A member in the same state."""
+        """Returns a copy in the same state."""
         return clone(self)
 
     def _note_durable(self, hard: HardState | None) -> None:
@@ -259,5 +259,5 @@
 
 
 def snapshot_announcement(snapshot: RaftSnapshot) -> RaftSnapshot:
-    """A snapshot as its announcement names it: without its state, which is fetched afterwards."""
+    """Returns the snapshot as it is announced: without its state, which the receiver fetches later."""
     return replace(snapshot, state=[])
--- a/verification/reconfigurations.py
+++ b/verification/reconfigurations.py
@@ -1,4 +1,4 @@
-"""Which changes of voters an exploration offers to a leader."""
+"""The configuration changes that an exploration requests from a leader."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def possible_changes(current: ClusterConfiguration, names: list[str]) -> Iterator[MemberSets]:
-    """Changes from the voters of now: a learner more, a learner's vote, a voter less, voters for learners."""
+    """Yields the voters and learners of each change that is possible from the current configuration.
+
+    A change adds a learner, promotes or removes one, removes a voter, or replaces a voter or all voters by learners.
+    """
     if current.old_voters:
         return
     voters, learners = tuple(current.voters), tuple(current.learners)
--- a/verification/scheduler.py
+++ b/verification/scheduler.py
@@ -1,6 +1,6 @@
-"""How a random path is steered: the weight of each kind of step, and links that are dark for a while.
+"""The choice of steps on a random path: weights of the kinds of steps, and temporarily blocked links.
 
-It chooses among possible steps only, so a trace needs none of it to be replayed.
+The scheduler chooses among possible steps only, so the replay of a trace doesn't need it.
 """
 
 from __future__ import annotations
@@ -28,31 +28,34 @@
     steps.LoseMessage: 30,
 }
 MAX_IN_FLIGHT = 40
+"""Above this number of messages in flight, only losses are chosen."""
 DUPLICATE_PROBABILITY = 0.1
 OLDEST_CHOICES = 4
+"""In-order delivery chooses among this number of the oldest messages."""
 IN_ORDER_PROBABILITY = 0.8
 DISRUPTIVE_STEPS = frozenset({steps.CrashMember, steps.FreezeMember, steps.TransferLeadership, steps.WipeDisk})
 CALM_PROBABILITY = 0.3
 PARTITION_PROBABILITY = 0.8
 PHASE_STEPS = (10, 60)
+"""The shortest and the longest phase (steps)."""
 SINGLE_PAIR_PROBABILITY = 0.3
 ISOLATE_LEADER_PROBABILITY = 0.6
 
 
 class StepScheduler:
-    """Chooses a path's steps from one random generator."""
+    """Chooses the steps of a path from one random generator."""
 
     __slots__ = ("rng", "_phase_steps_left", "_calm", "_blocked_links", "_kinds", "_weights")
 
     def __init__(self, rng: random.Random, weights: dict[type[steps.Step], int] = STEP_WEIGHTS):
-        """All choices come from `rng`."""
+        """All random choices use `rng`."""
         self.rng = rng
         self._phase_steps_left, self._calm = 0, False
         self._blocked_links: set[tuple[str, str]] = set()
         self._kinds, self._weights = list(weights), list(weights.values())
 
     def choose(self, cluster: Any) -> steps.Step:
-        """One of the steps that are possible now."""
+        """Returns one of the steps that are possible now."""
         self._advance_phase(cluster)
         if len(cluster.in_flight) > MAX_IN_FLIGHT:
             return self.rng.choice(list(cluster.options(steps.LoseMessage)))
@@ -69,14 +72,20 @@
                 return self.rng.choice(options)
 
     def _deliverable(self, options: list[steps.DeliverMessage]) -> list[steps.DeliverMessage]:
-        """Those over links that are not dark, mostly the oldest; few of them are kept in flight."""
+        """Returns deliveries over links that aren't blocked, mostly the oldest ones.
+
+        Few of them keep the message in flight.
+        """
         keep = self.rng.random() < DUPLICATE_PROBABILITY
         reachable = [step for step in options if (step.sender, step.to) not in self._blocked_links]
         preferred = [step for step in reachable if step.keep == keep] or reachable
         return preferred[:OLDEST_CHOICES] if self.rng.random() < IN_ORDER_PROBABILITY else preferred
 
     def _advance_phase(self, cluster: Any) -> None:
-        """Now and then other links are dark: none, or each between two members, or some isolated, often a leader."""
+        """Starts a new phase once the current one ends, with other links blocked.
+
+        A phase blocks no link, the links between two members, or all links of some members, which is often a leader.
+        """
         self._phase_steps_left -= 1
         if self._phase_steps_left > 0:
             return
@@ -103,7 +112,10 @@
 
 
 def _calm_options(kind: type[steps.Step], options: list[Any], cluster: Any) -> list[Any]:
-    """In calm, little time passes at once, leaders' clocks move on first, and leaders hear who is there."""
+    """Restricts the options in a calm phase.
+
+    Time passes in short steps, the clocks of leaders advance first, and leaders receive the status of members.
+    """
     if kind is steps.PassTime:
         shortest = min((step.ms for step in options), default=0)
         return [step for step in options if step.ms == shortest and not step.frozen]
--- a/verification/specifications.py
+++ b/verification/specifications.py
@@ -1,11 +1,11 @@
-"""Sequential specifications of what the control side keeps for its callers: locks, numbers, keys and items.
+"""Sequential specifications of the objects that the control plane offers to clients: locks, numbers, keys and items.
 
-A specification says what a single-threaded object would answer: given a state and an operation that was confirmed (or
-one whose outcome is unknown), `step` returns the state after it, or `None` where no correct object could have given
-that answer. States are immutable and hashable, for the search remembers them.
+A specification defines the answers of a single-threaded object: given a state and an operation that was confirmed (or
+whose outcome is unknown), `step` returns the next state, or `None` if no correct object could have given that answer.
+States are immutable and hashable, since the search caches them.
 
-Each is *sound*: what a correct system may answer is never called wrong. Where an answer leaves something open, the
-specification takes the more permissive reading and its docstring says which.
+Each specification is *sound*: it accepts every answer that a correct system may give. Where an answer is ambiguous,
+the specification accepts the more permissive reading, and its docstring names it.
 """
 
 from __future__ import annotations
@@ -30,36 +30,36 @@
 
 
 def _finding_text(name: str, state: msgspec.Struct) -> str:
-    """Returns the fields of a state under the name that findings have always printed for it."""
+    """Returns the fields of a state under the name that findings print for it."""
     fields = ", ".join(f"{field}={getattr(state, field)!r}" for field in state.__struct_fields__)
     return f"{name}({fields})"
 
 
 class Specification(Protocol[State]):
-    """The sequential object that one partition of a history is held against."""
+    """The sequential object that one partition of a history is checked against."""
 
     def initial(self) -> State:
-        """Return the state before any operation."""
+        """Returns the state before any operation."""
         ...
 
     def step(self, state: State, operation: Operation, now: float) -> tuple[State, float] | None:
-        """Return the state after `operation` and the earliest time (s) it can have taken effect, or None if illegal.
+        """Returns the next state and the earliest time (s) at which `operation` took effect, or None if illegal.
 
-        `now` is the earliest time that the operations before it and its own call allow, in seconds.
+        `now` is the earliest time (s) that the preceding operations and the operation's own call allow.
         """
         ...
 
     def relevant(self, operations: list[Operation]) -> list[Operation]:
-        """Return the operations that the search must consider.
+        """Returns the operations that the search must consider.
 
-        An operation without a known outcome may be left out where "it never took effect" allows every answer that
-        "it took effect" allows, so that leaving it out changes no verdict.
+        An operation of unknown outcome may be left out where "it never took effect" allows every answer that "it took
+        effect" allows, so its omission changes no verdict.
         """
         ...
 
 
 class LockState(msgspec.Struct, frozen=True):
-    """A lock's state: its newest token, who holds it, the tokens of the unbroken hold, and the promise's end (s)."""
+    """A lock's newest token, its holder, the tokens of the uninterrupted hold, and the end of the hold (s)."""
 
     newest: int = 0
     holder: str | None = None
@@ -72,25 +72,26 @@
 
 
 class LockSpecification:
-    """A lock with fencing tokens whose hold lapses by time.
-
-    What a holder may rely on is a lower bound: the lock is its own until `until`, the time of its *call* plus the time
-    it asked for (the service counts from when the command took effect, which is later). So another's take can have
-    taken effect only at that time or later, or after a free. A lapse alone never forces anything: a hold that nobody
-    followed may still be extended, as the service's own end lies later by an unknown amount. A take by the holder
-    itself is allowed at any time and lengthens the hold. A free with another token than the newest changes nothing.
-
-    Tokens rise strictly; gaps are allowed. Takes and extensions without a known outcome are left out: they only forbid,
-    but for one thing. A holder that names a token above the newest was given it by such a take, so its extension counts
-    as that take and its free as a free of the newest token.
+    """A lock with fencing tokens whose hold expires.
+
+    A holder may rely on a lower bound: it owns the lock until `until`, the time of its *call* plus the requested
+    duration (the service counts from the moment the command took effect, which is later). A take by another holder can
+    therefore take effect only at that time or later, or after a release. Expiry alone forces nothing: an expired hold
+    that nobody followed may still be extended, since the service's own end is later by an unknown amount. A take by
+    the holder itself is allowed at any time and extends the hold. A release with a token other than the newest has no
+    effect.
+
+    Tokens rise strictly; gaps are allowed. Takes and extensions of unknown outcome are left out, since they only forbid
+    answers, with one exception. A holder that uses a token above the newest received it from such a take, so its
+    extension counts as that take and its release as a release of the newest token.
     """
 
     def initial(self) -> LockState:
-        """Return a lock that nobody ever held."""
+        """Returns a lock that was never held."""
         return LockState()
 
     def step(self, state: LockState, operation: Operation, now: float) -> tuple[LockState, float] | None:
-        """Return the lock after the operation and when it can have been, or None."""
+        """Returns the lock after the operation and the earliest time of the operation, or None."""
         match operation.call:
             case TakeLock():
                 return self._take(state, operation, operation.call, operation.number, now)
@@ -103,7 +104,7 @@
         return None
 
     def relevant(self, operations: list[Operation]) -> list[Operation]:
-        """Leave out takes and extensions that may not have been."""
+        """Leaves out takes and extensions of unknown outcome."""
         return [operation for operation in operations if not operation.unknown or isinstance(operation.call, FreeLock)]
 
     def _take(
@@ -130,28 +131,31 @@
 
 
 class NumberSpecification:
-    """A counter whose answers rise strictly; gaps are allowed, so a draw without a known outcome is left out."""
+    """A counter whose answers rise strictly.
+
+    Gaps are allowed, so a draw of unknown outcome is left out.
+    """
 
     def initial(self) -> int:
-        """Return the number before the first one given, below all numbers."""
+        """Returns 0, which is below all numbers."""
         return 0
 
     def step(self, state: int, operation: Operation, now: float) -> tuple[int, float] | None:
-        """Return the number given, if it is above the last one."""
+        """Returns the drawn number if it is above the last one, else None."""
         if not isinstance(operation.call, DrawNumber) or operation.number <= state:
             return None
         return operation.number, now
 
     def relevant(self, operations: list[Operation]) -> list[Operation]:
-        """Leave out draws that may not have been: they only leave gaps."""
+        """Leaves out draws of unknown outcome, which only leave gaps."""
         return [operation for operation in operations if not operation.unknown]
 
 
 class KeyState(msgspec.Struct, frozen=True):
-    """A key's state.
+    """A key's value and revision.
 
-    `shown` is the revision a reader is told (0 without a value), or None while it is not known because the outcome of
-    the put that gave it is not; `floor` is the highest revision that the key certainly has passed.
+    `shown` is the revision that a reader sees (0 without a value), or None if it is unknown because the outcome of the
+    put that set it is unknown. `floor` is the highest revision that the key has certainly passed.
     """
 
     value: str | None = None
@@ -166,18 +170,18 @@
 class KeySpecification:
     """A key with a value and a revision that rises strictly with each put.
 
-    A put on a base takes effect only if the key is at that revision. A confirmed put of the value that the key already
-    has may be answered with the revision it has (a repeat is known by its content). A read shows value and revision
-    together; a reader that was told only a revision is held to that. Revisions may have gaps, since a group or the
-    whole store counts them.
+    A put with a base takes effect only if the key is at that revision. A confirmed put of the current value may be
+    answered with the current revision (a repeat is recognized by its content). A read shows value and revision
+    together; a read that shows only a revision is checked against that. Revisions may have gaps, since a group of keys
+    or the whole store shares one counter.
     """
 
     def initial(self) -> KeyState:
-        """Return a key without a value."""
+        """Returns a key without a value."""
         return KeyState()
 
     def step(self, state: KeyState, operation: Operation, now: float) -> tuple[KeyState, float] | None:
-        """Return the key after a put or a read, or None."""
+        """Returns the key after a put or a read, or None."""
         call = operation.call
         after = None
         if isinstance(call, PutValue):
@@ -187,7 +191,10 @@
         return None if after is None else (after, now)
 
     def relevant(self, operations: list[Operation]) -> list[Operation]:
-        """Leave out puts of unknown outcome that nobody saw: neither their value nor a revision nobody else gave."""
+        """Leaves out puts of unknown outcome that no answer shows.
+
+        An answer shows a put by its value, or by a revision that no other put received.
+        """
         values: set[str | None] = set()
         given: set[int] = set()
         used: set[int] = set()
@@ -236,12 +243,15 @@
 
 
 def _may_be_at(state: KeyState, revision: int) -> bool:
-    """Whether the key may be at this revision; one that a put of unknown outcome gave lies above what went before."""
+    """Returns whether the key may be at this revision.
+
+    A revision from a put of unknown outcome is above all earlier ones.
+    """
     return revision == state.shown if state.shown is not None else revision > state.floor
 
 
 class ItemState(msgspec.Struct, frozen=True):
-    """An item's state: the version in force and its content, None where that version dropped it."""
+    """An item's current version and content, None if that version dropped the item."""
 
     version: int = 0
     content: str | None = None
@@ -254,17 +264,17 @@
 class ItemSpecification:
     """An item whose highest version wins.
 
-    The same version with the same content is confirmed again and changes nothing; with another content it is never
-    confirmed while that version holds. An order below the version in force may be confirmed as overtaken, whatever its
-    content, and changes nothing. A read shows the version and content in force, or that there is none.
+    A repeat of the same version with the same content is confirmed and changes nothing; with other content it is never
+    confirmed while that version is current. An amendment below the current version may be confirmed as superseded,
+    whatever its content, and changes nothing. A read shows the current version and content, or that there is no item.
     """
 
     def initial(self) -> ItemState:
-        """Return an item that was never given."""
+        """Returns an item that was never set."""
         return ItemState()
 
     def step(self, state: ItemState, operation: Operation, now: float) -> tuple[ItemState, float] | None:
-        """Return the item after an order or a read, or None."""
+        """Returns the item after an amendment or a read, or None."""
         call = operation.call
         if isinstance(call, ReadObject):
             shown = operation.value == state.content and (state.content is None or operation.number == state.version)
@@ -278,7 +288,10 @@
         return state, now
 
     def relevant(self, operations: list[Operation]) -> list[Operation]:
-        """Leave out orders of unknown outcome that nobody saw and that need not have overtaken a disputed version."""
+        """Leaves out amendments of unknown outcome that no read shows.
+
+        One above a version with differing contents stays, since it may have superseded that version.
+        """
         seen = {
             (operation.number, operation.value)
             for operation in operations
--- a/verification/steps.py
+++ b/verification/steps.py
@@ -1,4 +1,4 @@
-"""The steps of which a trace is made: each is one event at one member, or the passing of time."""
+"""The steps of a trace: each is one event at one member, or the passing of time."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Timeout(msgspec.Struct, frozen=True, tag="timeout"):
-    """The member's clock moves on to its timer: an election time-out, or a leader's next round."""
+    """The member's clock advances to its timer: an election timeout, or the next round of a leader."""
 
     member: str
 
 
 class PassTime(msgspec.Struct, frozen=True, tag="pass", omit_defaults=True):
-    """All clocks move on together; all but a frozen member see it at once, that one at its next step."""
+    """All clocks advance together; a `frozen` member notices only at its next step, all others at once."""
 
     ms: int
     frozen: str = ""
 
 
 class FreezeMember(msgspec.Struct, frozen=True, tag="silence"):
-    """The member was frozen: its clock shows several election time-outs more, nothing else happened to it."""
+    """The member was suspended: its clock advances by several election timeouts and nothing else happens to it."""
 
     member: str
 
@@ -34,7 +34,7 @@
 
 
 class LoseMessage(msgspec.Struct, frozen=True, tag="lose"):
-    """A message in flight is lost for good."""
+    """A message in flight is lost."""
 
     sender: str
     to: str
@@ -42,20 +42,20 @@
 
 
 class SaveToDisk(msgspec.Struct, frozen=True, tag="save"):
-    """The member's write reaches its disk; what waited for that is sent."""
+    """The member's write completes and the messages that waited for it are sent."""
 
     member: str
 
 
 class CrashMember(msgspec.Struct, frozen=True, tag="crash"):
-    """Loss of power and a restart from disk; of a write under way `kept` thousandths are on the disk."""
+    """The member loses power and restarts; `kept` thousandths of its pending write are on the disk."""
 
     member: str
     kept: int = 0
 
 
 class WipeDisk(msgspec.Struct, frozen=True, tag="wipe"):
-    """The member's disk is lost: a new one under the id `fresh` begins from the base snapshot of `source`."""
+    """The member's disk is lost; a new member with the id `fresh` starts from the base snapshot of `source`."""
 
     member: str
     fresh: str
@@ -63,20 +63,20 @@
 
 
 class Propose(msgspec.Struct, frozen=True, tag="propose"):
-    """A command is offered to a member that leads."""
+    """A command is proposed to a leader."""
 
     member: str
     command: str
 
 
 class RequestRead(msgspec.Struct, frozen=True, tag="read"):
-    """A leader is asked for a read that a quorum has to confirm."""
+    """A leader starts a read that a quorum must confirm."""
 
     member: str
 
 
 class ChangeConfiguration(msgspec.Struct, frozen=True, tag="reconfigure"):
-    """A leader is asked for other voters and learners."""
+    """A leader is asked to change the voters and learners."""
 
     member: str
     voters: tuple[str, ...]
@@ -84,9 +84,9 @@
 
 
 class OfferCall(msgspec.Struct, frozen=True, tag="offer", omit_defaults=True):
-    """A caller's command comes to a member: its next frame, or one sent before that was doubled or held on its way.
+    """A client's command arrives at a member: its next frame, or an earlier one that was duplicated or delayed.
 
-    With `unheard` the caller never gets the answer.
+    With `unheard` the client never receives the answer.
     """
 
     member: str
@@ -96,7 +96,7 @@
 
 
 class AnnounceMember(msgspec.Struct, frozen=True, tag="here", omit_defaults=True):
-    """The member hears from another that it is there, or that it is `leaving`."""
+    """The member receives the status of another, which is running or `leaving`."""
 
     member: str
     other: str
@@ -104,13 +104,13 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, tag="hand-over"):
-    """A leader is asked to let another lead."""
+    """A leader is asked to transfer leadership."""
 
     member: str
 
 
 class CompactLog(msgspec.Struct, frozen=True, tag="compact"):
-    """The member writes a snapshot of its state and drops the log that it covers."""
+    """The member writes a snapshot of its state and drops the log entries that it covers."""
 
     member: str
 
@@ -136,7 +136,7 @@
 
 
 def describe_step(step: Step) -> str:
-    """One step as a person reads it."""
+    """Returns one step as text for a person."""
     name = str(step.__struct_config__.tag)
     if isinstance(step, DeliverMessage | LoseMessage):
         again = ", kept in flight" if isinstance(step, DeliverMessage) and step.keep else ""
--- a/verification/trace.py
+++ b/verification/trace.py
@@ -1,4 +1,4 @@
-"""Traces as files: the bounds under which they were found, and their steps, one JSON document."""
+"""Trace files: the bounds of a search and the steps to a violation, as one JSON document."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class RecordedTrace(msgspec.Struct, frozen=True):
-    """A trace with all that a replay needs; `seed` is that of the members' own random numbers, None for none.
+    """A trace with everything that a replay needs.
 
-    `control` tells whole control machines from Raft alone.
+    `seed` is the seed of the members' random numbers, or None. `control` selects control-plane members instead of Raft
+    alone.
     """
 
     bounds: Bounds
@@ -24,10 +25,10 @@
 
 
 def write_trace(path: Path, recorded: RecordedTrace) -> None:
-    """Writes a trace to a file, to be read by `read` or by a person."""
+    """Writes a trace to a file in a form that `read_trace` and people can read."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(recorded), indent=1) + b"\n")
 
 
 def read_trace(path: Path) -> RecordedTrace:
-    """Reads a trace; raises msgspec.DecodeError or OSError where the file is none."""
+    """Reads a trace; raises msgspec.DecodeError or OSError if the file doesn't contain one."""
     return msgspec.json.decode(path.read_bytes(), type=RecordedTrace)
