--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -1,4 +1,4 @@
-"""The checker of histories: planted breaches of each specification are found, correct concurrent histories pass."""
+"""The linearizability checker finds violations of each specification and passes correct concurrent histories."""
 
 import random
 from collections import Counter
@@ -21,7 +21,7 @@
     concurrent,
     draw,
     lock,
-    operation,
+    make_operation,
     put,
     read,
     read_item,
@@ -33,7 +33,7 @@
 from verification.linearizability import EXIT_UNDECIDED, EXIT_UNREADABLE, EXIT_VIOLATION, Partition, check, check_file
 from verification.specifications import SPECIFICATIONS
 
-SOUND = {
+VALID_HISTORIES = {
     "a hold that lapses": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("b", 9), 3, 6, 2)],
     "a take that waits for the lapse inside its call": [
         lock(TakeLock("a", 5), 1, 2, 1),
@@ -114,7 +114,7 @@
     ],
 }
 
-BREACHES = {
+INVALID_HISTORIES = {
     "a stale read": [put(1, 2, "a", 1), put(3, 4, "b", 2), read(5, 6, "a", 1)],
     "a stale read of a revision": [put(1, 2, "a", 1), put(3, 4, "b", 2), read_revision(5, 6, 1)],
     "two readers who see two puts in two orders": [
@@ -180,28 +180,34 @@
 }
 
 
-@pytest.mark.parametrize("name", SOUND)
-def test_what_a_correct_system_may_answer_passes(name):
-    report = check(SOUND[name])
-    assert report.findings() == [] and report.partitions == 1 and report.operations == len(SOUND[name])
+@pytest.mark.parametrize("name", VALID_HISTORIES)
+def test_a_valid_history_passes(name):
+    report = check(VALID_HISTORIES[name])
+    assert report.findings() == [] and report.partitions == 1 and report.operations == len(VALID_HISTORIES[name])
 
 
-@pytest.mark.parametrize("name", BREACHES)
-def test_a_planted_breach_is_found_beside_sound_partitions(name):
-    sound = [msgspec.structs.replace(o, name=f"{o.name}{n}") for n, some in enumerate(SOUND.values()) for o in some]
-    bad = BREACHES[name]
-    report = check(sound + bad)
-    assert [b.partition for b in report.violations] == [Partition(bad[0].kind, bad[0].name)] and not report.undecided
+@pytest.mark.parametrize("name", INVALID_HISTORIES)
+def test_an_invalid_partition_is_found_among_valid_ones(name):
+    valid = [
+        msgspec.structs.replace(operation, name=f"{operation.name}{number}")
+        for number, history in enumerate(VALID_HISTORIES.values())
+        for operation in history
+    ]
+    invalid = INVALID_HISTORIES[name]
+    report = check(valid + invalid)
+    assert [violation.partition for violation in report.violations] == [
+        Partition(invalid[0].kind, invalid[0].name)
+    ] and not report.undecided
 
 
-def test_a_finding_names_the_shortest_prefix_and_what_fits_nowhere():
-    more = [put(20 + n, 20.5 + n, f"v{n}", 20 + n) for n in range(50)]
-    (breach,) = check([*BREACHES["a stale read"], *more]).violations
-    assert breach.prefix == 3 and breach.blocked == [read(5, 6, "a", 1)]
-    assert "read" in str(breach) and "value='b'" in str(breach) and "v1" not in str(breach)
+def test_a_finding_names_the_shortest_prefix_and_the_blocked_operations():
+    later = [put(20 + n, 20.5 + n, f"v{n}", 20 + n) for n in range(50)]
+    (violation,) = check([*INVALID_HISTORIES["a stale read"], *later]).violations
+    assert violation.prefix == 3 and violation.blocked == [read(5, 6, "a", 1)]
+    assert "read" in str(violation) and "value='b'" in str(violation) and "v1" not in str(violation)
 
 
-def test_steps_that_do_not_suffice_are_no_pass():
+def test_an_exceeded_step_limit_is_undecided_and_not_a_pass():
     many = [put(0, 100, f"v{n}", n + 1) for n in range(12)] + [read(0, 100, "nobody's", 50)]
     report = check(many, steps=1000)
     assert report.undecided == [Partition(ObjectKind.KEY, "k")] and "undecided" in report.findings()[0]
@@ -216,65 +222,68 @@
 
 @settings(derandomize=True, max_examples=150, deadline=None)
 @given(st.integers(0, 1 << 32))
-def test_a_read_of_what_was_replaced_before_it_began_is_found_in_any_history(seed):
+def test_a_stale_read_is_found_in_any_history(seed):
     history = concurrent(seed, 40)
-    end = 3 + max(o.ended or o.begun for o in history)
-    bad = [put(end, end + 1, "old", 1000), put(end + 2, end + 3, "new", 1001), read(end + 4, end + 5, "old", 1000)]
-    report = check(history + bad)
-    assert [b.partition for b in report.violations] == [Partition(ObjectKind.KEY, "k")]
+    end = 3 + max(operation.ended or operation.begun for operation in history)
+    invalid = [put(end, end + 1, "old", 1000), put(end + 2, end + 3, "new", 1001), read(end + 4, end + 5, "old", 1000)]
+    report = check(history + invalid)
+    assert [violation.partition for violation in report.violations] == [Partition(ObjectKind.KEY, "k")]
 
 
-def ordered(operations):
-    """The definition itself, tried out: every subset of the unknown operations, in every order."""
-    certain = [o for o in operations if o.outcome is DONE]
-    unknown = [o for o in operations if o.outcome is UNKNOWN]
+def can_be_ordered(operations):
+    """Applies the definition directly: tries every subset of the unknown operations in every order."""
+    certain = [operation for operation in operations if operation.outcome is DONE]
+    unknown = [operation for operation in operations if operation.outcome is UNKNOWN]
     specification = SPECIFICATIONS[operations[0].kind]
-    for n in range(len(unknown) + 1):
-        for some in combinations(unknown, n):
-            if any(legal(specification, order) for order in permutations([*certain, *some])):
+    for size in range(len(unknown) + 1):
+        for effective in combinations(unknown, size):
+            if any(is_legal(specification, order) for order in permutations([*certain, *effective])):
                 return True
     return False
 
 
-def legal(specification, order):
+def is_legal(specification, order):
     state, now = specification.initial(), 0.0
-    for o in order:
-        after = specification.step(state, o, max(now, o.begun))
-        if after is None or after[1] > o.latest:
+    for operation in order:
+        after = specification.step(state, operation, max(now, operation.begun))
+        if after is None or after[1] > operation.latest:
             return False
         state, now = after
     return True
 
 
-def scrambled(seed):
-    """A short history on one object whose answers may be wrong."""
+def random_small_history(seed):
+    """Returns a short history of one object whose answers may be wrong."""
     rng = random.Random(seed)
     kind = rng.choice(list(ObjectKind))
-    some = [o for o in concurrent(rng.random(), 30) if o.kind is kind][:6]
-    some = [
-        msgspec.structs.replace(o, number=max(0, o.number + rng.choice((0, 0, 0, 0, -1, 1))))
-        if o.outcome is DONE
-        else o
-        for o in some
+    operations = [operation for operation in concurrent(rng.random(), 30) if operation.kind is kind][:6]
+    operations = [
+        msgspec.structs.replace(operation, number=max(0, operation.number + rng.choice((0, 0, 0, 0, -1, 1))))
+        if operation.outcome is DONE
+        else operation
+        for operation in operations
+    ]
+    return [
+        msgspec.structs.replace(operation, begun=operation.begun + 1, ended=operation.ended and operation.ended + 1)
+        for operation in operations
     ]
-    return [msgspec.structs.replace(o, begun=o.begun + 1, ended=o.ended and o.ended + 1) for o in some]
 
 
-def test_the_search_says_what_trying_every_order_says():
-    said = Counter()
+def test_the_search_agrees_with_trying_every_order():
+    counts = Counter()
     for seed in range(400):
-        history = scrambled(seed)
+        history = random_small_history(seed)
         if not history:
             continue
         report = check(history)
-        want = ordered(history)
-        assert bool(report.violations) is not want and not report.undecided, seed
-        said[history[0].kind, want] += 1
-    assert len(said) == 2 * len(ObjectKind) and min(said.values()) >= 5, said
+        expected = can_be_ordered(history)
+        assert bool(report.violations) is not expected and not report.undecided, seed
+        counts[history[0].kind, expected] += 1
+    assert len(counts) == 2 * len(ObjectKind) and min(counts.values()) >= 5, counts
 
 
 @pytest.mark.parametrize(
-    "make, rule",
+    "service_class, rule",
     [
         (test_plainplay.FreesWithAnyToken, "LINEAR lock"),
         (test_plainplay.ReusesToken, "LINEAR lock"),
@@ -285,66 +294,66 @@
         (test_plainplay.RepeatsNumbers, "LINEAR number"),
     ],
 )
-def test_a_machine_with_a_planted_fault_is_found_by_its_history_alone(make, rule):
-    assert any(rule in check_linearizability(simulate(seed, 60_000, make)) for seed in range(200))
+def test_an_injected_fault_is_found_by_the_history_alone(service_class, rule):
+    assert any(rule in check_linearizability(simulate(seed, 60_000, service_class)) for seed in range(200))
 
 
-def test_a_recorded_history_is_checked_by_the_command(tmp_path: Path, capsys):
+def test_the_command_checks_a_recorded_history(tmp_path: Path, capsys):
     path = tmp_path / "h.jsonl"
-    histories.write(path, [o for some in SOUND.values() for o in some][:3])
+    histories.write(path, [operation for history in VALID_HISTORIES.values() for operation in history][:3])
     assert histories.load(path).is_ok()
     assert check_file(path) == EXIT_VIOLATION and "lock l" in capsys.readouterr().out
     histories.write(path, concurrent(5, 200))
     assert check_file(path) == 0 and "0 breached, 0 undecided" in capsys.readouterr().out
 
 
-def test_a_file_that_is_not_a_history_is_refused_with_its_lines(tmp_path: Path, capsys):
+def test_an_invalid_history_file_is_refused_with_the_numbers_of_its_invalid_lines(tmp_path: Path, capsys):
     path = tmp_path / "h.jsonl"
     lines = [
         msgspec.json.encode(draw(1, 2, 1)),
         b"{",
         msgspec.json.encode(draw(3, 2, 2)),
-        msgspec.json.encode(operation(ObjectKind.NUMBER, PutValue("a"), 1, 2)),
+        msgspec.json.encode(make_operation(ObjectKind.NUMBER, PutValue("a"), 1, 2)),
         msgspec.json.encode(draw(1, None, 1)),
     ]
     path.write_bytes(b"\n".join(lines))
     assert check_file(path) == EXIT_UNREADABLE
-    said = capsys.readouterr().err.splitlines()
-    assert [line.split(":")[1] for line in said] == ["2", "3", "4", "5"]
+    errors = capsys.readouterr().err.splitlines()
+    assert [line.split(":")[1] for line in errors] == ["2", "3", "4", "5"]
 
 
-def test_the_commands_codes_tell_a_breach_from_what_was_not_decided():
+def test_the_exit_codes_of_the_command_are_distinct():
     assert len({0, EXIT_VIOLATION, EXIT_UNDECIDED, EXIT_UNREADABLE}) == 4
 
 
-def test_the_simulators_check_looks_at_its_recorded_history():
-    h = sim.history.History()
-    place = h.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 1.0)
-    h.recorder.record_answer(place, 2.0, DONE, 7)
-    h.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 2.5)
-    assert sim.history.check(h) == []
-    place = h.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 3.0)
-    h.recorder.record_answer(place, 4.0, DONE, 7)
-    assert any("number n" in f for f in sim.history.check(h))
+def test_the_simulator_checks_its_recorded_history():
+    recorded = sim.history.History()
+    place = recorded.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 1.0)
+    recorded.recorder.record_answer(place, 2.0, DONE, 7)
+    recorded.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 2.5)
+    assert sim.history.check(recorded) == []
+    place = recorded.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 3.0)
+    recorded.recorder.record_answer(place, 4.0, DONE, 7)
+    assert any("number n" in finding for finding in sim.history.check(recorded))
 
 
-def test_the_trials_check_looks_at_its_history_by_times_too():
-    """A value that was read, gone, and read again: each read alone is as its revision says."""
+def test_the_trial_checks_its_history_by_call_times_too():
+    """A value is read, replaced, and read again, while each read alone matches its revision."""
     ops = [
         history.Op("put", "k", "u", 1, 20, "ok", 10, "a"),
         history.Op("put", "k", "v", 1, 20, "ok", 20, "b"),
         history.Op("read", "k", "w", 2, 3, "ok", 25, "b", None, 20),
         history.Op("read", "k", "w", 4, 5, "ok", 25, "a", None, 10),
     ]
-    h = history.History(ops[:3], [], [], [])
-    assert history.check(h) == []
-    h.ops.append(ops[3])
-    assert any(f.startswith("key k") for f in history.check(h))
+    recorded = history.History(ops[:3], [], [], [])
+    assert history.check(recorded) == []
+    recorded.ops.append(ops[3])
+    assert any(finding.startswith("key k") for finding in history.check(recorded))
 
 
-def test_a_trials_lock_is_relied_on_to_the_end_of_its_hold():
+def test_a_holder_in_a_trial_relies_on_its_lock_to_the_end_of_the_hold():
     ops = [history.Op("take", "l", "u", 1, 2, "ok", 4), history.Op("take", "l", "v", 3, 4, "ok", 9)]
-    h = history.History(ops, [history.Hold("l", "u", 2, 4.5, 4)], [], [])
-    assert any(f.startswith("lock l") for f in history.check(h))
-    h.holds[0].end = 3.5
-    assert history.check(h) == []
+    recorded = history.History(ops, [history.Hold("l", "u", 2, 4.5, 4)], [], [])
+    assert any(finding.startswith("lock l") for finding in history.check(recorded))
+    recorded.holds[0].end = 3.5
+    assert history.check(recorded) == []
--- a/tests/test_verification_explorer.py
+++ b/tests/test_verification_explorer.py
@@ -19,7 +19,7 @@
 from verification.faults import CHANGING_BOUNDS, FAULTS, WIPING_BOUNDS
 from verification.scheduler import StepScheduler
 
-NEAREST = {
+BREADTH_FIRST_SEARCHES = {
     "an election": (Bounds(terms=2), 3000),
     "two candidates and a crash": (Bounds(contested=True, crashes=1), 2000),
     "a leader's command and a crash": (Bounds(led=True, crashes=1), 2000),
@@ -27,7 +27,7 @@
     "a change of voters": (Bounds(led=True, spares=1, changes=2, commands=0, terms=1), 2000),
     "a snapshot for a member that lags": (Bounds(led=True, compactions=1, repeats=1, terms=1), 2000),
 }
-PATHS = {
+RANDOM_SEARCHES = {
     "three members": (RANDOM_WALK, 25, 600),
     "five members": (replace(RANDOM_WALK, members=5), 8, 2000),
     "changes of voters": (CHANGING_BOUNDS, 25, 600),
@@ -45,49 +45,49 @@
 }
 
 
-@pytest.mark.parametrize("name", NEAREST)
-def test_every_nearest_state_holds(name):
-    bounds, most = NEAREST[name]
-    result = breadth_first(bounds, most)
+@pytest.mark.parametrize("name", BREADTH_FIRST_SEARCHES)
+def test_breadth_first_search_finds_no_violation(name):
+    bounds, max_states = BREADTH_FIRST_SEARCHES[name]
+    result = breadth_first(bounds, max_states)
     assert (result.broken, result.trace) == ("", [])
-    assert result.states == most
+    assert result.states == max_states
 
 
-def test_a_small_space_is_visited_whole_and_the_same_each_time():
+def test_a_small_state_space_is_explored_completely_and_deterministically():
     runs = [breadth_first(Bounds(members=2, terms=1, commands=0, beats=0), 20_000) for _ in range(2)]
     assert runs[0] == runs[1]
     assert runs[0].complete and not runs[0].broken and runs[0].depth > 8
 
 
-@pytest.mark.parametrize("name", PATHS)
-def test_every_state_on_random_paths_holds_and_the_paths_reach_what_they_should(name):
-    bounds, seeds, length = PATHS[name]
+@pytest.mark.parametrize("name", RANDOM_SEARCHES)
+def test_random_walks_find_no_violation_and_cover_every_kind_of_event(name):
+    bounds, seeds, length = RANDOM_SEARCHES[name]
     result = random_walks(bounds, range(seeds), length, ControlCluster if name.startswith("control") else Cluster)
     assert (result.broken, result.trace) == ("", [])
     assert result.states == seeds * length
-    for what in ("elections", "commits", "crashes", "reads", "compactions", "repeats", "commands"):
-        assert result.coverage[what] >= seeds
-    for what in ("changes", "wipes", "passes", "greetings"):
-        assert bool(result.coverage.get(what)) == bool(getattr(bounds, what))
+    for event in ("elections", "commits", "crashes", "reads", "compactions", "repeats", "commands"):
+        assert result.coverage[event] >= seeds
+    for event in ("changes", "wipes", "passes", "greetings"):
+        assert bool(result.coverage.get(event)) == bool(getattr(bounds, event))
 
 
-def test_a_watch_lags_by_no_entry_that_was_acknowledged_longer_ago_than_its_bound(monkeypatch):
+def test_a_watch_lags_by_no_entry_acknowledged_longer_ago_than_its_lease(monkeypatch):
     monkeypatch.setattr(lease, "MAX_WATCH_LAG_ENTRIES", 0)
     result = random_walks(WATCHING_BOUNDS, range(40), 600, ControlCluster)
     assert (result.broken, result.trace) == ("", [])
 
 
-def test_paths_hold_where_entries_travel_one_at_a_time(monkeypatch):
+def test_random_walks_find_no_violation_with_one_entry_per_message(monkeypatch):
     monkeypatch.setattr(log, "MAX_ENTRIES_PER_MESSAGE", 1)
     assert random_walks(RANDOM_WALK, range(20), 600).broken == ""
 
 
-def test_a_seed_takes_the_same_path_each_time():
+def test_a_seed_determines_its_path():
     assert random_walk(WIPING_BOUNDS, 7, 400) == random_walk(WIPING_BOUNDS, 7, 400)
     assert random_walk(WIPING_BOUNDS, 7, 400) != random_walk(WIPING_BOUNDS, 8, 400)
 
 
-def test_a_fork_leaves_the_state_it_came_from_as_it_was():
+def test_a_fork_does_not_change_the_cluster_that_it_copies():
     cluster, scheduler = Cluster(WIPING_BOUNDS), StepScheduler(random.Random(3))
     for _ in range(400):
         step = scheduler.choose(cluster)
@@ -98,7 +98,7 @@
         assert cluster.state_key() == fork.state_key()
 
 
-def test_a_trace_is_replayed_from_its_file_and_breaks_where_it_broke(tmp_path):
+def test_a_trace_replayed_from_its_file_fails_at_its_last_step(tmp_path):
     fault = next(fault for fault in FAULTS if fault.name == "votes only for logs as new")
     with fault.injected() as make_cluster:
         found = random_walks(fault.bounds, range(20), 600, make_cluster)
@@ -106,12 +106,12 @@
         trace.write_trace(file, trace.RecordedTrace(fault.bounds, found.seed, found.trace, found.broken))
         recorded = trace.read_trace(file)
         assert replay(recorded.steps, recorded.bounds, recorded.seed, make_cluster) == found.broken == recorded.broken
-        shorter = recorded.steps[:-1]
-        assert replay(shorter, recorded.bounds, recorded.seed, make_cluster) is None
+        prefix = recorded.steps[:-1]
+        assert replay(prefix, recorded.bounds, recorded.seed, make_cluster) is None
     assert len(found.trace) < 60 and len(numbered_lines(found.trace)) == len(found.trace)
 
 
-def test_breadth_first_gives_the_shortest_trace():
+def test_breadth_first_search_gives_the_shortest_trace():
     fault = next(fault for fault in FAULTS if fault.name == "a majority, not half")
     with fault.injected() as make_cluster:
         found = breadth_first(Bounds(), 1000, make_cluster=make_cluster)
@@ -119,14 +119,14 @@
     assert found.trace == [steps.Timeout("n0")]
 
 
-def test_a_step_of_another_state_is_refused():
+def test_an_impossible_step_is_refused():
     for step in (steps.SaveToDisk("n0"), steps.Timeout("n9"), steps.DeliverMessage("n0", "n1", "TimeoutNow(term=1)")):
         with pytest.raises(ImpossibleError):
             replay([step], RANDOM_WALK)
 
 
 @pytest.mark.parametrize("kept", [0, WHOLE_WRITE_THOUSANDTHS // 2, WHOLE_WRITE_THOUSANDTHS])
-def test_a_write_under_way_at_a_loss_of_power_is_there_whole_or_not_at_all(kept):
+def test_a_write_interrupted_by_a_crash_is_stored_completely_or_not_at_all(kept):
     cluster = Cluster(replace(RANDOM_WALK, members=1))
     cluster.apply(steps.Timeout("n0"))
     assert cluster.members["n0"].raft.term == 1 and cluster.members["n0"].pending_save is not None
@@ -137,7 +137,7 @@
     )
 
 
-def test_a_disk_keeps_what_was_synced_before_it_lost_power():
+def test_a_disk_keeps_synced_bytes_when_it_loses_power():
     disk = PowerLossDisk()
     disk.append("a", b"12")
     disk.sync("a")
@@ -148,44 +148,46 @@
     assert disk.read("a") == b"1234"
 
 
-def test_the_commands_say_what_they_saw(tmp_path):
+def test_the_commands_print_the_figures_of_a_search(tmp_path):
     run = CliRunner().invoke
-    said = run(main, ["explore", "--states", "300"])
-    assert said.exit_code == 0 and said.output.startswith("states 300, steps ") and "every check held" in said.output
-    said = run(
+    result = run(main, ["explore", "--states", "300"])
+    assert (
+        result.exit_code == 0 and result.output.startswith("states 300, steps ") and "every check held" in result.output
+    )
+    result = run(
         main, ["explore", "--mode", "random", "--seeds", "2", "--depth", "200", "--changes", "3", "--spares", "1"]
     )
-    assert said.exit_code == 0 and "states 400" in said.output and "2 seeds" in said.output
-    said = run(main, ["teeth", "half"])
-    assert said.exit_code == 0 and "a majority, not half: 5 states" in said.output
-    said = run(main, ["explore", "--mode", "random", "--control", "--seeds", "2", "--depth", "200"])
-    assert said.exit_code == 0 and "passes" in said.output
+    assert result.exit_code == 0 and "states 400" in result.output and "2 seeds" in result.output
+    result = run(main, ["teeth", "half"])
+    assert result.exit_code == 0 and "a majority, not half: 5 states" in result.output
+    result = run(main, ["explore", "--mode", "random", "--control", "--seeds", "2", "--depth", "200"])
+    assert result.exit_code == 0 and "passes" in result.output
     assert run(main, ["explore", "--control"]).exit_code == 2
     file = tmp_path / "trace.json"
     trace.write_trace(file, trace.RecordedTrace(RANDOM_WALK, 1, random_walk(RANDOM_WALK, 1, 30).trace))
-    said = run(main, ["replay", str(file)])
-    assert said.exit_code == 0 and "  30. " in said.output and "every check held" in said.output
+    result = run(main, ["replay", str(file)])
+    assert result.exit_code == 0 and "  30. " in result.output and "every check held" in result.output
     file.write_bytes(b"{}")
-    said = run(main, ["replay", str(file)])
-    assert said.exit_code == 1 and "missing required field" in said.output
+    result = run(main, ["replay", str(file)])
+    assert result.exit_code == 1 and "missing required field" in result.output
 
 
-def test_a_failure_is_printed_written_and_ends_with_1(tmp_path):
+def test_a_violation_is_printed_and_written_with_exit_code_1(tmp_path):
     fault = next(fault for fault in FAULTS if fault.name == "a majority, not half")
     file = tmp_path / "trace.json"
     with pytest.MonkeyPatch.context() as patch:
         for owner, name, method in fault.patches:
             patch.setattr(owner, name, method)
-        said = CliRunner().invoke(main, ["explore", "--out", str(file)])
-        again = CliRunner().invoke(main, ["replay", str(file)])
-    assert said.exit_code == again.exit_code == 1
-    assert "   1. timeout member='n0'" in said.output and "BROKEN: commit without a quorum" in again.output
+        result = CliRunner().invoke(main, ["explore", "--out", str(file)])
+        replayed = CliRunner().invoke(main, ["replay", str(file)])
+    assert result.exit_code == replayed.exit_code == 1
+    assert "   1. timeout member='n0'" in result.output and "BROKEN: commit without a quorum" in replayed.output
     assert CliRunner().invoke(main, ["replay", str(file)]).exit_code == 0
 
 
-def test_every_kind_of_step_is_taken_and_survives_its_encoding():
-    taken = [step for seed in range(20) for step in random_walk(WIPING_BOUNDS, seed, 600).trace]
-    taken += random_walk(replace(CONTROL_BOUNDS, spares=1, greetings=UNBOUNDED), 1, 300, ControlCluster).trace
-    kinds = Counter(type(step) for step in taken)
+def test_every_kind_of_step_is_reached_and_survives_its_encoding():
+    applied = [step for seed in range(20) for step in random_walk(WIPING_BOUNDS, seed, 600).trace]
+    applied += random_walk(replace(CONTROL_BOUNDS, spares=1, greetings=UNBOUNDED), 1, 300, ControlCluster).trace
+    kinds = Counter(type(step) for step in applied)
     assert set(kinds) == set(steps.Step.__args__)
-    assert msgspec.json.decode(msgspec.json.encode(taken), type=list[steps.Step]) == taken
+    assert msgspec.json.decode(msgspec.json.encode(applied), type=list[steps.Step]) == applied
