--- a/tests/concurrent.py
+++ b/tests/concurrent.py
@@ -61,7 +61,7 @@
 
     def step(self, call_number):
         self.now += self.rng.choice((0.0, 0.25, 1.0))
-        return self.rng.choice((self.take, self.free, self.draw, self.put, self.read, self.amend, self.look))(
+        return self.rng.choice((self.take, self.free, self.draw, self.put, self.read, self.amend, self.read_item))(
             call_number
         )
 
@@ -110,7 +110,7 @@
         self.item_state = max(self.item_state, (version, content), key=lambda versioned: versioned[0])
         return amend(self.now, self.now, version, content)
 
-    def look(self, call_number):
+    def read_item(self, call_number):
         version, content = self.item_state
         return read_item(self.now, self.now, version if content is not None else 0, content)
 
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -34,17 +34,17 @@
 from verification.specifications import SPECIFICATIONS
 
 VALID_HISTORIES = {
-    "a hold that lapses": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("b", 9), 3, 6, 2)],
-    "a take that waits for the lapse inside its call": [
+    "a hold that expires": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("b", 9), 3, 6, 2)],
+    "a take that waits during its call for the hold to expire": [
         lock(TakeLock("a", 5), 1, 2, 1),
         lock(TakeLock("b", 9), 1.5, 5, 2),
     ],
-    "a hold that is freed": [
+    "a hold that is released": [
         lock(TakeLock("a", 9), 1, 2, 1),
         lock(FreeLock("a", 1), 3, 4),
         lock(TakeLock("b", 9), 3.5, 3.6, 2),
     ],
-    "a free that got no answer": [
+    "a release without an answer": [
         lock(TakeLock("a", 9), 1, 2, 1),
         lock(FreeLock("a", 1), 3, None, outcome=UNKNOWN),
         lock(TakeLock("b", 9), 5, 6, 2),
@@ -55,11 +55,11 @@
         lock(TakeLock("a", 7), 3, 4, 3),
         lock(ExtendLock("a", 1, 9), 4, 5),
     ],
-    "a take that got no answer and left a gap": [
+    "a take without an answer that leaves a gap": [
         lock(TakeLock("a", 99), 1, None, outcome=UNKNOWN),
         lock(TakeLock("b", 9), 2, 3, 7),
     ],
-    "a holder that names the token of a take without an answer": [
+    "a holder that uses the token of a take without an answer": [
         lock(TakeLock("a", 5), 1, 2, 1),
         lock(TakeLock("a", 9), 2, None, outcome=UNKNOWN),
         lock(FreeLock("a", 2), 3, 3.5),
@@ -67,15 +67,15 @@
         lock(TakeLock("a", 20), 5, None, outcome=UNKNOWN),
         lock(ExtendLock("a", 4, 20), 10, 11),
     ],
-    "numbers that cross": [draw(1, 4, 2), draw(2, 3, 1), draw(5, 6, 9)],
-    "a put of unknown outcome that shows up late": [
+    "numbers drawn concurrently": [draw(1, 4, 2), draw(2, 3, 1), draw(5, 6, 9)],
+    "a put of unknown outcome that becomes visible late": [
         put(1, 2, "a", 1),
         put(2, None, "b", outcome=UNKNOWN),
         read(3, 4, "a", 1),
         read(5, 6, "b", 4),
     ],
-    "a put of unknown outcome that never was": [put(1, None, "a", outcome=UNKNOWN), read(2, 3, None, 0)],
-    "a put on what an unknown one gave": [
+    "a put of unknown outcome that never took effect": [put(1, None, "a", outcome=UNKNOWN), read(2, 3, None, 0)],
+    "a put whose base is the revision of a put of unknown outcome": [
         put(1, None, "a", outcome=UNKNOWN),
         read_revision(2, 3, 5),
         put(4, 5, "b", 6, base=5),
@@ -95,19 +95,19 @@
         put(3, None, None, outcome=UNKNOWN),
         put(4, 5, "b", 3, base=0),
     ],
-    "an order that was overtaken": [amend(1, 2, 5, "b"), amend(3, 4, 4, "a"), read_item(5, 6, 5, "b")],
-    "an order under a version that was held by another, overtaken by one of unknown outcome": [
+    "an amendment that was superseded": [amend(1, 2, 5, "b"), amend(3, 4, 4, "a"), read_item(5, 6, 5, "b")],
+    "an amendment under a used version, superseded by one of unknown outcome": [
         amend(1, 2, 5, "a"),
         amend(3, None, 6, "c", UNKNOWN),
         amend(4, 5, 5, "b"),
     ],
-    "an item that a drop of unknown outcome took away": [
+    "an item removed by a drop of unknown outcome": [
         amend(1, 2, 5, "a"),
         amend(3, None, 6, None, UNKNOWN),
         read_item(4, 5, 0, None),
     ],
-    "one order confirmed twice": [amend(1, 2, 5, "b"), amend(3, 4, 5, "b"), read_item(5, 6, 5, "b")],
-    "two orders that race, one refused": [
+    "an amendment confirmed twice": [amend(1, 2, 5, "b"), amend(3, 4, 5, "b"), read_item(5, 6, 5, "b")],
+    "two concurrent amendments, one refused": [
         amend(1, 4, 5, "a", REFUSED),
         amend(1, 4, 5, "b"),
         read_item(5, 6, 5, "b"),
@@ -117,22 +117,26 @@
 INVALID_HISTORIES = {
     "a stale read": [put(1, 2, "a", 1), put(3, 4, "b", 2), read(5, 6, "a", 1)],
     "a stale read of a revision": [put(1, 2, "a", 1), put(3, 4, "b", 2), read_revision(5, 6, 1)],
-    "two readers who see two puts in two orders": [
+    "two readers that see two puts in different orders": [
         put(1, 9, "a", 1),
         put(1, 9, "b", 2),
         read(2, 3, "b", 2),
         read(4, 5, "a", 1),
     ],
     "a lost put": [put(1, 2, "a", 1), read(3, 4, None, 0)],
-    "a put over a later one than its base": [put(1, 2, "a", 1), put(3, 4, "b", 2), put(5, 6, "c", 3, base=1)],
+    "a put that overwrites a revision after its base": [
+        put(1, 2, "a", 1),
+        put(3, 4, "b", 2),
+        put(5, 6, "c", 3, base=1),
+    ],
     "a revision given twice": [put(1, 2, "a", 1), put(3, 4, "b", 1)],
-    "a refused put that shows up": [put(1, 2, "a", 1), put(3, 4, "b", 0, 0, REFUSED), read(5, 6, "b", 2)],
-    "a value nobody put": [put(1, 2, "a", 1), read(3, 4, "z", 2)],
-    "a put of unknown outcome that shows up before its call": [
+    "a refused put that becomes visible": [put(1, 2, "a", 1), put(3, 4, "b", 0, 0, REFUSED), read(5, 6, "b", 2)],
+    "a value that was never put": [put(1, 2, "a", 1), read(3, 4, "z", 2)],
+    "a put of unknown outcome that is visible before its call": [
         read(1, 2, "b", 4),
         put(3, None, "b", outcome=UNKNOWN),
     ],
-    "a put of unknown outcome that shows up and goes": [
+    "a put of unknown outcome that becomes visible and disappears": [
         put(1, 2, "a", 1),
         put(2, None, "b", outcome=UNKNOWN),
         read(3, 4, "b", 4),
@@ -141,7 +145,7 @@
     "a number given twice": [draw(1, 2, 5), draw(1, 3, 5)],
     "a number that falls": [draw(1, 2, 5), draw(3, 4, 4)],
     "two holders": [lock(TakeLock("a", 5), 1, 2, 1), lock(TakeLock("b", 9), 3, 4, 2)],
-    "two holders after a free with an older token": [
+    "two holders after a release with an older token": [
         lock(TakeLock("a", 9), 1, 2, 1),
         lock(TakeLock("a", 9), 2, 3, 2),
         lock(FreeLock("a", 1), 3, 4),
@@ -153,7 +157,7 @@
         lock(TakeLock("b", 9), 6, 7, 2),
     ],
     "a token used again": [lock(TakeLock("a", 3), 1, 2, 1), lock(TakeLock("b", 9), 4, 5, 1)],
-    "an extension of a hold that another broke": [
+    "an extension of a hold that another holder replaced": [
         lock(TakeLock("a", 3), 1, 2, 1),
         lock(TakeLock("b", 9), 4, 5, 2),
         lock(ExtendLock("a", 1, 12), 6, 7),
@@ -163,20 +167,24 @@
         lock(ExtendLock("a", 4, 20), 3, 4),
     ],
     "an item replaced under one version": [amend(1, 2, 5, "a"), amend(3, 4, 5, "b")],
-    "an item replaced under one version before what overtakes it is called": [
+    "an item replaced under one version before the superseding amendment is called": [
         amend(1, 2, 5, "a"),
         amend(5, 6, 5, "b"),
         amend(7, 8, 6, "c"),
     ],
-    "an item that an overtaken order replaced": [
+    "an item replaced by a superseded amendment": [
         amend(1, 2, 5, "a"),
         amend(3, 4, 6, "c"),
         amend(5, 6, 5, "b"),
         read_item(7, 8, 5, "b"),
     ],
-    "an item that is gone without a drop": [amend(1, 2, 5, "a"), read_item(3, 4, 0, None)],
-    "an item that slips back": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b"), read_item(5, 6, 5, "a")],
-    "a refused order that shows up": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b", REFUSED), read_item(5, 6, 6, "b")],
+    "an item that disappears without a drop": [amend(1, 2, 5, "a"), read_item(3, 4, 0, None)],
+    "an item that returns to an earlier version": [amend(1, 2, 5, "a"), amend(3, 4, 6, "b"), read_item(5, 6, 5, "a")],
+    "a refused amendment that becomes visible": [
+        amend(1, 2, 5, "a"),
+        amend(3, 4, 6, "b", REFUSED),
+        read_item(5, 6, 6, "b"),
+    ],
 }
 
 
--- a/verification/linearizability.py
+++ b/verification/linearizability.py
@@ -247,25 +247,25 @@
     """Returns the history as of `end` (s): without later calls, and with calls in progress unanswered."""
     begun = [operation for operation in operations if operation.begun <= end]
     known = [operation for operation in begun if operation.unknown or operation.latest <= end]
-    under_way = [
+    in_progress = [
         operation
         for operation in begun
         if not operation.unknown and operation.latest > end and operation.outcome is not OperationOutcome.REFUSED
     ]
-    open_ended = [
+    unanswered = [
         msgspec.structs.replace(operation, ended=None, outcome=OperationOutcome.UNKNOWN, number=0)
-        for operation in under_way
+        for operation in in_progress
         if not isinstance(operation.call, ReadObject)
     ]
-    return known + open_ended
+    return known + unanswered
 
 
 def check_file(path: str | Path) -> int:
     """Checks a recorded history and prints the findings; returns 0 only if every partition could be ordered."""
     operations = load(Path(path))
     if isinstance(operations, Err):
-        for finding in operations.err_value:
-            click.echo(str(finding), err=True)
+        for invalid_line in operations.err_value:
+            click.echo(str(invalid_line), err=True)
         return EXIT_UNREADABLE
     report = check(operations.ok_value)
     for finding in report.findings():
--- a/verification/specifications.py
+++ b/verification/specifications.py
@@ -196,27 +196,27 @@
         An answer shows a put by its value, or by a revision that no other put received.
         """
         values: set[str | None] = set()
-        given: set[int] = set()
-        used: set[int] = set()
+        confirmed_revisions: set[int] = set()
+        shown_revisions: set[int] = set()
         for operation in operations:
             match operation.call:
                 case ReadObject(shows_value=True):
                     values.add(operation.value)
                 case ReadObject():
-                    used.add(operation.number)
+                    shown_revisions.add(operation.number)
                 case PutValue(base=base):
-                    used |= {base} if base is not None else set()
+                    shown_revisions |= {base} if base is not None else set()
                     if not operation.unknown:
-                        given.add(operation.number)
-        if 0 in used:
+                        confirmed_revisions.add(operation.number)
+        if 0 in shown_revisions:
             values.add(None)
-        unexplained = bool(used - given - {0})
+        shows_unknown_put = bool(shown_revisions - confirmed_revisions - {0})
         return [
             operation
             for operation in operations
             if not operation.unknown
             or isinstance(operation.call, PutValue)
-            and (unexplained or operation.call.value in values)
+            and (shows_unknown_put or operation.call.value in values)
         ]
 
     def _put(self, state: KeyState, operation: Operation, call: PutValue) -> KeyState | None:
