--- a/mallowvalve/localfleet/history.py
+++ b/mallowvalve/localfleet/history.py
@@ -7,7 +7,16 @@
 import msgspec
 
 from verification import histories, linearizability
-from verification.histories import Draw, Kind, Operation, Outcome, Put, Read, Take, outcome_of
+from verification.histories import (
+    DrawNumber,
+    ObjectKind,
+    Operation,
+    OperationOutcome,
+    PutValue,
+    ReadObject,
+    TakeLock,
+    outcome_from_code,
+)
 
 
 class CoordinationCall(msgspec.Struct):
@@ -81,22 +90,22 @@
 
 
 def _operation(recorded: CoordinationCall, hold_ends: dict[tuple[str, int], float]) -> Operation:
-    kind: Kind
-    call: histories.Call
+    kind: ObjectKind
+    call: histories.OperationCall
     match recorded.kind:
         case "take":
             hold_end = hold_ends.get((recorded.name, recorded.revision), recorded.begun)
-            kind, call = Kind.LOCK, Take(recorded.who, hold_end)
+            kind, call = ObjectKind.LOCK, TakeLock(recorded.who, hold_end)
         case "number":
-            kind, call = Kind.NUMBER, Draw()
+            kind, call = ObjectKind.NUMBER, DrawNumber()
         case "put":
-            kind, call = Kind.KEY, Put(recorded.value, recorded.base)
+            kind, call = ObjectKind.KEY, PutValue(recorded.value, recorded.base)
         case _:
-            kind, call = Kind.KEY, Read()
-    outcome = outcome_of(recorded.said)
+            kind, call = ObjectKind.KEY, ReadObject()
+    outcome = outcome_from_code(recorded.said)
     number = recorded.at if recorded.kind == "read" else recorded.revision
     value = recorded.value if recorded.kind == "read" else None
-    ended = None if outcome is Outcome.UNKNOWN else recorded.ended
+    ended = None if outcome is OperationOutcome.UNKNOWN else recorded.ended
     return Operation(kind, recorded.name, recorded.who, call, recorded.begun, ended, outcome, number, value)
 
 
--- a/verification/__main__.py
+++ b/verification/__main__.py
@@ -1,4 +1,4 @@
-"""The commands: search states, replay a trace, take protections out, check a recorded history."""
+"""Command line: explores states, replays a trace, injects faults, checks a recorded history."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 from verification.cluster import Cluster, ImpossibleError
 from verification.control_cluster import ControlCluster
 from verification.control_faults import CONTROL_FAULTS
-from verification.explorer import Result, breadth_first, lines, replay, walks
+from verification.explorer import SearchResult, breadth_first, numbered_lines, random_walks, replay
 from verification.faults import FAULTS
 
-BREADTH, RANDOM = "breadth", "random"
-SMALL = Bounds()
-SHARED = ("members", "spares", "led", "contested", "shared_clock")
-COUNTED = [name for name in Bounds.__struct_fields__ if name not in SHARED]
+BREADTH = "breadth"
+RANDOM = "random"
+DEFAULT_BOUNDS = Bounds()
+OPTIONS_WITHOUT_COUNT = ("members", "spares", "led", "contested", "shared_clock")
+COUNT_OPTIONS = [name for name in Bounds.__struct_fields__ if name not in OPTIONS_WITHOUT_COUNT]
 
 
 @click.group()
@@ -30,9 +31,9 @@
 
 
 def bounds_options(command: click.Command) -> click.Command:
-    """An option for each count that a path may hold."""
-    for name in reversed(COUNTED):
-        text = f"most {name} of a path; breadth first {getattr(SMALL, name)} if not given, random unbounded"
+    """Adds an option for each count that bounds a path."""
+    for name in reversed(COUNT_OPTIONS):
+        text = f"most {name} of a path; breadth first {getattr(DEFAULT_BOUNDS, name)} if not given, random unbounded"
         command = click.option(f"--{name}", type=click.IntRange(0), help=text)(command)
     return command
 
@@ -60,43 +61,43 @@
     if control and not unbounded:
         raise click.UsageError("--control needs --mode random: its states have no identity")
     limits["shared_clock"] = limits["shared_clock"] or control
-    counts = {name: limits.pop(name) for name in COUNTED}
+    counts = {name: limits.pop(name) for name in COUNT_OPTIONS}
     counts = {name: _count(name, value, unbounded) for name, value in counts.items()}
     bounds = Bounds(**limits, **counts)
-    began = time.monotonic()
+    started_at = time.monotonic()
     if mode == BREADTH:
         result = breadth_first(bounds, states, depth)
     else:
-        until = began + seconds if seconds else float("inf")
-        numbers = (seed for seed in range(first, first + seeds) if time.monotonic() < until)
-        result = walks(bounds, numbers, depth, ControlCluster if control else Cluster)
-    report(result, time.monotonic() - began)
+        deadline = started_at + seconds if seconds else float("inf")
+        numbers = (seed for seed in range(first, first + seeds) if time.monotonic() < deadline)
+        result = random_walks(bounds, numbers, depth, ControlCluster if control else Cluster)
+    report(result, time.monotonic() - started_at)
     if result.broken:
         if out is not None:
-            traces.write(out, traces.Recorded(bounds, result.seed, result.trace, result.broken, control))
+            traces.write_trace(out, traces.RecordedTrace(bounds, result.seed, result.trace, result.broken, control))
         sys.exit(1)
 
 
 def _count(name: str, value: int | None, unbounded: bool) -> int:
     if value is not None:
         return value
-    return UNBOUNDED if unbounded and name not in ("changes", "wipes", "greetings") else getattr(SMALL, name)
+    return UNBOUNDED if unbounded and name not in ("changes", "wipes", "greetings") else getattr(DEFAULT_BOUNDS, name)
 
 
-def report(result: Result, seconds: float) -> None:
-    """Prints what a search saw, and a failure's trace."""
-    over = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
-    pace = round(result.states / seconds) if seconds else 0
-    click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{over}, {pace} states/s")
-    if result.seen:
-        click.echo("seen: " + ", ".join(f"{what} {number}" for what, number in sorted(result.seen.items())))
+def report(result: SearchResult, seconds: float) -> None:
+    """Prints the figures of a search, and the trace of a failure."""
+    scope = f", {result.seeds} seeds" if result.seeds else ", all within the bounds" if result.complete else ""
+    states_per_s = round(result.states / seconds) if seconds else 0
+    click.echo(f"states {result.states}, steps {result.steps}, depth {result.depth}{scope}, {states_per_s} states/s")
+    if result.coverage:
+        click.echo("seen: " + ", ".join(f"{event} {count}" for event, count in sorted(result.coverage.items())))
     if not result.broken:
         click.echo("every check held")
         return
     click.echo(f"BROKEN: {result.broken}")
     if result.seed is not None:
         click.echo(f"seed {result.seed}, the path shortened to {len(result.trace)} steps:")
-    for text in lines(result.trace):
+    for text in numbered_lines(result.trace):
         click.echo(text)
 
 
@@ -105,12 +106,12 @@
 def replay_file(file: Path) -> None:
     """Take the steps of a trace that `explore --out` wrote; exits with 1 where it still fails."""
     try:
-        recorded = traces.read(file)
-        make = ControlCluster if recorded.control else Cluster
-        broken = replay(recorded.steps, recorded.bounds, recorded.seed, make)
+        recorded = traces.read_trace(file)
+        make_cluster = ControlCluster if recorded.control else Cluster
+        broken = replay(recorded.steps, recorded.bounds, recorded.seed, make_cluster)
     except (msgspec.DecodeError, ImpossibleError) as error:
         raise click.ClickException(f"{file}: {error}") from None
-    for text in lines(recorded.steps):
+    for text in numbered_lines(recorded.steps):
         click.echo(text)
     click.echo(f"BROKEN: {broken}" if broken else "every check held")
     sys.exit(1 if broken else 0)
@@ -121,25 +122,25 @@
 @click.argument("names", nargs=-1)
 def teeth(seeds, names) -> None:
     """Take each protection out in turn (or those whose name holds one of NAMES) and count states to a failure."""
-    blunt = 0
+    unnoticed_count = 0
     for fault in FAULTS + CONTROL_FAULTS:
         if names and not any(name in fault.name for name in names):
             continue
-        began = time.monotonic()
-        with fault.out() as make:
-            result = walks(fault.bounds, range(seeds), fault.length, make, fault.weights)
-        blunt += not result.broken
-        told = f"{result.broken}; trace of {len(result.trace)}" if result.broken else "NOT NOTICED"
-        took = time.monotonic() - began
-        click.echo(f"{fault.name}: {result.states} states, {result.seeds} seeds, {took:.1f} s: {told}")
-    sys.exit(1 if blunt else 0)
+        started_at = time.monotonic()
+        with fault.injected() as make_cluster:
+            result = random_walks(fault.bounds, range(seeds), fault.length, make_cluster, fault.weights)
+        unnoticed_count += not result.broken
+        verdict = f"{result.broken}; trace of {len(result.trace)}" if result.broken else "NOT NOTICED"
+        elapsed_s = time.monotonic() - started_at
+        click.echo(f"{fault.name}: {result.states} states, {result.seeds} seeds, {elapsed_s:.1f} s: {verdict}")
+    sys.exit(1 if unnoticed_count else 0)
 
 
 @main.command()
 @click.argument("file", type=click.Path(exists=True, path_type=Path))
 def check(file: Path) -> None:
     """Check a recorded history for linearizability; exits with 0 only if an order explains every part of it."""
-    sys.exit(import_module("verification.linearizability").main_check(file))
+    sys.exit(import_module("verification.linearizability").check_file(file))
 
 
 if __name__ == "__main__":
--- a/verification/control_faults.py
+++ b/verification/control_faults.py
@@ -1,4 +1,4 @@
-"""Protections of the control machine taken out one at a time: sessions, not-after, leases."""
+"""Injected faults of the control plane: each removes one protection of sessions, not-after times or leases."""
 
 from __future__ import annotations
 
@@ -13,103 +13,116 @@
 from mallowvalve.raft.contact import QuorumContact
 from mallowvalve.raft.messages import AppendEntries
 from mallowvalve.raft.raft import Raft
-from verification.bounds import UNBOUNDED, WALK
+from verification.bounds import RANDOM_WALK, UNBOUNDED
 from verification.control_cluster import ControlCluster
-from verification.faults import STALE, STATE, Fault
+from verification.faults import STALE_READ, STATE_MACHINE_SAFETY, Fault
 
-CONTROL = replace(WALK, shared_clock=True, passes=UNBOUNDED)
-WATCHING = replace(CONTROL, crashes=0, compactions=0, reads=0, repeats=0)
-CALLING = replace(CONTROL, reads=0, repeats=0)
-ONCE, NOT_AFTER, STALE_WATCH = "once", "not after", "stale watch"
-EXACT = ((lease, "MAX_WATCH_LAG_ENTRIES", 0),)
-"""With it a watch may lag by no entry, so that short logs show what long ones would."""
+CONTROL_BOUNDS = replace(RANDOM_WALK, shared_clock=True, passes=UNBOUNDED)
+WATCHING_BOUNDS = replace(CONTROL_BOUNDS, crashes=0, compactions=0, reads=0, repeats=0)
+CALLING_BOUNDS = replace(CONTROL_BOUNDS, reads=0, repeats=0)
+AT_MOST_ONCE = "once"
+NOT_AFTER = "not after"
+STALE_WATCH = "stale watch"
+NO_WATCH_LAG = ((lease, "MAX_WATCH_LAG_ENTRIES", 0),)
+"""Permits a watch no lag, so that the short logs of a random walk show the violations that long logs would."""
 
-_judge, _on_append_entries = Sessions.deduplicate, Raft._on_append_entries
+_original_judge = Sessions.deduplicate
+_original_on_append_entries = Raft._on_append_entries
 
 
-def _keep_nothing(sessions: Sessions, origin: Origin, outcome: Outcome) -> None:
-    """A memory of nothing."""
+def _discard_outcome(sessions: Sessions, origin: Origin, outcome: Outcome) -> None:
+    """Stores no outcome."""
 
 
-def _adopt_nothing(sessions: Sessions, rows: list[SessionOutcome]) -> None:
-    """A snapshot that brings no memory."""
+def _discard_rows(sessions: Sessions, rows: list[SessionOutcome]) -> None:
+    """Takes over no outcomes from a snapshot."""
 
 
-def _never_late(sessions: Sessions, origin: Origin, at: int) -> Outcome | Code | None:
-    """A judgement that takes the late for timely."""
+def _ignore_not_after(sessions: Sessions, origin: Origin, at: int) -> Outcome | Code | None:
+    """Judges a late command as if it had arrived in time."""
     if (origin.session, origin.number) in sessions.rows:
-        return _judge(sessions, origin, at)
-    return _judge(sessions, replace(origin, not_after=max(sessions.latest, at)), at)
+        return _original_judge(sessions, origin, at)
+    return _original_judge(sessions, replace(origin, not_after=max(sessions.latest, at)), at)
 
 
-def _from_arrival(contact: QuorumContact, sure: float, now: float) -> None:
-    """Contact that is counted from when the leader's word came."""
+def _count_contact_from_arrival(contact: QuorumContact, confirmed_stamp: float, now: float) -> None:
+    """Counts quorum contact from the arrival of the leader's message, not from the question."""
     contact.confirmed_at = now
 
 
-def _told_by_what_fits(raft: Raft, sender: str, message: AppendEntries, now: float) -> None:
-    """What is decided is heard only from an append that fits the log, contact from every one."""
-    told = raft.known_commit_index
-    _on_append_entries(raft, sender, message, now)
+def _commit_index_from_matching_appends(raft: Raft, sender: str, message: AppendEntries, now: float) -> None:
+    """Learns the commit index only from an append that matches the log.
+
+    Quorum contact still counts from every append.
+    """
+    previous = raft.known_commit_index
+    _original_on_append_entries(raft, sender, message, now)
     if not raft._after_save[-1][1].ok:
-        raft.known_commit_index = told
+        raft.known_commit_index = previous
 
 
-def _always_in_touch(raft: Raft) -> float:
-    """A leader, or a follower, that takes itself to be in touch for ever."""
+def _contact_is_now(raft: Raft) -> float:
+    """Reports permanent contact with a quorum, at a leader and at a follower."""
     return raft._now
 
 
-def _current_in_any_term(machine: Core, now: float) -> bool:
-    """Watches served from a state of an earlier term."""
+def _current_in_any_term(core: Core, now: float) -> bool:
+    """Serves watches from a state of an earlier term."""
     return (
-        machine.may_answer(lease.AnswerKind.WATCH, now)
-        and machine.state.index + lease.MAX_WATCH_LAG_ENTRIES >= machine.raft.known_commit_index
+        core.may_answer(lease.AnswerKind.WATCH, now)
+        and core.state.index + lease.MAX_WATCH_LAG_ENTRIES >= core.raft.known_commit_index
     )
 
 
-def _leads_at_once(machine: Core) -> bool:
-    """A leader that answers before it has applied what former ones acknowledged."""
-    return machine.raft is not None and machine.raft.leads
+def _leads_before_applying(core: Core) -> bool:
+    """Answers as leader before all entries that earlier leaders acknowledged are applied."""
+    return core.raft is not None and core.raft.leads
 
 
-def _fault(name: str, breaks: tuple[str, ...], *patches: tuple[Any, str, Any], bounds=CALLING) -> Fault:
-    return Fault(name, breaks, patches=patches, bounds=bounds, cluster=ControlCluster)
+def _fault(
+    name: str, expected_failures: tuple[str, ...], *patches: tuple[Any, str, Any], bounds=CALLING_BOUNDS
+) -> Fault:
+    return Fault(name, expected_failures, patches=patches, bounds=bounds, cluster_class=ControlCluster)
 
 
 CONTROL_FAULTS = (
-    _fault("outcomes kept by session and number", (ONCE,), (Sessions, "store_outcome", _keep_nothing)),
-    _fault("sessions in the snapshot", (STATE, ONCE), (Sessions, "restore_outcomes", _adopt_nothing)),
-    _fault("no effect after the not-after", (NOT_AFTER,), (Sessions, "deduplicate", _never_late)),
+    _fault("outcomes kept by session and number", (AT_MOST_ONCE,), (Sessions, "store_outcome", _discard_outcome)),
+    _fault(
+        "sessions in the snapshot", (STATE_MACHINE_SAFETY, AT_MOST_ONCE), (Sessions, "restore_outcomes", _discard_rows)
+    ),
+    _fault("no effect after the not-after", (NOT_AFTER,), (Sessions, "deduplicate", _ignore_not_after)),
     _fault(
         "contact counted from the question",
         (STALE_WATCH,),
-        (QuorumContact, "record_echo", _from_arrival),
-        *EXACT,
-        bounds=WATCHING,
+        (QuorumContact, "record_echo", _count_contact_from_arrival),
+        *NO_WATCH_LAG,
+        bounds=WATCHING_BOUNDS,
     ),
     _fault(
         "what is decided heard from every append",
         (STALE_WATCH,),
-        (Raft, "_on_append_entries", _told_by_what_fits),
-        *EXACT,
-        bounds=WATCHING,
+        (Raft, "_on_append_entries", _commit_index_from_matching_appends),
+        *NO_WATCH_LAG,
+        bounds=WATCHING_BOUNDS,
     ),
     _fault(
         "watches only while in touch",
         (STALE_WATCH,),
-        (Raft, "last_quorum_contact", _always_in_touch),
-        *EXACT,
-        bounds=WATCHING,
+        (Raft, "last_quorum_contact", _contact_is_now),
+        *NO_WATCH_LAG,
+        bounds=WATCHING_BOUNDS,
     ),
     _fault(
         "watches from a state of the term",
         (STALE_WATCH,),
         (Core, "current", _current_in_any_term),
-        *EXACT,
-        bounds=WATCHING,
+        *NO_WATCH_LAG,
+        bounds=WATCHING_BOUNDS,
     ),
     _fault(
-        "a leader answers once it has applied all", (STALE,), (Core, "leads", property(_leads_at_once)), bounds=CONTROL
+        "a leader answers once it has applied all",
+        (STALE_READ,),
+        (Core, "leads", property(_leads_before_applying)),
+        bounds=CONTROL_BOUNDS,
     ),
 )
--- a/verification/control_member.py
+++ b/verification/control_member.py
@@ -1,4 +1,4 @@
-"""A member with the whole control machine: Raft, the replicated state with its sessions, leases and reconfiguration."""
+"""A member that runs the whole control plane: Raft, replicated state, sessions, leases and reconfiguration."""
 
 from __future__ import annotations
 
@@ -17,46 +17,47 @@
 from mallowvalve.settings import Acks
 from mallowvalve.storage.log import DiskLog
 from mallowvalve.types import Address, Locality, Revision
-from verification.disk import PowerDisk
+from verification.disk import PowerLossDisk
 from verification.identity import digest
-from verification.member import FLEET, TIMES, Answered, Member, Sent
+from verification.member import FLEET, TIMINGS, AnsweredRead, SentMessages, SimulatedMember
 
 ACKS = Acks(settings="commit", coordination="commit")
-HERE = Locality("region", "zone")
-HOST, PORT = "10.0.0.1", 7001
+LOCALITY = Locality("region", "zone")
+HOST = "10.0.0.1"
+FIRST_PORT = 7001
 ROLE = "control"
 
 
-class Reply(msgspec.Struct, frozen=True):
-    """What a member said to a frame of a caller's call."""
+class CommandReply(msgspec.Struct, frozen=True):
+    """The response of a member to a frame of a client's call."""
 
     call: int
     frame: int
     unheard: bool
-    took: CommandResponse
+    response: CommandResponse
 
 
-class Frame(msgspec.Struct, frozen=True):
-    """The token of a frame that was offered."""
+class OfferedFrame(msgspec.Struct, frozen=True):
+    """The token that identifies an offered frame in its reply."""
 
     call: int
     frame: int
     unheard: bool
 
 
-class Floor(msgspec.Struct, frozen=True):
-    """The token of a read: what had been acknowledged when it was asked."""
+class ReadFloor(msgspec.Struct, frozen=True):
+    """The token of a read: the highest index that was acknowledged when the read started."""
 
     index: int
 
 
-class View:
-    """The applied state as the checks see it: its index, and a digest of all that calls did to it."""
+class AppliedControlState:
+    """The applied state for the checks: its index, and a digest of all effects of calls."""
 
     __slots__ = ("index", "history")
 
     def __init__(self, core: Core):
-        """The state that the machine holds now."""
+        """Summarizes the state that `core` has applied."""
         state = core.state
         self.index = state.index
         rows = sorted((key, kept.outcome) for key, kept in state.sessions.rows.items())
@@ -66,42 +67,42 @@
         )
 
 
-class ControlMember(Member):
-    """Runs a `Core` over the disk log; `replies` are for the callers, and emptied by who hands them on."""
+class ControlMember(SimulatedMember):
+    """Runs a `Core` over the disk log; the cluster takes `replies` and delivers them to the clients."""
 
     __slots__ = ("core", "replies", "boot")
 
     @staticmethod
-    def first(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
-        """The snapshot that all members begin from."""
+    def founding_snapshot(group: GroupId, voters: ClusterConfiguration) -> RaftSnapshot:
+        """Returns the snapshot that all members start from."""
         return initial_snapshot(group, voters, None)
 
-    def _start(self, disk: PowerDisk) -> None:
+    def _start(self, disk: PowerLossDisk) -> None:
         self.disk_log = DiskLog.open(disk, FLEET, self.id).unwrap()
         loaded = store.load(self.disk_log).unwrap()
-        self.core = Core(self.id, address(self.id), HERE, self.rng, ACKS, TIMES)
+        self.core = Core(self.id, address(self.id), LOCALITY, self.rng, ACKS, TIMINGS)
         self.core.start(loaded.snapshot, loaded.hard, loaded.entries, self.now)
         self.raft: Raft = self.core.raft
-        self.reached, self.unsaved, self.voters = 0, None, None
-        self.acknowledged, self.answers = [], []
-        self.replies: list[Reply] = []
-        self._key = None
-        self._hold(loaded.hard)
-        self._look()
-
-    def step(self, act=lambda raft: None) -> Sent:
-        """Does something to the machine, and gives the messages that need not wait for the disk."""
-        self.begin()
+        self.highest_applied, self.pending_save, self.configuration_before_step = 0, None, None
+        self.acknowledged_indexes, self.read_answers = [], []
+        self.replies: list[CommandReply] = []
+        self._cached_state_key = None
+        self._note_durable(loaded.hard)
+        self._update_applied_state()
+
+    def step(self, act=lambda raft: None) -> SentMessages:
+        """Runs an action on the state machine and returns the messages that don't wait for the disk."""
+        self.begin_step()
         act(self.raft)
         self.core.tick(self.now)
         ready = self.core.ready(self.now)
         if ready.hard_state is None and not ready.entries and ready.snapshot is None:
-            return ready.before_save + self._after(ready)
-        self.unsaved = ready, self.raft.hard_state()
+            return ready.before_save + self._finish_step(ready)
+        self.pending_save = ready, self.raft.hard_state()
         return ready.before_save
 
-    def receive(self, sender: str, message: Message) -> Sent:
-        """Takes in a message; the state of a snapshot is built beside the machine first, as its daemon does."""
+    def receive(self, sender: str, message: Message) -> SentMessages:
+        """Processes a message; decodes the state of a snapshot beforehand, as the daemon does."""
         if (
             isinstance(message, InstallSnapshot)
             and message.snapshot.state
@@ -112,54 +113,54 @@
         envelope = Envelope(self.raft.group, sender, self.id, address(sender), message)
         return self.step(lambda raft: self.core.receive(envelope, self.now))
 
-    def offer(self, data: bytes, frame: Frame, limit: float) -> Sent:
-        """A frame of a call comes; `limit` is when its answer is given up (s)."""
+    def offer_frame(self, data: bytes, frame: OfferedFrame, limit: float) -> SentMessages:
+        """Processes a frame of a call; `limit` is the time at which its answer is given up (s)."""
         return self.step(lambda raft: self.core.propose(data, frame, limit, self.now))
 
-    def read(self, floor: int) -> Sent:
-        """Asks for a confirmed read; `floor` is the highest index that was acknowledged by now."""
-        return self.step(lambda raft: self.core.read(Floor(floor), float("inf"), self.now))
+    def read(self, floor: int) -> SentMessages:
+        """Starts a confirmed read; `floor` is the highest index acknowledged so far."""
+        return self.step(lambda raft: self.core.read(ReadFloor(floor), float("inf"), self.now))
 
-    def here(self, who: ProcessStatus) -> Sent:
-        """Hears of another member."""
-        return self.step(lambda raft: self.core.announced(who, self.now))
+    def receive_status(self, process_status: ProcessStatus) -> SentMessages:
+        """Processes the status of another member."""
+        return self.step(lambda raft: self.core.announced(process_status, self.now))
 
-    def who(self, leaving: bool) -> ProcessStatus:
-        """What it says of itself."""
+    def process_status(self, leaving: bool) -> ProcessStatus:
+        """Returns the status that this member announces."""
         return replace(self.core.process_status(ROLE, []), leaving=leaving)
 
     def compact(self) -> None:
-        """Writes a snapshot of the state, and the log turns to it."""
+        """Writes a snapshot of the state and starts the log anew from it."""
         head, pieces = self.core.snapshot()
         snapshot = replace(head, state=list(pieces))
         tail = [entry for entry in self.raft.log.entries if entry.index > snapshot.index]
         store.restart_log(self.disk_log, snapshot, store.encode_log_head(self.raft.hard_state(), tail))
         self.core.compact(snapshot)
-        self._hold(self.raft.hard_state())
+        self._note_durable(self.raft.hard_state())
 
-    def current(self) -> bool:
-        """Whether it would answer watches from what it holds."""
+    def may_answer_watches(self) -> bool:
+        """Returns whether the member would answer watches from its local state."""
         return self.core.current(self.now)
 
-    def _after(self, ready) -> Sent:
+    def _finish_step(self, ready) -> SentMessages:
         self.core.saved(ready, self.now)
-        self._look()
+        self._update_applied_state()
         replies, self.core.replies = self.core.replies, []
-        for token, took in replies:
-            if isinstance(token, Frame):
-                self.replies.append(Reply(token.call, token.frame, token.unheard, took))
-            elif took.code == Code.OK:
-                self.answers.append(Answered(token.index, Revision(took.revision).index))
+        for token, response in replies:
+            if isinstance(token, OfferedFrame):
+                self.replies.append(CommandReply(token.call, token.frame, token.unheard, response))
+            elif response.code == Code.OK:
+                self.read_answers.append(AnsweredRead(token.index, Revision(response.revision).index))
         return ready.after_save
 
-    def _look(self) -> None:
+    def _update_applied_state(self) -> None:
         with contextlib.suppress(AttributeError):
             if self.applied.index == self.core.state.index:
                 return
-        self.applied = View(self.core)
-        self.reached = max(self.reached, self.applied.index)
+        self.applied = AppliedControlState(self.core)
+        self.highest_applied = max(self.highest_applied, self.applied.index)
 
 
 def address(name: str) -> Address:
-    """The address of a member, by the number in its name."""
-    return Address(HOST, PORT + int(name[1:]))
+    """Returns the address of a member, derived from the number in its name."""
+    return Address(HOST, FIRST_PORT + int(name[1:]))
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -1,4 +1,4 @@
-"""A simulated disk that loses power inside a write."""
+"""A simulated disk that can lose power during a write."""
 
 from __future__ import annotations
 
@@ -6,34 +6,39 @@
 
 from sim.disk import SimDisk
 
-WHOLE = 1000
+WHOLE_WRITE_THOUSANDTHS = 1000
 
 
 class PowerLossError(Exception):
-    """The disk lost power before the write under way was confirmed."""
+    """Raised when the disk loses power before the current write is confirmed."""
 
 
-class PowerDisk(SimDisk):
-    """Once `fail_at` is set, the next sync keeps that many thousandths of what it lacks and raises PowerLossError."""
+class PowerLossDisk(SimDisk):
+    """A disk whose next sync loses power once `kept_thousandths` is set.
+
+    That sync keeps the given thousandths of the unsynced bytes and raises PowerLossError.
+    """
 
     def __init__(self) -> None:
-        """An empty disk, with power."""
+        """Creates an empty disk with power."""
         super().__init__(random.Random(0))
-        self.fail_at: int | None = None
+        self.kept_thousandths: int | None = None
 
-    def lose_names(self, rng: random.Random) -> None:
-        """The power is back; each file removed since the folder was last synced may be back too, by `rng`."""
+    def restore_power(self, rng: random.Random) -> None:
+        """Restores power; `rng` decides which files removed since the last folder sync reappear."""
         self.rng = rng
         self.crash()
 
     def sync(self, name: str) -> None:
-        """Confirms a file, or loses power."""
-        if self.fail_at is None:
+        """Confirms a file, or loses power and raises PowerLossError."""
+        if self.kept_thousandths is None:
             super().sync(name)
             return
-        safe = self.safe.get(name, 0)
-        kept = safe + (len(self.files[name]) - safe) * self.fail_at // WHOLE
-        del self.files[name][kept:]
-        self.safe[name] = kept
-        self.fail_at = None
+        synced_bytes = self.safe.get(name, 0)
+        kept_bytes = (
+            synced_bytes + (len(self.files[name]) - synced_bytes) * self.kept_thousandths // WHOLE_WRITE_THOUSANDTHS
+        )
+        del self.files[name][kept_bytes:]
+        self.safe[name] = kept_bytes
+        self.kept_thousandths = None
         raise PowerLossError(name)
--- a/verification/histories.py
+++ b/verification/histories.py
@@ -1,15 +1,15 @@
-"""Recorded histories: what callers asked and were told, and the file format they are kept in.
+"""Recorded histories: the calls of clients with their answers, and the file format that stores them.
 
-A file holds one operation a line, as JSON. Its fields:
+A file contains one operation per line, as JSON. Its fields:
 
-- `kind`: `lock`, `number`, `key` or `item`; `name`: of the object. Kind and name together are one partition.
-- `caller`: who asked; shown in findings only.
+- `kind`: `lock`, `number`, `key` or `item`; `name`: of the object. Kind and name together identify a partition.
+- `caller`: the client; only findings show it.
 - `call`: an object with the field `type`:
-  `take` (`holder`, `until`: the time in s up to which the holder relied on the lock), `extend` (`holder`, `token`,
-  `until`), `free` (`holder`, `token`), `draw`, `put` (`value`, null to remove it; `base`, the revision it rests on or
-  null), `read` (`shows_value`: false where the reader was told only a revision), `amend` (`version`, `content`).
+  `take` (`holder`, `until`: the time in s up to which the holder relies on the lock), `extend` (`holder`, `token`,
+  `until`), `free` (`holder`, `token`), `draw`, `put` (`value`, null to remove it; `base`, the expected revision or
+  null), `read` (`shows_value`: false if the answer contained only a revision), `amend` (`version`, `content`).
 - `begun`, `ended`: in seconds of one clock; `ended` is absent while there is no answer.
-- `outcome`: `done`, `refused` (with a promise: it had no effect and never will) or `unknown` (it may have taken
+- `outcome`: `done`, `refused` (guaranteed to have no effect, now or later) or `unknown` (it may have taken
   effect at any time after `begun`, or never).
 - `number`: the answer's token, number, revision or version; `value`: the answer's value or content.
 """
@@ -27,8 +27,8 @@
 from mallowvalve.finding import Finding, Findings
 
 
-class Kind(StrEnum):
-    """What kind of object an operation is on."""
+class ObjectKind(StrEnum):
+    """The kind of object that an operation acts on."""
 
     LOCK = "lock"
     NUMBER = "number"
@@ -36,92 +36,92 @@
     ITEM = "item"
 
 
-class Outcome(StrEnum):
-    """What its caller knows of an operation."""
+class OperationOutcome(StrEnum):
+    """The outcome of an operation as its client knows it."""
 
     DONE = "done"
     REFUSED = "refused"
     UNKNOWN = "unknown"
 
 
-class Take(msgspec.Struct, frozen=True, tag="take"):
-    """Take a lock; the holder relies on it up to `until` (s)."""
+class TakeLock(msgspec.Struct, frozen=True, tag="take"):
+    """Takes a lock; the holder relies on it up to `until` (s)."""
 
     holder: str
     until: float
 
 
-class Extend(msgspec.Struct, frozen=True, tag="extend"):
-    """Lengthen a hold to `until` (s)."""
+class ExtendLock(msgspec.Struct, frozen=True, tag="extend"):
+    """Extends a held lock to `until` (s)."""
 
     holder: str
     token: int
     until: float
 
 
-class Free(msgspec.Struct, frozen=True, tag="free"):
-    """Give a lock back."""
+class FreeLock(msgspec.Struct, frozen=True, tag="free"):
+    """Releases a lock."""
 
     holder: str
     token: int
 
 
-class Draw(msgspec.Struct, frozen=True, tag="draw"):
-    """Draw the next number."""
+class DrawNumber(msgspec.Struct, frozen=True, tag="draw"):
+    """Draws the next number."""
 
 
-class Put(msgspec.Struct, frozen=True, tag="put"):
-    """Put a value into a key, or remove it (None), if the key is at revision `base` (None: whatever it is at)."""
+class PutValue(msgspec.Struct, frozen=True, tag="put"):
+    """Sets the value of a key, or removes it (None), if the key is at revision `base` (None: at any revision)."""
 
     value: str | None
     base: int | None = None
 
 
-class Read(msgspec.Struct, frozen=True, tag="read"):
-    """Read a key or an item."""
+class ReadObject(msgspec.Struct, frozen=True, tag="read"):
+    """Reads a key or an item."""
 
     shows_value: bool = True
 
 
-class Amend(msgspec.Struct, frozen=True, tag="amend"):
-    """Give an item a content under a version."""
+class AmendItem(msgspec.Struct, frozen=True, tag="amend"):
+    """Sets the content of an item under a version."""
 
     version: int
     content: str | None
 
 
-Call = Take | Extend | Free | Draw | Put | Read | Amend
+OperationCall = TakeLock | ExtendLock | FreeLock | DrawNumber | PutValue | ReadObject | AmendItem
 
 
 class Operation(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One call and what its caller was told; times in seconds of one clock."""
+    """One call and its answer; times in seconds of one clock."""
 
-    kind: Kind
+    kind: ObjectKind
     name: str
     caller: str
-    call: Call
+    call: OperationCall
     begun: float
     ended: float | None
-    outcome: Outcome
+    outcome: OperationOutcome
     number: int = 0
     value: str | None = None
 
     @property
     def unknown(self) -> bool:
-        """Whether it may or may not have taken effect."""
-        return self.outcome is Outcome.UNKNOWN
+        """Returns whether the outcome is unknown."""
+        return self.outcome is OperationOutcome.UNKNOWN
 
     @property
     def latest(self) -> float:
-        """The latest time (s) at which it can have taken effect."""
+        """Returns the latest time (s) at which the operation can have taken effect."""
         return math.inf if self.unknown or self.ended is None else self.ended
 
     def __str__(self) -> str:
-        """One line for findings."""
+        """Returns one line for findings."""
         end = "..." if self.ended is None else f"{self.ended:.3f}"
-        asked = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
-        told = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
-        return f"[{self.begun:.3f}, {end}] {self.caller} {type(self.call).__name__.lower()} {asked} -> {told}"
+        arguments = " ".join(f"{k}={v}" for k, v in msgspec.structs.asdict(self.call).items())
+        answer = f"{self.outcome} {self.number}" + (f" {self.value!r}" if self.value is not None else "")
+        return f"[{self.begun:.3f}, {end}] {self.caller} {self.call.__struct_config__.tag} {arguments} -> {answer}"
 
 
 _decode = msgspec.json.Decoder(Operation).decode
@@ -129,33 +129,33 @@
 
 
 def write(path: Path, operations: Iterable[Operation]) -> None:
-    """Write a history, one operation a line."""
+    """Writes a history, one operation per line."""
     path.write_bytes(b"".join(_encode(o) + b"\n" for o in operations))
 
 
 def load(path: Path) -> Result[list[Operation], Findings]:
-    """Return a recorded history, or findings that name each line which is not understood."""
+    """Returns a recorded history, or findings that name each invalid line."""
     operations: list[Operation] = []
-    found: Findings = []
-    for n, line in enumerate(path.read_bytes().splitlines(), 1):
+    findings: Findings = []
+    for number, line in enumerate(path.read_bytes().splitlines(), 1):
         if not line.strip():
             continue
         try:
             operation = _decode(line)
-        except (msgspec.DecodeError, UnicodeDecodeError) as e:
-            found.append(Finding(f"{path.name}:{n}", str(e)))
+        except (msgspec.DecodeError, UnicodeDecodeError) as error:
+            findings.append(Finding(f"{path.name}:{number}", str(error)))
             continue
-        wrong = _wrong(operation)
-        if wrong:
-            found.append(Finding(f"{path.name}:{n}", wrong))
+        reason = _invalid_reason(operation)
+        if reason:
+            findings.append(Finding(f"{path.name}:{number}", reason))
         operations.append(operation)
-    return Err(found) if found else Ok(operations)
+    return Err(findings) if findings else Ok(operations)
 
 
-def _wrong(operation: Operation) -> str:
-    """What makes an operation impossible to judge, or nothing."""
-    if operation.call.__class__ not in CALLS[operation.kind]:
-        return f"a {operation.kind} has no {type(operation.call).__name__.lower()}"
+def _invalid_reason(operation: Operation) -> str:
+    """Returns why an operation can't be checked, or an empty string."""
+    if operation.call.__class__ not in CALL_TYPES[operation.kind]:
+        return f"a {operation.kind} has no {operation.call.__struct_config__.tag}"
     if operation.ended is None and not operation.unknown:
         return f"{operation.outcome} without its end"
     if operation.ended is not None and operation.ended < operation.begun:
@@ -163,40 +163,40 @@
     return ""
 
 
-REFUSALS = ("conflict", "missing", "lost", "held", "gone", "late")
+REFUSAL_CODES = ("conflict", "missing", "lost", "held", "gone", "late")
 
 
-def outcome_of(code: str) -> Outcome:
-    """What a service's answer says of a command; every code that is not known to be a promise leaves it open."""
+def outcome_from_code(code: str) -> OperationOutcome:
+    """Returns the outcome that an answer's code stands for; any code but a known refusal leaves it unknown."""
     if code == "ok":
-        return Outcome.DONE
-    return Outcome.REFUSED if code in REFUSALS else Outcome.UNKNOWN
+        return OperationOutcome.DONE
+    return OperationOutcome.REFUSED if code in REFUSAL_CODES else OperationOutcome.UNKNOWN
 
 
-class Recorder:
-    """A history under way: calls are written down when they are made, and again when they are answered."""
+class HistoryRecorder:
+    """Records a history: each call when it is made, and again when it is answered."""
 
     __slots__ = ("operations",)
 
     def __init__(self) -> None:
-        """Begin an empty history."""
+        """Starts an empty history."""
         self.operations: list[Operation] = []
 
-    def called(self, kind: Kind, name: str, caller: str, call: Call, begun: float) -> int:
-        """Write down a call (s) that has no answer yet; returns its place."""
-        self.operations.append(Operation(kind, name, caller, call, begun, None, Outcome.UNKNOWN))
+    def record_call(self, kind: ObjectKind, name: str, caller: str, call: OperationCall, begun: float) -> int:
+        """Records a call made at `begun` (s) that has no answer yet; returns its position."""
+        self.operations.append(Operation(kind, name, caller, call, begun, None, OperationOutcome.UNKNOWN))
         return len(self.operations) - 1
 
-    def answered(self, place: int, ended: float, outcome: Outcome, number: int = 0) -> None:
-        """Write down the answer (s) of a call; one of unknown outcome stays without its end."""
-        if outcome is not Outcome.UNKNOWN:
-            was = self.operations[place]
-            self.operations[place] = msgspec.structs.replace(was, ended=ended, outcome=outcome, number=number)
+    def record_answer(self, place: int, ended: float, outcome: OperationOutcome, number: int = 0) -> None:
+        """Records the answer of a call at `ended` (s); a call of unknown outcome stays open."""
+        if outcome is not OperationOutcome.UNKNOWN:
+            call = self.operations[place]
+            self.operations[place] = msgspec.structs.replace(call, ended=ended, outcome=outcome, number=number)
 
 
-CALLS: dict[Kind, tuple[type, ...]] = {
-    Kind.LOCK: (Take, Extend, Free),
-    Kind.NUMBER: (Draw,),
-    Kind.KEY: (Put, Read),
-    Kind.ITEM: (Amend, Read),
+CALL_TYPES: dict[ObjectKind, tuple[type, ...]] = {
+    ObjectKind.LOCK: (TakeLock, ExtendLock, FreeLock),
+    ObjectKind.NUMBER: (DrawNumber,),
+    ObjectKind.KEY: (PutValue, ReadObject),
+    ObjectKind.ITEM: (AmendItem, ReadObject),
 }
