--- a/sim/callers.py
+++ b/sim/callers.py
@@ -12,26 +12,26 @@
 from mallowvalve.upstreams.registry import Upstream
 from sim import pages
 from sim.orders import (
-    CellCall,
-    Counted,
-    Event,
-    Held,
+    ClientRecords,
+    Confirmation,
     ItemsRead,
-    LateRead,
+    ItemUpdate,
+    KeyRequest,
+    LateRequest,
+    LockHold,
+    LockRequest,
     Notice,
-    Order,
-    Orders,
-    Said,
-    TakeCall,
-    WatchSeen,
-    ZoneOrder,
+    NumberRequest,
+    WatchedEvent,
+    WatchResponse,
+    ZoneUpdate,
 )
 from sim.pages import CONFLICT, INVALID, NO_ANSWER, OK, REDIRECT, UNSURE, Answer
 from sim.users import User
-from sim.world import Reply
+from sim.world import CallReply
 
-SILENCE = 1.0
-REDIRECTS = 1
+ANSWER_TIMEOUT_S = 1.0
+MAX_REDIRECTS = 1
 PAUSE, PAUSE_MOST = 0.05, 1.0
 SERVICE = Item("services", "s", 1, msgspec.json.encode(ServiceItem(name="s", version=1)))
 _word = msgspec.msgpack.Decoder(PlainResult).decode
@@ -52,18 +52,20 @@
     return str(int(msgspec.json.decode(i.doc, type=HostRoute).limit_ms))
 
 
-class Caller(User):
+class CoreClient(User):
     """Calls some core machine, follows redirects, and takes no answer within a second for silence.
 
     `deaf` is the share of answers that get lost on their way back.
     """
 
-    def __init__(self, world, addr, controls, orders: Orders, deaf: float = 0.0):
+    def __init__(self, world, addr, controls, orders: ClientRecords, answer_loss_ratio: float = 0.0):
         super().__init__(world, addr, controls, orders)
-        self.orders, self.deaf = orders, deaf
+        self.orders, self.answer_loss_ratio = orders, answer_loss_ratio
         self.asked: Address | None = None
 
-    def ask(self, p: pages.Page, then: Callable[[Answer, float], None], kind: str = "", hops: int = REDIRECTS) -> None:
+    def ask(
+        self, p: pages.Page, then: Callable[[Answer, float], None], kind: str = "", hops: int = MAX_REDIRECTS
+    ) -> None:
         """One call of any machine; `then` is given the answer (status 0 for none) and when it began."""
         self._ask(self.rng.choice(self.controls()), p, then, kind, hops, self.now)
 
@@ -76,18 +78,18 @@
                 return self._ask(a.leader, p, then, kind, hops - 1, begun)
             self.asked = to
             if a.status == OK and kind:
-                self.orders.said.append(Said(to, kind, sent, self.now))
-            if self.deaf and self.rng.random() < self.deaf:
+                self.orders.confirmations.append(Confirmation(to, kind, sent, self.now))
+            if self.answer_loss_ratio and self.rng.random() < self.answer_loss_ratio:
                 a = Answer(NO_ANSWER)
             then(a, begun)
 
-        self.call(to, "page", pages.encode(p), SILENCE, heard)
+        self.call(to, "page", pages.encode(p), ANSWER_TIMEOUT_S, heard)
 
-    def _reaches(self, node, n: int, kind: str, body: bytes, answer: Reply) -> None:
+    def _reaches(self, node, n: int, kind: str, body: bytes, answer: CallReply) -> None:
         if n not in self._calls and not answer.left:
             match pages.page(body):
                 case pages.TurnZone(zone=name) | pages.Coordinate(command=Take(name=name)):
-                    self.orders.late_reads.append(LateRead(name, self.now))
+                    self.orders.late_reads.append(LateRequest(name, self.now))
         super()._reaches(node, n, kind, body, answer)
 
     def until(
@@ -114,11 +116,13 @@
         go(1)
 
 
-class RacingOperator(Caller):
+class CompetingOperator(CoreClient):
     """Orders one version after the other of a route that a rival orders too, with another content."""
 
-    def __init__(self, world, addr, controls, orders, names, pace: float = 0.6, tries: int = 8, deaf: float = 0.3):
-        super().__init__(world, addr, controls, orders, deaf)
+    def __init__(
+        self, world, addr, controls, orders, names, pace: float = 0.6, tries: int = 8, answer_loss_ratio: float = 0.3
+    ):
+        super().__init__(world, addr, controls, orders, answer_loss_ratio)
         self.names, self.pace, self.tries = names, pace, tries
         self.wake(1.0 + 0.2 * self.rng.random(), self._first)
 
@@ -139,11 +143,11 @@
         p = pages.PatchItems([route(name, version, content)])
 
         def sent() -> Callable[[Answer], None]:
-            o = Order(str(self.addr), name, version, content, self.now, float("inf"), NO_ANSWER)
+            o = ItemUpdate(str(self.addr), name, version, content, self.now, float("inf"), NO_ANSWER)
             self.orders.orders.append(o)
 
             def noted(a: Answer) -> None:
-                o.ended, o.said = self.now, a.status
+                o.ended, o.status = self.now, a.status
 
             return noted
 
@@ -154,7 +158,7 @@
         self.until(p, self.tries, done, "order", sent)
 
 
-class SettingsReader(Caller):
+class SettingsReader(CoreClient):
     """Reads what is in force from any machine."""
 
     def __init__(self, world, addr, controls, orders, rate: float = 2.0):
@@ -169,7 +173,7 @@
         self.orders.reads.append(ItemsRead(begun, self.now, str(self.asked), rows, s.evacuated, s.upstreams))
 
 
-class Evacuator(Caller):
+class Evacuator(CoreClient):
     """Evacuates a zone of its own and gives it back, each until it is acknowledged."""
 
     def __init__(self, world, addr, controls, orders, zone: str):
@@ -179,7 +183,7 @@
 
     def _next(self) -> None:
         self.turned = not self.turned
-        z = ZoneOrder(self.zone, self.turned, self.now, float("inf"), False)
+        z = ZoneUpdate(self.zone, self.turned, self.now, float("inf"), False)
         self.orders.zones.append(z)
 
         def done(a: Answer, _: float) -> None:
@@ -189,7 +193,7 @@
         self.until(pages.TurnZone(self.zone, z.on), 12, done, "order")
 
 
-class LockUser(Caller):
+class LockClient(CoreClient):
     """Takes a lock under a name that it uses once, may hold it longer, and frees it."""
 
     HOLD_S = 2.0
@@ -200,12 +204,12 @@
         self.wake(2.0 + self.rng.random(), self._take)
 
     def _take(self) -> None:
-        t = TakeCall(self.lock, self.serial(), self.now, float("inf"), NO_ANSWER, self.HOLD_S)
+        t = LockRequest(self.lock, self.serial(), self.now, float("inf"), NO_ANSWER, self.HOLD_S)
         self.orders.takes.append(t)
         p = pages.Coordinate(Take(t.name, t.holder, 1000 * t.hold_s))
 
         def done(a: Answer, begun: float) -> None:
-            t.ended, t.said = self.now, a.status
+            t.ended, t.status = self.now, a.status
             if a.status != OK:
                 return self.wake(0.2 + 0.5 * self.rng.random(), self._take)
             t.token = _word(a.body).number
@@ -213,12 +217,12 @@
             until = min(end, self.now + 3 * self.rng.random())
             if until <= self.now:
                 return self.wake(0.1, self._take)
-            self.orders.held.append(Held(t.name, t.holder, self.now, until, t.token))
+            self.orders.held.append(LockHold(t.name, t.holder, self.now, until, t.token))
             self.wake(until - self.now, lambda: self._free(t))
 
         self.until(p, 1 + self.rng.randrange(3), done, "order", lambda: self._sent(t))
 
-    def _sent(self, t: TakeCall) -> Callable[[Answer], None]:
+    def _sent(self, t: LockRequest) -> Callable[[Answer], None]:
         self.last_begun = self.now
 
         def noted(a: Answer) -> None:
@@ -227,7 +231,7 @@
 
         return noted
 
-    def _free(self, t: TakeCall) -> None:
+    def _free(self, t: LockRequest) -> None:
         def done(a: Answer, _: float) -> None:
             if a.status == OK:
                 t.freed = self.now
@@ -236,7 +240,7 @@
         self.until(pages.Coordinate(Free(t.name, t.holder, t.token)), 6, done, "order")
 
 
-class NumberUser(Caller):
+class NumberClient(CoreClient):
     """Asks for the next number; a call without an answer may have counted once."""
 
     def __init__(self, world, addr, controls, orders):
@@ -244,7 +248,7 @@
         self.wake(2.0, self._next)
 
     def _next(self) -> None:
-        n = Counted("n", self.now, float("inf"), 0)
+        n = NumberRequest("n", self.now, float("inf"), 0)
         self.orders.numbers.append(n)
 
         def heard(a: Answer, _: float) -> None:
@@ -256,7 +260,7 @@
         self.ask(pages.Coordinate(Count("n")), heard, "order")
 
 
-class CellUser(Caller):
+class KeyClient(CoreClient):
     """Reads a key and puts it anew on what it read, or on nothing."""
 
     def __init__(self, world, addr, controls, orders):
@@ -270,17 +274,17 @@
             if a.status != OK:
                 return self.wake(0.1, self._read)
             s = pages.cell_seen(a.body)
-            self.orders.cells.append(CellCall("read", name, s.value, begun, self.now, OK, s.revision))
+            self.orders.cells.append(KeyRequest("read", name, s.value, begun, self.now, OK, s.revision))
             self._put(name, self.rng.choice((s.revision, s.revision, None)))
 
         self.ask(pages.ReadCell(name), heard, "read")
 
     def _put(self, name: str, base: int | None) -> None:
-        c = CellCall("put", name, self.serial(), self.now, float("inf"), NO_ANSWER, 0, base)
+        c = KeyRequest("put", name, self.serial(), self.now, float("inf"), NO_ANSWER, 0, base)
         self.orders.cells.append(c)
 
         def done(a: Answer, _: float) -> None:
-            c.ended, c.said = self.now, a.status
+            c.ended, c.status = self.now, a.status
             if a.status == OK:
                 c.revision = _word(a.body).number
             self.wake(0.3 + 0.4 * self.rng.random(), self._read)
@@ -288,7 +292,7 @@
         self.until(pages.Coordinate(Write(name, c.value, base)), 4, done, "order")
 
 
-class GroupWatcher(Caller):
+class GroupWatcher(CoreClient):
     """Follows a group of keys, resuming by revision: at any machine, or (`stays`) at one for as long as it answers."""
 
     def __init__(self, world, addr, controls, orders, stays: bool = False):
@@ -308,16 +312,16 @@
                 self.asked = None
                 return
             got = pages.events(a.body)
-            self.orders.watched.append(WatchSeen(self.asked, begun, got.revision))
+            self.orders.watched.append(WatchResponse(self.asked, begun, got.revision))
             for p in got.puts:
-                self.orders.events.append(Event(str(self.addr), p.revision, p.name, p.value, self.now))
+                self.orders.events.append(WatchedEvent(str(self.addr), p.revision, p.name, p.value, self.now))
             self.after = max(self.after, got.revision)
 
         to = self.asked if self.stays and self.asked is not None else self.rng.choice(self.controls())
-        self._ask(to, pages.Watch("g.", self.after), heard, "", REDIRECTS, self.now)
+        self._ask(to, pages.Watch("g.", self.after), heard, "", MAX_REDIRECTS, self.now)
 
 
-class BeatingUpstream(Caller):
+class HeartbeatingUpstream(CoreClient):
     """Beats, says that it leaves until that is acknowledged, ends, and starts anew under another id."""
 
     def __init__(self, world, addr, controls, orders, beat_s: float = 1.0):
--- a/sim/catch_up.py
+++ b/sim/catch_up.py
@@ -18,7 +18,7 @@
 from mallowvalve.coordination.state import Put
 from sim.control import ControlNode
 from sim.disk import SimDisk
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 
 SLICE = 2000
 KINDS = ("restarted", "wiped", "frozen", "new")
@@ -42,7 +42,7 @@
 class Writer:
     """Makes changes, each of them to one of `KEYS` keys."""
 
-    def __init__(self, fleet: Fleet):
+    def __init__(self, fleet: SimulatedFleet):
         self.fleet, self.made = fleet, 0
 
     def change(self) -> None:
@@ -90,7 +90,7 @@
 
 
 def _play(kind: str, made: int, seed: int, rate: float, slow: float) -> Row:
-    fleet = Fleet(seed, cores=4, proxies=1, directory_server=0)
+    fleet = SimulatedFleet(seed, cores=4, proxies=1, directory_server=0)
     fleet.world.slow = slow
     fleet.run_until(lambda: fleet.leader() is not None, 30.0)
     fleet.run(5.0)
@@ -106,7 +106,7 @@
     return _caught_up(fleet, node, kind, made)
 
 
-def _back(fleet: Fleet, kind: str, subject) -> ControlNode:
+def _back(fleet: SimulatedFleet, kind: str, subject) -> ControlNode:
     if kind == "new":
         subject = fleet._address("1", len(fleet.disks))
         fleet.core.append(subject)
@@ -116,7 +116,7 @@
     return fleet.world.nodes[subject]
 
 
-def _caught_up(fleet: Fleet, node: ControlNode, kind: str, made: int) -> Row:
+def _caught_up(fleet: SimulatedFleet, node: ControlNode, kind: str, made: int) -> Row:
     meter, begun = Meter(node), fleet.world.now
     if kind == "frozen":
         fleet.world.thaw(node.addr)
--- a/sim/control.py
+++ b/sim/control.py
@@ -29,12 +29,12 @@
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
 from sim.replica import SimShelf, pull
-from sim.world import Node, World
+from sim.world import SimulatedNode, World
 
-DETECT = 6.5
+FAILURE_DETECTION_S = 6.5
 
 
-class ControlNode(Node):
+class ControlNode(SimulatedNode):
     role = "control"
     acks, times = Acks(), RaftTimings()
     segment_bytes = 20_000
@@ -223,7 +223,7 @@
         present = set(self.peers()) - self.world.frozen.keys()
         at = {a for a in self.core.raft.log.configuration.members().values() if a not in present}
         self._absent = {a: self._absent.get(a, self.now) for a in at}
-        failed = [a for a, since in self._absent.items() if self.now - since >= DETECT]
+        failed = [a for a, since in self._absent.items() if self.now - since >= FAILURE_DETECTION_S]
         boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
         given_away = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
         self._put(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, given_away))
--- a/sim/door.py
+++ b/sim/control_api.py
@@ -26,7 +26,7 @@
 from sim import pages
 from sim.control import ControlNode
 from sim.pages import CONFLICT, INVALID, OK, REDIRECT, UNAVAILABLE, UNDECIDED, Answer
-from sim.world import Reply
+from sim.world import CallReply
 
 READ_LIMIT = 2.0
 HEARTBEAT = 1.0
@@ -36,7 +36,7 @@
 Then = Callable[[CommandResponse], None]
 
 
-class DoorNode(ControlNode):
+class ControlApiNode(ControlNode):
     """A `ControlNode` that also answers the pages of operators, applications and upstreams."""
 
     acks, times = (
@@ -360,7 +360,7 @@
 
     __slots__ = ("_reply",)
 
-    def __init__(self, reply: Reply):
+    def __init__(self, reply: CallReply):
         """`reply` takes the answer to the caller."""
         self._reply = reply
 
--- a/sim/core_fleet.py
+++ b/sim/core_fleet.py
@@ -6,54 +6,54 @@
 
 from mallowvalve.types import Address
 from sim.callers import (
-    BeatingUpstream,
-    Caller,
-    CellUser,
+    CompetingOperator,
+    CoreClient,
     Evacuator,
     GroupWatcher,
-    LockUser,
-    NumberUser,
-    RacingOperator,
+    HeartbeatingUpstream,
+    KeyClient,
+    LockClient,
+    NumberClient,
     SettingsReader,
 )
+from sim.control_api import ControlApiNode
 from sim.disk import SimDisk
-from sim.door import DoorNode
-from sim.fleet import Fleet
-from sim.orders import CatchUp, Cut, Loss, Orders
+from sim.fleet import SimulatedFleet
+from sim.orders import CatchUp, ClientRecords, MemberLoss, NetworkCut
 from sim.replica import ReplicaNode
 
 STRAYS = 0.02
 
 
-class CoreFleet(Fleet):
+class CoreFleet(SimulatedFleet):
     """A fleet whose core machines answer pages; its proxies are replicas only, and it has no upstream machines."""
 
     pools = ()
 
     def __init__(self, seed: int, cores: int = 5, proxies: int = 2, segment_bytes: int | None = None):
         """`segment_bytes` as `ControlNode` has it."""
-        self.orders, self.segment_bytes = Orders(), segment_bytes
+        self.orders, self.segment_bytes = ClientRecords(), segment_bytes
         super().__init__(seed, cores, proxies, 0)
 
-    def stray(self, delayed: bool) -> None:
+    def enable_late_delivery(self, delayed: bool) -> None:
         """From now on some messages between core machines come twice, the second time much later; or only then."""
-        self.world.echo = STRAYS
-        self.world.stray = STRAYS if delayed else 0.0
-        self.world.stray_among |= set(self.core)
+        self.world.late_duplicate_ratio = STRAYS
+        self.world.late_ratio = STRAYS if delayed else 0.0
+        self.world.late_delivery_nodes |= set(self.core)
 
     def start(self, a: Address) -> None:
         """Starts a machine unless it runs; a core machine comes with its pages."""
         if self.world.up(a):
             return
         if a in self.disks:
-            DoorNode(self.world, a, self.place[a], self.seeds, self.disks[a], self._running, self.segment_bytes)
+            ControlApiNode(self.world, a, self.place[a], self.seeds, self.disks[a], self._running, self.segment_bytes)
         else:
             ReplicaNode(self.world, a, "proxy", self.place[a], self.live_controls)
 
     def _running(self) -> list[Address]:
         return [n for n in self.nodes if self.world.up(n)]
 
-    def caller(self, kind: type[Caller], *more, **named) -> Caller:
+    def caller(self, kind: type[CoreClient], *more, **named) -> CoreClient:
         """A user with an address of its own; its calls reach any core machine that is listed."""
         self._users += 1
         a = Address(f"10.0.9.{self._users}", 1)
@@ -62,20 +62,20 @@
     def load(self) -> None:
         """The users of an ordinary day."""
         for stays in (False, True):
-            self.caller(RacingOperator, ["r0", "r1", "r2"])
+            self.caller(CompetingOperator, ["r0", "r1", "r2"])
             self.caller(SettingsReader)
-            self.caller(LockUser)
-            self.caller(NumberUser)
-            self.caller(CellUser)
+            self.caller(LockClient)
+            self.caller(NumberClient)
+            self.caller(KeyClient)
             self.caller(GroupWatcher, stays)
         for zone in ("eu-a", "us-b"):
             self.caller(Evacuator, zone)
         for _ in range(3):
-            self.caller(BeatingUpstream)
+            self.caller(HeartbeatingUpstream)
 
     def confirmed(self) -> int:
         """How many orders of items were confirmed so far."""
-        return sum(x.said == 200 for x in self.orders.orders)
+        return sum(x.status == 200 for x in self.orders.orders)
 
     def voters(self) -> list[Address]:
         """Running voters by the leader's log, or the whole core where nobody leads."""
@@ -83,9 +83,9 @@
         voters = set(lead.core.raft.log.configuration.voters.values()) if lead is not None else set(self.core)
         return [a for a in self.core if a in voters and self.world.up(a)] or list(self.core)
 
-    def isolate(self, some: list[Address], ways: str, held: bool) -> Cut:
+    def isolate(self, some: list[Address], ways: str, held: bool) -> NetworkCut:
         """Cuts machines from the rest of the core: `in`, `out` or `both`; `held` delivers late what else is lost."""
-        act = self.world.hush if held else lambda a, b: self.world.cut(a, b, one_way=True)
+        act = self.world.hold_messages if held else lambda a, b: self.world.cut(a, b, one_way=True)
         for a in some:
             for b in self.nodes:
                 if b in some:
@@ -99,21 +99,21 @@
         without = some if 2 * inside <= len(voters) else [a for a in self.core if a not in some]
         if 2 * inside == len(voters):
             without = list(self.core)
-        c = Cut(without, self.world.now, float("inf"))
+        c = NetworkCut(without, self.world.now, float("inf"))
         self.orders.cuts.append(c)
         return c
 
-    def rejoin(self, c: Cut) -> None:
+    def rejoin(self, c: NetworkCut) -> None:
         """Ends all cuts."""
         c.ended = self.world.now
         self.world.heal()
 
-    def take_down(self, a: Address, how: str) -> Loss:
+    def take_down(self, a: Address, how: str) -> MemberLoss:
         """A member lost: its process ends; `wiped` and `removed` lose its disk too. Judged by the next confirmation."""
         self.kill(a)
         if how != "killed":
             self.disks[a].wipe()
-        x = Loss(f"{a} {how}, core of {len(self.core)}", self.world.now)
+        x = MemberLoss(f"{a} {how}, core of {len(self.core)}", self.world.now)
         self.orders.losses.append(x)
         self._await_order(x)
         return x
@@ -124,9 +124,9 @@
         self.run_until(lambda: not self.world.up(a), grace_s + 0.5)
         self.take_down(a, "removed")
 
-    def _await_order(self, x: Loss) -> None:
+    def _await_order(self, x: MemberLoss) -> None:
         def look() -> None:
-            first = [o.ended for o in self.orders.orders if o.said == 200 and o.begun > x.at]
+            first = [o.ended for o in self.orders.orders if o.status == 200 and o.begun > x.at]
             if first:
                 x.confirmed = min(first)
                 return
@@ -146,7 +146,7 @@
         self.place[new] = self.place[a]
         self.disks[new] = SimDisk(random.Random(self.rng.random()))
         self.core.append(new)
-        self.world.stray_among.add(new)
+        self.world.late_delivery_nodes.add(new)
         self.back(new, how)
         return new
 
--- a/sim/crowd.py
+++ b/sim/crowd.py
@@ -24,7 +24,7 @@
 from mallowvalve.types import Address
 from sim.fleet import ZONES
 from sim.members import ASSUMED, DETECT, MISTAKE, ROUND_TRIP, UDP
-from sim.world import Node, World
+from sim.world import SimulatedNode, World
 
 
 def address(i: int) -> Address:
@@ -38,7 +38,7 @@
     )
 
 
-class Mote(Node):
+class Mote(SimulatedNode):
     """A member; adds up what it sends and the processor its machine and coding take."""
 
     def __init__(self, crowd: Crowd, me: MemberRecord, seeds: list[Address], start: float):
--- a/sim/failover.py
+++ b/sim/failover.py
@@ -6,13 +6,13 @@
 
 import click
 
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 
 SPAN = 15.0
 LOSSES = ("nothing", "leader", "proxy", "zone", "region")
 
 
-def lost(f: Fleet, what: str) -> list:
+def lost(f: SimulatedFleet, what: str) -> list:
     lead = f.leader().addr
     match what:
         case "leader":
@@ -33,7 +33,7 @@
 
 def gaps(job: tuple[str, int, int]) -> dict[str, float]:
     what, seed, proxies = job
-    f = Fleet(seed, proxies=proxies)
+    f = SimulatedFleet(seed, proxies=proxies)
     f.load()
     f.run_until(lambda: f.served() > 3 and all(f.world.nodes[a].admits() for a in f.proxies), 30)
     f.run(8)
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -6,18 +6,18 @@
 from mallowvalve.types import Address, Locality
 from sim.control import ControlNode
 from sim.disk import SimDisk
-from sim.history import History
+from sim.history import RunHistory
 from sim.proxy import Proxy
 from sim.replica import ReplicaNode
-from sim.upstream import Upstream
-from sim.users import Counter, Customer, Keeper, Locker, Operator, Reader, Watcher
+from sim.upstream import SimulatedUpstream
+from sim.users import EventWatcher, KeyProposer, LockProposer, NumberProposer, Operator, OrderClient, RankingsReader
 from sim.world import World
 
 snapshot.SLICE = 20
 ZONES = [Locality(r, f"{r}-{z}") for r in ("eu", "us", "ap") for z in "ab"]
 
 
-class Fleet:
+class SimulatedFleet:
     pools = (("boards", 6), ("runs", 6), ("spare", 3))
 
     def __init__(
@@ -27,18 +27,18 @@
         proxies: int = 9,
         directory_server: int = 2,
         loss: float = 0.0,
-        lose: float = 0.05,
+        answer_loss_ratio: float = 0.05,
     ):
         self.world = World(seed, loss=loss, double=0.01)
         self.rng = random.Random(seed * 7919 + 1)
-        self.history = History()
+        self.history = RunHistory()
         self._users = 0
         self.disks: dict[Address, SimDisk] = {}
         self.place: dict[Address, Locality] = {}
         self.controls = [self._address("1", i) for i in range(cores)]
         self.proxies = [self._address("2", i) for i in range(proxies)]
         self.directory_server = [self._address("3", i) for i in range(directory_server)]
-        self.lose = lose
+        self.answer_loss_ratio = answer_loss_ratio
         self.upstreams: dict[str, Address] = {}
         self.seeds = self.controls[:3]
         self.core = list(self.controls)
@@ -97,17 +97,19 @@
         self.start(new)
         return new
 
-    def upstream(self, instance: str, a: Address) -> Upstream:
+    def upstream(self, instance: str, a: Address) -> SimulatedUpstream:
         """A new life of an upstream, at this address; whatever was there is gone."""
         if self.world.up(a):
             self.world.nodes[a].crash()
         self.upstreams[instance] = a
         service = instance.partition("-")[0]
-        return Upstream(self.world, a, self.history, service, instance, self.place[a], lambda: self.proxies, self.lose)
+        return SimulatedUpstream(
+            self.world, a, self.history, service, instance, self.place[a], lambda: self.proxies, self.answer_loss_ratio
+        )
 
-    def pool(self, service: str) -> list[Upstream]:
+    def pool(self, service: str) -> list[SimulatedUpstream]:
         ns = [self.world.nodes[a] for i, a in self.upstreams.items() if self.world.up(a)]
-        return [n for n in ns if isinstance(n, Upstream) and n.service == service]
+        return [n for n in ns if isinstance(n, SimulatedUpstream) and n.service == service]
 
     def user(self, kind, *more):
         self._users += 1
@@ -120,15 +122,15 @@
             return [f for f in self.proxies if self.world.up(f)] or self.proxies
 
         for i in range(5):
-            user(Customer, proxies, i == 0)
+            user(OrderClient, proxies, i == 0)
         for _ in range(3):
-            user(Reader, proxies)
+            user(RankingsReader, proxies)
         for _ in range(2):
             user(Operator, ["eu-a", "us-b"])
-            user(Locker)
-            user(Counter)
-            user(Watcher)
-            user(Keeper)
+            user(LockProposer)
+            user(NumberProposer)
+            user(EventWatcher)
+            user(KeyProposer)
 
     def leader(self) -> ControlNode | None:
         ls = [self.world.nodes[a] for a in self.core if self.world.up(a) and a not in self.world.frozen]
--- a/sim/history.py
+++ b/sim/history.py
@@ -9,10 +9,10 @@
 from verification import linearizability
 from verification.histories import Recorder
 
-IN_FORCE = 3.0
+CHANGE_PROPAGATION_S = 3.0
 
 
-class Ran(msgspec.Struct):
+class ExecutedRequest(msgspec.Struct):
     at: float
     id: str
     key: str
@@ -26,13 +26,13 @@
     zone: str
 
 
-class Left(msgspec.Struct):
+class UpstreamDeparture(msgspec.Struct):
     at: float
     instance: str
     incarnation: int
 
 
-class Cold(msgspec.Struct):
+class ColdRequest(msgspec.Struct):
     at: float
     instance: str
     incarnation: int
@@ -40,7 +40,7 @@
     busy: int
 
 
-class Emptied(msgspec.Struct):
+class ZoneEvacuation(msgspec.Struct):
     begun: float
     ended: float
     revision: int | None
@@ -48,17 +48,17 @@
     on: bool
 
 
-class History:
+class RunHistory:
     """What the stand-ins themselves saw; the checkers read nothing else."""
 
     def __init__(self):
         self.ran: list[tuple[float, str, int]] = []
         self.told: list[tuple[float, str, int, str]] = []
-        self.served: list[Ran] = []
-        self.left: list[Left] = []
-        self.cold: list[Cold] = []
+        self.served: list[ExecutedRequest] = []
+        self.left: list[UpstreamDeparture] = []
+        self.cold: list[ColdRequest] = []
         self.offers: list[Offered] = []
-        self.zones: list[Emptied] = []
+        self.zones: list[ZoneEvacuation] = []
         self.coord = history.History([], [], [], [])
         self.answers: list[tuple[float, str, str, bytes]] = []
         self.reads_told: list[tuple[float, str, int, str]] = []
@@ -86,7 +86,7 @@
         )
 
 
-def check(h: History) -> list[str]:
+def check(h: RunHistory) -> list[str]:
     return [
         *runs_once(h),
         *not_run_is_true(h),
@@ -100,14 +100,14 @@
     ]
 
 
-def runs_once(h: History) -> list[str]:
+def runs_once(h: RunHistory) -> list[str]:
     count: dict[str, int] = defaultdict(int)
     for _, key, _ in h.ran:
         count[key] += 1
     return [f"key {k} ran {n} times" for k, n in count.items() if n > 1]
 
 
-def not_run_is_true(h: History) -> list[str]:
+def not_run_is_true(h: RunHistory) -> list[str]:
     runs = {key: (t, n) for t, key, n in h.ran}
     out = []
     for t, key, n, said in h.told:
@@ -120,19 +120,21 @@
     return out + [f"key {k} told done and never ran" for k in done if k not in runs]
 
 
-def in_force(h: History) -> list[str]:
+def in_force(h: RunHistory) -> list[str]:
     acked = sorted([(t, r) for _, t, r, _ in h.changes] + [(t, r) for _, t, r in h.evacuations])
     out, newest, i = [], 0, 0
     for t, addr, revision, _ in sorted(h.admitted, key=lambda a: a[0]):
-        while i < len(acked) and acked[i][0] <= t - IN_FORCE:
+        while i < len(acked) and acked[i][0] <= t - CHANGE_PROPAGATION_S:
             newest = max(newest, acked[i][1])
             i += 1
         if revision < newest:
-            out.append(f"{addr} admits at {t:.2f} by {revision}, {newest} was acknowledged over {IN_FORCE} s ago")
+            out.append(
+                f"{addr} admits at {t:.2f} by {revision}, {newest} was acknowledged over {CHANGE_PROPAGATION_S} s ago"
+            )
     return out
 
 
-def never_slips_back(h: History) -> list[str]:
+def never_slips_back(h: RunHistory) -> list[str]:
     last: dict = {}
     out = []
     for t, addr, revision, _ in h.admitted:
@@ -142,7 +144,7 @@
     return out
 
 
-def read_back(h: History) -> list[str]:
+def read_back(h: RunHistory) -> list[str]:
     out = []
     docs = {r: d for _, _, r, d in h.changes}
     for begun, t, revision, doc in h.reads:
@@ -155,7 +157,7 @@
     return out + [f"revision {r} was given twice" for r in set(revisions) if revisions.count(r) > 1]
 
 
-def one_holder(h: History) -> list[str]:
+def one_holder(h: RunHistory) -> list[str]:
     out, last = [], None
     for hold in sorted(h.holds):
         if last is not None and hold[0] < last[1] and hold[3] != last[3]:
@@ -166,7 +168,7 @@
     return out
 
 
-def numbers_rise(h: History) -> list[str]:
+def numbers_rise(h: RunHistory) -> list[str]:
     out, seen = [], set()
     for _, _, n in h.numbers:
         if n in seen:
@@ -180,7 +182,7 @@
     return out
 
 
-def watchers_miss_nothing(h: History) -> list[str]:
+def watchers_miss_nothing(h: RunHistory) -> list[str]:
     out = []
     by: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for t, who, revision, _ in h.watched:
--- a/sim/members.py
+++ b/sim/members.py
@@ -11,13 +11,13 @@
 from mallowvalve.membership.wire import FAILED, decode, encode
 from mallowvalve.types import Address, Locality
 from sim.fleet import ZONES
-from sim.world import Node, World
+from sim.world import SimulatedNode, World
 
 DETECT, MISTAKE, ASSUMED, ROUND_TRIP = 3.0, 1e-8, 0.15, 0.5
 UDP = 28
 
 
-class Member(Node):
+class Member(SimulatedNode):
     def __init__(
         self,
         world: World,
--- a/sim/order_checks.py
+++ b/sim/order_checks.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 
 from sim import order_history, pages
-from sim.orders import Counted, Event, ItemsRead, Order, Orders, TakeCall, ZoneOrder
+from sim.orders import ClientRecords, ItemsRead, ItemUpdate, LockRequest, NumberRequest, WatchedEvent, ZoneUpdate
 
 # How long (s) after a cut began a machine without a majority may still confirm each kind of answer: what was under way,
 # and for a plain beat the span since the leader's last word.
@@ -21,7 +21,7 @@
 READ_LATE = " (a call read after its caller gave it up)"
 
 
-def check(o: Orders) -> list[str]:
+def check(o: ClientRecords) -> list[str]:
     """Every finding in a run."""
     return [
         *never_two_under_one_version(o),
@@ -42,14 +42,14 @@
     ]
 
 
-def never_two_under_one_version(o: Orders) -> list[str]:
+def never_two_under_one_version(o: ClientRecords) -> list[str]:
     """Two contents under one version are both confirmed only where a higher version overtook them before the later end."""
     out = []
-    highest: dict[str, list[Order]] = defaultdict(list)
-    by: dict[tuple[str, int], list[Order]] = defaultdict(list)
+    highest: dict[str, list[ItemUpdate]] = defaultdict(list)
+    by: dict[tuple[str, int], list[ItemUpdate]] = defaultdict(list)
     for x in o.orders:
         highest[x.name].append(x)
-        if x.said == pages.OK:
+        if x.status == pages.OK:
             by[x.name, x.version].append(x)
     for (name, version), some in by.items():
         if len({x.content for x in some}) < 2:
@@ -61,11 +61,11 @@
     return out
 
 
-def confirmed_is_read_back(o: Orders) -> list[str]:
+def confirmed_is_read_back(o: ClientRecords) -> list[str]:
     """A read begun after a confirmation shows that version with that content, or what a higher one made of it."""
     out: dict[tuple, str] = {}
-    acked = sorted((x for x in o.orders if x.said == pages.OK), key=lambda x: x.ended)
-    newest: dict[str, Order] = {}
+    acked = sorted((x for x in o.orders if x.status == pages.OK), key=lambda x: x.ended)
+    newest: dict[str, ItemUpdate] = {}
     done = 0
     for r in sorted(o.reads, key=lambda r: r.begun):
         while done < len(acked) and acked[done].ended < r.begun:
@@ -80,7 +80,7 @@
     return list(out.values())
 
 
-def _not_read_back(o: Orders, x: Order, r: ItemsRead) -> str:
+def _not_read_back(o: ClientRecords, x: ItemUpdate, r: ItemsRead) -> str:
     """What a read shows of a confirmed order's item that it must not; empty if all is well."""
     shown = r.rows.get(x.name)
     if shown is None:
@@ -95,35 +95,35 @@
     return f"shows {x.name} {x.version} as {shown[1]}, not {x.content}"
 
 
-def _overtaken(o: Orders, x: Order) -> bool:
+def _overtaken(o: ClientRecords, x: ItemUpdate) -> bool:
     """Whether a higher version was under way before this order's end: it may have been confirmed as overtaken."""
     return any(y.version > x.version and y.begun < x.ended for y in o.by_name(x.name))
 
 
-def taken_is_never_refused(o: Orders) -> list[str]:
+def taken_is_never_refused(o: ClientRecords) -> list[str]:
     """An order that was confirmed or read back is not refused when it is sent again."""
     out = []
     confirmed: dict[tuple, float] = {}
     for x in o.orders:
         key = x.name, x.version, x.content
-        if x.said == pages.OK and not _overtaken(o, x):
+        if x.status == pages.OK and not _overtaken(o, x):
             confirmed[key] = min(confirmed.get(key, x.ended), x.ended)
     shown: set[tuple] = {(n, v, c) for r in o.reads for n, (v, c) in r.rows.items()}
     for x in o.orders:
-        if x.said not in (pages.CONFLICT, pages.INVALID):
+        if x.status not in (pages.CONFLICT, pages.INVALID):
             continue
         key = x.name, x.version, x.content
         if key in shown:
-            out.append(f"{x.who}: {x.name} {x.version} was refused ({x.said}) at {x.ended:.2f} and is read back")
+            out.append(f"{x.who}: {x.name} {x.version} was refused ({x.status}) at {x.ended:.2f} and is read back")
         elif key in confirmed:
-            out.append(f"{x.who}: {x.name} {x.version} was refused ({x.said}) at {x.ended:.2f} and confirmed besides")
+            out.append(f"{x.who}: {x.name} {x.version} was refused ({x.status}) at {x.ended:.2f} and confirmed besides")
     return out
 
 
-def evacuations_stay(o: Orders) -> list[str]:
+def evacuations_stay(o: ClientRecords) -> list[str]:
     """What one operator had acknowledged last is what a read shows until it orders again."""
     out = []
-    by: dict[str, list[ZoneOrder]] = defaultdict(list)
+    by: dict[str, list[ZoneUpdate]] = defaultdict(list)
     for z in o.zones:
         by[z.zone].append(z)
     for zone, rows in by.items():
@@ -142,12 +142,12 @@
     return out
 
 
-def _read_late(o: Orders, name: str, begin: float, end: float) -> str:
+def _read_late(o: ClientRecords, name: str, begin: float, end: float) -> str:
     """Marks a finding that a call brought about which a machine read after its caller had given it up."""
     return READ_LATE if any(x.name == name and begin <= x.at <= end for x in o.late_reads) else ""
 
 
-def notices_stay(o: Orders) -> list[str]:
+def notices_stay(o: ClientRecords) -> list[str]:
     """An upstream whose leaving was acknowledged is shown as ready by no read begun afterwards."""
     out = []
     for n in o.notices:
@@ -160,7 +160,7 @@
     return out
 
 
-def one_holder(o: Orders) -> list[str]:
+def one_holder(o: ClientRecords) -> list[str]:
     """Nobody believes to hold a lock while another does, and tokens rise."""
     out, last = [], {}
     for h in sorted(o.held, key=lambda h: h.start):
@@ -174,14 +174,14 @@
     return out
 
 
-def no_late_hold(o: Orders) -> list[str]:
+def no_late_hold(o: ClientRecords) -> list[str]:
     """A refusal is for a hold that somebody was granted, or whose taking was still under way when it could begin.
 
     A call that its holder gave up can hold from its end, the time that it may still run in the core (`LATE`), and the
     length of the hold; a refusal after that is for a take that came late.
     """
     out = []
-    for t in (t for t in o.takes if t.said == pages.CONFLICT):
+    for t in (t for t in o.takes if t.status == pages.CONFLICT):
         others = (x for x in o.takes if x.name == t.name and x is not t and x.begun < t.ended)
         if not any(_may_hold(x, t.begun) for x in others):
             out.append(
@@ -191,11 +191,11 @@
     return out
 
 
-def _may_hold(x: TakeCall, at: float) -> bool:
+def _may_hold(x: LockRequest, at: float) -> bool:
     if x.ended == float("inf"):
         return True
     end = 0.0
-    if x.said == pages.OK:
+    if x.status == pages.OK:
         end = x.freed if x.freed is not None else x.ended + x.hold_s
     if x.unsure is not None:
         begins = x.unsure + LATE
@@ -203,10 +203,10 @@
     return at < end + SLACK
 
 
-def numbers_count_calls(o: Orders) -> list[str]:
+def numbers_count_calls(o: ClientRecords) -> list[str]:
     """Numbers rise, none is given twice, and each call counts once at most."""
     out = []
-    by: dict[str, list[Counted]] = defaultdict(list)
+    by: dict[str, list[NumberRequest]] = defaultdict(list)
     for n in o.numbers:
         by[n.name].append(n)
     for name, rows in by.items():
@@ -224,10 +224,10 @@
     return out
 
 
-def cells_in_order(o: Orders) -> list[str]:
+def cells_in_order(o: ClientRecords) -> list[str]:
     """Reads show what was put last, puts on a base only follow that base, and one revision has one value."""
     out = []
-    puts = [c for c in o.cells if c.kind == "put" and c.said == pages.OK]
+    puts = [c for c in o.cells if c.kind == "put" and c.status == pages.OK]
     values: dict[tuple[str, int], str] = {}
     for c in puts:
         had = values.setdefault((c.name, c.revision), c.value)
@@ -237,7 +237,7 @@
         if c.base is not None:
             between = [p for p in puts if p.name == c.name and c.base < p.revision < c.revision]
             out += [f"{c.name} {c.revision} on base {c.base} was taken over {p.revision}" for p in between[:1]]
-    for r in (c for c in o.cells if c.kind == "read" and c.said == pages.OK):
+    for r in (c for c in o.cells if c.kind == "read" and c.status == pages.OK):
         newest = max((p.revision for p in puts if p.name == r.name and p.ended < r.begun), default=0)
         if r.revision < newest:
             out.append(f"read of {r.name} at {r.begun:.2f} shows {r.revision}, {newest} was put before")
@@ -245,18 +245,18 @@
             out.append(f"read of {r.name} at {r.begun:.2f} shows {r.value} at {r.revision}")
         if r.revision and not any(p.kind == "put" and p.value == r.value and p.begun < r.ended for p in o.cells):
             out.append(f"read of {r.name} shows {r.value}, which nobody had put")
-    refused = {c.value for c in o.cells if c.kind == "put" and c.said == pages.CONFLICT}
+    refused = {c.value for c in o.cells if c.kind == "put" and c.status == pages.CONFLICT}
     shown = {c.value for c in o.cells if c.kind == "read"} | {e.value for e in o.events}
     return out + [f"value {v} was refused and is there" for v in sorted(x for x in refused & shown if x)]
 
 
-def watchers_miss_nothing(o: Orders) -> list[str]:
+def watchers_miss_nothing(o: ClientRecords) -> list[str]:
     """Each watcher sees every confirmed put between its first and last event once, in order."""
     out = []
-    by: dict[str, list[Event]] = defaultdict(list)
+    by: dict[str, list[WatchedEvent]] = defaultdict(list)
     for e in o.events:
         by[e.watcher].append(e)
-    puts = {c.revision: c.value for c in o.cells if c.kind == "put" and c.said == pages.OK}
+    puts = {c.revision: c.value for c in o.cells if c.kind == "put" and c.status == pages.OK}
     for who, es in by.items():
         revisions = [e.revision for e in es]
         if revisions != sorted(set(revisions)):
@@ -267,10 +267,10 @@
     return out
 
 
-def watches_are_young(o: Orders) -> list[str]:
+def watches_are_young(o: ClientRecords) -> list[str]:
     """A watch answered by any machine is whole up to what was put more than `WATCH_BOUND` before it was asked."""
     out = []
-    puts = sorted((c for c in o.cells if c.kind == "put" and c.said == pages.OK), key=lambda c: c.ended)
+    puts = sorted((c for c in o.cells if c.kind == "put" and c.status == pages.OK), key=lambda c: c.ended)
     newest, done = 0, 0
     for w in sorted(o.watched, key=lambda w: w.begun):
         while done < len(puts) and puts[done].ended < w.begun - WATCH_BOUND:
@@ -280,10 +280,10 @@
     return out[:5]
 
 
-def cut_side_confirms_nothing(o: Orders) -> list[str]:
+def cut_side_confirms_nothing(o: ClientRecords) -> list[str]:
     """A machine without a path to a majority confirms nothing beyond the bound of that kind of answer."""
     out = []
-    for s in o.said:
+    for s in o.confirmations:
         for c in o.cuts:
             bound = SAID_BOUND[s.kind]
             if s.by in c.machines and c.began + bound < s.at <= c.ended and s.begun > c.began:
@@ -291,7 +291,7 @@
     return out[:5]
 
 
-def caught_up(o: Orders) -> list[str]:
+def caught_up(o: ClientRecords) -> list[str]:
     """Each machine that came back holds within `CATCH_UP` what was committed as it came."""
     return [
         f"{c.machine} ({c.how}) back at {c.began:.2f} has not caught up with {c.index} after {CATCH_UP} s"
@@ -300,7 +300,7 @@
     ]
 
 
-def majority_left(o: Orders) -> list[str]:
+def majority_left(o: ClientRecords) -> list[str]:
     """After each loss within the budget, an order is confirmed within `RECOVERED`."""
     return [
         f"{x.what} at {x.at:.2f}: nothing confirmed for {RECOVERED} s"
--- a/sim/orders.py
+++ b/sim/orders.py
@@ -8,7 +8,7 @@
 from sim import pages
 
 
-class Order(msgspec.Struct):
+class ItemUpdate(msgspec.Struct):
     """One call of an operator: an item's version and content (None: dropped). `said` is a status, 0 for no answer."""
 
     who: str
@@ -17,7 +17,7 @@
     content: str | None
     begun: float
     ended: float
-    said: int
+    status: int
 
 
 class ItemsRead(msgspec.Struct):
@@ -31,7 +31,7 @@
     upstreams: dict[str, str]
 
 
-class ZoneOrder(msgspec.Struct):
+class ZoneUpdate(msgspec.Struct):
     """An evacuation or its end, over all its calls: acknowledged, or given up undecided. One operator a zone."""
 
     zone: str
@@ -49,7 +49,7 @@
     acked: float
 
 
-class TakeCall(msgspec.Struct):
+class LockRequest(msgspec.Struct):
     """One intent to take a lock, over all its calls. A holder's name is used for one intent only.
 
     `unsure` is when the last call without a clear answer ended: that one may still take effect, whatever a later one
@@ -60,14 +60,14 @@
     holder: str
     begun: float
     ended: float
-    said: int
+    status: int
     hold_s: float
     token: int = 0
     freed: float | None = None
     unsure: float | None = None
 
 
-class Held(msgspec.Struct):
+class LockHold(msgspec.Struct):
     """A holder's own belief that it holds a lock, counted from when its call was sent."""
 
     name: str
@@ -77,7 +77,7 @@
     token: int
 
 
-class Counted(msgspec.Struct):
+class NumberRequest(msgspec.Struct):
     """One call for a number; value 0 where it was not told."""
 
     name: str
@@ -87,7 +87,7 @@
     refused: bool = False
 
 
-class CellCall(msgspec.Struct):
+class KeyRequest(msgspec.Struct):
     """A put or read of a key. A put's value is used once; `revision` is what was answered, 0 for none."""
 
     kind: str
@@ -95,12 +95,12 @@
     value: str | None
     begun: float
     ended: float
-    said: int
+    status: int
     revision: int
     base: int | None = None
 
 
-class Event(msgspec.Struct):
+class WatchedEvent(msgspec.Struct):
     """One event that a watcher was shown."""
 
     watcher: str
@@ -110,14 +110,14 @@
     at: float
 
 
-class LateRead(msgspec.Struct):
+class LateRequest(msgspec.Struct):
     """A call about a zone or lock that a machine read after its caller had given it up: its pages can't know that."""
 
     name: str
     at: float
 
 
-class WatchSeen(msgspec.Struct):
+class WatchResponse(msgspec.Struct):
     """What one answer to a watch said it was whole up to."""
 
     by: Address
@@ -125,7 +125,7 @@
     revision: int
 
 
-class Said(msgspec.Struct):
+class Confirmation(msgspec.Struct):
     """A success that a core machine told somebody: an `order`, a `read` or a `beat`."""
 
     by: Address
@@ -134,7 +134,7 @@
     at: float
 
 
-class Cut(msgspec.Struct):
+class NetworkCut(msgspec.Struct):
     """A span in which these machines had no two-way path to most of the voters."""
 
     machines: list[Address]
@@ -160,7 +160,7 @@
         return float("inf") if self.ended is None else self.ended - self.began - self.frozen_s
 
 
-class Loss(msgspec.Struct):
+class MemberLoss(msgspec.Struct):
     """A member lost within the budget; `confirmed` is when an order begun afterwards was first confirmed."""
 
     what: str
@@ -168,30 +168,30 @@
     confirmed: float | None = None
 
 
-class Orders:
+class ClientRecords:
     """All that the users of a core were told in one run."""
 
     def __init__(self) -> None:
-        self.orders: list[Order] = []
+        self.orders: list[ItemUpdate] = []
         self.reads: list[ItemsRead] = []
-        self.zones: list[ZoneOrder] = []
+        self.zones: list[ZoneUpdate] = []
         self.notices: list[Notice] = []
-        self.takes: list[TakeCall] = []
-        self.held: list[Held] = []
-        self.numbers: list[Counted] = []
-        self.cells: list[CellCall] = []
-        self.events: list[Event] = []
-        self.late_reads: list[LateRead] = []
-        self.watched: list[WatchSeen] = []
-        self.said: list[Said] = []
-        self.cuts: list[Cut] = []
+        self.takes: list[LockRequest] = []
+        self.held: list[LockHold] = []
+        self.numbers: list[NumberRequest] = []
+        self.cells: list[KeyRequest] = []
+        self.events: list[WatchedEvent] = []
+        self.late_reads: list[LateRequest] = []
+        self.watched: list[WatchResponse] = []
+        self.confirmations: list[Confirmation] = []
+        self.cuts: list[NetworkCut] = []
         self.catch_ups: list[CatchUp] = []
-        self.losses: list[Loss] = []
+        self.losses: list[MemberLoss] = []
         self.most_index = 0
-        self._by_name: dict[str, list[Order]] = {}
+        self._by_name: dict[str, list[ItemUpdate]] = {}
         self._sorted = 0
 
-    def by_name(self, name: str) -> list[Order]:
+    def by_name(self, name: str) -> list[ItemUpdate]:
         """All orders of an item."""
         for x in self.orders[self._sorted :]:
             self._by_name.setdefault(x.name, []).append(x)
@@ -199,22 +199,22 @@
         return self._by_name.get(name, [])
 
 
-def figures(o: Orders) -> dict[str, int]:
+def figures(o: ClientRecords) -> dict[str, int]:
     """Counts and worst times (ms) of a run."""
     caught = [c.seconds() for c in o.catch_ups if c.ended is not None]
     back = [x.confirmed - x.at for x in o.losses if x.confirmed is not None]
     return {
         "orders": len(o.orders),
-        "confirmed": sum(x.said == pages.OK for x in o.orders),
-        "refused": sum(x.said in (pages.CONFLICT, pages.INVALID) for x in o.orders),
+        "confirmed": sum(x.status == pages.OK for x in o.orders),
+        "refused": sum(x.status in (pages.CONFLICT, pages.INVALID) for x in o.orders),
         "reads": len(o.reads),
         "zones": sum(z.acked for z in o.zones),
         "notices": len(o.notices),
         "held": len(o.held),
         "counted": sum(n.value > 0 for n in o.numbers),
-        "puts": sum(c.kind == "put" and c.said == pages.OK for c in o.cells),
+        "puts": sum(c.kind == "put" and c.status == pages.OK for c in o.cells),
         "events": len(o.events),
-        "beats": sum(s.kind == "beat" for s in o.said),
+        "beats": sum(s.kind == "beat" for s in o.confirmations),
         "late_reads": len(o.late_reads),
         "losses": len(o.losses),
         "worst_loss_ms": int(1000 * max(back, default=0)),
--- a/sim/pools.py
+++ b/sim/pools.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 from sim.serving import cold_share, repeats
-from sim.users import Customer, Operator, Reader
+from sim.users import Operator, OrderClient, RankingsReader
 
 
-def leaving(f: Fleet) -> None:
+def leaving(f: SimulatedFleet) -> None:
     for _ in range(5):
         u = f.rng.choice(f.pool(f.rng.choice(("boards", "runs"))))
         u.leave()
@@ -20,7 +20,7 @@
         f.run(1)
 
 
-def handed_over(f: Fleet) -> None:
+def handed_over(f: SimulatedFleet) -> None:
     """An upstream vanishes and within a second its address is another service's; later its own again."""
     for i in range(4):
         old = f.rng.choice(f.pool("boards" if i % 2 else "runs"))
@@ -36,29 +36,29 @@
         f.run(2)
 
 
-def faulty(f: Fleet) -> None:
+def faulty(f: SimulatedFleet) -> None:
     for fault in ("garbage", "half", "late"):
         _fault(f, fault, 0.3)
         f.run(6)
     _fault(f, "", 0.0)
     for s in ("boards", "runs"):
         for u in f.pool(s):
-            u.lose = 0.3
+            u.answer_loss_ratio = 0.3
     f.run(6)
     for s in ("boards", "runs"):
         for u in f.pool(s):
-            u.lose = f.lose
+            u.answer_loss_ratio = f.answer_loss_ratio
 
 
-def _fault(f: Fleet, fault: str, share: float) -> None:
+def _fault(f: SimulatedFleet, fault: str, share: float) -> None:
     for s in ("boards", "runs", "spare"):
         for u in f.pool(s):
             u.fault, u.share = fault, share
 
 
-def relentless(f: Fleet) -> None:
+def relentless(f: SimulatedFleet) -> None:
     _fault(f, "garbage", 0.6)
-    hasty = [f.user(Reader, lambda: f.proxies, 5.0, True) for _ in range(4)]
+    hasty = [f.user(RankingsReader, lambda: f.proxies, 5.0, True) for _ in range(4)]
     f.run(25)
     _fault(f, "", 0.0)
     for u in hasty:
@@ -67,9 +67,9 @@
     assert worst > 0.02, "no repeats were provoked"
 
 
-def cold_return(f: Fleet) -> None:
+def cold_return(f: SimulatedFleet) -> None:
     """A slow pool, so that a flood would show; one of it returns cold after a crash."""
-    more = [f.user(Reader, lambda: f.proxies, 12.0) for _ in range(3)]
+    more = [f.user(RankingsReader, lambda: f.proxies, 12.0) for _ in range(3)]
     for _ in range(2):
         pool = f.pool("boards") + f.pool("spare")
         for u in pool:
@@ -87,7 +87,7 @@
         u.crash()
 
 
-def pool_replaced(f: Fleet) -> None:
+def pool_replaced(f: SimulatedFleet) -> None:
     """Each upstream of a pool leaves and another takes its place at a new address, one by one."""
     for u in list(f.pool("boards")):
         u.leave()
@@ -100,7 +100,7 @@
         f.run(1)
 
 
-def pool_emptied(f: Fleet) -> None:
+def pool_emptied(f: SimulatedFleet) -> None:
     down = f.pool("runs")
     for u in down:
         u.crash()
@@ -110,7 +110,7 @@
     f.run(4)
 
 
-def evacuation(f: Fleet) -> None:
+def evacuation(f: SimulatedFleet) -> None:
     """A zone is emptied while a region is lost, proxies restart, or the leader goes; then given back."""
     zone, op = "ap-a", f.user(Operator, ["ap-b"])
     for i in range(2):
@@ -136,10 +136,10 @@
         f.run(5)
 
 
-def impatient(f: Fleet) -> None:
+def impatient(f: SimulatedFleet) -> None:
     """Customers ask again before they were answered, while claims are slow and the pool comes and goes."""
     f.world.slow = 0.4
-    more = [f.user(Customer, lambda: f.proxies, True) for _ in range(8)]
+    more = [f.user(OrderClient, lambda: f.proxies, True) for _ in range(8)]
     for _ in range(8):
         down = f.pool("runs")
         for u in down:
@@ -154,7 +154,7 @@
         u.crash()
 
 
-def all_of_it(f: Fleet) -> None:
+def all_of_it(f: SimulatedFleet) -> None:
     """Planned acts and failures together."""
     acts = f.rng.sample((leaving, handed_over, faulty, pool_replaced, evacuation, pool_emptied), 2)
     for act in acts:
--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -24,7 +24,7 @@
 from mallowvalve.proxy.tenant_forwarder import TenantForwarder
 from mallowvalve.proxy.tenant_upstream_pool import TenantUpstreamPool
 from mallowvalve.upstreams.board import AgedHeartbeat, Heartbeat, HeartbeatTable
-from sim.history import History
+from sim.history import RunHistory
 from sim.replica import ReplicaNode
 
 _verdict = msgspec.msgpack.Decoder(LedgerResult).decode
@@ -69,7 +69,7 @@
             then(Err("limit"))
 
 
-class Telling(RetryDetector):
+class BroadcastingRetryDetector(RetryDetector):
     __slots__ = ("tell",)
 
     def record_failure(self, name: bytes, now: float) -> None:
@@ -80,10 +80,10 @@
 class Proxy(ReplicaNode):
     """The proxy: its own path, pool, board and replica, over simulated connections."""
 
-    def __init__(self, world, addr, locality, controls, history: History, proxies):
+    def __init__(self, world, addr, locality, controls, history: RunHistory, proxies):
         super().__init__(world, addr, "proxy", locality, controls)
         self.history, self.proxies = history, proxies
-        self.board, self.repeats = HeartbeatTable(), Telling()
+        self.board, self.repeats = HeartbeatTable(), BroadcastingRetryDetector()
         self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
         self.pool = TenantUpstreamPool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
         self.path = TenantForwarder(
--- a/sim/replica.py
+++ b/sim/replica.py
@@ -11,10 +11,10 @@
 from mallowvalve.control.snapshot_fetch import BASE, NOW
 from mallowvalve.control.snapshot_transfer import Gather, Shelf, read_label, read_piece, read_want
 from mallowvalve.types import Address, Locality
-from sim.world import Node, World
+from sim.world import SimulatedNode, World
 
 
-class ReplicaNode(Node):
+class ReplicaNode(SimulatedNode):
     def __init__(self, world: World, addr: Address, role: str, locality: Locality, controls):
         super().__init__(world, addr)
         self.role, self.locality, self.controls = role, locality, controls
@@ -101,7 +101,7 @@
         return self.put(replace(made[0], state=list(made[1])), now) if made is not None else None
 
 
-def pull(node: Node, to: Address, what: bytes, then, wanted=lambda offered: True) -> None:
+def pull(node: SimulatedNode, to: Address, what: bytes, then, wanted=lambda offered: True) -> None:
     """Fetches a snapshot by pieces; then(None) if it does not come."""
 
     def labelled(d: bytes | None) -> None:
@@ -124,7 +124,7 @@
     node.call(to, "label", what, 1.0, labelled)
 
 
-def offer(node: Node, command: bytes, end: float, then, attempt: float = ATTEMPT) -> None:
+def offer(node: SimulatedNode, command: bytes, end: float, then, attempt: float = ATTEMPT) -> None:
     left = min(end - node.now, attempt)
     if left <= 0:
         return then(wire.CommandResponse(Code.UNDECIDED))
--- a/sim/run.py
+++ b/sim/run.py
@@ -10,7 +10,7 @@
 from sim.storms import STORMS, play
 from sim.worst_days import DAYS, play_day
 
-MOST_SAID = 4
+MAX_PRINTED_FINDINGS = 4
 
 
 def one(job: tuple[str, int, int, int]) -> tuple[str, int, list[str], dict]:
@@ -41,7 +41,7 @@
             most: dict[str, int] = {}
             work = [(name, n, cores, proxies) for n in range(first, first + seeds)]
             for _, seed, found, fig in pool.map(one, work):
-                for f in found[:MOST_SAID]:
+                for f in found[:MAX_PRINTED_FINDINGS]:
                     click.echo(f"{name} seed {seed}: {f}")
                 wrong += bool(found)
                 total.update(fig)
--- a/sim/serving.py
+++ b/sim/serving.py
@@ -7,14 +7,14 @@
 from mallowvalve.localfleet.history import check as coordination
 from mallowvalve.localfleet.judge import in_force_at, worst_share
 from sim.config import allows
-from sim.history import IN_FORCE, Emptied, History
+from sim.history import CHANGE_PROPAGATION_S, RunHistory, ZoneEvacuation
 
 EVACUATED = 5.0
 LEFT = 3.0
 PENDING = 20.0
 
 
-def check(h: History) -> list[str]:
+def check(h: RunHistory) -> list[str]:
     return [
         *allowed_and_at_home(h),
         *evacuated(h),
@@ -26,11 +26,11 @@
     ]
 
 
-def allowed_and_at_home(h: History) -> list[str]:
+def allowed_and_at_home(h: RunHistory) -> list[str]:
     """Some configuration that may have been in force at that moment must allow the run."""
     out = []
     for r in h.served:
-        docs = in_force_at(h.offers, r.at, IN_FORCE)
+        docs = in_force_at(h.offers, r.at, CHANGE_PROPAGATION_S)
         if not any(allows(o.doc, r.tenant, r.target, r.service, r.region) for o in docs):
             out.append(
                 f"{r.instance} in {r.region} ran {r.target} for {r.tenant} at {r.at:.2f}: allowed by none in force"
@@ -38,7 +38,7 @@
     return out
 
 
-def evacuated(h: History) -> list[str]:
+def evacuated(h: RunHistory) -> list[str]:
     out = []
     for e in h.zones:
         if not e.on or e.revision is None:
@@ -50,23 +50,23 @@
     return out
 
 
-def gives_back(x: Emptied, e: Emptied) -> bool:
+def gives_back(x: ZoneEvacuation, e: ZoneEvacuation) -> bool:
     if x.on or x.zone != e.zone:
         return False
     return x.revision > e.revision if x.revision is not None else x.begun > e.begun - PENDING
 
 
-def left(h: History) -> list[str]:
+def left(h: RunHistory) -> list[str]:
     gone = {(x.instance, x.incarnation): x.at for x in h.left}
     bad = [r for r in h.served if r.at > gone.get((r.instance, r.incarnation), 1e9) + LEFT]
     return [f"{r.instance} got {r.id} at {r.at:.2f}, it left at {gone[r.instance, r.incarnation]:.2f}" for r in bad[:3]]
 
 
-def repeats(h: History) -> tuple[float, list[str]]:
+def repeats(h: RunHistory) -> tuple[float, list[str]]:
     return worst_share((r.at, r.service, r.id) for r in h.served if not r.key)
 
 
-def whole_answers(h: History) -> list[str]:
+def whole_answers(h: RunHistory) -> list[str]:
     out = []
     for t, id, target, body in h.answers:
         try:
@@ -78,13 +78,13 @@
     return out
 
 
-def reads_not_run(h: History) -> list[str]:
+def reads_not_run(h: RunHistory) -> list[str]:
     ran = {(r.id, r.n): r.at for r in h.served if not r.key}
     bad = [(t, id, n) for t, id, n, out in h.reads_told if out == "not-run" and (id, n) in ran]
     return [f"read {id} try {n} told not-run at {t:.2f}, ran at {ran[id, n]:.2f}" for t, id, n in bad]
 
 
-def cold_share(h: History, instance: str, incarnation: int, born: float, pool: list[str]) -> float | None:
+def cold_share(h: RunHistory, instance: str, incarnation: int, born: float, pool: list[str]) -> float | None:
     """What a cold upstream got in its first 2 s over the mean of its peers; None where too little ran."""
     rows = [r for r in h.served if r.instance in pool and born <= r.at < born + 2.0]
     if len(rows) < 30:
--- a/sim/storms.py
+++ b/sim/storms.py
@@ -3,26 +3,26 @@
 from collections.abc import Callable
 
 from sim import serving
-from sim.fleet import Fleet
-from sim.history import History
+from sim.fleet import SimulatedFleet
+from sim.history import RunHistory
 from sim.history import check as promises
 from sim.pools import POOLS
 
-BACK = 15.0
+RECOVERY_LIMIT_S = 15.0
 
 
-def check(h: History) -> list[str]:
+def check(h: RunHistory) -> list[str]:
     return promises(h) + serving.check(h)
 
 
-Storm = Callable[[Fleet], None]
+Storm = Callable[[SimulatedFleet], None]
 
 
-def calm(f: Fleet) -> None:
+def calm(f: SimulatedFleet) -> None:
     f.run(20)
 
 
-def kills(f: Fleet) -> None:
+def kills(f: SimulatedFleet) -> None:
     for _ in range(8):
         a = f.rng.choice(f.nodes)
         f.kill(a)
@@ -31,7 +31,7 @@
         f.run(2 * f.rng.random())
 
 
-def herds(f: Fleet) -> None:
+def herds(f: SimulatedFleet) -> None:
     for _ in range(4):
         down = f.rng.sample(f.proxies, len(f.proxies) // 3) + f.rng.sample(f.core, 2)
         for a in down:
@@ -42,7 +42,7 @@
         f.run(4)
 
 
-def all_at_once(f: Fleet) -> None:
+def all_at_once(f: SimulatedFleet) -> None:
     for _ in range(2):
         for a in f.nodes:
             f.kill(a)
@@ -52,7 +52,7 @@
         f.run(9)
 
 
-def after_acks(f: Fleet) -> None:
+def after_acks(f: SimulatedFleet) -> None:
     for _ in range(6):
         n = len(f.history.changes) + len(f.history.puts)
         f.run_until(lambda: len(f.history.changes) + len(f.history.puts) > n, 5)
@@ -63,7 +63,7 @@
             f.start(ls.addr)
 
 
-def rolling(f: Fleet) -> None:
+def rolling(f: SimulatedFleet) -> None:
     for a in f.core + f.proxies + f.directory_server:
         f.kill(a)
         f.run(0.7)
@@ -71,18 +71,18 @@
         f.run(1.3)
 
 
-def zone_lost(f: Fleet) -> None:
+def zone_lost(f: SimulatedFleet) -> None:
     z = f.place[f.rng.choice(f.core)]
     down = [a for a in f.nodes if f.place[a] == z]
     _lose(f, down)
 
 
-def region_lost(f: Fleet) -> None:
+def region_lost(f: SimulatedFleet) -> None:
     r = f.place[f.rng.choice(f.core)].region
     _lose(f, [a for a in f.nodes if f.place[a].region == r])
 
 
-def _lose(f: Fleet, down: list) -> None:
+def _lose(f: SimulatedFleet, down: list) -> None:
     for a in down:
         f.kill(a)
     f.run(5)
@@ -94,18 +94,18 @@
     f.run(3)
 
 
-def replaced(f: Fleet) -> None:
+def replaced(f: SimulatedFleet) -> None:
     f.replace(f.rng.choice(f.core))
     f.run(20)
 
 
-def replaced_all(f: Fleet) -> None:
+def replaced_all(f: SimulatedFleet) -> None:
     for a in list(f.core):
         f.replace(a)
         f.run(14)
 
 
-def wiped_in_place(f: Fleet) -> None:
+def wiped_in_place(f: SimulatedFleet) -> None:
     a = f.rng.choice(f.core)
     f.kill(a)
     f.disks[a].wipe()
@@ -114,7 +114,7 @@
     f.run(15)
 
 
-def splits(f: Fleet) -> None:
+def splits(f: SimulatedFleet) -> None:
     for _ in range(4):
         left = f.rng.sample(f.nodes, f.rng.randrange(2, len(f.nodes) - 2))
         f.world.split(left, [a for a in f.nodes if a not in left])
@@ -123,7 +123,7 @@
         f.run(3)
 
 
-def core_cut_off(f: Fleet) -> None:
+def core_cut_off(f: SimulatedFleet) -> None:
     f.world.split(f.core, f.proxies + f.directory_server)
     f.run(3)
     assert all(f.world.nodes[a].admits() for a in f.proxies), "proxies that see each other stopped"
@@ -132,7 +132,7 @@
     f.run(3)
 
 
-def one_way(f: Fleet) -> None:
+def one_way(f: SimulatedFleet) -> None:
     for _ in range(4):
         a = f.rng.choice(f.nodes)
         for b in f.nodes:
@@ -143,7 +143,7 @@
         f.run(2)
 
 
-def isolated(f: Fleet) -> None:
+def isolated(f: SimulatedFleet) -> None:
     for _ in range(3):
         a = f.rng.choice(f.proxies)
         f.world.split([a], [b for b in f.nodes if b != a])
@@ -154,7 +154,7 @@
         f.run(2)
 
 
-def freezes(f: Fleet) -> None:
+def freezes(f: SimulatedFleet) -> None:
     for _ in range(6):
         lead = f.leader()
         a = lead.addr if lead is not None and f.rng.random() < 0.4 else f.rng.choice(f.nodes)
@@ -164,7 +164,7 @@
         f.run(1 + f.rng.random())
 
 
-def disks(f: Fleet) -> None:
+def disks(f: SimulatedFleet) -> None:
     for _ in range(5):
         d = f.disks[f.rng.choice(f.core)]
         d.full = f.rng.random() < 0.5
@@ -174,7 +174,7 @@
         f.run(2)
 
 
-def wiped_core(f: Fleet) -> None:
+def wiped_core(f: SimulatedFleet) -> None:
     for a in f.core:
         f.kill(a)
         f.disks[a].wipe()
@@ -184,7 +184,7 @@
     f.run(1)
 
 
-def wiped_most(f: Fleet) -> None:
+def wiped_most(f: SimulatedFleet) -> None:
     voters = list(f.leader().core.raft.log.configuration.voters.values()) if f.leader() else f.core
     for a in f.rng.sample(sorted(voters), len(voters) // 2 + 1):
         f.kill(a)
@@ -193,7 +193,7 @@
     f.run(1)
 
 
-def wiped_all_but_one_proxy(f: Fleet) -> None:
+def wiped_all_but_one_proxy(f: SimulatedFleet) -> None:
     keep = f.rng.choice(f.proxies)
     f.run(1)
     for a in f.nodes:
@@ -206,18 +206,18 @@
     f.run(1)
 
 
-def lossy(f: Fleet) -> None:
+def lossy(f: SimulatedFleet) -> None:
     f.world.loss, f.world.slow = 0.1, 0.15
     f.run(20)
     f.world.loss, f.world.slow = 0.0, 0.02
 
 
-def mixed(f: Fleet) -> None:
+def mixed(f: SimulatedFleet) -> None:
     for _ in range(4):
         f.rng.choice([kills, splits, freezes, one_way, disks, after_acks, isolated_any])(f)
 
 
-def isolated_any(f: Fleet) -> None:
+def isolated_any(f: SimulatedFleet) -> None:
     a = f.rng.choice(f.nodes)
     f.world.split([a], [b for b in f.nodes if b != a])
     f.run(4)
@@ -254,7 +254,7 @@
 
 
 def play(name: str, seed: int, keep: dict | None = None, **shape) -> tuple[list[str], dict]:
-    f = Fleet(seed, **shape)
+    f = SimulatedFleet(seed, **shape)
     f.load()
     if not f.run_until(lambda: f.served() > 3 and all(f.world.nodes[a].admits() for a in f.proxies), 30):
         return ["the fleet never came up"], {}
@@ -278,6 +278,6 @@
             "numbers": [b - a for a, b, _ in f.history.numbers],
             "changes": [b - a for a, b, _, _ in f.history.changes],
         }
-    if not back or gap > BACK:
-        found.append(f"service not back within {BACK} s: {gap:.1f}")
+    if not back or gap > RECOVERY_LIMIT_S:
+        found.append(f"service not back within {RECOVERY_LIMIT_S} s: {gap:.1f}")
     return found, f.history.figures() | {"back_ms": int(gap * 1000), "sim_s": int(f.world.now)}
--- a/sim/upstream.py
+++ b/sim/upstream.py
@@ -4,31 +4,31 @@
 
 from mallowvalve.types import Address, Locality
 from mallowvalve.upstreams.board import Heartbeat
-from sim.history import Cold, History, Left, Ran
-from sim.world import Node, World
+from sim.history import ColdRequest, ExecutedRequest, RunHistory, UpstreamDeparture
+from sim.world import SimulatedNode, World
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.decode
 WORK = 0.02
 
 
-class Upstream(Node):
+class SimulatedUpstream(SimulatedNode):
     """Heartbeats, runs what comes over its connections, and may lose, garble, halve or delay its answers."""
 
     def __init__(
         self,
         world: World,
         addr: Address,
-        history: History,
+        history: RunHistory,
         service: str,
         instance: str,
         locality: Locality,
         proxies,
-        lose: float,
+        answer_loss_ratio: float,
     ):
         super().__init__(world, addr)
         self.history, self.service, self.instance, self.locality = history, service, instance, locality
-        self.proxies, self.lose = proxies, lose
+        self.proxies, self.answer_loss_ratio = proxies, answer_loss_ratio
         self.born, self.incarnation, self.sequence = world.now, self.life, 0
         self.state, self.busy, self.work = "ready", 0, WORK
         self.fault, self.share = "", 0.0
@@ -72,7 +72,7 @@
     def _heard(self, state: str, data: bytes | None) -> None:
         if data is not None and state == "leaving" and not self.learned:
             self.learned = True
-            self.history.left.append(Left(self.now, self.instance, self.incarnation))
+            self.history.left.append(UpstreamDeparture(self.now, self.instance, self.incarnation))
 
     def _run(self, r: list, answer) -> None:
         life, id, key, n, tenant, target = r
@@ -80,7 +80,7 @@
             return answer(b"reset")
         self.busy += 1
         self.history.served.append(
-            Ran(
+            ExecutedRequest(
                 self.now,
                 id,
                 key,
@@ -97,12 +97,14 @@
         if key:
             self.history.ran.append((self.now, key, n))
         if self.now - self.born < 2.0:
-            self.history.cold.append(Cold(self.now, self.instance, self.incarnation, self.now - self.born, self.busy))
+            self.history.cold.append(
+                ColdRequest(self.now, self.instance, self.incarnation, self.now - self.born, self.busy)
+            )
         self.wake(self.work * (0.5 + self.world.rng.random()), lambda: self._answer(id, target, answer))
 
     def _answer(self, id: str, target: str, answer) -> None:
         self.busy -= 1
-        if self.world.rng.random() < self.lose:
+        if self.world.rng.random() < self.answer_loss_ratio:
             return None
         whole = encode([id, target, self.service])
         if not self.fault or self.world.rng.random() >= self.share:
--- a/sim/users.py
+++ b/sim/users.py
@@ -13,9 +13,9 @@
 from mallowvalve.localfleet.history import Op
 from mallowvalve.types import Address
 from sim.config import config
-from sim.history import Emptied, History, Offered
+from sim.history import Offered, RunHistory, ZoneEvacuation
 from sim.replica import offer
-from sim.world import Node, World
+from sim.world import SimulatedNode, World
 from verification import histories
 from verification.histories import Kind, outcome_of
 
@@ -30,8 +30,8 @@
     return hashlib.blake2b(doc, digest_size=8).hexdigest() if doc else None
 
 
-class User(Node):
-    def __init__(self, world: World, addr: Address, controls, history: History):
+class User(SimulatedNode):
+    def __init__(self, world: World, addr: Address, controls, history: RunHistory):
         super().__init__(world, addr)
         self.controls, self.history, self.rng = controls, history, random.Random(world.rng.random())
         self.leader: Address | None = None
@@ -60,7 +60,7 @@
         return f"{self.addr.host}.{self.n}"
 
 
-class Customer(User):
+class OrderClient(User):
     """Orders under a key; a hasty one does not wait for the answer before it asks again."""
 
     def __init__(self, world, addr, controls, history, proxies, hasty=False):
@@ -89,7 +89,7 @@
         self.call(self.rng.choice(self.proxies()), "request", encode(ask), wait, heard)
 
 
-class Reader(User):
+class RankingsReader(User):
     """Reads rankings at a rate; a relentless one repeats at once, unmarked, and without end."""
 
     def __init__(self, world, addr, controls, history, proxies, rate=5.0, relentless=False):
@@ -149,7 +149,7 @@
 
         def took(t: wire.CommandResponse) -> None:
             ok = t.code == Code.OK
-            self.history.zones.append(Emptied(begun, self.now, t.revision if ok else None, zone, on))
+            self.history.zones.append(ZoneEvacuation(begun, self.now, t.revision if ok else None, zone, on))
             if ok:
                 self.history.evacuations.append((begun, self.now, t.revision))
             self.wake(0.5 + self.rng.random(), self._read)
@@ -190,7 +190,7 @@
         self.call(to, "read", b"", 2.5, took)
 
 
-class Locker(User):
+class LockProposer(User):
     def __init__(self, world, addr, controls, history):
         super().__init__(world, addr, controls, history)
         self.wake(3.0, self._lock)
@@ -226,7 +226,7 @@
         self.propose(Unlock("l", str(self.addr), token, self.serial()), 2.0, took)
 
 
-class Counter(User):
+class NumberProposer(User):
     def __init__(self, world, addr, controls, history):
         super().__init__(world, addr, controls, history)
         self.wake(3.0, self._next)
@@ -257,7 +257,7 @@
         self.propose(Put("k", value, None, value), 3.0, took)
 
 
-class Keeper(User):
+class KeyProposer(User):
     """Reads a key and puts it anew on what it read; judged by revisions and by what ended before what began."""
 
     def __init__(self, world, addr, controls, history):
@@ -296,7 +296,7 @@
         self.propose(Put(name, value, base, value), 3.0, took)
 
 
-class Watcher(User):
+class EventWatcher(User):
     """Reads events from whichever control process answers, resuming by revision."""
 
     def __init__(self, world, addr, controls, history):
--- a/sim/world.py
+++ b/sim/world.py
@@ -26,8 +26,8 @@
         self.cuts: set[tuple[Address, Address]] = set()
         self.frozen: dict[Address, list[Callable]] = {}
         self.silent: set[tuple[Address, Address]] = set()
-        self.stray = self.echo = 0.0
-        self.stray_among = set[Address]()
+        self.late_ratio = self.late_duplicate_ratio = 0.0
+        self.late_delivery_nodes = set[Address]()
         self._held: dict[tuple[Address, Address], list[tuple[Callable, int]]] = {}
         self._resets: dict[tuple[Address, Address], int] = {}
         self.sent = self.delivered = self.lives = 0
@@ -49,12 +49,16 @@
                 continue
             wait = 0.0005 + self.rng.random() ** 3 * self.slow
             life = self._resets.get((src, dst), 0)
-            if self.stray + self.echo and src in self.stray_among and dst in self.stray_among:
+            if (
+                self.late_ratio + self.late_duplicate_ratio
+                and src in self.late_delivery_nodes
+                and dst in self.late_delivery_nodes
+            ):
                 late = wait + STRAY_LEAST + self.rng.random() * STRAY_SPREAD
                 drawn = self.rng.random()
-                if drawn < self.echo:
+                if drawn < self.late_duplicate_ratio:
                     self.after(late, lambda: self._arrive(src, dst, deliver, life))
-                elif drawn < self.echo + self.stray:
+                elif drawn < self.late_duplicate_ratio + self.late_ratio:
                     wait = late
             self.after(wait, lambda: self._arrive(src, dst, deliver, life))
 
@@ -87,7 +91,7 @@
             for i, (deliver, life) in enumerate(some):
                 self.after(0.001 * i, lambda s=src, t=dst, d=deliver, n=life: self._arrive(s, t, d, n))
 
-    def hush(self, src: Address, dst: Address) -> None:
+    def hold_messages(self, src: Address, dst: Address) -> None:
         """A silence one way: what is sent is held, as in the buffers of a connection, until `heal`."""
         self.silent.add((src, dst))
 
@@ -144,7 +148,7 @@
         act()
 
 
-class Reply:
+class CallReply:
     """What a called machine has of a call: it answers it, and sees whether the caller has closed the connection."""
 
     __slots__ = ("_send", "left")
@@ -162,7 +166,7 @@
         self.left = True
 
 
-class Node:
+class SimulatedNode:
     """A machine in the world: messages, calls with answers, wakeups that die with it."""
 
     def __init__(self, world: World, addr: Address):
@@ -205,11 +209,11 @@
         def answer(data: bytes) -> None:
             self.world.send(to, me, lambda node: node._answered(self.life, n, data))
 
-        reply = Reply(answer)
+        reply = CallReply(answer)
         self.world.send(me, to, lambda node: self._reaches(node, n, kind, body, reply))
         self.wake(limit, lambda: self._give_up(n, reply))
 
-    def _give_up(self, n: int, reply: Reply) -> None:
+    def _give_up(self, n: int, reply: CallReply) -> None:
         """No answer came in time: the caller goes on, and closes the connection."""
         if n in self._calls:
             self.world.close(self.addr, self._called[n], reply.close)
@@ -223,7 +227,7 @@
         if then is not None:
             then(data)
 
-    def _reaches(self, node: Node, n: int, kind: str, body: bytes, answer: Callable) -> None:
+    def _reaches(self, node: SimulatedNode, n: int, kind: str, body: bytes, answer: Callable) -> None:
         """Call `n` of this machine is read by another."""
         node.handle(kind, self.addr, body, answer)
 
--- a/sim/worst_days.py
+++ b/sim/worst_days.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from sim.callers import RacingOperator, SettingsReader
+from sim.callers import CompetingOperator, SettingsReader
 from sim.core_fleet import CoreFleet
 from sim.order_checks import check
 from sim.orders import CatchUp, figures
@@ -45,7 +45,7 @@
     """Two more operators race on their own routes while half of all answers are lost."""
     f.world.loss = 0.05
     for _ in range(3):
-        f.caller(RacingOperator, ["q0", "q1"], pace=0.35, tries=12, deaf=0.5)
+        f.caller(CompetingOperator, ["q0", "q1"], pace=0.35, tries=12, answer_loss_ratio=0.5)
     f.caller(SettingsReader, rate=8.0)
     for _ in range(3):
         f.run(6)
@@ -175,7 +175,7 @@
     """Over 300 changes, 10 to 20 a second, while members restart, come back empty or freeze."""
     rate = 10 + 10 * f.rng.random()
     for i in range(2):
-        f.caller(RacingOperator, [f"m{i}.{j}" for j in range(20)], pace=2 / rate, tries=4, deaf=0.05)
+        f.caller(CompetingOperator, [f"m{i}.{j}" for j in range(20)], pace=2 / rate, tries=4, answer_loss_ratio=0.05)
     f.run(2)
     for _ in range(4):
         a = f.rng.choice(f.core)
@@ -213,7 +213,7 @@
                 f.world.reset(a, b)
                 continue
             for pair in f.rng.choice((((a, b),), ((b, a),), ((a, b), (b, a)))):
-                f.world.hush(*pair)
+                f.world.hold_messages(*pair)
         f.run(0.3 + 3 * f.rng.random())
         if f.rng.random() < 0.6:
             f.world.heal()
@@ -246,7 +246,7 @@
     f.load()
     if not f.run_until(lambda: f.confirmed() > 5, READY_S):
         return ["the core never came up"], {}
-    f.stray(delayed=not hasattr(day, "cores"))
+    f.enable_late_delivery(delayed=not hasattr(day, "cores"))
     f.run(4)
     day(f)
     f.settle()
--- a/tests/plants.py
+++ b/tests/plants.py
@@ -13,14 +13,14 @@
 from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Count, Take
 from mallowvalve.raft.raft import Raft
-from sim import door, pages
-from sim.door import DoorNode
+from sim import control_api, pages
+from sim.control_api import ControlApiNode
 from sim.worst_days import play_day
 
 AGAIN_S = 4.0
 Plant = Callable[[], AbstractContextManager]
-whole_patch = DoorNode._patch
-whole_page = DoorNode._page
+whole_patch = ControlApiNode._patch
+whole_page = ControlApiNode._page
 
 
 def conflicts_confirmed() -> AbstractContextManager:
@@ -29,7 +29,7 @@
     def lenient(self, c, say) -> None:
         whole_patch(self, c, lambda a: say(pages.Answer(pages.OK) if a.status == pages.CONFLICT else a))
 
-    return patch.object(DoorNode, "_patch", lenient)
+    return patch.object(ControlApiNode, "_patch", lenient)
 
 
 def reads_unconfirmed() -> AbstractContextManager:
@@ -76,8 +76,8 @@
 @contextmanager
 def callers_gone_served() -> Iterator[None]:
     """A call is run although its caller has closed the connection, and however long ago a majority was heard."""
-    gone = patch.object(door, "_has_left", lambda say: False)
-    out_of_touch = patch.object(DoorNode, "_may_begin", lambda self, say: True)
+    gone = patch.object(control_api, "_has_left", lambda say: False)
+    out_of_touch = patch.object(ControlApiNode, "_may_begin", lambda self, say: True)
     with gone, out_of_touch:
         yield
 
@@ -95,7 +95,7 @@
         if chosen(p):
             self.wake(AGAIN_S, lambda: whole_page(self, p, lambda a: None))
 
-    return patch.object(DoorNode, "_page", twice)
+    return patch.object(ControlApiNode, "_page", twice)
 
 
 def evacuations_late() -> AbstractContextManager:
@@ -115,7 +115,7 @@
 
 def beats_always() -> AbstractContextManager:
     """A machine thinks itself in touch whatever it hears."""
-    return patch.object(DoorNode, "_in_touch", lambda self: True)
+    return patch.object(ControlApiNode, "_in_touch", lambda self: True)
 
 
 def play_planted(plant: Plant, day: str, seed: int) -> list[str]:
--- a/tests/test_checkers.py
+++ b/tests/test_checkers.py
@@ -1,10 +1,10 @@
 import pytest
 
-from sim.history import History, check
+from sim.history import RunHistory, check
 
 
-def clean() -> History:
-    h = History()
+def clean() -> RunHistory:
+    h = RunHistory()
     h.ran = [(1.0, "k1", 1), (2.0, "k2", 2)]
     h.told = [(1.1, "k1", 1, "done"), (1.5, "k2", 1, "not-run"), (2.1, "k2", 2, "done")]
     h.changes = [(1.0, 2.0, 10, b"a"), (3.0, 4.0, 20, b"b")]
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -12,7 +12,7 @@
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 from sim.storms import check
 
 CATCH_UP = 4.0
@@ -96,7 +96,7 @@
 
 
 def loaded(seed, cores):
-    f = Fleet(seed, cores=cores, proxies=3, directory_server=1)
+    f = SimulatedFleet(seed, cores=cores, proxies=3, directory_server=1)
     f.load()
     assert f.run_until(lambda: commits(f) and f.history.numbers, 30.0)
     f.run(6.0)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -298,7 +298,7 @@
 
 
 def test_the_simulators_check_looks_at_its_recorded_history():
-    h = sim.history.History()
+    h = sim.history.RunHistory()
     place = h.recorder.called(Kind.NUMBER, "n", "u", Draw(), 1.0)
     h.recorder.answered(place, 2.0, DONE, 7)
     h.recorder.called(Kind.NUMBER, "n", "u", Draw(), 2.5)
--- a/tests/test_order_checks.py
+++ b/tests/test_order_checks.py
@@ -6,44 +6,44 @@
 from sim.order_checks import check
 from sim.orders import (
     CatchUp,
-    CellCall,
-    Counted,
-    Cut,
-    Event,
-    Held,
+    ClientRecords,
+    Confirmation,
     ItemsRead,
-    Loss,
+    ItemUpdate,
+    KeyRequest,
+    LockHold,
+    LockRequest,
+    MemberLoss,
+    NetworkCut,
     Notice,
-    Order,
-    Orders,
-    Said,
-    TakeCall,
-    WatchSeen,
-    ZoneOrder,
+    NumberRequest,
+    WatchedEvent,
+    WatchResponse,
+    ZoneUpdate,
 )
 
 A, B = Address("10.0.1.1", 7000), Address("10.0.1.2", 7000)
 
 
-def order(version, content, begun, said=200, who="x", name="r"):
-    return Order(who, name, version, content, begun, begun + 0.2, said)
+def order(version, content, begun, status=200, who="x", name="r"):
+    return ItemUpdate(who, name, version, content, begun, begun + 0.2, status)
 
 
 def read(begun, rows, evacuated=(), upstreams=None):
     return ItemsRead(begun, begun + 0.1, str(A), rows, list(evacuated), upstreams or {})
 
 
-def put(value, begun, revision, said=200, base=None):
-    return CellCall("put", "g.a", value, begun, begun + 0.1, said, revision, base)
+def put(value, begun, revision, status=200, base=None):
+    return KeyRequest("put", "g.a", value, begun, begun + 0.1, status, revision, base)
 
 
-def clean() -> Orders:
+def clean() -> ClientRecords:
     """An order sent again, a lost race, an overtaken one, and the rest of an ordinary day."""
-    o = Orders()
+    o = ClientRecords()
     o.orders = [
-        order(1, "a", 1, said=0),
+        order(1, "a", 1, status=0),
         order(1, "a", 2),
-        order(1, "b", 2.1, said=409, who="y"),
+        order(1, "b", 2.1, status=409, who="y"),
         order(2, "c", 4),
         order(1, "b", 5, who="y"),
         order(3, None, 8),
@@ -53,33 +53,37 @@
         read(6, {"r": (2, "c")}, [], {"u": "leaving"}),
         read(9, {}, [], {"u": "gone"}),
     ]
-    o.zones = [ZoneOrder("z", True, 1, 2, True), ZoneOrder("z", False, 4, 5, True)]
+    o.zones = [ZoneUpdate("z", True, 1, 2, True), ZoneUpdate("z", False, 4, 5, True)]
     o.notices = [Notice("u", "leaving", 5), Notice("u", "gone", 7)]
     o.takes = [
-        TakeCall("l", "h1", 1, 1.2, 200, 2.0, 1, 2.5),
-        TakeCall("l", "h2", 2, 2.1, 409, 2.0),
-        TakeCall("l", "h3", 3, 3.2, 200, 2.0, 2, 4.0),
-        TakeCall("l", "h4", 3.1, 4.6, 409, 2.0, unsure=4.4),
-        TakeCall("l", "h5", 7, 7.1, 409, 2.0),
+        LockRequest("l", "h1", 1, 1.2, 200, 2.0, 1, 2.5),
+        LockRequest("l", "h2", 2, 2.1, 409, 2.0),
+        LockRequest("l", "h3", 3, 3.2, 200, 2.0, 2, 4.0),
+        LockRequest("l", "h4", 3.1, 4.6, 409, 2.0, unsure=4.4),
+        LockRequest("l", "h5", 7, 7.1, 409, 2.0),
     ]
-    o.held = [Held("l", "h1", 1.2, 2.4, 1), Held("l", "h3", 3.2, 3.9, 2)]
-    o.numbers = [Counted("n", 1, 1.1, 1), Counted("n", 2, 3, 0), Counted("n", 4, 4.1, 3)]
+    o.held = [LockHold("l", "h1", 1.2, 2.4, 1), LockHold("l", "h3", 3.2, 3.9, 2)]
+    o.numbers = [NumberRequest("n", 1, 1.1, 1), NumberRequest("n", 2, 3, 0), NumberRequest("n", 4, 4.1, 3)]
     o.cells = [
         put("v1", 1, 1),
-        CellCall("read", "g.a", "v1", 2, 2.1, 200, 1),
+        KeyRequest("read", "g.a", "v1", 2, 2.1, 200, 1),
         put("v2", 3, 2, base=1),
-        put("v3", 3, 0, said=409, base=0),
+        put("v3", 3, 0, status=409, base=0),
+    ]
+    o.events = [WatchedEvent("w", 1, "g.a", "v1", 1.5), WatchedEvent("w", 2, "g.a", "v2", 3.5)]
+    o.watched = [WatchResponse(A, 3.9, 1), WatchResponse(A, 4.2, 2)]
+    o.cuts = [NetworkCut([A], 10, 30)]
+    o.confirmations = [
+        Confirmation(A, "order", 9, 9.5),
+        Confirmation(B, "order", 12, 12.5),
+        Confirmation(A, "read", 30.1, 30.2),
     ]
-    o.events = [Event("w", 1, "g.a", "v1", 1.5), Event("w", 2, "g.a", "v2", 3.5)]
-    o.watched = [WatchSeen(A, 3.9, 1), WatchSeen(A, 4.2, 2)]
-    o.cuts = [Cut([A], 10, 30)]
-    o.said = [Said(A, "order", 9, 9.5), Said(B, "order", 12, 12.5), Said(A, "read", 30.1, 30.2)]
     o.catch_ups = [CatchUp(A, "wiped", 40, 100, 42), CatchUp(A, "wiped", 70, 90, 84, 4.0)]
-    o.losses = [Loss("A wiped", 39, 41)]
+    o.losses = [MemberLoss("A wiped", 39, 41)]
     return o
 
 
-def three_cells(o: Orders) -> None:
+def three_cells(o: ClientRecords) -> None:
     o.cells += [put("v4", 5, 4, base=1)]
 
 
@@ -88,45 +92,45 @@
     "lacks r": lambda o: o.reads.append(read(7, {})),
     "2 was confirmed before": lambda o: o.reads.append(read(7, {"r": (1, "a")})),
     "as d, not c": lambda o: o.reads.append(read(7, {"r": (2, "d")})),
-    "was refused (409) at 6.20 and is read back": lambda o: o.orders.append(order(2, "c", 6, said=409)),
+    "was refused (409) at 6.20 and is read back": lambda o: o.orders.append(order(2, "c", 6, status=409)),
     "was refused (400) at 6.20 and confirmed besides": lambda o: (
         o.orders.append(order(7, "e", 5)),
-        o.orders.append(order(7, "e", 6, said=400)),
+        o.orders.append(order(7, "e", 6, status=400)),
         o.reads.clear(),
     ),
     "z given back, acknowledged at 5.00": lambda o: o.reads.append(read(7, {"r": (2, "c")}, ["z"])),
     "z evacuated, acknowledged at 2.00": lambda o: o.reads.append(read(3.5, {"r": (1, "a")})),
     "shows ready": lambda o: o.reads.append(read(6, {"r": (2, "c")}, [], {"u": "ready"})),
     "shows leaving": lambda o: o.reads.append(read(8.3, {}, [], {"u": "leaving"})),
-    "while h1 holds it": lambda o: o.held.append(Held("l", "h9", 2.0, 2.2, 5)),
-    "token 2 of l after 2": lambda o: o.held.append(Held("l", "h9", 9, 9.5, 2)),
-    "h9 is refused l at 7.60": lambda o: o.takes.append(TakeCall("l", "h9", 7.6, 7.7, 409, 2.0)),
+    "while h1 holds it": lambda o: o.held.append(LockHold("l", "h9", 2.0, 2.2, 5)),
+    "token 2 of l after 2": lambda o: o.held.append(LockHold("l", "h9", 9, 9.5, 2)),
+    "h9 is refused l at 7.60": lambda o: o.takes.append(LockRequest("l", "h9", 7.6, 7.7, 409, 2.0)),
     "h9 is refused l at 4.15": lambda o: (
         o.takes.__delitem__(slice(3, 5)),
-        o.takes.append(TakeCall("l", "h9", 4.15, 4.2, 409, 2.0)),
+        o.takes.append(LockRequest("l", "h9", 4.15, 4.2, 409, 2.0)),
     ),
-    "a late take": lambda o: o.takes.append(TakeCall("l", "h9", 20, 20.1, 409, 2.0)),
-    "number n 3 was given twice": lambda o: o.numbers.append(Counted("n", 5, 5.1, 3)),
-    "number n 2 was asked at 5.00 after 3": lambda o: o.numbers.append(Counted("n", 5, 5.1, 2)),
-    "a call was counted twice": lambda o: o.numbers.append(Counted("n", 5, 5.1, 6)),
+    "a late take": lambda o: o.takes.append(LockRequest("l", "h9", 20, 20.1, 409, 2.0)),
+    "number n 3 was given twice": lambda o: o.numbers.append(NumberRequest("n", 5, 5.1, 3)),
+    "number n 2 was asked at 5.00 after 3": lambda o: o.numbers.append(NumberRequest("n", 5, 5.1, 2)),
+    "a call was counted twice": lambda o: o.numbers.append(NumberRequest("n", 5, 5.1, 6)),
     "was given to v2 and v9": lambda o: o.cells.append(put("v9", 6, 2)),
     "on base 1 was taken over 2": three_cells,
-    "shows 1, 2 was put before": lambda o: o.cells.append(CellCall("read", "g.a", "v1", 5, 5.1, 200, 1)),
-    "shows v1 at 2": lambda o: o.cells.append(CellCall("read", "g.a", "v1", 5, 5.1, 200, 2)),
-    "which nobody had put": lambda o: o.cells.append(CellCall("read", "g.a", "v8", 5, 5.1, 200, 9)),
-    "value v3 was refused and is there": lambda o: o.events.append(Event("w", 3, "g.a", "v3", 5)),
-    "w saw events twice or out of order": lambda o: o.events.append(Event("w", 2, "g.a", "v2", 5)),
-    "w missed 2": lambda o: o.events.__setitem__(1, Event("w", 3, "g.a", "v4", 5)),
-    "w saw v7 at 2, it was v2": lambda o: o.events.__setitem__(1, Event("w", 2, "g.a", "v7", 5)),
-    "answers a watch at 4.20 up to 1": lambda o: o.watched.append(WatchSeen(B, 4.2, 1)),
-    "confirmed a order at 12.00": lambda o: o.said.append(Said(A, "order", 11, 12)),
-    "confirmed a read at 10.90": lambda o: o.said.append(Said(A, "read", 10.5, 10.9)),
-    "confirmed a beat at 13.50": lambda o: o.said.append(Said(A, "beat", 13.4, 13.5)),
+    "shows 1, 2 was put before": lambda o: o.cells.append(KeyRequest("read", "g.a", "v1", 5, 5.1, 200, 1)),
+    "shows v1 at 2": lambda o: o.cells.append(KeyRequest("read", "g.a", "v1", 5, 5.1, 200, 2)),
+    "which nobody had put": lambda o: o.cells.append(KeyRequest("read", "g.a", "v8", 5, 5.1, 200, 9)),
+    "value v3 was refused and is there": lambda o: o.events.append(WatchedEvent("w", 3, "g.a", "v3", 5)),
+    "w saw events twice or out of order": lambda o: o.events.append(WatchedEvent("w", 2, "g.a", "v2", 5)),
+    "w missed 2": lambda o: o.events.__setitem__(1, WatchedEvent("w", 3, "g.a", "v4", 5)),
+    "w saw v7 at 2, it was v2": lambda o: o.events.__setitem__(1, WatchedEvent("w", 2, "g.a", "v7", 5)),
+    "answers a watch at 4.20 up to 1": lambda o: o.watched.append(WatchResponse(B, 4.2, 1)),
+    "confirmed a order at 12.00": lambda o: o.confirmations.append(Confirmation(A, "order", 11, 12)),
+    "confirmed a read at 10.90": lambda o: o.confirmations.append(Confirmation(A, "read", 10.5, 10.9)),
+    "confirmed a beat at 13.50": lambda o: o.confirmations.append(Confirmation(A, "beat", 13.4, 13.5)),
     "has not caught up with 100": lambda o: o.catch_ups.append(CatchUp(B, "frozen", 50, 100)),
     "has not caught up with 90": lambda o: o.catch_ups.append(CatchUp(B, "frozen", 50, 90, 63)),
     "has not caught up with 80": lambda o: o.catch_ups.append(CatchUp(B, "wiped", 50, 80, 67, 4.0)),
-    "B killed at 50.00: nothing confirmed": lambda o: o.losses.append(Loss("B killed", 50)),
-    "B wiped at 50.00: nothing confirmed": lambda o: o.losses.append(Loss("B wiped", 50, 59)),
+    "B killed at 50.00: nothing confirmed": lambda o: o.losses.append(MemberLoss("B killed", 50)),
+    "B wiped at 50.00: nothing confirmed": lambda o: o.losses.append(MemberLoss("B wiped", 50, 59)),
 }
 
 
--- a/tests/test_raft.py
+++ b/tests/test_raft.py
@@ -21,7 +21,7 @@
 )
 from mallowvalve.raft.raft import LEADER, Raft, RaftTimings
 from mallowvalve.types import Address
-from sim.world import Node, World
+from sim.world import SimulatedNode, World
 
 GROUP = GroupId(1, "g")
 ADDRESSES = {f"n{i}": Address("10.0.0.1", 1 + i) for i in range(5)}
@@ -36,7 +36,7 @@
     return Entry(member_id, term, COMMAND, 0, b"x")
 
 
-class RaftNode(Node):
+class RaftNode(SimulatedNode):
     """A member on the simulated network that processes messages at once and ticks every 20 ms."""
 
     def __init__(self, world, me):
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -11,7 +11,7 @@
 from mallowvalve.types import Address, Locality
 from sim.control import ControlNode
 from sim.disk import SimDisk
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 
 CATCH_UP = 4.0
 REUSE = 2.0
@@ -68,7 +68,7 @@
 
 
 def settled_fleet(seed, cores):
-    f = Fleet(seed, cores=cores, proxies=2, directory_server=1)
+    f = SimulatedFleet(seed, cores=cores, proxies=2, directory_server=1)
     assert f.run_until(lambda: commits(f), 20.0)
     f.run(8.0)
     return f
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -6,7 +6,7 @@
 from mallowvalve.localfleet.history import Op
 from mallowvalve.localfleet.judge import Offered
 from sim.config import config
-from sim.history import Emptied, History, Left, Ran
+from sim.history import ExecutedRequest, RunHistory, UpstreamDeparture, ZoneEvacuation
 from sim.serving import check, cold_share
 
 NAME = "x"
@@ -23,15 +23,17 @@
     at, id="r1", key="", tenant="overlay", target="/rankings/1", service="boards", region="eu", zone="eu-a", **more
 ):
     base = {"n": 1, "instance": "boards-0", "incarnation": 1}
-    return Ran(at, id, key, **{**base, **more}, tenant=tenant, target=target, service=service, region=region, zone=zone)
+    return ExecutedRequest(
+        at, id, key, **{**base, **more}, tenant=tenant, target=target, service=service, region=region, zone=zone
+    )
 
 
 def order(at, **more):
     return ran(at, id="o1", key="o1", tenant="runner", target="/runs", service="runs", **more)
 
 
-def clean() -> History:
-    h = History()
+def clean() -> RunHistory:
+    h = RunHistory()
     h.offers = [Offered(0.0, 1.0, 1, doc()), Offered(20.0, 21.0, 2, doc("spare", ("us",)))]
     h.served = [
         ran(5.0),
@@ -40,8 +42,8 @@
         ran(23.0, id="r3", service="spare"),
         order(30.0, region="us", zone="us-a"),
     ]
-    h.zones = [Emptied(40.0, 41.0, 3, "eu-a", True), Emptied(60.0, 61.0, 4, "eu-a", False)]
-    h.left = [Left(10.0, "boards-0", 1)]
+    h.zones = [ZoneEvacuation(40.0, 41.0, 3, "eu-a", True), ZoneEvacuation(60.0, 61.0, 4, "eu-a", False)]
+    h.left = [UpstreamDeparture(10.0, "boards-0", 1)]
     h.served = [msgspec.structs.replace(r, instance="boards-1") if r.at > 12 else r for r in h.served]
     h.answers = [(5.1, "r1", "/rankings/1", msgspec.msgpack.encode(["r1", "/rankings/1", "boards"]))]
     h.reads_told = [(5.1, "r1", 1, "answer"), (7.0, "r9", 1, "not-run")]
@@ -80,7 +82,7 @@
 
 
 def test_a_flood_of_a_cold_upstream_shows_as_its_share():
-    h = History()
+    h = RunHistory()
     h.served = [
         ran(1 + i * 0.02, id=f"q{i}", instance=f"boards-{i % 3}", incarnation=5 if i % 3 == 0 else 1) for i in range(60)
     ]
