--- a/sim/callers.py
+++ b/sim/callers.py
@@ -85,12 +85,12 @@
 
         self.call(to, "page", pages.encode(p), ANSWER_TIMEOUT_S, heard)
 
-    def _reaches(self, node, n: int, kind: str, body: bytes, answer: CallReply) -> None:
+    def _deliver_call(self, node, n: int, kind: str, body: bytes, answer: CallReply) -> None:
         if n not in self._calls and not answer.left:
             match pages.page(body):
                 case pages.TurnZone(zone=name) | pages.Coordinate(command=Take(name=name)):
                     self.orders.late_reads.append(LateRequest(name, self.now))
-        super()._reaches(node, n, kind, body, answer)
+        super()._deliver_call(node, n, kind, body, answer)
 
     def until(
         self, p: pages.Page, tries: int, then: Callable[[Answer, float], None], kind: str = "", sent=None
--- a/sim/core_fleet.py
+++ b/sim/core_fleet.py
@@ -1,4 +1,4 @@
-"""A core with its pages, a few replicas, and the users of items, plain coordination and the upstreams' registry."""
+"""A simulated core with its HTTP API, a few replicas, and clients of items, coordination and the upstream registry."""
 
 from __future__ import annotations
 
@@ -22,45 +22,53 @@
 from sim.orders import CatchUp, ClientRecords, MemberLoss, NetworkCut
 from sim.replica import ReplicaNode
 
-STRAYS = 0.02
+LATE_MESSAGE_RATIO = 0.02
 
 
 class CoreFleet(SimulatedFleet):
-    """A fleet whose core machines answer pages; its proxies are replicas only, and it has no upstream machines."""
+    """A fleet whose core nodes answer API requests; its proxies are plain replicas, and it has no upstream nodes."""
 
     pools = ()
 
     def __init__(self, seed: int, cores: int = 5, proxies: int = 2, segment_bytes: int | None = None):
-        """`segment_bytes` as `ControlNode` has it."""
+        """`segment_bytes` is passed to `ControlNode`."""
         self.orders, self.segment_bytes = ClientRecords(), segment_bytes
         super().__init__(seed, cores, proxies, 0)
 
     def enable_late_delivery(self, delayed: bool) -> None:
-        """From now on some messages between core machines come twice, the second time much later; or only then."""
-        self.world.late_duplicate_ratio = STRAYS
-        self.world.late_ratio = STRAYS if delayed else 0.0
+        """Delivers a share of messages between core nodes a second time much later, or (`delayed`) only late."""
+        self.world.late_duplicate_ratio = LATE_MESSAGE_RATIO
+        self.world.late_ratio = LATE_MESSAGE_RATIO if delayed else 0.0
         self.world.late_delivery_nodes |= set(self.core)
 
-    def start(self, a: Address) -> None:
-        """Starts a machine unless it runs; a core machine comes with its pages."""
-        if self.world.up(a):
+    def start(self, address: Address) -> None:
+        """Starts a node unless it runs; a core node also answers API requests."""
+        if self.world.up(address):
             return
-        if a in self.disks:
-            ControlApiNode(self.world, a, self.place[a], self.seeds, self.disks[a], self._running, self.segment_bytes)
+        if address in self.disks:
+            ControlApiNode(
+                self.world,
+                address,
+                self.place[address],
+                self.seeds,
+                self.disks[address],
+                self._running,
+                self.segment_bytes,
+            )
         else:
-            ReplicaNode(self.world, a, "proxy", self.place[a], self.live_controls)
+            ReplicaNode(self.world, address, "proxy", self.place[address], self.live_controls)
 
     def _running(self) -> list[Address]:
         return [n for n in self.nodes if self.world.up(n)]
 
     def caller(self, kind: type[CoreClient], *more, **named) -> CoreClient:
-        """A user with an address of its own; its calls reach any core machine that is listed."""
-        self._users += 1
-        a = Address(f"10.0.9.{self._users}", 1)
+        """Starts a client at an address of its own; it calls any core node on the current list."""
+        self._user_count += 1
+        a = Address(f"10.0.9.{self._user_count}", 1)
         return kind(self.world, a, lambda: self.core, self.orders, *more, **named)
 
     def load(self) -> None:
-        """The users of an ordinary day."""
+        """Starts the clients of the ordinary load."""
         for stays in (False, True):
             self.caller(CompetingOperator, ["r0", "r1", "r2"])
             self.caller(SettingsReader)
@@ -74,76 +82,79 @@
             self.caller(HeartbeatingUpstream)
 
     def confirmed(self) -> int:
-        """How many orders of items were confirmed so far."""
+        """How many item updates were confirmed so far."""
         return sum(x.status == 200 for x in self.orders.orders)
 
     def voters(self) -> list[Address]:
-        """Running voters by the leader's log, or the whole core where nobody leads."""
+        """The running voters by the leader's log, or the whole core without a leader or running voter."""
         lead = self.leader()
         voters = set(lead.core.raft.log.configuration.voters.values()) if lead is not None else set(self.core)
         return [a for a in self.core if a in voters and self.world.up(a)] or list(self.core)
 
     def isolate(self, some: list[Address], ways: str, held: bool) -> NetworkCut:
-        """Cuts machines from the rest of the core: `in`, `out` or `both`; `held` delivers late what else is lost."""
-        act = self.world.hold_messages if held else lambda a, b: self.world.cut(a, b, one_way=True)
-        for a in some:
-            for b in self.nodes:
-                if b in some:
+        """Isolates nodes from all others in direction `in`, `out` or `both`.
+
+        With `held`, messages are delivered late instead of lost.
+        """
+        block = self.world.hold_messages if held else lambda a, b: self.world.cut(a, b, one_way=True)
+        for inner in some:
+            for outer in self.nodes:
+                if outer in some:
                     continue
                 if ways in ("in", "both"):
-                    act(b, a)
+                    block(outer, inner)
                 if ways in ("out", "both"):
-                    act(a, b)
+                    block(inner, outer)
         voters = self.voters()
         inside = sum(a in some for a in voters)
         without = some if 2 * inside <= len(voters) else [a for a in self.core if a not in some]
         if 2 * inside == len(voters):
             without = list(self.core)
-        c = NetworkCut(without, self.world.now, float("inf"))
-        self.orders.cuts.append(c)
-        return c
+        cut = NetworkCut(without, self.world.now, float("inf"))
+        self.orders.cuts.append(cut)
+        return cut
 
     def rejoin(self, c: NetworkCut) -> None:
-        """Ends all cuts."""
+        """Ends all network cuts."""
         c.ended = self.world.now
         self.world.heal()
 
-    def take_down(self, a: Address, how: str) -> MemberLoss:
-        """A member lost: its process ends; `wiped` and `removed` lose its disk too. Judged by the next confirmation."""
-        self.kill(a)
+    def take_down(self, address: Address, how: str) -> MemberLoss:
+        """Kills a member, and wipes its disk unless `how` is `killed`; records when an update is next confirmed."""
+        self.kill(address)
         if how != "killed":
-            self.disks[a].wipe()
-        x = MemberLoss(f"{a} {how}, core of {len(self.core)}", self.world.now)
-        self.orders.losses.append(x)
-        self._await_order(x)
-        return x
+            self.disks[address].wipe()
+        loss = MemberLoss(f"{address} {how}, core of {len(self.core)}", self.world.now)
+        self.orders.losses.append(loss)
+        self._await_confirmation(loss)
+        return loss
 
     def leave(self, a: Address, grace_s: float) -> None:
-        """A polite stop, as the daemon's; its disk goes with the machine, and a new one comes in its place."""
+        """Stops a node gracefully, as the daemon does, and removes it together with its disk."""
         self.world.nodes[a].leave(grace_s)
         self.run_until(lambda: not self.world.up(a), grace_s + 0.5)
         self.take_down(a, "removed")
 
-    def _await_order(self, x: MemberLoss) -> None:
-        def look() -> None:
-            first = [o.ended for o in self.orders.orders if o.status == 200 and o.begun > x.at]
-            if first:
-                x.confirmed = min(first)
+    def _await_confirmation(self, loss: MemberLoss) -> None:
+        def check() -> None:
+            ends = [o.ended for o in self.orders.orders if o.status == 200 and o.begun > loss.at]
+            if ends:
+                loss.confirmed = min(ends)
                 return
-            self.world.after(0.1, look)
+            self.world.after(0.1, check)
 
-        self.world.after(0.1, look)
+        self.world.after(0.1, check)
 
-    def repair(self, a: Address, how: str) -> Address:
-        """Brings back what `take_down` took: at its address, or a new machine at a new one."""
+    def repair(self, address: Address, how: str) -> Address:
+        """Restarts a member after `take_down`, or replaces a removed one at a new address; returns the address."""
         if how in ("killed", "wiped"):
-            self.back(a, how)
-            return a
-        self.core.remove(a)
+            self.back(address, how)
+            return address
+        self.core.remove(address)
         if how != "reused":
-            del self.disks[a]
+            del self.disks[address]
         new = self._address("1", 100 + len(self.place))
-        self.place[new] = self.place[a]
+        self.place[new] = self.place[address]
         self.disks[new] = SimDisk(random.Random(self.rng.random()))
         self.core.append(new)
         self.world.late_delivery_nodes.add(new)
@@ -151,51 +162,51 @@
         return new
 
     def give_away(self, a: Address) -> None:
-        """The address of a removed core machine goes to a machine of another role."""
+        """Starts a proxy at the address of a removed core node."""
         self.disks.pop(a, None)
         self.proxies.append(a)
         self.start(a)
 
-    def back(self, a: Address, how: str) -> None:
-        """Starts a core machine and measures until it holds what was committed when it came."""
-        committed = max((self._index(b) for b in self.core), default=0)
-        self.start(a)
-        c = CatchUp(a, how, self.world.now, committed)
-        self.orders.catch_ups.append(c)
-        self.watch_catch_up(c)
-
-    def watch_catch_up(self, c: CatchUp) -> None:
-        """Notes when the machine holds the index; one that ends meanwhile is not judged."""
-        life = self.world.nodes[c.machine].life
-
-        def look() -> None:
-            n = self.world.nodes.get(c.machine)
-            if n is None or n.life != life:
-                if c in self.orders.catch_ups:
-                    self.orders.catch_ups.remove(c)
+    def back(self, address: Address, how: str) -> None:
+        """Starts a core node and records when it has applied all that was committed at its start."""
+        committed = max((self._index(member) for member in self.core), default=0)
+        self.start(address)
+        catch_up = CatchUp(address, how, self.world.now, committed)
+        self.orders.catch_ups.append(catch_up)
+        self.watch_catch_up(catch_up)
+
+    def watch_catch_up(self, catch_up: CatchUp) -> None:
+        """Records when the node reaches the index; the record is dropped if the node ends before."""
+        life = self.world.nodes[catch_up.machine].life
+
+        def check() -> None:
+            node = self.world.nodes.get(catch_up.machine)
+            if node is None or node.life != life:
+                if catch_up in self.orders.catch_ups:
+                    self.orders.catch_ups.remove(catch_up)
                 return
-            if self._index(c.machine) >= c.index:
-                c.ended = self.world.now
+            if self._index(catch_up.machine) >= catch_up.index:
+                catch_up.ended = self.world.now
                 return
-            self.world.after(0.05, look)
+            self.world.after(0.05, check)
 
-        look()
+        check()
 
     def _index(self, a: Address) -> int:
-        n = self.world.nodes.get(a)
-        return n.core.state.index if n is not None and n.core.state is not None else 0
+        node = self.world.nodes.get(a)
+        return node.core.state.index if node is not None and node.core.state is not None else 0
 
     def settle(self, seconds: float = 14.0) -> None:
-        """All machines up, all faults over, and time enough for what is judged afterwards."""
-        for a in list(self.world.frozen):
-            self.world.thaw(a)
-        for a in self.nodes:
-            if not self.world.up(a):
-                self.back(a, "killed") if a in self.disks else self.start(a)
-        for d in self.disks.values():
-            d.full, d.stall = False, 0.0
-        for c in self.orders.cuts:
-            c.ended = min(c.ended, self.world.now)
+        """Ends all faults, starts all nodes, and runs long enough for the checks that follow."""
+        for address in list(self.world.frozen):
+            self.world.thaw(address)
+        for address in self.nodes:
+            if not self.world.up(address):
+                self.back(address, "killed") if address in self.disks else self.start(address)
+        for disk in self.disks.values():
+            disk.full, disk.stall = False, 0.0
+        for cut in self.orders.cuts:
+            cut.ended = min(cut.ended, self.world.now)
         self.world.heal()
         self.run(seconds)
         self.orders.most_index = max(map(self._index, self.core))
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -1,3 +1,5 @@
+"""A simulated fleet: core nodes, proxies, directory servers, upstreams and the users that load them."""
+
 from __future__ import annotations
 
 import random
@@ -14,10 +16,12 @@
 from sim.world import World
 
 snapshot.SLICE = 20
-ZONES = [Locality(r, f"{r}-{z}") for r in ("eu", "us", "ap") for z in "ab"]
+ZONES = [Locality(region, f"{region}-{zone}") for region in ("eu", "us", "ap") for zone in "ab"]
 
 
 class SimulatedFleet:
+    """All nodes of a fleet on one simulated network, spread over six zones of three regions."""
+
     pools = (("boards", 6), ("runs", 6), ("spare", 3))
 
     def __init__(
@@ -32,7 +36,7 @@
         self.world = World(seed, loss=loss, double=0.01)
         self.rng = random.Random(seed * 7919 + 1)
         self.history = RunHistory()
-        self._users = 0
+        self._user_count = 0
         self.disks: dict[Address, SimDisk] = {}
         self.place: dict[Address, Locality] = {}
         self.controls = [self._address("1", i) for i in range(cores)]
@@ -42,13 +46,13 @@
         self.upstreams: dict[str, Address] = {}
         self.seeds = self.controls[:3]
         self.core = list(self.controls)
-        for a in self.controls:
-            self.disks[a] = SimDisk(random.Random(self.rng.random()))
-        for service, n in self.pools:
-            for i in range(n):
-                self.upstream(f"{service}-{i}", self._address("4", len(self.upstreams)))
-        for a in self.controls + self.proxies + self.directory_server:
-            self.start(a)
+        for address in self.controls:
+            self.disks[address] = SimDisk(random.Random(self.rng.random()))
+        for service, count in self.pools:
+            for number in range(count):
+                self.upstream(f"{service}-{number}", self._address("4", len(self.upstreams)))
+        for address in self.controls + self.proxies + self.directory_server:
+            self.start(address)
 
     def _address(self, net: str, i: int) -> Address:
         a = Address(f"10.0.{net}.{i + 1}", 7000)
@@ -57,48 +61,52 @@
 
     @property
     def nodes(self) -> list[Address]:
+        """The addresses of all core nodes, proxies and directory servers, running or not."""
         return self.core + self.proxies + self.directory_server
 
     def live_controls(self) -> list[Address]:
+        """The running core nodes, or all of them if none runs."""
         return [a for a in self.core if self.world.up(a)] or self.core
 
-    def start(self, a: Address) -> None:
-        if self.world.up(a):
+    def start(self, address: Address) -> None:
+        """Starts the node of this address unless it runs."""
+        if self.world.up(address):
             return
-        if a in self.disks:
+        if address in self.disks:
             ControlNode(
                 self.world,
-                a,
-                self.place[a],
+                address,
+                self.place[address],
                 self.seeds,
-                self.disks[a],
+                self.disks[address],
                 lambda: [n for n in self.nodes if self.world.up(n)],
             )
-        elif a in self.proxies:
-            Proxy(self.world, a, self.place[a], self.live_controls, self.history, lambda: self.proxies)
+        elif address in self.proxies:
+            Proxy(self.world, address, self.place[address], self.live_controls, self.history, lambda: self.proxies)
         else:
-            ReplicaNode(self.world, a, "directory", self.place[a], self.live_controls)
+            ReplicaNode(self.world, address, "directory", self.place[address], self.live_controls)
 
     def kill(self, a: Address) -> None:
+        """Crashes a node with its disk; data that was not synced may be lost."""
         if not self.world.up(a):
             return
         self.world.nodes[a].crash()
         if a in self.disks:
             self.disks[a].crash()
 
-    def replace(self, a: Address) -> Address:
-        """An empty core machine at a new address in the old one's place."""
-        self.kill(a)
-        self.core.remove(a)
+    def replace(self, address: Address) -> Address:
+        """Replaces a core node by an empty one at a new address in the same zone; returns that address."""
+        self.kill(address)
+        self.core.remove(address)
         new = self._address("1", len(self.disks))
-        self.place[new] = self.place[a]
+        self.place[new] = self.place[address]
         self.disks[new] = SimDisk(random.Random(self.rng.random()))
         self.core.append(new)
         self.start(new)
         return new
 
     def upstream(self, instance: str, a: Address) -> SimulatedUpstream:
-        """A new life of an upstream, at this address; whatever was there is gone."""
+        """Starts a new incarnation of an upstream at this address, in place of whatever ran there."""
         if self.world.up(a):
             self.world.nodes[a].crash()
         self.upstreams[instance] = a
@@ -108,21 +116,24 @@
         )
 
     def pool(self, service: str) -> list[SimulatedUpstream]:
-        ns = [self.world.nodes[a] for i, a in self.upstreams.items() if self.world.up(a)]
-        return [n for n in ns if isinstance(n, SimulatedUpstream) and n.service == service]
+        """The running upstreams of a service."""
+        running = [self.world.nodes[a] for i, a in self.upstreams.items() if self.world.up(a)]
+        return [n for n in running if isinstance(n, SimulatedUpstream) and n.service == service]
 
     def user(self, kind, *more):
-        self._users += 1
-        return kind(self.world, Address(f"10.0.9.{self._users}", 1), self.live_controls, self.history, *more)
+        """Starts a user of the given class at an address of its own."""
+        self._user_count += 1
+        return kind(self.world, Address(f"10.0.9.{self._user_count}", 1), self.live_controls, self.history, *more)
 
     def load(self) -> None:
+        """Starts the ordinary load: clients, readers, operators and users of the coordination service."""
         user = self.user
 
         def proxies() -> list[Address]:
             return [f for f in self.proxies if self.world.up(f)] or self.proxies
 
-        for i in range(5):
-            user(OrderClient, proxies, i == 0)
+        for number in range(5):
+            user(OrderClient, proxies, number == 0)
         for _ in range(3):
             user(RankingsReader, proxies)
         for _ in range(2):
@@ -133,14 +144,17 @@
             user(KeyProposer)
 
     def leader(self) -> ControlNode | None:
-        ls = [self.world.nodes[a] for a in self.core if self.world.up(a) and a not in self.world.frozen]
-        ls = [n for n in ls if n.core.leads]
-        return max(ls, key=lambda n: (n.core.raft.group.generation, n.core.raft.term), default=None)
+        """The running leader of the newest generation and term, if any."""
+        leaders = [self.world.nodes[a] for a in self.core if self.world.up(a) and a not in self.world.frozen]
+        leaders = [n for n in leaders if n.core.leads]
+        return max(leaders, key=lambda n: (n.core.raft.group.generation, n.core.raft.term), default=None)
 
     def run(self, seconds: float) -> None:
+        """Lets the given simulated time pass."""
         self.world.run(self.world.now + seconds)
 
     def run_until(self, test, limit: float) -> bool:
+        """Runs until `test` returns true, for at most `limit` seconds; returns its last result."""
         end = self.world.now + limit
         while self.world.now < end:
             if test():
@@ -149,4 +163,5 @@
         return test()
 
     def served(self) -> int:
+        """How many keyed requests their clients got an answer to so far."""
         return sum(t[3] == "done" for t in self.history.told)
