--- a/sim/catch_up.py
+++ b/sim/catch_up.py
@@ -52,7 +52,7 @@
         self.made += 1
         now, key = self.fleet.world.now, f"k{self.made % KEYS}"
         data = encode(Put(key, VALUE, None, f"p{self.made}"))
-        lead._put(lambda: lead.core.propose(data, None, now + 5.0, now))
+        lead._enqueue(lambda: lead.core.propose(data, None, now + 5.0, now))
 
     def steadily(self, rate: float) -> None:
         """Goes on for ever, `rate` changes a second."""
--- a/sim/control.py
+++ b/sim/control.py
@@ -69,7 +69,7 @@
         self._box: list = []
         self._judge_over = Judge()
         self._answers: list = []
-        self.every(0.02, lambda: self._put(lambda: None))
+        self.every(0.02, lambda: self._enqueue(lambda: None))
         self.every(0.5, self._gather)
         self.every(0.25, self._detect)
 
@@ -81,14 +81,14 @@
             case "raft":
                 self._vote(decode_envelope(body))
             case "want":
-                self._put(lambda: self.core.replicate(wire.decode_replication_request(body), answer, self.now))
+                self._enqueue(lambda: self.core.replicate(wire.decode_replication_request(body), answer, self.now))
             case "offer":
                 o = wire.decode_command_request(body)
-                self._put(lambda: self.core.propose(o.command, answer, self.now + o.limit, self.now))
+                self._enqueue(lambda: self.core.propose(o.command, answer, self.now + o.limit, self.now))
             case "read":
-                self._put(lambda: self.core.read(answer, self.now + 2.0, self.now))
+                self._enqueue(lambda: self.core.read(answer, self.now + 2.0, self.now))
             case "here":
-                self._put(lambda: self.core.announced(wire.decode_status(body), self.now))
+                self._enqueue(lambda: self.core.announced(wire.decode_status(body), self.now))
             case "who":
                 answer(wire.encode(self._who()))
             case "label":
@@ -99,7 +99,7 @@
     def broken(self, peer: Address) -> None:
         """A peer's connections ended: the machine is told, as the daemon tells it."""
         super().broken(peer)
-        self._put(lambda: self.core.peer_disconnected(peer, self.now))
+        self._enqueue(lambda: self.core.peer_disconnected(peer, self.now))
 
     def _label(self, what: bytes):
         if what == NOW:
@@ -108,7 +108,7 @@
         return self.shelf.put(p, self.now) if p is not None else None
 
     def _vote(self, e: Envelope) -> None:
-        self._put(lambda: self.core.receive(e, self.now))
+        self._enqueue(lambda: self.core.receive(e, self.now))
         if (
             not isinstance(e.body, InstallSnapshot)
             or self.core.raft is None
@@ -121,7 +121,7 @@
         def came(got) -> None:
             self.core.counts.add("snapshots_overtaken", self._fetching.end())
             if got is not None:
-                self._put(lambda: self._show(e, *got))
+                self._enqueue(lambda: self._show(e, *got))
 
         pull(
             self,
@@ -139,7 +139,7 @@
     def _who(self) -> wire.ProcessStatus:
         return self.core.process_status("control", self.seeds)
 
-    def _put(self, act) -> None:
+    def _enqueue(self, act) -> None:
         self._box.append(act)
         if not self._busy:
             self._step()
@@ -189,7 +189,7 @@
         except OSError:
             return
         self._saving = True
-        self.wake(0.3 + self.disk.stall, lambda: self._put(lambda: self._turn(p, name)))
+        self.wake(0.3 + self.disk.stall, lambda: self._enqueue(lambda: self._turn(p, name)))
 
     def _turn(self, p: RaftSnapshot, name: str) -> None:
         raft, self._saving = self.core.raft, False
@@ -226,12 +226,12 @@
         failed = [a for a, since in self._absent.items() if self.now - since >= FAILURE_DETECTION_S]
         boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
         given_away = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
-        self._put(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, given_away))
+        self._enqueue(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, given_away))
 
     def leave(self, limit: float) -> None:
         """A polite stop: hands over, says goodbye, and ends as the daemon does, `limit` seconds from now at most."""
         self.core.members.leaving = True
-        self._put(lambda: self.core.raft and self.core.raft.transfer_leadership())
+        self._enqueue(lambda: self.core.raft and self.core.raft.transfer_leadership())
         self._go(Leave(self.core.id), self.now + limit)
 
     def _go(self, leave: Leave, end: float) -> None:
@@ -255,7 +255,7 @@
     def _judge_leave(self, leave: Leave, answers: list[wire.ProcessStatus], end: float) -> None:
         if leave.over(self.core.raft, answers, self._others()):
             return self._ends(leave)
-        self._put(lambda: self.core.announced(self._who(), self.now))
+        self._enqueue(lambda: self.core.announced(self._who(), self.now))
         for a in self._others():
             self.cast(a, "here", wire.encode(self._who()))
         return self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
@@ -283,7 +283,7 @@
         for a in sorted(self.core.announcement_targets(control)):
             self.cast(a, "here", body)
         me = self._who()
-        self._put(lambda: self.core.announced(me, self.now))
+        self._enqueue(lambda: self.core.announced(me, self.now))
 
     def _heard(self, data: bytes | None, asked: set) -> None:
         if not data:
@@ -313,7 +313,7 @@
             pull(self, v.source.addr, BASE, self._joined)
         elif isinstance(v, Wipe):
             new = self._fresh_id()
-            self._put(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
+            self._enqueue(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
 
     def _joined(self, got) -> None:
         self._joining = False
@@ -332,4 +332,4 @@
                 return
             self._persist(lambda: store.turn(self.disk_log, p, head), lambda: self.core.start(p, None, [], self.now))
 
-        self._put(act)
+        self._enqueue(act)
--- a/sim/control_api.py
+++ b/sim/control_api.py
@@ -307,7 +307,7 @@
                 open_.clear()
                 then(t)
 
-        self._put(lambda: act(lambda data: once(_took(data))))
+        self._enqueue(lambda: act(lambda data: once(_took(data))))
         self.wake(limit + SLACK, lambda: once(CommandResponse(Code.UNDECIDED)))
 
     def _read_once(self, limit: float, then: Then) -> None:
