--- a/sim/disk.py
+++ b/sim/disk.py
@@ -12,7 +12,7 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.files: dict[str, bytearray] = {}
-        self.safe: dict[str, int] = {}
+        self.synced: dict[str, int] = {}
         self.removed: dict[str, bytes] = {}
         self.full = False
         self.stall = 0.0
@@ -30,40 +30,40 @@
         self.files.setdefault(name, bytearray()).extend(data)
 
     def sync(self, name: str) -> None:
-        self.safe[name] = len(self.files[name])
+        self.synced[name] = len(self.files[name])
 
     def truncate(self, name: str, size: int) -> None:
         del self.files.setdefault(name, bytearray())[size:]
-        self.safe[name] = size
+        self.synced[name] = size
 
     def put(self, name: str, *parts: bytes) -> None:
         if self.full:
             raise OSError(errno.ENOSPC, "no space left")
         self.files[name] = bytearray(b"".join(parts))
-        self.safe[name] = len(self.files[name])
+        self.synced[name] = len(self.files[name])
         self.removed.clear()
 
     def remove(self, name: str) -> None:
-        had, safe = self.files.pop(name, None), self.safe.pop(name, 0)
+        had, synced = self.files.pop(name, None), self.synced.pop(name, 0)
         if had is not None:
-            self.removed[name] = bytes(had[:safe])
+            self.removed[name] = bytes(had[:synced])
 
     def crash(self) -> None:
         """The power goes: each removal since the last `put`, which synced the folder, is kept or lost by itself."""
         for n, data in self.removed.items():
             if self.rng.random() < HALF:
-                self.files[n], self.safe[n] = bytearray(data), len(data)
+                self.files[n], self.synced[n] = bytearray(data), len(data)
         self.removed.clear()
         for n in list(self.files):
-            safe = self.safe.get(n, 0)
-            torn = self.rng.randint(safe, len(self.files[n]))
+            synced = self.synced.get(n, 0)
+            torn = self.rng.randint(synced, len(self.files[n]))
             del self.files[n][torn:]
-            if not self.files[n] and not safe:
+            if not self.files[n] and not synced:
                 del self.files[n]
             else:
-                self.safe[n] = len(self.files[n])
+                self.synced[n] = len(self.files[n])
 
     def wipe(self) -> None:
         self.files.clear()
-        self.safe.clear()
+        self.synced.clear()
         self.removed.clear()
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -31,9 +31,9 @@
         if self.fail_at is None:
             super().sync(name)
             return
-        safe = self.safe.get(name, 0)
-        kept = safe + (len(self.files[name]) - safe) * self.fail_at // WHOLE
+        synced = self.synced.get(name, 0)
+        kept = synced + (len(self.files[name]) - synced) * self.fail_at // WHOLE
         del self.files[name][kept:]
-        self.safe[name] = kept
+        self.synced[name] = kept
         self.fail_at = None
         raise PowerLossError(name)
