--- a/sim/config.py
+++ b/sim/config.py
@@ -1,3 +1,5 @@
+"""Random configurations for the simulated fleet, and which service and regions they allow for a request."""
+
 from __future__ import annotations
 
 import random
@@ -7,19 +9,19 @@
 REGIONS = ("eu", "us", "ap")
 SERVICES = ("boards", "runs", "spare")
 HOMES = (["eu"], ["us"], ["eu", "us"])
-RAMP = 4.0
+RAMP_S = 4.0
 WIDTH = 32
 
 
 def config(name: str, rng: random.Random) -> dict:
-    """A configuration that may move a route to another service and a tenant to other homes."""
+    """Returns a configuration whose read route and tenant homes are random."""
     return {
         "services": {s: {} for s in (*SERVICES, f"note-{name}")},
         "regions": {r: {"zones": [f"{r}-a", f"{r}-b"]} for r in REGIONS},
         "cells": {
             "all": {
                 "region": "eu",
-                "policy": f"limit 4s; retry 1; ramp {RAMP:.0f}s; width {WIDTH}",
+                "policy": f"limit 4s; retry 1; ramp {RAMP_S:.0f}s; width {WIDTH}",
                 "tenants": {"overlay": {}, "runner": {"homes": rng.choice(HOMES)}},
             }
         },
@@ -36,10 +38,13 @@
 
 
 def allows(doc: bytes, tenant: str, target: str, service: str, region: str) -> bool:
-    """Worked out by hand for these configurations, apart from the tree and the language under test."""
-    d = msgspec.json.decode(doc)
-    if not d:
+    """Whether a configuration allows a request at a service and region.
+
+    Written for these configurations alone, independent of the routing tree and the match language under test.
+    """
+    configuration = msgspec.json.decode(doc)
+    if not configuration:
         return False
     route = "submit" if target == "/runs" else "rankings"
-    homes = d["cells"]["all"]["tenants"][tenant].get("homes", REGIONS)
-    return d["routes"][route]["service"] == service and region in homes
+    homes = configuration["cells"]["all"]["tenants"][tenant].get("homes", REGIONS)
+    return configuration["routes"][route]["service"] == service and region in homes
--- a/sim/control.py
+++ b/sim/control.py
@@ -1,3 +1,5 @@
+"""A simulated control process: the control core, its log and snapshots, with the daemon's tasks as callbacks."""
+
 from __future__ import annotations
 
 import random
@@ -32,9 +34,12 @@
 from sim.world import SimulatedNode, World
 
 FAILURE_DETECTION_S = 6.5
+"""Time after which an absent process counts as failed: the 95th percentile of the real failure detector."""
 
 
 class ControlNode(SimulatedNode):
+    """A control process with its disk."""
+
     role = "control"
     acks, times = Acks(), RaftTimings()
     segment_bytes = 20_000
@@ -49,7 +54,7 @@
         peers,
         segment_bytes: int | None = None,
     ):
-        """`segment_bytes` is how large its log grows before a snapshot replaces it; by default the class's own."""
+        """`segment_bytes` is the log size at which a snapshot replaces the log; the default is the class's."""
         super().__init__(world, addr)
         self.locality, self.seeds, self.disk, self.peers = locality, seeds, disk, peers
         self.rng = random.Random(world.rng.random())
@@ -59,106 +64,112 @@
         loaded = store.load(self.disk_log).unwrap()
         self.core = Core(self.disk_log.identity.id, addr, locality, self.rng, self.acks, self.times)
         self.core.members.boot = self.life
-        self._absent: dict[Address, float] = {}
+        self._absent_since: dict[Address, float] = {}
         if loaded.snapshot is not None:
             self.core.start(loaded.snapshot, loaded.hard, loaded.entries, world.now)
-        self._busy = self._saving = self._joining = False
+        self._persisting = self._storing_snapshot = self._joining = False
         self._fetching = Fetching()
         self.left: Why | None = None
         self.shelf = SimShelf()
-        self._box: list = []
-        self._judge_over = Judge()
-        self._answers: list = []
+        self._pending_actions: list = []
+        self._bootstrap_judge = Judge()
+        self._statuses: list = []
         self.every(0.02, lambda: self._enqueue(lambda: None))
-        self.every(0.5, self._gather)
-        self.every(0.25, self._detect)
+        self.every(0.5, self._query_status)
+        self.every(0.25, self._detect_failures)
 
     def _fresh_id(self) -> str:
         return f"{self.rng.getrandbits(64):016x}"
 
     def handle(self, kind, src, body, answer) -> None:
+        """Handles a Raft message, or a request of a replica, client or other control process."""
         match kind:
             case "raft":
-                self._vote(decode_envelope(body))
+                self._receive_raft(decode_envelope(body))
             case "want":
                 self._enqueue(lambda: self.core.replicate(wire.decode_replication_request(body), answer, self.now))
             case "offer":
-                o = wire.decode_command_request(body)
-                self._enqueue(lambda: self.core.propose(o.command, answer, self.now + o.limit, self.now))
+                request = wire.decode_command_request(body)
+                self._enqueue(lambda: self.core.propose(request.command, answer, self.now + request.limit, self.now))
             case "read":
                 self._enqueue(lambda: self.core.read(answer, self.now + 2.0, self.now))
             case "here":
                 self._enqueue(lambda: self.core.announced(wire.decode_status(body), self.now))
             case "who":
-                answer(wire.encode(self._who()))
+                answer(wire.encode(self._own_status()))
             case "label":
-                answer(wire.encode(self._label(body)))
+                answer(wire.encode(self._snapshot_label(body)))
             case "piece":
                 answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
 
     def broken(self, peer: Address) -> None:
-        """A peer's connections ended: the machine is told, as the daemon tells it."""
+        """Reports the disconnect of a peer to the core, as the daemon does."""
         super().broken(peer)
         self._enqueue(lambda: self.core.peer_disconnected(peer, self.now))
 
-    def _label(self, what: bytes):
+    def _snapshot_label(self, what: bytes):
         if what == NOW:
             return self.shelf.offer(self.core.snapshot(), self.now)
-        p = self.core.base_snapshot()
-        return self.shelf.put(p, self.now) if p is not None else None
+        snapshot = self.core.base_snapshot()
+        return self.shelf.put(snapshot, self.now) if snapshot is not None else None
 
-    def _vote(self, e: Envelope) -> None:
-        self._enqueue(lambda: self.core.receive(e, self.now))
+    def _receive_raft(self, envelope: Envelope) -> None:
+        """Passes on a Raft message; an InstallSnapshot makes this node fetch the snapshot by pieces."""
+        self._enqueue(lambda: self.core.receive(envelope, self.now))
         if (
-            not isinstance(e.body, InstallSnapshot)
+            not isinstance(envelope.body, InstallSnapshot)
             or self.core.raft is None
-            or e.group != self.core.raft.group
-            or e.body.snapshot.index <= self.core.raft.commit_index
-            or not self._fetching.announced(e.body.snapshot.index)
+            or envelope.group != self.core.raft.group
+            or envelope.body.snapshot.index <= self.core.raft.commit_index
+            or not self._fetching.announced(envelope.body.snapshot.index)
         ):
             return
 
-        def came(got) -> None:
+        def fetched(got) -> None:
             self.core.counts.add("snapshots_overtaken", self._fetching.end())
             if got is not None:
-                self._enqueue(lambda: self._show(e, *got))
+                self._enqueue(lambda: self._install_fetched(envelope, *got))
 
         pull(
             self,
-            e.address,
+            envelope.address,
             BASE,
-            came,
-            lambda offered: offered.group == e.group and offered.index >= e.body.snapshot.index,
+            fetched,
+            lambda offered: offered.group == envelope.group and offered.index >= envelope.body.snapshot.index,
         )
 
-    def _show(self, e: Envelope, p: RaftSnapshot, s) -> None:
-        if self.core.raft is not None and self.core.raft.group == e.group and p.index > self.core.raft.commit_index:
-            self.core.keep_fetched_state(p, s)
-            self.core.receive(replace(e, body=replace(e.body, snapshot=p)), self.now)
+    def _install_fetched(self, envelope: Envelope, snapshot: RaftSnapshot, state) -> None:
+        if (
+            self.core.raft is not None
+            and self.core.raft.group == envelope.group
+            and snapshot.index > self.core.raft.commit_index
+        ):
+            self.core.keep_fetched_state(snapshot, state)
+            self.core.receive(replace(envelope, body=replace(envelope.body, snapshot=snapshot)), self.now)
 
-    def _who(self) -> wire.ProcessStatus:
+    def _own_status(self) -> wire.ProcessStatus:
         return self.core.process_status("control", self.seeds)
 
     def _enqueue(self, act) -> None:
-        self._box.append(act)
-        if not self._busy:
+        self._pending_actions.append(act)
+        if not self._persisting:
             self._step()
 
     def _step(self) -> None:
-        acts, self._box = self._box, []
-        for act in acts:
+        actions, self._pending_actions = self._pending_actions, []
+        for act in actions:
             act()
         self.core.tick(self.now)
-        r = self.core.ready(self.now)
-        if r is None:
-            return self._reply()
+        ready = self.core.ready(self.now)
+        if ready is None:
+            return self._send_replies()
         raft = self.core.raft
-        self._send(raft.group, r.before_save)
-        hard = raft.hard_state()
-        self._persist(lambda: store.save(self.disk_log, r, hard), lambda: self._saved(raft, r))
+        self._send(raft.group, ready.before_save)
+        hard_state = raft.hard_state()
+        self._persist(lambda: store.save(self.disk_log, ready, hard_state), lambda: self._saved(raft, ready))
 
     def _persist(self, act, then) -> None:
-        self._busy = True
+        self._persisting = True
         try:
             act()
         except OSError:
@@ -168,76 +179,76 @@
         self._resume(then)
 
     def _resume(self, then) -> None:
-        self._busy = False
+        self._persisting = False
         then()
 
-    def _saved(self, raft, r) -> None:
+    def _saved(self, raft, ready) -> None:
         if self.core.raft is raft:
-            self._send(raft.group, r.after_save)
-            self.core.saved(r, self.now)
-            if self.disk_log.snapshot_due() and not self._saving and not self.shelf.holds(self.now):
+            self._send(raft.group, ready.after_save)
+            self.core.saved(ready, self.now)
+            if self.disk_log.snapshot_due() and not self._storing_snapshot and not self.shelf.holds(self.now):
                 self._compact()
-        self._reply()
+        self._send_replies()
 
     def _compact(self) -> None:
-        """Stored while the machine goes on; the log turns to it some time later, as in the daemon."""
-        p, pieces = self.core.snapshot()
-        p = replace(p, state=list(pieces))
+        """Stores a snapshot while the node runs on; the log switches to it some time later, as in the daemon."""
+        snapshot, pieces = self.core.snapshot()
+        snapshot = replace(snapshot, state=list(pieces))
         name = self.disk_log.reserve_snapshot()
         try:
-            self.disk_log.store_snapshot(name, store.parts(p))
+            self.disk_log.store_snapshot(name, store.parts(snapshot))
         except OSError:
             return
-        self._saving = True
-        self.wake(0.3 + self.disk.stall, lambda: self._enqueue(lambda: self._turn(p, name)))
+        self._storing_snapshot = True
+        self.wake(0.3 + self.disk.stall, lambda: self._enqueue(lambda: self._switch_snapshot(snapshot, name)))
 
-    def _turn(self, p: RaftSnapshot, name: str) -> None:
-        raft, self._saving = self.core.raft, False
-        if raft is None or raft.group != p.group or p.index <= raft.log.snapshot_index:
+    def _switch_snapshot(self, snapshot: RaftSnapshot, name: str) -> None:
+        raft, self._storing_snapshot = self.core.raft, False
+        if raft is None or raft.group != snapshot.group or snapshot.index <= raft.log.snapshot_index:
             return self.disk_log.drop_snapshot(name)
 
-        def turn() -> None:
-            tail = [e for e in raft.log.entries if e.index > p.index]
-            store.turn(self.disk_log, p, store.head(raft.hard_state(), tail), name)
+        def switch() -> None:
+            tail = [e for e in raft.log.entries if e.index > snapshot.index]
+            store.turn(self.disk_log, snapshot, store.head(raft.hard_state(), tail), name)
 
-        self._persist(turn, lambda: self.core.compact(p))
+        self._persist(switch, lambda: self.core.compact(snapshot))
 
-    def _reply(self) -> None:
+    def _send_replies(self) -> None:
         replies, self.core.replies = self.core.replies, []
         for answer, body in replies:
             if answer is not None:
                 answer(wire.encode(body))
-        if self._box and not self._busy:
+        if self._pending_actions and not self._persisting:
             self._step()
 
     def _send(self, group: GroupId, out: list) -> None:
-        for to, m in out:
-            a = self.core.address_of(to)
-            if a is not None:
-                self.cast(a, "raft", encode(Envelope(group, self.core.id, to, self.addr, announced(m))))
+        for to, message in out:
+            address = self.core.address_of(to)
+            if address is not None:
+                self.cast(address, "raft", encode(Envelope(group, self.core.id, to, self.addr, announced(message))))
 
-    def _detect(self) -> None:
-        """The failure detector's part: a process that is gone or frozen for `DETECT` seconds has failed (the real one's p95)."""
+    def _detect_failures(self) -> None:
+        """Stands in for the failure detector: a process absent or frozen for `FAILURE_DETECTION_S` has failed."""
         if self.core.raft is None:
             return
         present = set(self.peers()) - self.world.frozen.keys()
         at = {a for a in self.core.raft.log.configuration.members().values() if a not in present}
-        self._absent = {a: self._absent.get(a, self.now) for a in at}
-        failed = [a for a, since in self._absent.items() if self.now - since >= FAILURE_DETECTION_S]
+        self._absent_since = {a: self._absent_since.get(a, self.now) for a in at}
+        failed = [a for a, since in self._absent_since.items() if self.now - since >= FAILURE_DETECTION_S]
         boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
-        given_away = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
-        self._enqueue(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, given_away))
+        reassigned = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
+        self._enqueue(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, reassigned))
 
     def leave(self, limit: float) -> None:
-        """A polite stop: hands over, says goodbye, and ends as the daemon does, `limit` seconds from now at most."""
+        """Stops as the daemon does: transfers leadership, announces the leave, ends within `limit` seconds."""
         self.core.members.leaving = True
         self._enqueue(lambda: self.core.raft and self.core.raft.transfer_leadership())
-        self._go(Leave(self.core.id), self.now + limit)
+        self._continue_leave(Leave(self.core.id), self.now + limit)
 
-    def _go(self, leave: Leave, end: float) -> None:
-        """Asks all control processes at once, and judges once all have answered or had their time, as the daemon does."""
+    def _continue_leave(self, leave: Leave, end: float) -> None:
+        """Asks all control processes at once; decides when each has answered or timed out, as the daemon does."""
         if self.now >= end:
-            return self._ends(leave)
+            return self._end_leave(leave)
         asked = sorted({*self._others(), self.core.leader()} - {None, self.addr})
         answers: list[wire.ProcessStatus | None] = []
 
@@ -246,21 +257,21 @@
             if len(answers) == len(asked):
                 self._judge_leave(leave, [w for w in answers if w is not None], end)
 
-        for a in asked:
-            self.call(a, "who", b"", LEAVE_ASK, heard)
+        for address in asked:
+            self.call(address, "who", b"", LEAVE_ASK, heard)
         if not asked:
             self._judge_leave(leave, [], end)
         return None
 
     def _judge_leave(self, leave: Leave, answers: list[wire.ProcessStatus], end: float) -> None:
         if leave.over(self.core.raft, answers, self._others()):
-            return self._ends(leave)
-        self._enqueue(lambda: self.core.announced(self._who(), self.now))
-        for a in self._others():
-            self.cast(a, "here", wire.encode(self._who()))
-        return self.wake(LEAVE_AGAIN, lambda: self._go(leave, end))
+            return self._end_leave(leave)
+        self._enqueue(lambda: self.core.announced(self._own_status(), self.now))
+        for address in self._others():
+            self.cast(address, "here", wire.encode(self._own_status()))
+        return self.wake(LEAVE_AGAIN, lambda: self._continue_leave(leave, end))
 
-    def _ends(self, leave: Leave) -> None:
+    def _end_leave(self, leave: Leave) -> None:
         self.left = leave.why
         self.crash()
         self.disk.crash()
@@ -269,67 +280,73 @@
         nodes = (self.world.nodes[a] for a in self.peers() if a != self.addr)
         return [n.addr for n in nodes if isinstance(n, ControlNode) and not n.core.members.leaving]
 
-    def _gather(self) -> None:
-        self._answers = []
+    def _query_status(self) -> None:
+        """Asks all known processes for their status, decides on a bootstrap step soon after, and announces this one."""
+        self._statuses = []
         to = set(self.peers()) | set(self.seeds)
         if self.core.raft is not None:
             to |= set(self.core.raft.log.configuration.all_voters().values())
         asked = to - {self.addr}
-        for a in sorted(asked):
-            self.call(a, "who", b"", 0.3, lambda d: self._heard(d, asked))
-        self.wake(0.45, self._judge)
-        body = wire.encode(self._who())
+        for address in sorted(asked):
+            self.call(address, "who", b"", 0.3, lambda data: self._status_received(data, asked))
+        self.wake(0.45, self._decide_bootstrap)
+        body = wire.encode(self._own_status())
         control = [a for a in self.peers() if isinstance(self.world.nodes[a], ControlNode)]
-        for a in sorted(self.core.announcement_targets(control)):
-            self.cast(a, "here", body)
-        me = self._who()
-        self._enqueue(lambda: self.core.announced(me, self.now))
+        for address in sorted(self.core.announcement_targets(control)):
+            self.cast(address, "here", body)
+        own_status = self._own_status()
+        self._enqueue(lambda: self.core.announced(own_status, self.now))
 
-    def _heard(self, data: bytes | None, asked: set) -> None:
+    def _status_received(self, data: bytes | None, asked: set) -> None:
         if not data:
             return
-        w = wire.decode_status(data)
-        self._answers.append(w)
-        more = set(w.voters.all_voters().values()) - asked - {self.addr} if w.voters else set()
-        for a in sorted(more):
-            asked.add(a)
-            self.call(a, "who", b"", 0.14, lambda d: self._heard(d, asked))
-
-    def _judge(self) -> None:
-        v = self._judge_over.hear(decide(self._who(), self._answers, 1, self.core.nothing_committed), self.now)
-        if isinstance(v, Found) and v.base is None:
-            self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, None))
-        elif isinstance(v, Found):
-            answers = list(self._answers)
+        status = wire.decode_status(data)
+        self._statuses.append(status)
+        more = set(status.voters.all_voters().values()) - asked - {self.addr} if status.voters else set()
+        for address in sorted(more):
+            asked.add(address)
+            self.call(address, "who", b"", 0.14, lambda data: self._status_received(data, asked))
+
+    def _decide_bootstrap(self) -> None:
+        decision = self._bootstrap_judge.hear(
+            decide(self._own_status(), self._statuses, 1, self.core.nothing_committed), self.now
+        )
+        if isinstance(decision, Found) and decision.base is None:
+            self._start_group(founding(GroupId(decision.generation, self._fresh_id()), decision.voters, None))
+        elif isinstance(decision, Found):
+            statuses = list(self._statuses)
             pull(
                 self,
-                v.base.addr,
+                decision.base.addr,
                 NOW,
-                lambda got: got and self._found_anew(v, got[1], answers),
-                lambda offered: (offered.group, offered.index) >= (v.base.group, v.base.index),
+                lambda got: got and self._found_new_generation(decision, got[1], statuses),
+                lambda offered: (offered.group, offered.index) >= (decision.base.group, decision.base.index),
             )
-        elif isinstance(v, Start) and not self._joining:
+        elif isinstance(decision, Start) and not self._joining:
             self._joining = True
-            pull(self, v.source.addr, BASE, self._joined)
-        elif isinstance(v, Wipe):
+            pull(self, decision.source.addr, BASE, self._join_fetched)
+        elif isinstance(decision, Wipe):
             new = self._fresh_id()
             self._enqueue(lambda: self._persist(lambda: self.disk_log.wipe(new), lambda: self.core.stop(new)))
 
-    def _joined(self, got) -> None:
+    def _join_fetched(self, got) -> None:
         self._joining = False
         if got is not None:
-            self._begin(got[0])
+            self._start_group(got[0])
 
-    def _found_anew(self, v: Found, base: ReplicatedState, answers: list) -> None:
-        if heard_enough(base, answers):
-            self._begin(founding(GroupId(v.generation, self._fresh_id()), v.voters, base))
+    def _found_new_generation(self, decision: Found, base: ReplicatedState, statuses: list) -> None:
+        if heard_enough(base, statuses):
+            self._start_group(founding(GroupId(decision.generation, self._fresh_id()), decision.voters, base))
 
-    def _begin(self, p: RaftSnapshot) -> None:
-        head = store.head(HardState(p.group, 0, ""), [])
+    def _start_group(self, snapshot: RaftSnapshot) -> None:
+        head = store.head(HardState(snapshot.group, 0, ""), [])
 
         def act() -> None:
-            if self.core.raft is not None and self.core.raft.group.generation >= p.group.generation:
+            if self.core.raft is not None and self.core.raft.group.generation >= snapshot.group.generation:
                 return
-            self._persist(lambda: store.turn(self.disk_log, p, head), lambda: self.core.start(p, None, [], self.now))
+            self._persist(
+                lambda: store.turn(self.disk_log, snapshot, head),
+                lambda: self.core.start(snapshot, None, [], self.now),
+            )
 
         self._enqueue(act)
--- a/sim/disk.py
+++ b/sim/disk.py
@@ -1,13 +1,15 @@
+"""A simulated disk that loses unsynced data at a crash."""
+
 from __future__ import annotations
 
 import errno
 import random
 
-HALF = 0.5
+REMOVAL_LOST_PROBABILITY = 0.5
 
 
 class SimDisk:
-    """Files of one machine: what was not synced is lost or torn at a crash, and a removed file may be back."""
+    """The files of one node. A crash may lose or tear unsynced data, and may undo the removal of a file."""
 
     def __init__(self, rng: random.Random):
         self.rng = rng
@@ -18,25 +20,31 @@
         self.stall = 0.0
 
     def names(self) -> list[str]:
+        """The names of all files, sorted."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
+        """The content of a file."""
         return bytes(self.files[name])
 
     def append(self, name: str, data: bytes) -> None:
+        """Appends data; a full disk takes a part of it and raises OSError."""
         if self.full:
             self.files.setdefault(name, bytearray()).extend(data[: self.rng.randrange(len(data))])
             raise OSError(errno.ENOSPC, "no space left")
         self.files.setdefault(name, bytearray()).extend(data)
 
     def sync(self, name: str) -> None:
+        """Makes a file's content survive a crash."""
         self.synced[name] = len(self.files[name])
 
     def truncate(self, name: str, size: int) -> None:
+        """Cuts a file to a size, synced."""
         del self.files.setdefault(name, bytearray())[size:]
         self.synced[name] = size
 
     def put(self, name: str, *parts: bytes) -> None:
+        """Writes a whole file and syncs it and the folder; a full disk raises OSError."""
         if self.full:
             raise OSError(errno.ENOSPC, "no space left")
         self.files[name] = bytearray(b"".join(parts))
@@ -44,26 +52,28 @@
         self.removed.clear()
 
     def remove(self, name: str) -> None:
-        had, synced = self.files.pop(name, None), self.synced.pop(name, 0)
-        if had is not None:
-            self.removed[name] = bytes(had[:synced])
+        """Removes a file; until the next `put` a crash may bring its synced part back."""
+        content, synced = self.files.pop(name, None), self.synced.pop(name, 0)
+        if content is not None:
+            self.removed[name] = bytes(content[:synced])
 
     def crash(self) -> None:
-        """The power goes: each removal since the last `put`, which synced the folder, is kept or lost by itself."""
-        for n, data in self.removed.items():
-            if self.rng.random() < HALF:
-                self.files[n], self.synced[n] = bytearray(data), len(data)
+        """Loses power: each removal since the last `put` (which synced the folder) is independently kept or undone."""
+        for name, data in self.removed.items():
+            if self.rng.random() < REMOVAL_LOST_PROBABILITY:
+                self.files[name], self.synced[name] = bytearray(data), len(data)
         self.removed.clear()
-        for n in list(self.files):
-            synced = self.synced.get(n, 0)
-            torn = self.rng.randint(synced, len(self.files[n]))
-            del self.files[n][torn:]
-            if not self.files[n] and not synced:
-                del self.files[n]
+        for name in list(self.files):
+            synced = self.synced.get(name, 0)
+            end = self.rng.randint(synced, len(self.files[name]))
+            del self.files[name][end:]
+            if not self.files[name] and not synced:
+                del self.files[name]
             else:
-                self.synced[n] = len(self.files[n])
+                self.synced[name] = len(self.files[name])
 
     def wipe(self) -> None:
+        """Loses all files."""
         self.files.clear()
         self.synced.clear()
         self.removed.clear()
--- a/sim/replica.py
+++ b/sim/replica.py
@@ -1,3 +1,5 @@
+"""A simulated replica of the control state, and the calls that it and the users share."""
+
 from __future__ import annotations
 
 import random
@@ -15,6 +17,8 @@
 
 
 class ReplicaNode(SimulatedNode):
+    """A proxy or directory process as far as it replicates the control state."""
+
     def __init__(self, world: World, addr: Address, role: str, locality: Locality, controls):
         super().__init__(world, addr)
         self.role, self.locality, self.controls = role, locality, controls
@@ -22,15 +26,18 @@
         self.replica = Replica(addr, self.life, role, locality, lambda built: None)
         self.shelf = SimShelf()
         self.wake(0.01, self._follow)
-        self.every(0.3, self._round)
+        self.every(0.3, self._query_revisions)
 
     def admits(self) -> bool:
+        """Whether the replica's state is recent enough to admit requests."""
         return self.replica.admits(self.now)
 
     def control(self) -> Address:
+        """The control process to call next: the known leader, else a random one."""
         return self.replica.leader or self.rng.choice(self.controls())
 
     def handle(self, kind, src, body, answer) -> None:
+        """Answers revision queries, snapshot requests and status requests."""
         match kind:
             case "round":
                 answer(wire.encode(self.replica.answer_revision_query(wire.decode_revision_query(body))))
@@ -39,7 +46,7 @@
             case "piece":
                 answer(wire.encode(self.shelf.cut(read_want(body), self.now)))
             case "who":
-                e = self.replica
+                replica = self.replica
                 answer(
                     wire.encode(
                         wire.ProcessStatus(
@@ -48,96 +55,123 @@
                             self.addr,
                             self.locality,
                             [],
-                            e.state is None,
-                            e.group,
-                            e.state.index if e.state else 0,
-                            e.voters,
-                            e.leader,
+                            replica.state is None,
+                            replica.group,
+                            replica.state.index if replica.state else 0,
+                            replica.voters,
+                            replica.leader,
                         )
                     )
                 )
 
     def _follow(self) -> None:
         to = self.control()
-        self.call(to, "want", wire.encode(self.replica.replication_request(self.now)), 1.5, lambda d: self._fed(to, d))
-
-    def _fed(self, to: Address, data: bytes | None) -> None:
+        self.call(
+            to,
+            "want",
+            wire.encode(self.replica.replication_request(self.now)),
+            1.5,
+            lambda d: self._replication_received(to, d),
+        )
+
+    def _replication_received(self, to: Address, data: bytes | None) -> None:
         if data is None:
             if self.replica.leader == to:
                 self.replica.leader = None
             return self.wake(0.1, self._follow)
-        f = wire.decode_replication_response(data)
-        self.replica.receive_response(f, self.now)
-        if f.needs_snapshot:
+        response = wire.decode_replication_response(data)
+        self.replica.receive_response(response, self.now)
+        if response.needs_snapshot:
             return pull(
-                self, to, BASE, lambda got: self._fetched(got) or self.wake(0.01, self._follow), self.replica.is_behind
+                self,
+                to,
+                BASE,
+                lambda got: self._install_fetched(got) or self.wake(0.01, self._follow),
+                self.replica.is_behind,
             )
-        self.wake(0.05 if f.group is None else 0.001, self._follow)
+        self.wake(0.05 if response.group is None else 0.001, self._follow)
 
-    def _round(self) -> None:
+    def _query_revisions(self) -> None:
         if not self.replica.leader_is_silent(self.now):
             return
-        m = self.replica.revision_query(self.now)
-        if m is None:
+        query = self.replica.revision_query(self.now)
+        if query is None:
             return
-        for a in self.replica.roster():
-            if a != self.addr:
-                self.call(a, "round", wire.encode(m), 1.0, lambda d, a=a: self._told(a, d))
+        for address in self.replica.roster():
+            if address != self.addr:
+                self.call(
+                    address,
+                    "round",
+                    wire.encode(query),
+                    1.0,
+                    lambda data, address=address: self._revision_received(address, data),
+                )
 
-    def _told(self, a: Address, data: bytes | None) -> None:
+    def _revision_received(self, a: Address, data: bytes | None) -> None:
         if data is not None and self.replica.receive_revision_reply(wire.decode_revision_reply(data)):
-            pull(self, a, NOW, self._fetched, self.replica.is_behind)
+            pull(self, a, NOW, self._install_fetched, self.replica.is_behind)
 
-    def _fetched(self, got) -> None:
+    def _install_fetched(self, got) -> None:
         if got is not None:
             self.replica.install(*got)
 
     def offer(self, command: bytes, limit: float, then) -> None:
+        """Proposes a command with retries for at most `limit` seconds."""
         offer(self, command, self.now + limit, then)
 
 
 class SimShelf(Shelf):
+    """Keeps snapshots for transfer by pieces."""
+
     def offer(self, made, now: float):
+        """Stores a new snapshot and returns its label; None without a snapshot."""
         return self.put(replace(made[0], state=list(made[1])), now) if made is not None else None
 
 
 def pull(node: SimulatedNode, to: Address, what: bytes, then, wanted=lambda offered: True) -> None:
-    """Fetches a snapshot by pieces; then(None) if it does not come."""
+    """Fetches a snapshot by pieces; calls `then(None)` if the transfer fails or `wanted` rejects the label."""
 
-    def labelled(d: bytes | None) -> None:
-        offered = read_label(d) if d is not None else None
+    def label_received(data: bytes | None) -> None:
+        offered = read_label(data) if data is not None else None
         if offered is None or not wanted(offered):
             return then(None)
-        ask(Gather(offered))
-
-    def ask(g: Gather) -> None:
-        w = g.want()
-        if w is None:
-            return then(g.done().ok())
-        node.call(to, "piece", wire.encode(w), 0.5, lambda d: took(g, read_piece(d) if d is not None else None))
-
-    def took(g: Gather, p) -> None:
-        if (p is None or g.take(p).is_err()) and g.lost():
+        request_piece(Gather(offered))
+
+    def request_piece(gather: Gather) -> None:
+        want = gather.want()
+        if want is None:
+            return then(gather.done().ok())
+        node.call(
+            to,
+            "piece",
+            wire.encode(want),
+            0.5,
+            lambda data: piece_received(gather, read_piece(data) if data is not None else None),
+        )
+
+    def piece_received(gather: Gather, piece) -> None:
+        if (piece is None or gather.take(piece).is_err()) and gather.lost():
             return then(None)
-        ask(g)
+        request_piece(gather)
 
-    node.call(to, "label", what, 1.0, labelled)
+    node.call(to, "label", what, 1.0, label_received)
 
 
 def offer(node: SimulatedNode, command: bytes, end: float, then, attempt: float = ATTEMPT) -> None:
+    """Proposes a command until it gets a final answer, following the leader; undecided once `end` has passed."""
     left = min(end - node.now, attempt)
     if left <= 0:
         return then(wire.CommandResponse(Code.UNDECIDED))
     to = node.control()
 
-    def took(data: bytes | None) -> None:
-        t = wire.decode_command_response(data) if data is not None else None
-        if t is not None and t.code not in RETRYABLE:
-            return then(t)
+    def answered(data: bytes | None) -> None:
+        response = wire.decode_command_response(data) if data is not None else None
+        if response is not None and response.code not in RETRYABLE:
+            return then(response)
         if hasattr(node, "replica"):
-            node.replica.leader = t.leader if t is not None else None
+            node.replica.leader = response.leader if response is not None else None
         else:
-            node.leader = t.leader if t is not None else None
+            node.leader = response.leader if response is not None else None
         node.wake(0.05, lambda: offer(node, command, end, then, attempt))
 
-    node.call(to, "offer", wire.encode(wire.CommandRequest(command, left)), left, took)
+    node.call(to, "offer", wire.encode(wire.CommandRequest(command, left)), left, answered)
--- a/sim/run.py
+++ b/sim/run.py
@@ -1,3 +1,5 @@
+"""Runs seeded storms and days on the simulated fleet and prints their findings and figures."""
+
 from __future__ import annotations
 
 import gc
@@ -14,8 +16,8 @@
 
 
 def one(job: tuple[str, int, int, int]) -> tuple[str, int, list[str], dict]:
+    """Runs a fleet storm or a core day; a day uses `--cores` only if it has no size of its own."""
     name, seed, cores, proxies = job
-    """A storm of the fleet, or a day of the core; these days choose their own size but for `--cores` where it is free."""
     gc.disable()
     found, figures = play_day(name, seed, cores) if name in DAYS else play(name, seed, cores=cores, proxies=proxies)
     gc.collect()
@@ -32,7 +34,7 @@
 @click.option("--proxies", default=9, help="9: Trinacria Splits' serving machines; 12: Cycles Le Goff's")
 @click.option("--jobs", default=6)
 def main(storms, first, seeds, cores, proxies, jobs) -> None:
-    """Play seeded storms against the real machines and check every promise."""
+    """Run seeded storms against the real state machines and check every guarantee."""
     bad = runs = 0
     with ProcessPoolExecutor(jobs) as pool:
         for name in storms or [*STORMS, *DAYS]:
@@ -40,29 +42,31 @@
             worst = wrong = 0
             most: dict[str, int] = {}
             work = [(name, n, cores, proxies) for n in range(first, first + seeds)]
-            for _, seed, found, fig in pool.map(one, work):
-                for f in found[:MAX_PRINTED_FINDINGS]:
-                    click.echo(f"{name} seed {seed}: {f}")
+            for _, seed, found, run_figures in pool.map(one, work):
+                for finding in found[:MAX_PRINTED_FINDINGS]:
+                    click.echo(f"{name} seed {seed}: {finding}")
                 wrong += bool(found)
-                total.update(fig)
-                worst = max(worst, fig.get("back_ms", 0))
-                most = {k: max(v, most.get(k, 0)) for k, v in fig.items()}
+                total.update(run_figures)
+                worst = max(worst, run_figures.get("back_ms", 0))
+                most = {k: max(v, most.get(k, 0)) for k, v in run_figures.items()}
             click.echo(day_line(name, total, most, wrong) if name in DAYS else line(name, total, worst, wrong))
             bad, runs = bad + wrong, runs + len(work)
     click.echo(f"{runs} runs, {bad} with findings")
     sys.exit(1 if bad else 0)
 
 
-def line(name: str, c: Counter, worst: int, wrong: int) -> str:
-    told = " ".join(f"{o} {c[f'told_{o}']}" for o in ("done", "not-run", "undecided", "unknown"))
+def line(name: str, counts: Counter, worst: int, wrong: int) -> str:
+    """The printed line of a storm: totals over its seeds, and the longest time until service was back."""
+    told = " ".join(f"{o} {counts[f'told_{o}']}" for o in ("done", "not-run", "undecided", "unknown"))
     return (
-        f"{name}: findings in {wrong}; ran {c['ran']}, told {told}; changes {c['changes']}, numbers {c['numbers']}, "
-        f"holds {c['holds']}, watched {c['watched']}; worst back {worst / 1000:.1f} s"
+        f"{name}: findings in {wrong}; ran {counts['ran']}, told {told}; "
+        f"changes {counts['changes']}, numbers {counts['numbers']}, "
+        f"holds {counts['holds']}, watched {counts['watched']}; worst back {worst / 1000:.1f} s"
     )
 
 
-def day_line(name: str, c: Counter, most: dict[str, int], wrong: int) -> str:
-    """Totals of a day over its seeds, and its worst times."""
+def day_line(name: str, counts: Counter, most: dict[str, int], wrong: int) -> str:
+    """The printed line of a day: totals over its seeds, and its worst times."""
     kinds = (
         "orders",
         "confirmed",
@@ -77,10 +81,12 @@
         "beats",
         "late_reads",
     )
-    counts = ", ".join(f"{k} {c[k]}" for k in kinds)
+    printed_counts = ", ".join(f"{k} {counts[k]}" for k in kinds)
     return (
-        f"{name}: findings in {wrong}; {counts}; losses {c['losses']}, worst {most.get('worst_loss_ms', 0) / 1000:.1f} s; "
-        f"catch-ups {c['catch_ups']}, worst {most.get('worst_catch_up_ms', 0) / 1000:.1f} s; index {most.get('index', 0)}"
+        f"{name}: findings in {wrong}; {printed_counts}; "
+        f"losses {counts['losses']}, worst {most.get('worst_loss_ms', 0) / 1000:.1f} s; "
+        f"catch-ups {counts['catch_ups']}, worst {most.get('worst_catch_up_ms', 0) / 1000:.1f} s; "
+        f"index {most.get('index', 0)}"
     )
 
 
--- a/sim/world.py
+++ b/sim/world.py
@@ -119,7 +119,7 @@
                 self._act_on(here, None, lambda node=here, peer=there: self.nodes[node].broken(peer))
 
     def close(self, source: Address, target: Address, ended: Callable[[], None]) -> None:
-        """Closes a call's connection. Its end arrives after the call, and also at a frozen node, whose kernel runs on."""
+        """Closes a call's connection. The end arrives after the call, also at a frozen node: its kernel runs on."""
 
         def later(_: object) -> None:
             self.after(CONNECTION_CLOSE_DELAY_S, ended)
@@ -258,7 +258,7 @@
         node.handle(kind, self.addr, body, answer)
 
     def broken(self, peer: Address) -> None:
-        """Handles a reset of the connections to a peer: calls to it end without an answer, as the transport ends them."""
+        """Ends the calls to a peer without an answer after a connection reset, as the transport does."""
         for n in [n for n, to in self._call_targets.items() if to == peer]:
             self._answered(self.life, n, None)
 
