--- a/sim/users.py
+++ b/sim/users.py
@@ -1,3 +1,5 @@
+"""Users of a simulated fleet; each records what it sent and was answered in the run's history."""
+
 from __future__ import annotations
 
 import hashlib
@@ -19,78 +21,87 @@
 from verification import histories
 from verification.histories import Kind, outcome_of
 
-_said = msgspec.msgpack.Decoder(KeyedResult).decode
-LIMIT = 4.0
+_decode_result = msgspec.msgpack.Decoder(KeyedResult).decode
+REQUEST_LIMIT_S = 4.0
 CONFIGURATION = "configuration"
 FOUNDING = (0, b"{}")
 
 
-def short(doc: bytes) -> str | None:
-    """A configuration in a recorded history; None for none."""
+def digest(doc: bytes) -> str | None:
+    """The digest that stands for a configuration in a recorded history; None for an empty one."""
     return hashlib.blake2b(doc, digest_size=8).hexdigest() if doc else None
 
 
 class User(SimulatedNode):
+    """A node that calls control processes and answers no messages."""
+
     def __init__(self, world: World, addr: Address, controls, history: RunHistory):
         super().__init__(world, addr)
         self.controls, self.history, self.rng = controls, history, random.Random(world.rng.random())
         self.leader: Address | None = None
-        self.n = 0
+        self.serial_count = 0
 
     def control(self) -> Address:
+        """The control process to call next: the known leader, else a random one."""
         return self.leader or self.rng.choice(self.controls())
 
     def handle(self, kind, src, body, answer) -> None:
-        return None
+        """Ignores the message."""
 
-    def propose(self, c, limit: float, then) -> None:
-        offer(self, encode(c), self.now + limit, then, limit if isinstance(c, Change | Evacuate) else ATTEMPT)
+    def propose(self, command, limit: float, then) -> None:
+        """Proposes a command with retries for at most `limit` seconds."""
+        offer(
+            self, encode(command), self.now + limit, then, limit if isinstance(command, Change | Evacuate) else ATTEMPT
+        )
 
     @property
     def recorder(self) -> histories.Recorder:
-        """Where the calls of all users are written down for the checker of histories."""
+        """The shared recorder of calls for the linearizability checker."""
         return self.history.recorder
 
     def record(self, kind: Kind, name: str, call: histories.Call) -> int:
-        """Write down a call that begins now; returns its place in the history."""
+        """Records a call that begins now; returns its position in the history."""
         return self.recorder.called(kind, name, str(self.addr), call, self.now)
 
     def serial(self) -> str:
-        self.n += 1
-        return f"{self.addr.host}.{self.n}"
+        """Returns a new identifier, unique in the run."""
+        self.serial_count += 1
+        return f"{self.addr.host}.{self.serial_count}"
 
 
 class OrderClient(User):
-    """Orders under a key; a hasty one does not wait for the answer before it asks again."""
+    """Sends keyed requests with retries; a `hasty` client retries before the answer could have come."""
 
     def __init__(self, world, addr, controls, history, proxies, hasty=False):
         super().__init__(world, addr, controls, history)
         self.proxies, self.hasty = proxies, hasty
-        self.wake(3.0, self._order)
+        self.wake(3.0, self._next_order)
 
-    def _order(self) -> None:
+    def _next_order(self) -> None:
         self._try(self.serial(), 1)
 
-    def _try(self, key: str, n: int) -> None:
-        def heard(data: bytes | None) -> None:
-            out, body = msgspec.msgpack.decode(data) if data is not None else ("silence", b"")
-            out = "done" if out == "answer" else out
-            self.history.told.append((self.now, key, n, out))
-            if out == "done":
+    def _try(self, key: str, attempt: int) -> None:
+        def answered(data: bytes | None) -> None:
+            outcome, body = msgspec.msgpack.decode(data) if data is not None else ("silence", b"")
+            outcome = "done" if outcome == "answer" else outcome
+            self.history.told.append((self.now, key, attempt, outcome))
+            if outcome == "done":
                 self.history.answers.append((self.now, key, "/runs", body))
-            stop = out in ("done", "unknown") or n >= 8 or out == "not-run" and self.rng.random() < 0.5
-            if stop:
-                return self.wake(0.2 + self.rng.random() * 0.3, self._order)
-            self.wake(0.05 + self.rng.random() * 0.3, lambda: self._try(key, n + 1))
+            is_final = (
+                outcome in ("done", "unknown") or attempt >= 8 or outcome == "not-run" and self.rng.random() < 0.5
+            )
+            if is_final:
+                return self.wake(0.2 + self.rng.random() * 0.3, self._next_order)
+            self.wake(0.05 + self.rng.random() * 0.3, lambda: self._try(key, attempt + 1))
 
         slow = self.rng.random() * 3 if self.rng.random() < 0.1 else 0.0
-        ask = [key, key, n, "runner", "POST", "/runs", int(LIMIT * 1000), False, slow]
-        wait = 0.1 + self.rng.random() * 0.4 if self.hasty else LIMIT + 1.5
-        self.call(self.rng.choice(self.proxies()), "request", encode(ask), wait, heard)
+        ask = [key, key, attempt, "runner", "POST", "/runs", int(REQUEST_LIMIT_S * 1000), False, slow]
+        wait = 0.1 + self.rng.random() * 0.4 if self.hasty else REQUEST_LIMIT_S + 1.5
+        self.call(self.rng.choice(self.proxies()), "request", encode(ask), wait, answered)
 
 
 class RankingsReader(User):
-    """Reads rankings at a rate; a relentless one repeats at once, unmarked, and without end."""
+    """Sends read requests at a rate; a `relentless` client retries at once, often, and without the retry mark."""
 
     def __init__(self, world, addr, controls, history, proxies, rate=5.0, relentless=False):
         super().__init__(world, addr, controls, history)
@@ -102,21 +113,35 @@
         id = self.serial()
         self._try(id, f"/rankings/{id}", 1)
 
-    def _try(self, id: str, target: str, n: int) -> None:
-        def heard(data: bytes | None) -> None:
-            out, body = msgspec.msgpack.decode(data) if data is not None else ("silence", b"")
-            self.history.reads_told.append((self.now, id, n, out))
-            if out == "answer":
+    def _try(self, id: str, target: str, attempt: int) -> None:
+        def answered(data: bytes | None) -> None:
+            outcome, body = msgspec.msgpack.decode(data) if data is not None else ("silence", b"")
+            self.history.reads_told.append((self.now, id, attempt, outcome))
+            if outcome == "answer":
                 return self.history.answers.append((self.now, id, target, body))
-            if n < (40 if self.relentless else 3):
-                self.wake(0.01 if self.relentless else 0.3 + self.rng.random(), lambda: self._try(id, target, n + 1))
+            if attempt < (40 if self.relentless else 3):
+                self.wake(
+                    0.01 if self.relentless else 0.3 + self.rng.random(), lambda: self._try(id, target, attempt + 1)
+                )
 
         slow = self.rng.random() * 3 if self.rng.random() < 0.05 else 0.0
-        ask = [id, "", n, "overlay", "GET", target, int(LIMIT * 1000), n > 1 and not self.relentless, slow]
-        self.call(self.rng.choice(self.proxies()), "request", encode(ask), LIMIT + 1.5, heard)
+        ask = [
+            id,
+            "",
+            attempt,
+            "overlay",
+            "GET",
+            target,
+            int(REQUEST_LIMIT_S * 1000),
+            attempt > 1 and not self.relentless,
+            slow,
+        ]
+        self.call(self.rng.choice(self.proxies()), "request", encode(ask), REQUEST_LIMIT_S + 1.5, answered)
 
 
 class Operator(User):
+    """Changes the configuration, evacuates zones, and reads the configuration back."""
+
     def __init__(self, world, addr, controls, history, zones):
         super().__init__(world, addr, controls, history)
         self.base, self.zones = 0, zones
@@ -128,38 +153,39 @@
             return self.evacuate(self.rng.choice(self.zones), self.rng.random() < 0.5, name)
         doc = msgspec.json.encode(config(name, self.rng))
         base = self.base if self.rng.random() < 0.7 else None
-        place = self.record(Kind.KEY, CONFIGURATION, histories.Put(short(doc), base))
-
-        def took(t: wire.CommandResponse) -> None:
-            self.recorder.answered(place, self.now, outcome_of(t.code), t.revision)
-            if t.code == Code.CONFLICT:
-                self.base = t.revision
-            if t.code != Code.CONFLICT:
-                ok = t.code == Code.OK
-                self.history.offers.append(Offered(begun, self.now, t.revision if ok else None, doc))
-            if t.code == Code.OK:
-                self.base = t.revision
-                self.history.changes.append((begun, self.now, t.revision, doc))
+        position = self.record(Kind.KEY, CONFIGURATION, histories.Put(digest(doc), base))
+
+        def answered(response: wire.CommandResponse) -> None:
+            self.recorder.answered(position, self.now, outcome_of(response.code), response.revision)
+            if response.code == Code.CONFLICT:
+                self.base = response.revision
+            if response.code != Code.CONFLICT:
+                ok = response.code == Code.OK
+                self.history.offers.append(Offered(begun, self.now, response.revision if ok else None, doc))
+            if response.code == Code.OK:
+                self.base = response.revision
+                self.history.changes.append((begun, self.now, response.revision, doc))
             self.wake(0.5 + self.rng.random(), self._read)
 
-        self.propose(Change(base, doc, name), 8.0, took)
+        self.propose(Change(base, doc, name), 8.0, answered)
 
     def evacuate(self, zone: str, on: bool, name: str) -> None:
+        """Starts or ends the evacuation of a zone."""
         begun = self.now
 
-        def took(t: wire.CommandResponse) -> None:
-            ok = t.code == Code.OK
-            self.history.zones.append(ZoneEvacuation(begun, self.now, t.revision if ok else None, zone, on))
+        def answered(response: wire.CommandResponse) -> None:
+            ok = response.code == Code.OK
+            self.history.zones.append(ZoneEvacuation(begun, self.now, response.revision if ok else None, zone, on))
             if ok:
-                self.history.evacuations.append((begun, self.now, t.revision))
+                self.history.evacuations.append((begun, self.now, response.revision))
             self.wake(0.5 + self.rng.random(), self._read)
 
-        self.propose(Evacuate(zone, on, name), 8.0, took)
+        self.propose(Evacuate(zone, on, name), 8.0, answered)
 
     def _read(self) -> None:
         to, begun = self.control(), self.now
 
-        def took(data: bytes | None) -> None:
+        def answered(data: bytes | None) -> None:
             node = self.world.nodes.get(to)
             if (
                 data is not None
@@ -167,9 +193,9 @@
                 and node is not None
                 and node.core.state is not None
             ):
-                s = node.core.state.settings
-                none = (s.doc_revision, s.doc) == FOUNDING
-                self.history.reads.append((begun, self.now, s.doc_revision, s.doc))
+                result = node.core.state.settings
+                none = (result.doc_revision, result.doc) == FOUNDING
+                self.history.reads.append((begun, self.now, result.doc_revision, result.doc))
                 self.recorder.operations.append(
                     histories.Operation(
                         Kind.KEY,
@@ -179,86 +205,100 @@
                         begun,
                         self.now,
                         histories.Outcome.DONE,
-                        s.doc_revision,
-                        None if none else short(s.doc),
+                        result.doc_revision,
+                        None if none else digest(result.doc),
                     )
                 )
             else:
                 self.leader = wire.decode_command_response(data).leader if data is not None else None
             self.wake(0.3, self._change)
 
-        self.call(to, "read", b"", 2.5, took)
+        self.call(to, "read", b"", 2.5, answered)
 
 
 class LockProposer(User):
+    """Acquires a lock, holds it for a while and releases it or lets it expire."""
+
     def __init__(self, world, addr, controls, history):
         super().__init__(world, addr, controls, history)
-        self.wake(3.0, self._lock)
+        self.wake(3.0, self._acquire)
 
-    def _lock(self) -> None:
+    def _acquire(self) -> None:
         ask, begun = self.serial(), self.now
         ttl = 2.0
-        place = self.record(Kind.LOCK, "l", histories.Take(str(self.addr), begun + ttl))
-
-        def took(t: wire.CommandResponse) -> None:
-            s = _said(t.body) if t.body else None
-            if s is not None:
-                self.recorder.answered(place, self.now, outcome_of(s.code), s.number)
-            if s is None or s.code != "ok" or self.now >= begun + ttl:
-                return self.wake(0.2, self._lock)
+        position = self.record(Kind.LOCK, "l", histories.Take(str(self.addr), begun + ttl))
+
+        def answered(response: wire.CommandResponse) -> None:
+            result = _decode_result(response.body) if response.body else None
+            if result is not None:
+                self.recorder.answered(position, self.now, outcome_of(result.code), result.number)
+            if result is None or result.code != "ok" or self.now >= begun + ttl:
+                return self.wake(0.2, self._acquire)
             hold = self.rng.random() * 3
             if hold < ttl - (self.now - begun):
-                self.history.holds.append([self.now, self.now + hold, s.number, str(self.addr)])
-                return self.wake(hold, lambda: self._free(s.number))
-            self.history.holds.append([self.now, begun + ttl, s.number, str(self.addr)])
-            self.wake(begun + ttl - self.now, self._lock)
+                self.history.holds.append([self.now, self.now + hold, result.number, str(self.addr)])
+                return self.wake(hold, lambda: self._release(result.number))
+            self.history.holds.append([self.now, begun + ttl, result.number, str(self.addr)])
+            self.wake(begun + ttl - self.now, self._acquire)
 
-        self.propose(Lock("l", str(self.addr), int(ttl * 1000), ask), 3.0, took)
+        self.propose(Lock("l", str(self.addr), int(ttl * 1000), ask), 3.0, answered)
 
-    def _free(self, token: int) -> None:
-        place = self.record(Kind.LOCK, "l", histories.Free(str(self.addr), token))
+    def _release(self, token: int) -> None:
+        position = self.record(Kind.LOCK, "l", histories.Free(str(self.addr), token))
 
-        def took(t: wire.CommandResponse) -> None:
-            if t.body:
-                self.recorder.answered(place, self.now, outcome_of(_said(t.body).code))
-            self.wake(0.1, self._lock)
+        def answered(response: wire.CommandResponse) -> None:
+            if response.body:
+                self.recorder.answered(position, self.now, outcome_of(_decode_result(response.body).code))
+            self.wake(0.1, self._acquire)
 
-        self.propose(Unlock("l", str(self.addr), token, self.serial()), 2.0, took)
+        self.propose(Unlock("l", str(self.addr), token, self.serial()), 2.0, answered)
 
 
 class NumberProposer(User):
+    """Draws numbers and writes a key in turn."""
+
     def __init__(self, world, addr, controls, history):
         super().__init__(world, addr, controls, history)
         self.wake(3.0, self._next)
 
     def _next(self) -> None:
         begun = self.now
-        place = self.record(Kind.NUMBER, "n", histories.Draw())
-
-        def took(t: wire.CommandResponse) -> None:
-            if t.body:
-                self.recorder.answered(place, self.now, outcome_of(_said(t.body).code), _said(t.body).number)
-                self.history.numbers.append((begun, self.now, _said(t.body).number))
+        position = self.record(Kind.NUMBER, "n", histories.Draw())
+
+        def answered(response: wire.CommandResponse) -> None:
+            if response.body:
+                self.recorder.answered(
+                    position,
+                    self.now,
+                    outcome_of(_decode_result(response.body).code),
+                    _decode_result(response.body).number,
+                )
+                self.history.numbers.append((begun, self.now, _decode_result(response.body).number))
             self.wake(0.1 + self.rng.random() * 0.2, self._put)
 
-        self.propose(Next("n", self.serial()), 3.0, took)
+        self.propose(Next("n", self.serial()), 3.0, answered)
 
     def _put(self) -> None:
         value, begun = self.serial(), self.now
-        place = self.record(Kind.KEY, "k", histories.Put(value))
-
-        def took(t: wire.CommandResponse) -> None:
-            if t.body:
-                self.recorder.answered(place, self.now, outcome_of(_said(t.body).code), _said(t.body).number)
-            if t.body and _said(t.body).code == "ok":
-                self.history.puts.append((begun, self.now, _said(t.body).number, value))
+        position = self.record(Kind.KEY, "k", histories.Put(value))
+
+        def answered(response: wire.CommandResponse) -> None:
+            if response.body:
+                self.recorder.answered(
+                    position,
+                    self.now,
+                    outcome_of(_decode_result(response.body).code),
+                    _decode_result(response.body).number,
+                )
+            if response.body and _decode_result(response.body).code == "ok":
+                self.history.puts.append((begun, self.now, _decode_result(response.body).number, value))
             self.wake(0.1, self._next)
 
-        self.propose(Put("k", value, None, value), 3.0, took)
+        self.propose(Put("k", value, None, value), 3.0, answered)
 
 
 class KeyProposer(User):
-    """Reads a key and puts it anew on what it read; judged by revisions and by what ended before what began."""
+    """Reads a key and writes it, often based on the revision read; checked by revisions and real-time order."""
 
     def __init__(self, world, addr, controls, history):
         super().__init__(world, addr, controls, history)
@@ -267,20 +307,20 @@
     def _read(self) -> None:
         to, begun, name = self.control(), self.now, f"c{self.rng.randrange(2)}"
 
-        def took(data: bytes | None) -> None:
-            t = wire.decode_command_response(data) if data is not None else None
+        def answered(data: bytes | None) -> None:
+            response = wire.decode_command_response(data) if data is not None else None
             node = self.world.nodes.get(to)
-            if t is None or t.code != Code.OK or node is None or node.core.state is None:
-                self.leader = t.leader if t is not None else None
+            if response is None or response.code != Code.OK or node is None or node.core.state is None:
+                self.leader = response.leader if response is not None else None
                 return self.wake(0.1, self._read)
-            s = node.core.state
-            value, at = s.coordination.keys.get(name, (None, 0))
+            result = node.core.state
+            value, at = result.coordination.keys.get(name, (None, 0))
             self.history.coord.ops.append(
-                Op("read", name, str(self.addr), begun, self.now, "ok", s.revision, value, None, at)
+                Op("read", name, str(self.addr), begun, self.now, "ok", result.revision, value, None, at)
             )
             self._put(name, self.rng.choice((at, at, None)))
 
-        self.call(to, "read", b"", 2.5, took)
+        self.call(to, "read", b"", 2.5, answered)
 
     def _put(self, name: str, base: int | None) -> None:
         value, begun = self.serial(), self.now
@@ -288,16 +328,16 @@
         op = Op("put", name, str(self.addr), begun, 1e9, "undecided", 0, value, base)
         self.history.coord.ops.append(op)
 
-        def took(t: wire.CommandResponse) -> None:
-            said = _said(t.body) if t.body else KeyedResult("undecided")
-            op.ended, op.said, op.revision = self.now, said.code, said.number
+        def answered(response: wire.CommandResponse) -> None:
+            result = _decode_result(response.body) if response.body else KeyedResult("undecided")
+            op.ended, op.said, op.revision = self.now, result.code, result.number
             self.wake(0.1 + self.rng.random() * 0.2, self._read)
 
-        self.propose(Put(name, value, base, value), 3.0, took)
+        self.propose(Put(name, value, base, value), 3.0, answered)
 
 
 class EventWatcher(User):
-    """Reads events from whichever control process answers, resuming by revision."""
+    """Reads events from any control process, resuming after the last revision it saw."""
 
     def __init__(self, world, addr, controls, history):
         super().__init__(world, addr, controls, history)
@@ -307,19 +347,19 @@
     def _poll(self) -> None:
         to = self.control()
 
-        def took(data: bytes | None) -> None:
-            t = wire.decode_command_response(data) if data is not None else None
+        def answered(data: bytes | None) -> None:
+            response = wire.decode_command_response(data) if data is not None else None
             node = self.world.nodes.get(to)
-            if t is None or t.code != Code.OK or node is None or node.core.state is None:
-                self.leader = t.leader if t is not None else None
+            if response is None or response.code != Code.OK or node is None or node.core.state is None:
+                self.leader = response.leader if response is not None else None
                 return
             events = node.core.state.coordination.events_since(self.since, "")
             if events is None:
                 self.history.compacted.append((self.now, str(self.addr), self.since))
                 self.since = node.core.state.revision
                 return
-            for e in events:
-                self.history.watched.append((self.now, str(self.addr), e.revision, e.value))
-                self.since = e.revision
+            for event in events:
+                self.history.watched.append((self.now, str(self.addr), event.revision, event.value))
+                self.since = event.revision
 
-        self.call(to, "read", b"", 2.5, took)
+        self.call(to, "read", b"", 2.5, answered)
