--- a/sim/order_checks.py
+++ b/sim/order_checks.py
@@ -1,4 +1,4 @@
-"""Checks on what the users of a core were told. Each is shown to fail on a planted breach in tests/test_order_checks.py."""
+"""Checks on the records of a core's API clients; tests/test_order_checks.py shows that each finds a planted fault."""
 
 from __future__ import annotations
 
@@ -7,303 +7,373 @@
 from sim import order_history, pages
 from sim.orders import ClientRecords, ItemsRead, ItemUpdate, LockRequest, NumberRequest, WatchedEvent, ZoneUpdate
 
-# How long (s) after a cut began a machine without a majority may still confirm each kind of answer: what was under way,
-# and for a plain beat the span since the leader's last word.
-SAID_BOUND = {"order": 0.3, "read": 0.3, "beat": 3.0}
-# How far (s) a watch's answer may lag behind what was confirmed.
-WATCH_BOUND = 1.0
-# How long (s) a machine that came back has to hold what was committed as it came.
-CATCH_UP = 12.0
-# How long (s) after a loss within the budget until an order is confirmed.
-RECOVERED = 8.0
-# How long (s) after its caller's last call ended a take may still be applied, and a little for the fleet clock.
-LATE, SLACK = 1.0, 0.1
-READ_LATE = " (a call read after its caller gave it up)"
-
-
-def check(o: ClientRecords) -> list[str]:
-    """Every finding in a run."""
+# How long after a cut began a node without a majority may still confirm each kind of answer: requests in flight, and
+# for a heartbeat the time since the leader's last message.
+CONFIRMATION_BOUND_S = {"order": 0.3, "read": 0.3, "beat": 3.0}
+# How far a watch's answer may lag behind confirmed puts.
+WATCH_LAG_LIMIT_S = 1.0
+# How long a returned node may take to apply all that was committed at its return.
+CATCH_UP_LIMIT_S = 12.0
+# How long after a loss within the fault budget an update must be confirmed.
+RECOVERY_LIMIT_S = 8.0
+# How long after its caller's last attempt ended an acquisition may still be applied.
+LATE_APPLY_LIMIT_S = 1.0
+# Allowance for the error of the fleet clock.
+CLOCK_SLACK_S = 0.1
+LATE_READ_MARK = " (a call read after its caller gave it up)"
+
+
+def check(records: ClientRecords) -> list[str]:
+    """Returns the findings of all checks on a run."""
     return [
-        *never_two_under_one_version(o),
-        *confirmed_is_read_back(o),
-        *taken_is_never_refused(o),
-        *evacuations_stay(o),
-        *notices_stay(o),
-        *one_holder(o),
-        *no_late_hold(o),
-        *numbers_count_calls(o),
-        *cells_in_order(o),
-        *watchers_miss_nothing(o),
-        *watches_are_young(o),
-        *cut_side_confirms_nothing(o),
-        *caught_up(o),
-        *majority_left(o),
-        *order_history.findings(o),
+        *version_has_one_content(records),
+        *reads_show_confirmed_updates(records),
+        *confirmed_updates_are_not_refused(records),
+        *reads_show_evacuations(records),
+        *reads_show_notices(records),
+        *one_lock_holder(records),
+        *refusals_have_a_holder(records),
+        *numbers_are_drawn_once(records),
+        *key_operations_are_ordered(records),
+        *watchers_see_every_event(records),
+        *watch_answers_are_fresh(records),
+        *isolated_nodes_confirm_nothing(records),
+        *returned_nodes_catch_up(records),
+        *updates_resume_after_losses(records),
+        *order_history.findings(records),
     ]
 
 
-def never_two_under_one_version(o: ClientRecords) -> list[str]:
-    """Two contents under one version are both confirmed only where a higher version overtook them before the later end."""
-    out = []
+def version_has_one_content(records: ClientRecords) -> list[str]:
+    """One version has one confirmed content, unless a higher version began before the last of them ended."""
+    findings = []
     highest: dict[str, list[ItemUpdate]] = defaultdict(list)
     by: dict[tuple[str, int], list[ItemUpdate]] = defaultdict(list)
-    for x in o.orders:
-        highest[x.name].append(x)
-        if x.status == pages.OK:
-            by[x.name, x.version].append(x)
+    for update in records.orders:
+        highest[update.name].append(update)
+        if update.status == pages.OK:
+            by[update.name, update.version].append(update)
     for (name, version), some in by.items():
-        if len({x.content for x in some}) < 2:
+        if len({update.content for update in some}) < 2:
             continue
-        last = max(x.ended for x in some)
-        if any(y.version > version and y.begun < last for y in highest[name]):
+        last = max(update.ended for update in some)
+        if any(other_update.version > version and other_update.begun < last for other_update in highest[name]):
             continue
-        out.append(f"{name} version {version}: {len({x.content for x in some})} contents were confirmed")
-    return out
+        findings.append(f"{name} version {version}: {len({x.content for x in some})} contents were confirmed")
+    return findings
 
 
-def confirmed_is_read_back(o: ClientRecords) -> list[str]:
-    """A read begun after a confirmation shows that version with that content, or what a higher one made of it."""
-    out: dict[tuple, str] = {}
-    acked = sorted((x for x in o.orders if x.status == pages.OK), key=lambda x: x.ended)
+def reads_show_confirmed_updates(records: ClientRecords) -> list[str]:
+    """A read begun after a confirmation shows that version and content, or the result of a higher version."""
+    findings: dict[tuple, str] = {}
+    acked = sorted((update for update in records.orders if update.status == pages.OK), key=lambda update: update.ended)
     newest: dict[str, ItemUpdate] = {}
     done = 0
-    for r in sorted(o.reads, key=lambda r: r.begun):
-        while done < len(acked) and acked[done].ended < r.begun:
-            x = acked[done]
+    for read in sorted(records.reads, key=lambda read: read.begun):
+        while done < len(acked) and acked[done].ended < read.begun:
+            update = acked[done]
             done += 1
-            if x.name not in newest or x.version > newest[x.name].version:
-                newest[x.name] = x
-        for name, x in newest.items():
-            wrong = _not_read_back(o, x, r)
+            if update.name not in newest or update.version > newest[update.name].version:
+                newest[update.name] = update
+        for name, update in newest.items():
+            wrong = _read_error(records, update, read)
             if wrong:
-                out.setdefault((name, x.version), f"read at {r.begun:.2f} by {r.by} {wrong}")
-    return list(out.values())
+                findings.setdefault((name, update.version), f"read at {read.begun:.2f} by {read.by} {wrong}")
+    return list(findings.values())
 
 
-def _not_read_back(o: ClientRecords, x: ItemUpdate, r: ItemsRead) -> str:
-    """What a read shows of a confirmed order's item that it must not; empty if all is well."""
-    shown = r.rows.get(x.name)
+def _read_error(records: ClientRecords, update: ItemUpdate, read: ItemsRead) -> str:
+    """How a read contradicts a confirmed update; empty if it does not."""
+    shown = read.rows.get(update.name)
     if shown is None:
-        dropped = x.content is None or any(
-            y.content is None and y.version >= x.version and y.begun < r.ended for y in o.by_name(x.name)
+        dropped = update.content is None or any(
+            other_update.content is None and other_update.version >= update.version and other_update.begun < read.ended
+            for other_update in records.by_name(update.name)
         )
-        return "" if dropped else f"lacks {x.name}, confirmed at {x.version}"
-    if shown[0] < x.version:
-        return f"shows {x.name} {shown[0]}, {x.version} was confirmed before"
-    if shown == (x.version, x.content) or shown[0] > x.version or _overtaken(o, x):
+        return "" if dropped else f"lacks {update.name}, confirmed at {update.version}"
+    if shown[0] < update.version:
+        return f"shows {update.name} {shown[0]}, {update.version} was confirmed before"
+    if shown == (update.version, update.content) or shown[0] > update.version or _overtaken(records, update):
         return ""
-    return f"shows {x.name} {x.version} as {shown[1]}, not {x.content}"
+    return f"shows {update.name} {update.version} as {shown[1]}, not {update.content}"
 
 
-def _overtaken(o: ClientRecords, x: ItemUpdate) -> bool:
-    """Whether a higher version was under way before this order's end: it may have been confirmed as overtaken."""
-    return any(y.version > x.version and y.begun < x.ended for y in o.by_name(x.name))
+def _overtaken(records: ClientRecords, update: ItemUpdate) -> bool:
+    """Whether a higher version began before this update ended; the update may then be confirmed as superseded."""
+    return any(
+        other_update.version > update.version and other_update.begun < update.ended
+        for other_update in records.by_name(update.name)
+    )
 
 
-def taken_is_never_refused(o: ClientRecords) -> list[str]:
-    """An order that was confirmed or read back is not refused when it is sent again."""
-    out = []
+def confirmed_updates_are_not_refused(records: ClientRecords) -> list[str]:
+    """An update that was confirmed or read back is not refused when it is sent again."""
+    findings = []
     confirmed: dict[tuple, float] = {}
-    for x in o.orders:
-        key = x.name, x.version, x.content
-        if x.status == pages.OK and not _overtaken(o, x):
-            confirmed[key] = min(confirmed.get(key, x.ended), x.ended)
-    shown: set[tuple] = {(n, v, c) for r in o.reads for n, (v, c) in r.rows.items()}
-    for x in o.orders:
-        if x.status not in (pages.CONFLICT, pages.INVALID):
+    for update in records.orders:
+        key = update.name, update.version, update.content
+        if update.status == pages.OK and not _overtaken(records, update):
+            confirmed[key] = min(confirmed.get(key, update.ended), update.ended)
+    shown: set[tuple] = {
+        (name, version, content) for read in records.reads for name, (version, content) in read.rows.items()
+    }
+    for update in records.orders:
+        if update.status not in (pages.CONFLICT, pages.INVALID):
             continue
-        key = x.name, x.version, x.content
+        key = update.name, update.version, update.content
         if key in shown:
-            out.append(f"{x.who}: {x.name} {x.version} was refused ({x.status}) at {x.ended:.2f} and is read back")
+            findings.append(
+                f"{update.who}: {update.name} {update.version} was refused ({update.status}) "
+                f"at {update.ended:.2f} and is read back"
+            )
         elif key in confirmed:
-            out.append(f"{x.who}: {x.name} {x.version} was refused ({x.status}) at {x.ended:.2f} and confirmed besides")
-    return out
+            findings.append(
+                f"{update.who}: {update.name} {update.version} was refused ({update.status}) "
+                f"at {update.ended:.2f} and confirmed besides"
+            )
+    return findings
 
 
-def evacuations_stay(o: ClientRecords) -> list[str]:
-    """What one operator had acknowledged last is what a read shows until it orders again."""
-    out = []
+def reads_show_evacuations(records: ClientRecords) -> list[str]:
+    """A read shows the zone's last acknowledged evacuation or end, until its operator's next update."""
+    findings = []
     by: dict[str, list[ZoneUpdate]] = defaultdict(list)
-    for z in o.zones:
-        by[z.zone].append(z)
+    for zone_update in records.zones:
+        by[zone_update.zone].append(zone_update)
     for zone, rows in by.items():
-        rows.sort(key=lambda z: z.begun)
-        for z, after in zip(rows, [*rows[1:], None], strict=True):
+        rows.sort(key=lambda zone_update: zone_update.begun)
+        for zone_update, after in zip(rows, [*rows[1:], None], strict=True):
             end = after.begun if after is not None else float("inf")
             wrong = [
-                r for r in o.reads if z.acked and z.ended < r.begun and r.ended < end and (zone in r.evacuated) != z.on
+                read
+                for read in records.reads
+                if zone_update.acked
+                and zone_update.ended < read.begun
+                and read.ended < end
+                and (zone in read.evacuated) != zone_update.on
             ]
             if wrong:
-                what = "evacuated" if z.on else "given back"
-                out.append(
-                    f"{zone} {what}, acknowledged at {z.ended:.2f}; {wrong[0].by} shows otherwise at {wrong[0].begun:.2f}"
-                    + _read_late(o, zone, z.begun, wrong[0].begun)
+                what = "evacuated" if zone_update.on else "given back"
+                findings.append(
+                    f"{zone} {what}, acknowledged at {zone_update.ended:.2f}; "
+                    f"{wrong[0].by} shows otherwise at {wrong[0].begun:.2f}"
+                    + _late_read_mark(records, zone, zone_update.begun, wrong[0].begun)
                 )
-    return out
-
-
-def _read_late(o: ClientRecords, name: str, begin: float, end: float) -> str:
-    """Marks a finding that a call brought about which a machine read after its caller had given it up."""
-    return READ_LATE if any(x.name == name and begin <= x.at <= end for x in o.late_reads) else ""
-
-
-def notices_stay(o: ClientRecords) -> list[str]:
-    """An upstream whose leaving was acknowledged is shown as ready by no read begun afterwards."""
-    out = []
-    for n in o.notices:
-        bad = ("ready", "silent") if n.state == "leaving" else ("ready", "silent", "leaving")
-        wrong = next((r for r in o.reads if r.begun > n.acked and r.upstreams.get(n.instance) in bad), None)
+    return findings
+
+
+def _late_read_mark(records: ClientRecords, name: str, begin: float, end: float) -> str:
+    """A mark for findings that a node may have caused by reading a call after its caller gave up."""
+    return (
+        LATE_READ_MARK
+        if any(request.name == name and begin <= request.at <= end for request in records.late_reads)
+        else ""
+    )
+
+
+def reads_show_notices(records: ClientRecords) -> list[str]:
+    """No read begun after an upstream's acknowledged notice shows an earlier state of it."""
+    findings = []
+    for notice in records.notices:
+        bad = ("ready", "silent") if notice.state == "leaving" else ("ready", "silent", "leaving")
+        wrong = next(
+            (
+                read
+                for read in records.reads
+                if read.begun > notice.acked and read.upstreams.get(notice.instance) in bad
+            ),
+            None,
+        )
         if wrong is not None:
-            out.append(
-                f"{n.instance} {n.state}, acknowledged at {n.acked:.2f}; {wrong.by} shows {wrong.upstreams[n.instance]}"
+            findings.append(
+                f"{notice.instance} {notice.state}, acknowledged at {notice.acked:.2f}; "
+                f"{wrong.by} shows {wrong.upstreams[notice.instance]}"
             )
-    return out
-
-
-def one_holder(o: ClientRecords) -> list[str]:
-    """Nobody believes to hold a lock while another does, and tokens rise."""
-    out, last = [], {}
-    for h in sorted(o.held, key=lambda h: h.start):
-        y = last.get(h.name)
-        if y is not None and h.start < y.end:
-            out.append(f"{h.holder} holds {h.name} from {h.start:.2f} while {y.holder} holds it until {y.end:.2f}")
-        if y is not None and h.token <= y.token:
-            out.append(f"token {h.token} of {h.name} after {y.token}")
-        if y is None or h.end > y.end:
-            last[h.name] = h
-    return out
+    return findings
+
+
+def one_lock_holder(records: ClientRecords) -> list[str]:
+    """No two holders consider themselves to hold a lock at once, and fencing tokens increase."""
+    findings, last = [], {}
+    for hold in sorted(records.held, key=lambda hold: hold.start):
+        previous = last.get(hold.name)
+        if previous is not None and hold.start < previous.end:
+            findings.append(
+                f"{hold.holder} holds {hold.name} from {hold.start:.2f} "
+                f"while {previous.holder} holds it until {previous.end:.2f}"
+            )
+        if previous is not None and hold.token <= previous.token:
+            findings.append(f"token {hold.token} of {hold.name} after {previous.token}")
+        if previous is None or hold.end > previous.end:
+            last[hold.name] = hold
+    return findings
 
 
-def no_late_hold(o: ClientRecords) -> list[str]:
-    """A refusal is for a hold that somebody was granted, or whose taking was still under way when it could begin.
+def refusals_have_a_holder(records: ClientRecords) -> list[str]:
+    """An acquisition is refused only while another holder may hold the lock.
 
-    A call that its holder gave up can hold from its end, the time that it may still run in the core (`LATE`), and the
-    length of the hold; a refusal after that is for a take that came late.
+    An acquisition given up may hold until its end, plus `LATE_APPLY_LIMIT_S` in which the core may still apply it, plus
+    the lease. A refusal after that shows an acquisition that was applied too late.
     """
-    out = []
-    for t in (t for t in o.takes if t.status == pages.CONFLICT):
-        others = (x for x in o.takes if x.name == t.name and x is not t and x.begun < t.ended)
-        if not any(_may_hold(x, t.begun) for x in others):
-            out.append(
-                f"{t.holder} is refused {t.name} at {t.begun:.2f}, which nobody holds: a late take"
-                + _read_late(o, t.name, t.begun - t.hold_s - 1.0, t.begun)
+    findings = []
+    for request in (request for request in records.takes if request.status == pages.CONFLICT):
+        others = (
+            other
+            for other in records.takes
+            if other.name == request.name and other is not request and other.begun < request.ended
+        )
+        if not any(_may_hold(other, request.begun) for other in others):
+            findings.append(
+                f"{request.holder} is refused {request.name} at {request.begun:.2f}, which nobody holds: a late take"
+                + _late_read_mark(records, request.name, request.begun - request.hold_s - 1.0, request.begun)
             )
-    return out
+    return findings
 
 
-def _may_hold(x: LockRequest, at: float) -> bool:
-    if x.ended == float("inf"):
+def _may_hold(other: LockRequest, at: float) -> bool:
+    if other.ended == float("inf"):
         return True
     end = 0.0
-    if x.status == pages.OK:
-        end = x.freed if x.freed is not None else x.ended + x.hold_s
-    if x.unsure is not None:
-        begins = x.unsure + LATE
-        end = max(end, begins + x.hold_s if x.freed is None or x.freed < begins else x.freed)
-    return at < end + SLACK
-
-
-def numbers_count_calls(o: ClientRecords) -> list[str]:
-    """Numbers rise, none is given twice, and each call counts once at most."""
-    out = []
-    by: dict[str, list[NumberRequest]] = defaultdict(list)
-    for n in o.numbers:
-        by[n.name].append(n)
-    for name, rows in by.items():
-        told = sorted((n for n in rows if n.value), key=lambda n: n.value)
-        for a, b in zip(told, told[1:], strict=False):
-            if a.value == b.value:
-                out.append(f"number {name} {a.value} was given twice")
-            if b.ended < a.begun:
-                out.append(f"number {name} {a.value} was asked at {a.begun:.2f} after {b.value} was given")
-        for n in told:
-            asked = sum(x.begun < n.ended and not x.refused for x in rows)
-            if n.value > asked:
-                out.append(f"number {name} {n.value} at {n.ended:.2f} after {asked} calls: a call was counted twice")
+    if other.status == pages.OK:
+        end = other.freed if other.freed is not None else other.ended + other.hold_s
+    if other.unsure is not None:
+        begins = other.unsure + LATE_APPLY_LIMIT_S
+        end = max(end, begins + other.hold_s if other.freed is None or other.freed < begins else other.freed)
+    return at < end + CLOCK_SLACK_S
+
+
+def numbers_are_drawn_once(records: ClientRecords) -> list[str]:
+    """Numbers increase in real-time order, none is given twice, and each call draws at most one."""
+    findings = []
+    by_name: dict[str, list[NumberRequest]] = defaultdict(list)
+    for request in records.numbers:
+        by_name[request.name].append(request)
+    for name, rows in by_name.items():
+        answered = sorted((request for request in rows if request.value), key=lambda request: request.value)
+        for lower, higher in zip(answered, answered[1:], strict=False):
+            if lower.value == higher.value:
+                findings.append(f"number {name} {lower.value} was given twice")
+            if higher.ended < lower.begun:
+                findings.append(
+                    f"number {name} {lower.value} was asked at {lower.begun:.2f} after {higher.value} was given"
+                )
+        for request in answered:
+            asked = sum(other.begun < request.ended and not other.refused for other in rows)
+            if request.value > asked:
+                findings.append(
+                    f"number {name} {request.value} at {request.ended:.2f} after {asked} calls: "
+                    "a call was counted twice"
+                )
                 break
-    return out
+    return findings
 
 
-def cells_in_order(o: ClientRecords) -> list[str]:
-    """Reads show what was put last, puts on a base only follow that base, and one revision has one value."""
-    out = []
-    puts = [c for c in o.cells if c.kind == "put" and c.status == pages.OK]
+def key_operations_are_ordered(records: ClientRecords) -> list[str]:
+    """Reads show the last confirmed put, a conditional put directly follows its base, and a revision has one value."""
+    findings = []
+    puts = [call for call in records.cells if call.kind == "put" and call.status == pages.OK]
     values: dict[tuple[str, int], str] = {}
-    for c in puts:
-        had = values.setdefault((c.name, c.revision), c.value)
-        if had != c.value:
-            out.append(f"{c.name}: revision {c.revision} was given to {had} and {c.value}")
-    for c in puts:
-        if c.base is not None:
-            between = [p for p in puts if p.name == c.name and c.base < p.revision < c.revision]
-            out += [f"{c.name} {c.revision} on base {c.base} was taken over {p.revision}" for p in between[:1]]
-    for r in (c for c in o.cells if c.kind == "read" and c.status == pages.OK):
-        newest = max((p.revision for p in puts if p.name == r.name and p.ended < r.begun), default=0)
-        if r.revision < newest:
-            out.append(f"read of {r.name} at {r.begun:.2f} shows {r.revision}, {newest} was put before")
-        if values.get((r.name, r.revision), r.value) != r.value:
-            out.append(f"read of {r.name} at {r.begun:.2f} shows {r.value} at {r.revision}")
-        if r.revision and not any(p.kind == "put" and p.value == r.value and p.begun < r.ended for p in o.cells):
-            out.append(f"read of {r.name} shows {r.value}, which nobody had put")
-    refused = {c.value for c in o.cells if c.kind == "put" and c.status == pages.CONFLICT}
-    shown = {c.value for c in o.cells if c.kind == "read"} | {e.value for e in o.events}
-    return out + [f"value {v} was refused and is there" for v in sorted(x for x in refused & shown if x)]
-
-
-def watchers_miss_nothing(o: ClientRecords) -> list[str]:
-    """Each watcher sees every confirmed put between its first and last event once, in order."""
-    out = []
-    by: dict[str, list[WatchedEvent]] = defaultdict(list)
-    for e in o.events:
-        by[e.watcher].append(e)
-    puts = {c.revision: c.value for c in o.cells if c.kind == "put" and c.status == pages.OK}
-    for who, es in by.items():
-        revisions = [e.revision for e in es]
-        if revisions != sorted(set(revisions)):
-            out.append(f"{who} saw events twice or out of order")
-        seen = {e.revision: e.value for e in es}
-        out += [f"{who} missed {r}" for r in puts if revisions[0] < r < revisions[-1] and r not in seen][:3]
-        out += [f"{who} saw {seen[r]} at {r}, it was {v}" for r, v in puts.items() if seen.get(r, v) != v][:3]
-    return out
+    for call in puts:
+        first = values.setdefault((call.name, call.revision), call.value)
+        if first != call.value:
+            findings.append(f"{call.name}: revision {call.revision} was given to {first} and {call.value}")
+    for call in puts:
+        if call.base is not None:
+            between = [p for p in puts if p.name == call.name and call.base < p.revision < call.revision]
+            findings += [
+                f"{call.name} {call.revision} on base {call.base} was taken over {p.revision}" for p in between[:1]
+            ]
+    for read in (call for call in records.cells if call.kind == "read" and call.status == pages.OK):
+        newest = max((p.revision for p in puts if p.name == read.name and p.ended < read.begun), default=0)
+        if read.revision < newest:
+            findings.append(f"read of {read.name} at {read.begun:.2f} shows {read.revision}, {newest} was put before")
+        if values.get((read.name, read.revision), read.value) != read.value:
+            findings.append(f"read of {read.name} at {read.begun:.2f} shows {read.value} at {read.revision}")
+        if read.revision and not any(
+            p.kind == "put" and p.value == read.value and p.begun < read.ended for p in records.cells
+        ):
+            findings.append(f"read of {read.name} shows {read.value}, which nobody had put")
+    refused = {call.value for call in records.cells if call.kind == "put" and call.status == pages.CONFLICT}
+    shown = {call.value for call in records.cells if call.kind == "read"} | {event.value for event in records.events}
+    return findings + [
+        f"value {v} was refused and is there" for v in sorted(value for value in refused & shown if value)
+    ]
 
 
-def watches_are_young(o: ClientRecords) -> list[str]:
-    """A watch answered by any machine is whole up to what was put more than `WATCH_BOUND` before it was asked."""
-    out = []
-    puts = sorted((c for c in o.cells if c.kind == "put" and c.status == pages.OK), key=lambda c: c.ended)
+def watchers_see_every_event(records: ClientRecords) -> list[str]:
+    """Each watcher sees every confirmed put between its first and its last event, once and in order."""
+    findings = []
+    by_watcher: dict[str, list[WatchedEvent]] = defaultdict(list)
+    for event in records.events:
+        by_watcher[event.watcher].append(event)
+    puts = {call.revision: call.value for call in records.cells if call.kind == "put" and call.status == pages.OK}
+    for who, events in by_watcher.items():
+        revisions = [event.revision for event in events]
+        if revisions != sorted(set(revisions)):
+            findings.append(f"{who} saw events twice or out of order")
+        seen = {event.revision: event.value for event in events}
+        findings += [
+            f"{who} missed {revision}"
+            for revision in puts
+            if revisions[0] < revision < revisions[-1] and revision not in seen
+        ][:3]
+        findings += [
+            f"{who} saw {seen[revision]} at {revision}, it was {value}"
+            for revision, value in puts.items()
+            if seen.get(revision, value) != value
+        ][:3]
+    return findings
+
+
+def watch_answers_are_fresh(records: ClientRecords) -> list[str]:
+    """A watch's answer includes all puts confirmed more than `WATCH_LAG_LIMIT_S` before it was requested."""
+    findings = []
+    puts = sorted(
+        (call for call in records.cells if call.kind == "put" and call.status == pages.OK), key=lambda call: call.ended
+    )
     newest, done = 0, 0
-    for w in sorted(o.watched, key=lambda w: w.begun):
-        while done < len(puts) and puts[done].ended < w.begun - WATCH_BOUND:
+    for watch in sorted(records.watched, key=lambda watch: watch.begun):
+        while done < len(puts) and puts[done].ended < watch.begun - WATCH_LAG_LIMIT_S:
             newest, done = max(newest, puts[done].revision), done + 1
-        if w.revision < newest:
-            out.append(f"{w.by} answers a watch at {w.begun:.2f} up to {w.revision}, {newest} was put long before")
-    return out[:5]
-
-
-def cut_side_confirms_nothing(o: ClientRecords) -> list[str]:
-    """A machine without a path to a majority confirms nothing beyond the bound of that kind of answer."""
-    out = []
-    for s in o.confirmations:
-        for c in o.cuts:
-            bound = SAID_BOUND[s.kind]
-            if s.by in c.machines and c.began + bound < s.at <= c.ended and s.begun > c.began:
-                out.append(f"{s.by} confirmed a {s.kind} at {s.at:.2f}, cut off since {c.began:.2f}")
-    return out[:5]
+        if watch.revision < newest:
+            findings.append(
+                f"{watch.by} answers a watch at {watch.begun:.2f} up to {watch.revision}, {newest} was put long before"
+            )
+    return findings[:5]
+
+
+def isolated_nodes_confirm_nothing(records: ClientRecords) -> list[str]:
+    """A node without a path to a majority confirms nothing after the bound of that kind of answer."""
+    findings = []
+    for confirmation in records.confirmations:
+        for cut in records.cuts:
+            bound = CONFIRMATION_BOUND_S[confirmation.kind]
+            if (
+                confirmation.by in cut.machines
+                and cut.began + bound < confirmation.at <= cut.ended
+                and confirmation.begun > cut.began
+            ):
+                findings.append(
+                    f"{confirmation.by} confirmed a {confirmation.kind} at {confirmation.at:.2f}, "
+                    f"cut off since {cut.began:.2f}"
+                )
+    return findings[:5]
 
 
-def caught_up(o: ClientRecords) -> list[str]:
-    """Each machine that came back holds within `CATCH_UP` what was committed as it came."""
+def returned_nodes_catch_up(records: ClientRecords) -> list[str]:
+    """Each returned node applies within `CATCH_UP_LIMIT_S` all that was committed at its return."""
     return [
-        f"{c.machine} ({c.how}) back at {c.began:.2f} has not caught up with {c.index} after {CATCH_UP} s"
-        for c in o.catch_ups
-        if c.seconds() > CATCH_UP
+        f"{catch_up.machine} ({catch_up.how}) back at {catch_up.began:.2f} "
+        f"has not caught up with {catch_up.index} after {CATCH_UP_LIMIT_S} s"
+        for catch_up in records.catch_ups
+        if catch_up.seconds() > CATCH_UP_LIMIT_S
     ]
 
 
-def majority_left(o: ClientRecords) -> list[str]:
-    """After each loss within the budget, an order is confirmed within `RECOVERED`."""
+def updates_resume_after_losses(records: ClientRecords) -> list[str]:
+    """After each loss within the fault budget, an update is confirmed within `RECOVERY_LIMIT_S`."""
     return [
-        f"{x.what} at {x.at:.2f}: nothing confirmed for {RECOVERED} s"
-        for x in o.losses
-        if x.confirmed is None or x.confirmed - x.at > RECOVERED
+        f"{loss.what} at {loss.at:.2f}: nothing confirmed for {RECOVERY_LIMIT_S} s"
+        for loss in records.losses
+        if loss.confirmed is None or loss.confirmed - loss.at > RECOVERY_LIMIT_S
     ]
--- a/sim/order_history.py
+++ b/sim/order_history.py
@@ -1,4 +1,4 @@
-"""What the users of a core were told, as the checker of histories takes it."""
+"""Converts the records of a core's API clients to operations for the linearizability checker."""
 
 from __future__ import annotations
 
@@ -13,22 +13,26 @@
 REFUSED = (pages.CONFLICT, pages.INVALID)
 
 
-def findings(o: ClientRecords) -> list[str]:
-    """What cannot be ordered by the times of the calls alone, and what the search left undecided."""
-    return linearizability.check(operations(o)).findings()
+def findings(records: ClientRecords) -> list[str]:
+    """Returns histories that are not linearizable, and those the search left undecided."""
+    return linearizability.check(operations(records)).findings()
 
 
-def operations(o: ClientRecords) -> list[Operation]:
-    """Items, locks, numbers and keys by name; each group's revisions besides, as numbers that rise over its keys."""
-    names = sorted({x.name for x in o.orders})
-    ends = {(h.name, h.token): h for h in o.held}
+def operations(records: ClientRecords) -> list[Operation]:
+    """Operations on items, locks, numbers and keys; a key group's revisions count as numbers drawn from one counter."""
+    names = sorted({record.name for record in records.orders})
+    ends = {(h.name, h.token): h for h in records.held}
     return [
-        *(_order(x) for x in o.orders),
-        *(_item_read(r, name) for r in o.reads for name in names),
-        *(_take(t, ends.get((t.name, t.token))) for t in o.takes),
-        *(_number(n) for n in o.numbers),
-        *(_cell(c) for c in o.cells),
-        *(_revision(c) for c in o.cells if c.kind == "put" and c.status == pages.OK),
+        *(_update_operation(record) for record in records.orders),
+        *(_read_operation(read, name) for read in records.reads for name in names),
+        *(_lock_operation(request, ends.get((request.name, request.token))) for request in records.takes),
+        *(_number_operation(request) for request in records.numbers),
+        *(_key_operation(request) for request in records.cells),
+        *(
+            _revision_operation(request)
+            for request in records.cells
+            if request.kind == "put" and request.status == pages.OK
+        ),
     ]
 
 
@@ -38,49 +42,55 @@
     return Outcome.REFUSED if status in REFUSED else Outcome.UNKNOWN
 
 
-def _told(kind: Kind, name: str, call: Call, x: ItemUpdate | LockRequest | KeyRequest, number: int) -> Operation:
-    outcome = _outcome(x.status)
-    if outcome is not Outcome.UNKNOWN and math.isfinite(x.ended):
-        return Operation(kind, name, _caller(x), call, x.begun, x.ended, outcome, number)
-    return Operation(kind, name, _caller(x), call, x.begun, None, Outcome.UNKNOWN)
+def _operation(
+    kind: Kind, name: str, call: Call, record: ItemUpdate | LockRequest | KeyRequest, number: int
+) -> Operation:
+    outcome = _outcome(record.status)
+    if outcome is not Outcome.UNKNOWN and math.isfinite(record.ended):
+        return Operation(kind, name, _client(record), call, record.begun, record.ended, outcome, number)
+    return Operation(kind, name, _client(record), call, record.begun, None, Outcome.UNKNOWN)
 
 
-def _caller(x: ItemUpdate | LockRequest | KeyRequest) -> str:
-    match x:
+def _client(record: ItemUpdate | LockRequest | KeyRequest) -> str:
+    match record:
         case ItemUpdate():
-            return x.who
+            return record.who
         case LockRequest():
-            return x.holder
-    return x.value or ""
+            return record.holder
+    return record.value or ""
 
 
-def _order(x: ItemUpdate) -> Operation:
-    return _told(Kind.ITEM, x.name, Amend(x.version, x.content), x, x.version)
+def _update_operation(record: ItemUpdate) -> Operation:
+    return _operation(Kind.ITEM, record.name, Amend(record.version, record.content), record, record.version)
 
 
-def _item_read(r: ItemsRead, name: str) -> Operation:
-    version, content = r.rows.get(name, (0, None))
-    return Operation(Kind.ITEM, name, r.by, Read(), r.begun, r.ended, Outcome.DONE, version, content)
+def _read_operation(read: ItemsRead, name: str) -> Operation:
+    version, content = read.rows.get(name, (0, None))
+    return Operation(Kind.ITEM, name, read.by, Read(), read.begun, read.ended, Outcome.DONE, version, content)
 
 
-def _take(t: LockRequest, held: LockHold | None) -> Operation:
-    """A holder relies on its lock to the end of its own hold, and not at all where it never began one."""
-    until = held.end if held is not None else t.begun
-    return _told(Kind.LOCK, t.name, Take(t.holder, until), t, t.token)
+def _lock_operation(request: LockRequest, hold: LockHold | None) -> Operation:
+    """A lock operation; it claims the lock until the end of the holder's own hold, or not at all without a hold."""
+    until = hold.end if hold is not None else request.begun
+    return _operation(Kind.LOCK, request.name, Take(request.holder, until), request, request.token)
 
 
-def _number(n: NumberRequest) -> Operation:
-    if not n.value:
-        return Operation(Kind.NUMBER, n.name, "", Draw(), n.begun, None, Outcome.UNKNOWN)
-    return Operation(Kind.NUMBER, n.name, "", Draw(), n.begun, n.ended, Outcome.DONE, n.value)
+def _number_operation(request: NumberRequest) -> Operation:
+    if not request.value:
+        return Operation(Kind.NUMBER, request.name, "", Draw(), request.begun, None, Outcome.UNKNOWN)
+    return Operation(Kind.NUMBER, request.name, "", Draw(), request.begun, request.ended, Outcome.DONE, request.value)
 
 
-def _cell(c: KeyRequest) -> Operation:
-    if c.kind == "put":
-        return _told(Kind.KEY, c.name, Put(c.value, c.base), c, c.revision)
-    return Operation(Kind.KEY, c.name, "", Read(), c.begun, c.ended, Outcome.DONE, c.revision, c.value)
+def _key_operation(request: KeyRequest) -> Operation:
+    if request.kind == "put":
+        return _operation(Kind.KEY, request.name, Put(request.value, request.base), request, request.revision)
+    return Operation(
+        Kind.KEY, request.name, "", Read(), request.begun, request.ended, Outcome.DONE, request.revision, request.value
+    )
 
 
-def _revision(c: KeyRequest) -> Operation:
-    name = f"revision of {group_of(c.name)}"
-    return Operation(Kind.NUMBER, name, c.value or "", Draw(), c.begun, c.ended, Outcome.DONE, c.revision)
+def _revision_operation(request: KeyRequest) -> Operation:
+    name = f"revision of {group_of(request.name)}"
+    return Operation(
+        Kind.NUMBER, name, request.value or "", Draw(), request.begun, request.ended, Outcome.DONE, request.revision
+    )
--- a/sim/orders.py
+++ b/sim/orders.py
@@ -1,4 +1,4 @@
-"""What operators, applications and upstreams of the core were told; times in simulated seconds."""
+"""Records of what a core's API clients sent and were answered. Times are in simulated seconds."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ItemUpdate(msgspec.Struct):
-    """One call of an operator: an item's version and content (None: dropped). `said` is a status, 0 for no answer."""
+    """One attempt to update an item to a version and content (None: drop it). `status` is 0 without an answer."""
 
     who: str
     name: str
@@ -21,7 +21,7 @@
 
 
 class ItemsRead(msgspec.Struct):
-    """A confirmed read: name to version and content of what stood, zones evacuated, states of upstreams."""
+    """A confirmed read: the version and content of each item, the evacuated zones, and the states of upstreams."""
 
     begun: float
     ended: float
@@ -32,7 +32,7 @@
 
 
 class ZoneUpdate(msgspec.Struct):
-    """An evacuation or its end, over all its calls: acknowledged, or given up undecided. One operator a zone."""
+    """The start or end of an evacuation over all attempts, acknowledged or given up. Each zone has one operator."""
 
     zone: str
     on: bool
@@ -42,7 +42,7 @@
 
 
 class Notice(msgspec.Struct):
-    """An upstream's acknowledged word that it is `leaving` or `gone`."""
+    """An upstream's acknowledged notice that it is `leaving` or `gone`."""
 
     instance: str
     state: str
@@ -50,10 +50,10 @@
 
 
 class LockRequest(msgspec.Struct):
-    """One intent to take a lock, over all its calls. A holder's name is used for one intent only.
+    """One acquisition of a lock over all attempts. Each acquisition has a holder name of its own.
 
-    `unsure` is when the last call without a clear answer ended: that one may still take effect, whatever a later one
-    was told.
+    `unsure` is when the last attempt without a definite answer ended: it may still take effect, whatever a later
+    attempt was answered.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
 
 class LockHold(msgspec.Struct):
-    """A holder's own belief that it holds a lock, counted from when its call was sent."""
+    """The span in which a holder considers itself to hold a lock, its lease counted from when the call was sent."""
 
     name: str
     holder: str
@@ -78,7 +78,7 @@
 
 
 class NumberRequest(msgspec.Struct):
-    """One call for a number; value 0 where it was not told."""
+    """One call for a number; the value is 0 without an answer."""
 
     name: str
     begun: float
@@ -88,7 +88,7 @@
 
 
 class KeyRequest(msgspec.Struct):
-    """A put or read of a key. A put's value is used once; `revision` is what was answered, 0 for none."""
+    """A put or read of a key. Each put has a value of its own; `revision` is the one answered, 0 for none."""
 
     kind: str
     name: str
@@ -101,7 +101,7 @@
 
 
 class WatchedEvent(msgspec.Struct):
-    """One event that a watcher was shown."""
+    """One event that a watcher received."""
 
     watcher: str
     revision: int
@@ -111,14 +111,14 @@
 
 
 class LateRequest(msgspec.Struct):
-    """A call about a zone or lock that a machine read after its caller had given it up: its pages can't know that."""
+    """A call for a zone or lock that a node read after its caller gave up, which the node could not yet know."""
 
     name: str
     at: float
 
 
 class WatchResponse(msgspec.Struct):
-    """What one answer to a watch said it was whole up to."""
+    """The revision up to which one answer to a watch was complete."""
 
     by: Address
     begun: float
@@ -126,7 +126,7 @@
 
 
 class Confirmation(msgspec.Struct):
-    """A success that a core machine told somebody: an `order`, a `read` or a `beat`."""
+    """A successful answer of a core node to an `order`, a `read` or a `beat` (a heartbeat)."""
 
     by: Address
     kind: str
@@ -135,7 +135,7 @@
 
 
 class NetworkCut(msgspec.Struct):
-    """A span in which these machines had no two-way path to most of the voters."""
+    """A span in which these nodes had no two-way path to a majority of the voters."""
 
     machines: list[Address]
     began: float
@@ -143,9 +143,9 @@
 
 
 class CatchUp(msgspec.Struct):
-    """A machine that came back at `began` and held at `ended` (None: not yet) what was committed as it came.
+    """A node that returned at `began` and had applied `index`, committed by then, at `ended` (None: not yet).
 
-    `frozen_s` is for how long of that time it was itself frozen, and could do nothing.
+    `frozen_s` is how long the node itself was frozen within that time.
     """
 
     machine: Address
@@ -156,12 +156,12 @@
     frozen_s: float = 0.0
 
     def seconds(self) -> float:
-        """How long the machine took while it ran; infinity while it has not caught up."""
+        """The time to catch up without frozen time; infinity until the node has caught up."""
         return float("inf") if self.ended is None else self.ended - self.began - self.frozen_s
 
 
 class MemberLoss(msgspec.Struct):
-    """A member lost within the budget; `confirmed` is when an order begun afterwards was first confirmed."""
+    """A member lost within the fault budget; `confirmed` is when an update begun later was first confirmed."""
 
     what: str
     at: float
@@ -169,7 +169,7 @@
 
 
 class ClientRecords:
-    """All that the users of a core were told in one run."""
+    """All that a core's API clients observed in one run."""
 
     def __init__(self) -> None:
         self.orders: list[ItemUpdate] = []
@@ -192,33 +192,33 @@
         self._sorted = 0
 
     def by_name(self, name: str) -> list[ItemUpdate]:
-        """All orders of an item."""
-        for x in self.orders[self._sorted :]:
-            self._by_name.setdefault(x.name, []).append(x)
+        """All updates of an item."""
+        for update in self.orders[self._sorted :]:
+            self._by_name.setdefault(update.name, []).append(update)
         self._sorted = len(self.orders)
         return self._by_name.get(name, [])
 
 
-def figures(o: ClientRecords) -> dict[str, int]:
+def figures(records: ClientRecords) -> dict[str, int]:
     """Counts and worst times (ms) of a run."""
-    caught = [c.seconds() for c in o.catch_ups if c.ended is not None]
-    back = [x.confirmed - x.at for x in o.losses if x.confirmed is not None]
+    caught = [c.seconds() for c in records.catch_ups if c.ended is not None]
+    back = [loss.confirmed - loss.at for loss in records.losses if loss.confirmed is not None]
     return {
-        "orders": len(o.orders),
-        "confirmed": sum(x.status == pages.OK for x in o.orders),
-        "refused": sum(x.status in (pages.CONFLICT, pages.INVALID) for x in o.orders),
-        "reads": len(o.reads),
-        "zones": sum(z.acked for z in o.zones),
-        "notices": len(o.notices),
-        "held": len(o.held),
-        "counted": sum(n.value > 0 for n in o.numbers),
-        "puts": sum(c.kind == "put" and c.status == pages.OK for c in o.cells),
-        "events": len(o.events),
-        "beats": sum(s.kind == "beat" for s in o.confirmations),
-        "late_reads": len(o.late_reads),
-        "losses": len(o.losses),
+        "orders": len(records.orders),
+        "confirmed": sum(update.status == pages.OK for update in records.orders),
+        "refused": sum(update.status in (pages.CONFLICT, pages.INVALID) for update in records.orders),
+        "reads": len(records.reads),
+        "zones": sum(z.acked for z in records.zones),
+        "notices": len(records.notices),
+        "held": len(records.held),
+        "counted": sum(n.value > 0 for n in records.numbers),
+        "puts": sum(c.kind == "put" and c.status == pages.OK for c in records.cells),
+        "events": len(records.events),
+        "beats": sum(s.kind == "beat" for s in records.confirmations),
+        "late_reads": len(records.late_reads),
+        "losses": len(records.losses),
         "worst_loss_ms": int(1000 * max(back, default=0)),
         "catch_ups": len(caught),
         "worst_catch_up_ms": int(1000 * max(caught, default=0)),
-        "index": o.most_index,
+        "index": records.most_index,
     }
