--- a/sim/proxy.py
+++ b/sim/proxy.py
@@ -1,3 +1,5 @@
+"""A simulated proxy: the product's request path and upstream pool over simulated connections."""
+
 from __future__ import annotations
 
 import msgspec
@@ -27,33 +29,39 @@
 from sim.history import RunHistory
 from sim.replica import ReplicaNode
 
-_verdict = msgspec.msgpack.Decoder(LedgerResult).decode
-_heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
-_aged = msgspec.msgpack.Decoder(list[AgedHeartbeat]).decode
-_digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
-_names = msgspec.msgpack.Decoder(list[bytes]).decode
+_decode_ledger_result = msgspec.msgpack.Decoder(LedgerResult).decode
+_decode_heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
+_decode_aged_heartbeats = msgspec.msgpack.Decoder(list[AgedHeartbeat]).decode
+_decode_digest = msgspec.msgpack.Decoder(dict[str, tuple[int, int]]).decode
+_decode_names = msgspec.msgpack.Decoder(list[bytes]).decode
 decode = msgspec.msgpack.decode
-LATE = 20.0
+LATE_ANSWER_LIMIT_S = 20.0
 
 
 class SimConnection:
-    """One exchange at a time; an answer that comes late is read by whoever uses the connection next, as on a real one."""
+    """A connection to an upstream, with one exchange at a time.
+
+    As on a real connection, an answer that comes late is read by the next exchange.
+    """
 
     def __init__(self, node: Proxy, heartbeat: Heartbeat, life: int):
         self.node, self.heartbeat, self.life, self.since = node, heartbeat, life, node.now
         self.closed, self._then = False, None
 
     def close(self) -> None:
+        """Closes the connection; answers that come later are dropped."""
         self.closed = True
 
     def stale(self) -> bool:
-        n = self.node.world.nodes.get(self.heartbeat.address)
-        return n is not None and n.life != self.life
+        """Whether another process now runs at the upstream's address."""
+        node = self.node.world.nodes.get(self.heartbeat.address)
+        return node is not None and node.life != self.life
 
     def exchange(self, request: bytes, end: float, then) -> None:
+        """Sends a request; `then` gets the response or an error, at latest at `end`."""
         self._then = then
-        self.node.call(self.heartbeat.address, "run", request, LATE, self._arrived)
-        self.node.wake(max(0.001, end - self.node.now), lambda: self._ended(then))
+        self.node.call(self.heartbeat.address, "run", request, LATE_ANSWER_LIMIT_S, self._arrived)
+        self.node.wake(max(0.001, end - self.node.now), lambda: self._timed_out(then))
 
     def _arrived(self, data: bytes | None) -> None:
         if self.closed or data is None or self._then is None:
@@ -63,168 +71,186 @@
             return then(Err(f"{'garbage' if data == b'garbage' else 'broken'}: {data.decode()}"))
         then(Ok(UpstreamResponse(200, [], data, len(data), None, True)))
 
-    def _ended(self, then) -> None:
+    def _timed_out(self, then) -> None:
         if self._then is then:
             self._then = None
             then(Err("limit"))
 
 
 class BroadcastingRetryDetector(RetryDetector):
-    __slots__ = ("tell",)
+    """Sends each failure it records to the other proxies."""
+
+    __slots__ = ("broadcast",)
 
     def record_failure(self, name: bytes, now: float) -> None:
+        """Records a failed request and broadcasts its name."""
         super().record_failure(name, now)
-        self.tell(name)
+        self.broadcast(name)
 
 
 class Proxy(ReplicaNode):
-    """The proxy: its own path, pool, board and replica, over simulated connections."""
+    """A proxy with its own forwarder, upstream pool, heartbeat table and replica of the control state."""
 
     def __init__(self, world, addr, locality, controls, history: RunHistory, proxies):
         super().__init__(world, addr, "proxy", locality, controls)
         self.history, self.proxies = history, proxies
-        self.board, self.repeats = HeartbeatTable(), BroadcastingRetryDetector()
-        self.repeats.tell = lambda name: self._tell_others("failed", encode([name]))
-        self.pool = TenantUpstreamPool(self.board, self.replica, locality, self.rng, lambda: self.now, self._freed)
-        self.path = TenantForwarder(
+        self.heartbeats, self.retry_detector = HeartbeatTable(), BroadcastingRetryDetector()
+        self.retry_detector.broadcast = lambda name: self._broadcast("failed", encode([name]))
+        self.pool = TenantUpstreamPool(
+            self.heartbeats, self.replica, locality, self.rng, lambda: self.now, self._capacity_freed
+        )
+        self.forwarder = TenantForwarder(
             self.replica,
             self.pool,
-            self.repeats,
+            self.retry_detector,
             Counts(),
             lambda: self.now,
             locality,
             f"{addr}#{self.life}",
             lambda: f"{self.rng.getrandbits(64):x}",
         )
-        self._rooms: dict[str, list] = {}
-        self.every(0.2, self._watch)
-        self.every(1.0, self._digests)
+        self._capacity_waiters: dict[str, list] = {}
+        self.every(0.2, self._record_admission)
+        self.every(1.0, self._exchange_digest)
 
-    def _watch(self) -> None:
+    def _record_admission(self) -> None:
         if self.admits():
             self.history.admitted.append((self.now, self.addr, self.replica.revision, self.replica.group))
 
     def handle(self, kind, src, body, answer) -> None:
+        """Handles a client request, or a message of an upstream, another proxy or the control side."""
         match kind:
             case "request":
-                self._request(src, decode(body), answer)
+                self._receive_request(src, decode(body), answer)
             case "heartbeat":
-                self._heartbeat(_heartbeat(body), answer)
+                self._receive_heartbeat(_decode_heartbeat(body), answer)
             case "heartbeats":
-                self._merge(_aged(body))
+                self._merge(_decode_aged_heartbeats(body))
             case "digest":
-                answer(encode(self.board.newer_than(_digest(body), self.now)))
+                answer(encode(self.heartbeats.newer_than(_decode_digest(body), self.now)))
             case "failed":
-                for name in _names(body):
-                    RetryDetector.record_failure(self.repeats, name, self.now)
+                for name in _decode_names(body):
+                    RetryDetector.record_failure(self.retry_detector, name, self.now)
             case _:
                 super().handle(kind, src, body, answer)
 
-    def _request(self, src, r: list, answer) -> None:
-        id, key, n, tenant, method, target, limit, again, slow = r
+    def _receive_request(self, src, fields: list, answer) -> None:
+        id, key, attempt, tenant, method, target, limit, again, slow = fields
         headers = {"mallow-tenant": tenant, "mallow-limit": str(limit)}
         if key:
             headers["mallow-key"] = key
         if again:
             headers["mallow-again"] = "1"
-        mark = [id, key, n, tenant, target]
-        self._drive(self.path.handle(ClientRequest(method, target, headers, src.host)), None, mark, slow, answer)
+        request = [id, key, attempt, tenant, target]
+        self._drive(
+            self.forwarder.handle(ClientRequest(method, target, headers, src.host)), None, request, slow, answer
+        )
 
-    def _drive(self, steps, got, mark: list, slow: float, answer) -> None:
+    def _drive(self, steps, got, request: list, slow: float, answer) -> None:
+        """Runs the forwarder's next step as a simulated event, and continues with its result."""
         try:
-            s = steps.send(got)
-        except StopIteration as e:
-            return answer(encode(said(e.value)))
+            step = steps.send(got)
+        except StopIteration as stop:
+            return answer(encode(encoded_response(stop.value)))
 
-        def go(result) -> None:
-            self._drive(steps, result, mark, slow, answer)
+        def resume(result) -> None:
+            self._drive(steps, result, request, slow, answer)
 
-        match s:
+        match step:
             case ReadBody():
-                late = slow > s.end - self.now
+                body_too_late = slow > step.end - self.now
                 body = (
                     Err((408, "body", "did not arrive"))
-                    if late
-                    else Ok(mark[0].encode() if mark[1] == "" else mark[1].encode())
+                    if body_too_late
+                    else Ok(request[0].encode() if request[1] == "" else request[1].encode())
                 )
-                self.wake(min(slow, max(0.0, s.end - self.now)), lambda: go(body))
+                self.wake(min(slow, max(0.0, step.end - self.now)), lambda: resume(body))
             case ProposeCommand():
                 self.offer(
-                    encode(s.command),
-                    s.timeout_s,
-                    lambda t: go(_verdict(t.body) if t.body else LedgerResult("undecided")),
+                    encode(step.command),
+                    step.timeout_s,
+                    lambda response: resume(
+                        _decode_ledger_result(response.body) if response.body else LedgerResult("undecided")
+                    ),
                 )
             case ProposeInBackground():
-                self._insist(s, self.now + 10.0)
-                go(None)
+                self._propose_until_accepted(step, self.now + 10.0)
+                resume(None)
             case Sleep():
-                self.wake(s.delay_s, lambda: go(None))
+                self.wake(step.delay_s, lambda: resume(None))
             case WaitForCapacity():
-                self._rooms.setdefault(s.service, []).append(go)
-                self.wake(max(0.001, s.end - self.now), lambda: self._no_room(s.service, go))
+                self._capacity_waiters.setdefault(step.service, []).append(resume)
+                self.wake(max(0.001, step.end - self.now), lambda: self._capacity_timed_out(step.service, resume))
             case OpenConnection():
-                left = max(0.001, min(1.0, s.end - self.now))
-                self.call(s.heartbeat.address, "status", b"", left, lambda d: go(self._identify(s.heartbeat, d)))
+                left = max(0.001, min(1.0, step.end - self.now))
+                self.call(
+                    step.heartbeat.address,
+                    "status",
+                    b"",
+                    left,
+                    lambda data: resume(self._identify(step.heartbeat, data)),
+                )
             case ClientCheck():
-                go(CLIENT_LEFT if getattr(answer, "left", False) else None)
+                resume(CLIENT_LEFT if getattr(answer, "left", False) else None)
             case Exchange():
-                s.connection.exchange(encode([s.connection.life, *mark]), s.end, go)
+                step.connection.exchange(encode([step.connection.life, *request]), step.end, resume)
 
-    def _identify(self, b: Heartbeat, data: bytes | None) -> Result:
+    def _identify(self, heartbeat: Heartbeat, data: bytes | None) -> Result:
         if data is None:
             return Err("unreachable")
         service, instance, incarnation, life = decode(data)
-        if (service, instance, incarnation) != (b.service, b.instance, b.incarnation):
+        if (service, instance, incarnation) != (heartbeat.service, heartbeat.instance, heartbeat.incarnation):
             return Err("status: another upstream answers here")
-        return Ok(SimConnection(self, b, life))
+        return Ok(SimConnection(self, heartbeat, life))
 
-    def _freed(self, service: str) -> None:
-        for go in self._rooms.pop(service, []):
-            self.wake(0.0, lambda go=go: go(True))
+    def _capacity_freed(self, service: str) -> None:
+        for resume in self._capacity_waiters.pop(service, []):
+            self.wake(0.0, lambda resume=resume: resume(True))
 
-    def _no_room(self, service: str, go) -> None:
-        waiting = self._rooms.get(service, [])
-        if go in waiting:
-            waiting.remove(go)
-            go(False)
+    def _capacity_timed_out(self, service: str, resume) -> None:
+        waiting = self._capacity_waiters.get(service, [])
+        if resume in waiting:
+            waiting.remove(resume)
+            resume(False)
 
-    def _insist(self, s: ProposeInBackground, end: float) -> None:
-        def took(t) -> None:
-            if t.body and _verdict(t.body).state in s.accepted_states or self.now >= end:
+    def _propose_until_accepted(self, step: ProposeInBackground, end: float) -> None:
+        def answered(response) -> None:
+            if response.body and _decode_ledger_result(response.body).state in step.accepted_states or self.now >= end:
                 return
-            self.wake(0.5, lambda: self._insist(s, end))
+            self.wake(0.5, lambda: self._propose_until_accepted(step, end))
 
-        self.offer(encode(s.command), 2.0, took)
+        self.offer(encode(step.command), 2.0, answered)
 
-    def _heartbeat(self, b: Heartbeat, answer) -> None:
-        if b.service not in self.replica.tree.doc.services:
+    def _receive_heartbeat(self, heartbeat: Heartbeat, answer) -> None:
+        if heartbeat.service not in self.replica.tree.doc.services:
             return
-        if self.board.record(b, self.now):
-            self._tell_others("heartbeats", encode([AgedHeartbeat(b, 0.0)]))
+        if self.heartbeats.record(heartbeat, self.now):
+            self._broadcast("heartbeats", encode([AgedHeartbeat(heartbeat, 0.0)]))
         answer(b"ok")
 
-    def _merge(self, aged: list[AgedHeartbeat]) -> None:
-        for a in aged:
-            self.board.record(a.heartbeat, self.now, a.age_s)
+    def _merge(self, aged_heartbeats: list[AgedHeartbeat]) -> None:
+        for aged in aged_heartbeats:
+            self.heartbeats.record(aged.heartbeat, self.now, aged.age_s)
 
-    def _digests(self) -> None:
+    def _exchange_digest(self) -> None:
         self.pool.prune()
-        self.board.drop_expired(self.now)
-        others = [a for a in self.proxies() if a != self.addr]
+        self.heartbeats.drop_expired(self.now)
+        others = [address for address in self.proxies() if address != self.addr]
         if others:
             self.call(
                 self.rng.choice(others),
                 "digest",
-                encode(self.board.digest()),
+                encode(self.heartbeats.digest()),
                 1.0,
-                lambda d: d and self._merge(_aged(d)),
+                lambda data: data and self._merge(_decode_aged_heartbeats(data)),
             )
 
-    def _tell_others(self, kind: str, body: bytes) -> None:
-        for a in self.proxies():
-            if a != self.addr:
-                self.cast(a, kind, body)
+    def _broadcast(self, kind: str, body: bytes) -> None:
+        for address in self.proxies():
+            if address != self.addr:
+                self.cast(address, kind, body)
 
 
-def said(r: ProxyResponse) -> list:
-    return ["answer", r.answer.body] if r.answer is not None else [r.outcome, b""]
+def encoded_response(response: ProxyResponse) -> list:
+    """The outcome and body of a response, in the form that simulated clients decode."""
+    return ["answer", response.answer.body] if response.answer is not None else [response.outcome, b""]
--- a/sim/upstream.py
+++ b/sim/upstream.py
@@ -1,3 +1,5 @@
+"""A simulated upstream that sends heartbeats to proxies and executes requests."""
+
 from __future__ import annotations
 
 import msgspec
@@ -9,11 +11,11 @@
 
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.decode
-WORK = 0.02
+WORK_S = 0.02
 
 
 class SimulatedUpstream(SimulatedNode):
-    """Heartbeats, runs what comes over its connections, and may lose, garble, halve or delay its answers."""
+    """Executes the requests of its connections; may lose, corrupt, truncate or delay its answers."""
 
     def __init__(
         self,
@@ -30,16 +32,18 @@
         self.history, self.service, self.instance, self.locality = history, service, instance, locality
         self.proxies, self.answer_loss_ratio = proxies, answer_loss_ratio
         self.born, self.incarnation, self.sequence = world.now, self.life, 0
-        self.state, self.busy, self.work = "ready", 0, WORK
+        self.state, self.busy, self.work = "ready", 0, WORK_S
         self.fault, self.share = "", 0.0
-        self.learned = False
+        self.leaving_acknowledged = False
         self._heartbeat()
 
     def leave(self) -> None:
+        """Announces leaving until a proxy acknowledges it."""
         self.state = "leaving"
-        self._tell()
+        self._send_heartbeat()
 
     def handle(self, kind, src, body, answer) -> None:
+        """Answers identity checks and executes requests."""
         match kind:
             case "status":
                 answer(encode([self.service, self.instance, self.incarnation, self.life]))
@@ -48,12 +52,12 @@
 
     def _heartbeat(self) -> None:
         if self.state == "ready":
-            self._tell()
+            self._send_heartbeat()
             self.wake(1.0 + self.world.rng.random(), self._heartbeat)
 
-    def _tell(self) -> None:
+    def _send_heartbeat(self) -> None:
         self.sequence += 1
-        b = Heartbeat(
+        heartbeat = Heartbeat(
             self.service,
             self.instance,
             self.incarnation,
@@ -64,18 +68,18 @@
             self.addr,
         )
         state = self.state
-        for a in self.world.rng.sample(self.proxies(), min(2, len(self.proxies()))):
-            self.call(a, "heartbeat", encode(b), 0.5, lambda d: self._heard(state, d))
+        for address in self.world.rng.sample(self.proxies(), min(2, len(self.proxies()))):
+            self.call(address, "heartbeat", encode(heartbeat), 0.5, lambda d: self._acknowledged(state, d))
         if self.state == "leaving":
-            self.wake(0.5, lambda: self.learned or self._tell())
+            self.wake(0.5, lambda: self.leaving_acknowledged or self._send_heartbeat())
 
-    def _heard(self, state: str, data: bytes | None) -> None:
-        if data is not None and state == "leaving" and not self.learned:
-            self.learned = True
+    def _acknowledged(self, state: str, data: bytes | None) -> None:
+        if data is not None and state == "leaving" and not self.leaving_acknowledged:
+            self.leaving_acknowledged = True
             self.history.left.append(UpstreamDeparture(self.now, self.instance, self.incarnation))
 
-    def _run(self, r: list, answer) -> None:
-        life, id, key, n, tenant, target = r
+    def _run(self, fields: list, answer) -> None:
+        life, id, key, attempt, tenant, target = fields
         if life != self.life:
             return answer(b"reset")
         self.busy += 1
@@ -84,7 +88,7 @@
                 self.now,
                 id,
                 key,
-                n,
+                attempt,
                 tenant,
                 target,
                 self.service,
@@ -95,7 +99,7 @@
             )
         )
         if key:
-            self.history.ran.append((self.now, key, n))
+            self.history.ran.append((self.now, key, attempt))
         if self.now - self.born < 2.0:
             self.history.cold.append(
                 ColdRequest(self.now, self.instance, self.incarnation, self.now - self.born, self.busy)
@@ -106,13 +110,13 @@
         self.busy -= 1
         if self.world.rng.random() < self.answer_loss_ratio:
             return None
-        whole = encode([id, target, self.service])
+        complete = encode([id, target, self.service])
         if not self.fault or self.world.rng.random() >= self.share:
-            return answer(whole)
+            return answer(complete)
         match self.fault:
             case "garbage":
                 answer(b"garbage")
             case "half":
                 answer(b"half")
             case "late":
-                self.wake(6.0, lambda: answer(whole))
+                self.wake(6.0, lambda: answer(complete))
