--- a/sim/control_api.py
+++ b/sim/control_api.py
@@ -1,7 +1,7 @@
-"""A core machine with its pages: the steps that the daemon's tasks take for a call, over simulated messages.
+"""A core node with its HTTP API: the steps of the daemon's tasks for each request, over simulated messages.
 
-The pages under `mallowvalve/control` wait in greenlets; here the same steps are callbacks around the same machines
-(`Core`, `Items`, `PlainCoordination`, `LivenessTracker`), with the pages' own limits.
+The handlers under `mallowvalve/control` block in greenlets. Here the same steps are callbacks around the same state
+machines (`Core`, `Items`, `PlainCoordination`, `LivenessTracker`), with the handlers' own limits.
 """
 
 from __future__ import annotations
@@ -28,16 +28,17 @@
 from sim.pages import CONFLICT, INVALID, OK, REDIRECT, UNAVAILABLE, UNDECIDED, Answer
 from sim.world import CallReply
 
-READ_LIMIT = 2.0
-HEARTBEAT = 1.0
-AGAIN_AFTER, SLACK = 0.05, 0.5
-_word = http_plain._word
-_heard = registry_task._heard
+READ_LIMIT_S = 2.0
+HEARTBEAT_INTERVAL_S = 1.0
+RETRY_DELAY_S = 0.05
+ANSWER_SLACK_S = 0.5
+_decode_result = http_plain._word
+_decode_heard = registry_task._heard
 Then = Callable[[CommandResponse], None]
 
 
 class ControlApiNode(ControlNode):
-    """A `ControlNode` that also answers the pages of operators, applications and upstreams."""
+    """A `ControlNode` that also answers API requests of operators, applications and upstreams."""
 
     acks, times = (
         Acks(settings="held", coordination="commit"),
@@ -46,14 +47,15 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.liveness = LivenessTracker(HEARTBEAT)
-        self._touched = self.now
-        self._reported, self._told = 0.0, None
-        self._judging = self._reporting = False
+        self.liveness = LivenessTracker(HEARTBEAT_INTERVAL_S)
+        self._last_contact = self.now
+        self._last_report, self._reported_to = 0.0, None
+        self._proposing_silent = self._reporting = False
         self.session = Session(lambda: self.rng.getrandbits(64))
-        self.every(registry_task.JUDGE, self._look_at_upstreams)
+        self.every(registry_task.JUDGE, self._check_upstreams)
 
     def handle(self, kind, src, body, answer) -> None:
+        """Handles an API request, a heartbeat report of another control process, or a `ControlNode` message."""
         match kind:
             case "page":
                 self._page(pages.page(body), PageReply(answer))
@@ -62,320 +64,332 @@
             case _:
                 super().handle(kind, src, body, answer)
 
-    def _page(self, p: pages.Page, say: Callable[[Answer], None]) -> None:
-        match p:
-            case pages.PatchItems() | pages.TurnZone() | pages.Coordinate() if _has_left(say):
+    def _page(self, page: pages.Page, reply: Callable[[Answer], None]) -> None:
+        match page:
+            case pages.PatchItems() | pages.TurnZone() | pages.Coordinate() if _has_left(reply):
                 self.core.counts.add("web_client_left")
             case pages.PatchItems():
-                self._patch(Amend(p.items), say)
+                self._patch(Amend(page.items), reply)
             case pages.TurnZone():
-                self._turn_zone(Evacuate(p.zone, p.on), say)
+                self._turn_zone(Evacuate(page.zone, page.on), reply)
             case pages.ReadSettings():
-                self._confirmed(READ_LIMIT, say, self._settings)
+                self._confirm(READ_LIMIT_S, reply, self._settings)
             case pages.Coordinate():
-                self._coordinate(p.command, say)
+                self._coordinate(page.command, reply)
             case pages.ReadCell():
-                self._confirmed_again(self.now + http_plain.LIMIT, say, lambda: self._cell(p.name))
+                self._confirm_with_retries(self.now + http_plain.LIMIT, reply, lambda: self._read_key(page.name))
             case pages.Watch():
-                self._watch(p, say)
+                self._watch(page, reply)
             case pages.Beat():
-                self._beat(p.upstream, say)
+                self._heartbeat(page.upstream, reply)
             case pages.End():
-                self._end(p.upstream, say)
+                self._end(page.upstream, reply)
 
-    def _may_begin(self, say: Callable[[Answer], None]) -> bool:
-        """As `page_offer.may_begin`: out of touch for long, it sends its callers on."""
+    def _may_begin(self, reply: Callable[[Answer], None]) -> bool:
+        """Redirects the caller if this node has been out of contact for too long, as `page_offer.may_begin` does."""
         if self.core.may_answer(Lease.CALL, self.now):
             return True
-        others = [a for a in self.peers() if a in self.seeds and a != self.addr]
-        say(Answer(REDIRECT, b"", self.rng.choice(others)) if others else Answer(UNAVAILABLE))
+        others = [address for address in self.peers() if address in self.seeds and address != self.addr]
+        reply(Answer(REDIRECT, b"", self.rng.choice(others)) if others else Answer(UNAVAILABLE))
         return False
 
     # Operators.
 
-    def _patch(self, c: Amend, say) -> None:
-        s = self.core.state
-        if s is not None and http_items._refusal(s.items, c) is not None:
-            return self._confirmed(READ_LIMIT, say, lambda: self._judged(c, say))
-        if s is not None and not s.items.has_newer(c):
-            c = Amend([])
-        self._order(c, say)
+    def _patch(self, command: Amend, reply) -> None:
+        state = self.core.state
+        if state is not None and http_items._refusal(state.items, command) is not None:
+            return self._confirm(READ_LIMIT_S, reply, lambda: self._refusal_or_propose(command, reply))
+        if state is not None and not state.items.has_newer(command):
+            command = Amend([])
+        self._propose_update(command, reply)
 
-    def _judged(self, c: Amend, say) -> Answer | None:
-        refusal = http_items._refusal(self.core.state.items, c)
-        return Answer(refusal[0]) if refusal is not None else self._order(c, say)
+    def _refusal_or_propose(self, command: Amend, reply) -> Answer | None:
+        refusal = http_items._refusal(self.core.state.items, command)
+        return Answer(refusal[0]) if refusal is not None else self._propose_update(command, reply)
 
-    def _order(self, c: Amend | Evacuate, say, effect: float | None = None) -> None:
-        if not self._may_begin(say):
+    def _propose_update(self, command: Amend | Evacuate, reply, effect: float | None = None) -> None:
+        if not self._may_begin(reply):
             return
 
-        def took(t: CommandResponse) -> None:
-            if t.code == Code.OK:
-                say(Answer(OK))
-            elif t.code == Code.INVALID:
-                say(Answer(INVALID))
-            elif t.code == Code.CONFLICT:
-                say(Answer(CONFLICT))
+        def answered(response: CommandResponse) -> None:
+            if response.code == Code.OK:
+                reply(Answer(OK))
+            elif response.code == Code.INVALID:
+                reply(Answer(INVALID))
+            elif response.code == Code.CONFLICT:
+                reply(Answer(CONFLICT))
             else:
-                say(self._rejected(t))
+                reply(self._rejected(response))
 
-        self.offer(encode_command(c), LIMIT, ATTEMPT, took, effect)
+        self.offer(encode_command(command), LIMIT, ATTEMPT, answered, effect)
 
-    def _turn_zone(self, c: Evacuate, say) -> None:
-        """As `http_items.EvacuatedZone.turn`: offered once the caller's connection has stood for a while."""
+    def _turn_zone(self, command: Evacuate, reply) -> None:
+        """Proposes once the caller's connection has stayed open a while, as `http_items.EvacuatedZone.turn` does."""
 
         def offered() -> None:
-            if not _has_left(say):
-                self._order(c, say, http_items.EFFECT - http_items.STANDS)
+            if not _has_left(reply):
+                self._propose_update(command, reply, http_items.EFFECT - http_items.STANDS)
 
         self.wake(http_items.STANDS, offered)
 
-    def _rejected(self, t: CommandResponse) -> Answer:
-        return Answer(UNAVAILABLE if t.code in NOT_APPLIED else UNDECIDED, b"", t.leader)
+    def _rejected(self, response: CommandResponse) -> Answer:
+        return Answer(UNAVAILABLE if response.code in NOT_APPLIED else UNDECIDED, b"", response.leader)
 
     def _settings(self) -> Answer:
-        s = self.core.state
-        rows = [i for i in s.items.rows.values() if i.doc is not None]
-        states = {u.instance: u.state for u in s.registry.rows.values()}
-        return Answer(OK, pages.encode(pages.SettingsSeen(rows, sorted(s.settings.evacuated), states)))
+        state = self.core.state
+        rows = [i for i in state.items.rows.values() if i.doc is not None]
+        states = {upstream.instance: upstream.state for upstream in state.registry.rows.values()}
+        return Answer(OK, pages.encode(pages.SettingsSeen(rows, sorted(state.settings.evacuated), states)))
 
     # Plain coordination.
 
-    def _coordinate(self, c, say) -> None:
-        if not self._may_begin(say):
+    def _coordinate(self, command, reply) -> None:
+        if not self._may_begin(reply):
             return
 
-        def took(t: CommandResponse) -> None:
-            if t.code != Code.OK:
-                return say(self._rejected(t))
-            w: PlainResult = _word(t.body)
-            say(Answer(OK if w.code == "ok" else CONFLICT, t.body))
+        def answered(response: CommandResponse) -> None:
+            if response.code != Code.OK:
+                return reply(self._rejected(response))
+            result: PlainResult = _decode_result(response.body)
+            reply(Answer(OK if result.code == "ok" else CONFLICT, response.body))
 
-        self.offer(encode_command(c), http_plain.LIMIT, http_plain.ATTEMPT, took)
+        self.offer(encode_command(command), http_plain.LIMIT, http_plain.ATTEMPT, answered)
 
-    def _cell(self, name: str) -> Answer:
+    def _read_key(self, name: str) -> Answer:
         value, revision = self.core.state.plain.keys.get(name, (None, 0))
         return Answer(OK, pages.encode(pages.CellSeen(value, revision)))
 
-    def _watch(self, p: pages.Watch, say) -> None:
-        if self.core.state is not None and p.after and self.core.current(self.now):
-            return say(self._events(p))
-        self._confirmed_again(self.now + http_plain.LIMIT, say, lambda: self._events(p))
+    def _watch(self, page: pages.Watch, reply) -> None:
+        if self.core.state is not None and page.after and self.core.current(self.now):
+            return reply(self._events(page))
+        self._confirm_with_retries(self.now + http_plain.LIMIT, reply, lambda: self._events(page))
 
-    def _events(self, p: pages.Watch) -> Answer:
+    def _events(self, page: pages.Watch) -> Answer:
         plain = self.core.state.plain
-        if p.after == 0 and plain.revision(p.group):
-            return Answer(OK, pages.encode(pages.Events([], plain.revision(p.group))))
-        got = plain.events_since(p.group, p.after)
-        if got is None:
-            return Answer(OK, pages.encode(pages.Events([], plain.revision(p.group), True)))
-        if got[1] < p.after:
+        if page.after == 0 and plain.revision(page.group):
+            return Answer(OK, pages.encode(pages.Events([], plain.revision(page.group))))
+        events = plain.events_since(page.group, page.after)
+        if events is None:
+            return Answer(OK, pages.encode(pages.Events([], plain.revision(page.group), True)))
+        if events[1] < page.after:
             return Answer(UNAVAILABLE)
-        return Answer(OK, pages.encode(pages.Events(*got)))
+        return Answer(OK, pages.encode(pages.Events(*events)))
 
     # Upstreams.
 
-    def _beat(self, u: Upstream, say) -> None:
-        s = self.core.state
-        if s is None:
-            return say(Answer(UNAVAILABLE))
-        c = self.liveness.observe(u, s.registry, self.liveness.fleet_time_ms(s.clock, self.now), self.now)
-        if c is None:
-            return say(Answer(OK) if self._in_touch() else self._unsure())
-        if c.instance not in s.registry.rows and s.registry.full(c.service):
-            return say(Answer(UNAVAILABLE))
-        self._notice(c, say, c.state == "leaving")
-
-    def _end(self, u: Upstream, say) -> None:
-        s = self.core.state
-        if s is None:
-            return say(Answer(UNAVAILABLE))
-        row = s.registry.rows.get(u.instance)
+    def _heartbeat(self, upstream: Upstream, reply) -> None:
+        state = self.core.state
+        if state is None:
+            return reply(Answer(UNAVAILABLE))
+        command = self.liveness.observe(
+            upstream, state.registry, self.liveness.fleet_time_ms(state.clock, self.now), self.now
+        )
+        if command is None:
+            return reply(Answer(OK) if self._in_touch() else self._no_answer())
+        if command.instance not in state.registry.rows and state.registry.full(command.service):
+            return reply(Answer(UNAVAILABLE))
+        self._notice(command, reply, command.state == "leaving")
+
+    def _end(self, upstream: Upstream, reply) -> None:
+        state = self.core.state
+        if state is None:
+            return reply(Answer(UNAVAILABLE))
+        row = state.registry.rows.get(upstream.instance)
         known = row is not None and row.state == "gone" and self.liveness.is_acknowledged(row)
         if known and self.core.may_answer(Lease.NOTICE, self.now):
-            return say(Answer(OK))
-        self._notice(u, say, True)
+            return reply(Answer(OK))
+        self._notice(upstream, reply, True)
 
-    def _notice(self, u: Upstream, say, noted: bool) -> None:
-        def took(t: CommandResponse) -> None:
-            if t.code != Code.OK:
-                return say(self._unsure())
-            if noted:
-                self.liveness.mark_acknowledged(u)
-            say(Answer(OK))
+    def _notice(self, upstream: Upstream, reply, acknowledged: bool) -> None:
+        def answered(response: CommandResponse) -> None:
+            if response.code != Code.OK:
+                return reply(self._no_answer())
+            if acknowledged:
+                self.liveness.mark_acknowledged(upstream)
+            reply(Answer(OK))
 
         self.offer(
-            encode_command(Registered([u])), registry_task.LIMIT - registry_task.GATHER, registry_task.ATTEMPT, took
+            encode_command(Registered([upstream])),
+            registry_task.LIMIT - registry_task.GATHER,
+            registry_task.ATTEMPT,
+            answered,
         )
 
     def _in_touch(self) -> bool:
-        told = self.core.leads or lease.is_valid(Lease.HEARTBEAT, self._touched, self.now)
-        return told and self.core.may_answer(Lease.HEARTBEAT, self.now)
+        in_contact = self.core.leads or lease.is_valid(Lease.HEARTBEAT, self._last_contact, self.now)
+        return in_contact and self.core.may_answer(Lease.HEARTBEAT, self.now)
 
-    def _unsure(self) -> Answer:
-        others = [a for a in self.peers() if a in self.seeds and a != self.addr]
+    def _no_answer(self) -> Answer:
+        others = [address for address in self.peers() if address in self.seeds and address != self.addr]
         if self.core.may_answer(Lease.HEARTBEAT, self.now) or not others:
             return Answer(UNAVAILABLE)
         return Answer(REDIRECT, b"", self.rng.choice(others))
 
-    def _look_at_upstreams(self) -> None:
-        s = self.core.state
-        if s is None:
+    def _check_upstreams(self) -> None:
+        state = self.core.state
+        if state is None:
             return None
-        self.liveness.fleet_time_ms(s.clock, self.now)
-        self.liveness.prune(s.registry, self.now)
+        self.liveness.fleet_time_ms(state.clock, self.now)
+        self.liveness.prune(state.registry, self.now)
         if self.core.leads:
-            self._touched = self.now
-            return self._judge_upstreams(s.registry)
+            self._last_contact = self.now
+            return self._propose_silent(state.registry)
         self.liveness.stop_judging()
-        due = self.now - self._reported >= registry_task.REPORT
+        due = self.now - self._last_report >= registry_task.REPORT
         if due and not self._reporting and self.core.leader() is not None:
             self._report(self.core.leader())
 
-    def _judge_upstreams(self, registry) -> None:
-        c = self.liveness.detect_silent(registry, self.now)
-        if c is None or self._judging:
+    def _propose_silent(self, registry) -> None:
+        command = self.liveness.detect_silent(registry, self.now)
+        if command is None or self._proposing_silent:
             return
-        self._judging = True
+        self._proposing_silent = True
 
-        def took(_: CommandResponse) -> None:
-            self._judging = False
+        def answered(_: CommandResponse) -> None:
+            self._proposing_silent = False
 
-        self.offer(encode_command(c), registry_task.LIMIT, registry_task.ATTEMPT, took)
+        self.offer(encode_command(command), registry_task.LIMIT, registry_task.ATTEMPT, answered)
 
     def _report(self, to: Address) -> None:
         now = self.now
-        since = self._reported if to == self._told else now - self.liveness.silence_timeout_s
+        since = self._last_report if to == self._reported_to else now - self.liveness.silence_timeout_s
         self._reporting = True
 
-        def heard(data: bytes | None) -> None:
+        def answered(data: bytes | None) -> None:
             self._reporting = False
             if data == registry_task.TAKEN:
-                self._told, self._reported, self._touched = to, now, now
+                self._reported_to, self._last_report, self._last_contact = to, now, now
             else:
-                self._told = None
+                self._reported_to = None
 
         body = pages.encode(self.liveness.report(since, now))
-        self.call(to, "heard", body, registry_task.REPORT, heard)
+        self.call(to, "heard", body, registry_task.REPORT, answered)
 
     def _on_heard(self, body: bytes) -> bytes:
-        heard: list[HeardInstance] = _heard(body)
+        reported: list[HeardInstance] = _decode_heard(body)
         if not self.core.leads or not self.core.may_answer(Lease.HEARTBEAT, self.now):
             return b""
-        self.liveness.merge_report(heard, self.now)
+        self.liveness.merge_report(reported, self.now)
         return registry_task.TAKEN
 
-    # What the daemon's task does for all pages.
+    # What the daemon's task does for all requests.
 
     def offer(self, command: bytes, limit: float, attempt: float, then: Then, effect: float | None = None) -> None:
-        """As `ControlTask.offer`: to whoever leads until the limit (s); what may have run never ends as refused."""
+        """Proposes to the leader with retries for `limit` seconds, as `ControlTask.offer` does.
+
+        A command that may have been applied never ends as refused.
+        """
         call = Call(self.session, command, self.now + (effect or limit))
-        self._offer_again(call, self.now + limit, attempt, CommandResponse(Code.LEADER), then)
+        self._offer_with_retries(call, self.now + limit, attempt, CommandResponse(Code.LEADER), then)
 
-    def _offer_again(self, call: Call, end: float, attempt: float, last: CommandResponse, then: Then) -> None:
+    def _offer_with_retries(self, call: Call, end: float, attempt: float, last: CommandResponse, then: Then) -> None:
         left = end - self.now
         if left <= 0:
             return then(call.ended(last, RETRYABLE))
 
-        def heard(answer: CommandResponse) -> None:
-            t = call.heard(answer, self.now)
-            if t.code not in RETRYABLE or call.is_over(self.now):
-                return then(call.ended(t, RETRYABLE))
-            self.wake(AGAIN_AFTER, lambda: self._offer_again(call, end, attempt, t, then))
+        def answered(answer: CommandResponse) -> None:
+            response = call.heard(answer, self.now)
+            if response.code not in RETRYABLE or call.is_over(self.now):
+                return then(call.ended(response, RETRYABLE))
+            self.wake(RETRY_DELAY_S, lambda: self._offer_with_retries(call, end, attempt, response, then))
 
-        self._offer_once(call.data(self.core.clock.estimate(self.now), self.now), min(left, attempt), heard)
+        self._offer_once(call.data(self.core.clock.estimate(self.now), self.now), min(left, attempt), answered)
 
-    def _offer_once(self, command: bytes, limit: float, heard: Then) -> None:
+    def _offer_once(self, command: bytes, limit: float, answered: Then) -> None:
         body = wire.encode(wire.CommandRequest(command, limit))
 
-        def local(t: CommandResponse) -> None:
-            if t.code != Code.LEADER or t.leader in (None, self.addr):
-                return heard(t)
-            self.call(t.leader, "offer", body, limit, lambda d: heard(_took(d)))
+        def local(response: CommandResponse) -> None:
+            if response.code != Code.LEADER or response.leader in (None, self.addr):
+                return answered(response)
+            self.call(response.leader, "offer", body, limit, lambda data: answered(_decode_response(data)))
 
         if self.core.raft is None:
-            others = [a for a in self.seeds if a != self.addr]
+            others = [address for address in self.seeds if address != self.addr]
             return local(CommandResponse(Code.LEADER, leader=self.rng.choice(others)))
-        self._ask_own(lambda token: self.core.propose(command, token, self.now + limit, self.now), limit, local)
+        self._ask_core(lambda token: self.core.propose(command, token, self.now + limit, self.now), limit, local)
 
-    def _ask_own(self, act: Callable, limit: float, then: Then) -> None:
-        """Gives the own machine something to answer; nothing in time is undecided."""
-        open_ = [True]
+    def _ask_core(self, act: Callable, limit: float, then: Then) -> None:
+        """Runs an action on this node's core; without an answer in time the outcome is undecided."""
+        unanswered = [True]
 
-        def once(t: CommandResponse) -> None:
-            if open_:
-                open_.clear()
-                then(t)
+        def once(response: CommandResponse) -> None:
+            if unanswered:
+                unanswered.clear()
+                then(response)
 
-        self._enqueue(lambda: act(lambda data: once(_took(data))))
-        self.wake(limit + SLACK, lambda: once(CommandResponse(Code.UNDECIDED)))
+        self._enqueue(lambda: act(lambda data: once(_decode_response(data))))
+        self.wake(limit + ANSWER_SLACK_S, lambda: once(CommandResponse(Code.UNDECIDED)))
 
     def _read_once(self, limit: float, then: Then) -> None:
-        """As `ControlTask.read`: confirmed by whoever leads, then waited for until it is applied here."""
+        """Confirms a revision with the leader and waits until it is applied here, as `ControlTask.read` does."""
         end = self.now + limit
 
-        def applied(t: CommandResponse) -> None:
-            if t.code != Code.OK or self.core.state is not None and self.core.state.revision >= t.revision:
-                return then(t)
+        def applied(response: CommandResponse) -> None:
+            if (
+                response.code != Code.OK
+                or self.core.state is not None
+                and self.core.state.revision >= response.revision
+            ):
+                return then(response)
             if self.now > end:
                 return then(CommandResponse(Code.UNDECIDED))
-            self.wake(0.01, lambda: applied(t))
+            self.wake(0.01, lambda: applied(response))
 
-        def local(t: CommandResponse) -> None:
-            if t.code != Code.LEADER or t.leader in (None, self.addr):
-                return then(t)
-            self.call(t.leader, "read", b"", limit, lambda d: applied(_took(d)))
+        def local(response: CommandResponse) -> None:
+            if response.code != Code.LEADER or response.leader in (None, self.addr):
+                return then(response)
+            self.call(response.leader, "read", b"", limit, lambda data: applied(_decode_response(data)))
 
-        self._ask_own(lambda token: self.core.read(token, self.now + limit, self.now), limit, local)
+        self._ask_core(lambda token: self.core.read(token, self.now + limit, self.now), limit, local)
 
-    def _confirmed(self, limit: float, say, show: Callable[[], Answer | None]) -> None:
-        if not self._may_begin(say):
+    def _confirm(self, limit: float, reply, show: Callable[[], Answer | None]) -> None:
+        if not self._may_begin(reply):
             return
 
-        def took(t: CommandResponse) -> None:
-            a = show() if t.code == Code.OK and self.core.state is not None else self._rejected(t)
-            if a is not None:
-                say(a)
+        def answered(response: CommandResponse) -> None:
+            answer = show() if response.code == Code.OK and self.core.state is not None else self._rejected(response)
+            if answer is not None:
+                reply(answer)
 
-        self._read_once(limit, took)
+        self._read_once(limit, answered)
 
-    def _confirmed_again(self, end: float, say, show: Callable[[], Answer]) -> None:
-        """As `http_plain.Page.confirm`: asked again until the limit."""
-        if not self._may_begin(say):
+    def _confirm_with_retries(self, end: float, reply, show: Callable[[], Answer]) -> None:
+        """Confirms a read with retries until the limit, as `http_plain.Page.confirm` does."""
+        if not self._may_begin(reply):
             return
         left = end - self.now
 
-        def took(t: CommandResponse) -> None:
-            if t.code == Code.OK and self.core.state is not None:
-                return say(show())
+        def answered(response: CommandResponse) -> None:
+            if response.code == Code.OK and self.core.state is not None:
+                return reply(show())
             if end - self.now <= http_plain.PAUSE:
-                return say(self._rejected(t))
-            self.wake(http_plain.PAUSE, lambda: self._confirmed_again(end, say, show))
+                return reply(self._rejected(response))
+            self.wake(http_plain.PAUSE, lambda: self._confirm_with_retries(end, reply, show))
 
-        self._read_once(min(left, http_plain.ATTEMPT), took)
+        self._read_once(min(left, http_plain.ATTEMPT), answered)
 
 
 class PageReply:
-    """Answers one call of a page."""
+    """Answers one API request."""
 
     __slots__ = ("_reply",)
 
     def __init__(self, reply: CallReply):
-        """`reply` takes the answer to the caller."""
+        """`reply` returns the encoded answer to the caller."""
         self._reply = reply
 
-    def __call__(self, a: Answer) -> None:
-        """Answer the call."""
-        self._reply(pages.encode(a))
+    def __call__(self, answer: Answer) -> None:
+        """Sends the answer."""
+        self._reply(pages.encode(answer))
 
     def left(self) -> bool:
-        """Whether the caller has closed the connection, as `web.client_left` sees it."""
+        """Whether the caller has closed the connection, as `web.client_left` detects it."""
         return self._reply.left
 
 
-def _has_left(say: Callable[[Answer], None]) -> bool:
-    return isinstance(say, PageReply) and say.left()
+def _has_left(reply: Callable[[Answer], None]) -> bool:
+    return isinstance(reply, PageReply) and reply.left()
 
 
-def _took(data: bytes | None) -> CommandResponse:
+def _decode_response(data: bytes | None) -> CommandResponse:
     return wire.decode_command_response(data) if data is not None else CommandResponse(Code.UNDECIDED)
--- a/sim/worst_days.py
+++ b/sim/worst_days.py
@@ -242,8 +242,8 @@
 }
 
 
-# Days with member losses set their own `cores`. They assume that a core is safe again `CATCH_UP_S` after a repair, which
-# requires healthy links: there, only second copies of messages are late. On other days some messages only come late.
+# Days with member losses set their own `cores`. They assume that a core is safe again `CATCH_UP_S` after a repair,
+# which requires healthy links: there, only second copies of messages are late. On other days some only come late.
 def play_day(name: str, seed: int, cores: int | None = None) -> tuple[list[str], dict[str, int]]:
     """Runs one seeded day; returns its findings and figures."""
     day = DAYS[name]
