--- a/tests/test_worst_days.py
+++ b/tests/test_worst_days.py
@@ -1,4 +1,4 @@
-"""The control side's worst days under fixed seeds, and each day with a breach planted that it must find."""
+"""The days of sim/worst_days.py under fixed seeds: no findings, and each finds the fault planted into it."""
 
 from concurrent.futures import ProcessPoolExecutor
 
@@ -9,8 +9,9 @@
 
 SEED = 11
 JOBS = 8
-# A watcher happened to stay at the cut machine; a zone was given back while its first order lay in a frozen one.
-SEED_OF = {plants.watches_unconfirmed: 14, plants.callers_gone_served: 16}
+# Faults that only some seeds expose: a watcher must stay at the isolated node, and a zone's evacuation must end while
+# its first update waits at a frozen node.
+SEED_BY_FAULT = {plants.watches_unconfirmed: 14, plants.callers_gone_served: 16}
 PLANTED = (
     ("races", plants.conflicts_confirmed, "contents were confirmed"),
     ("cut_follower_both", plants.reads_unconfirmed, "was confirmed before"),
@@ -41,7 +42,7 @@
 
 @pytest.fixture(scope="module")
 def planted(pool):
-    return {p: pool.submit(plants.play_planted, p[1], p[0], SEED_OF.get(p[1], SEED)) for p in PLANTED}
+    return {p: pool.submit(plants.play_planted, p[1], p[0], SEED_BY_FAULT.get(p[1], SEED)) for p in PLANTED}
 
 
 @pytest.mark.parametrize("day", DAYS)
