--- a/sim/control.py
+++ b/sim/control.py
@@ -232,12 +232,18 @@
         if self.core.raft is None:
             return
         present = set(self.peers()) - self.world.frozen.keys()
-        at = {a for a in self.core.raft.log.configuration.members().values() if a not in present}
-        self._absent_since = {a: self._absent_since.get(a, self.now) for a in at}
-        failed = [a for a, since in self._absent_since.items() if self.now - since >= FAILURE_DETECTION_S]
+        absent = {address for address in self.core.raft.log.configuration.members().values() if address not in present}
+        self._absent_since = {address: self._absent_since.get(address, self.now) for address in absent}
+        failed = [address for address, since in self._absent_since.items() if self.now - since >= FAILURE_DETECTION_S]
         boots = {s.addr: s.boot for s in sorted(self.core.seen.values(), key=lambda s: s.at)}
-        reassigned = {a for a in present if a in self.world.nodes and not isinstance(self.world.nodes[a], ControlNode)}
-        self._enqueue(lambda: self.core.members.verdicts({a: boots.get(a, 0) for a in failed}, reassigned))
+        reassigned = {
+            address
+            for address in present
+            if address in self.world.nodes and not isinstance(self.world.nodes[address], ControlNode)
+        }
+        self._enqueue(
+            lambda: self.core.members.verdicts({address: boots.get(address, 0) for address in failed}, reassigned)
+        )
 
     def leave(self, limit: float) -> None:
         """Stops as the daemon does: transfers leadership, announces the leave, ends within `limit` seconds."""
--- a/sim/core_fleet.py
+++ b/sim/core_fleet.py
@@ -177,15 +177,15 @@
 
     def watch_catch_up(self, catch_up: CatchUp) -> None:
         """Records when the node reaches the index; the record is dropped if the node ends before."""
-        life = self.world.nodes[catch_up.machine].life
+        life = self.world.nodes[catch_up.node].life
 
         def check() -> None:
-            node = self.world.nodes.get(catch_up.machine)
+            node = self.world.nodes.get(catch_up.node)
             if node is None or node.life != life:
                 if catch_up in self.orders.catch_ups:
                     self.orders.catch_ups.remove(catch_up)
                 return
-            if self._index(catch_up.machine) >= catch_up.index:
+            if self._index(catch_up.node) >= catch_up.index:
                 catch_up.ended = self.world.now
                 return
             self.world.after(0.05, check)
--- a/sim/fleet.py
+++ b/sim/fleet.py
@@ -105,14 +105,21 @@
         self.start(new)
         return new
 
-    def upstream(self, instance: str, a: Address) -> SimulatedUpstream:
+    def upstream(self, instance: str, address: Address) -> SimulatedUpstream:
         """Starts a new incarnation of an upstream at this address, in place of whatever ran there."""
-        if self.world.up(a):
-            self.world.nodes[a].crash()
-        self.upstreams[instance] = a
+        if self.world.up(address):
+            self.world.nodes[address].crash()
+        self.upstreams[instance] = address
         service = instance.partition("-")[0]
         return SimulatedUpstream(
-            self.world, a, self.history, service, instance, self.place[a], lambda: self.proxies, self.answer_loss_ratio
+            self.world,
+            address,
+            self.history,
+            service,
+            instance,
+            self.place[address],
+            lambda: self.proxies,
+            self.answer_loss_ratio,
         )
 
     def pool(self, service: str) -> list[SimulatedUpstream]:
@@ -130,7 +137,7 @@
         user = self.user
 
         def proxies() -> list[Address]:
-            return [f for f in self.proxies if self.world.up(f)] or self.proxies
+            return [address for address in self.proxies if self.world.up(address)] or self.proxies
 
         for number in range(5):
             user(OrderClient, proxies, number == 0)
--- a/sim/order_checks.py
+++ b/sim/order_checks.py
@@ -349,7 +349,7 @@
         for cut in records.cuts:
             bound = CONFIRMATION_BOUND_S[confirmation.kind]
             if (
-                confirmation.by in cut.machines
+                confirmation.by in cut.nodes
                 and cut.began + bound < confirmation.at <= cut.ended
                 and confirmation.begun > cut.began
             ):
@@ -363,7 +363,7 @@
 def returned_nodes_catch_up(records: ClientRecords) -> list[str]:
     """Each returned node applies within `CATCH_UP_LIMIT_S` all that was committed at its return."""
     return [
-        f"{catch_up.machine} ({catch_up.how}) back at {catch_up.began:.2f} "
+        f"{catch_up.node} ({catch_up.how}) back at {catch_up.began:.2f} "
         f"has not caught up with {catch_up.index} after {CATCH_UP_LIMIT_S} s"
         for catch_up in records.catch_ups
         if catch_up.seconds() > CATCH_UP_LIMIT_S
--- a/sim/orders.py
+++ b/sim/orders.py
@@ -137,7 +137,7 @@
 class NetworkCut(msgspec.Struct):
     """A span in which these nodes had no two-way path to a majority of the voters."""
 
-    machines: list[Address]
+    nodes: list[Address]
     began: float
     ended: float
 
@@ -148,7 +148,7 @@
     `frozen_s` is how long the node itself was frozen within that time.
     """
 
-    machine: Address
+    node: Address
     how: str
     began: float
     index: int
--- a/sim/replica.py
+++ b/sim/replica.py
@@ -107,9 +107,9 @@
                     lambda data, address=address: self._revision_received(address, data),
                 )
 
-    def _revision_received(self, a: Address, data: bytes | None) -> None:
+    def _revision_received(self, address: Address, data: bytes | None) -> None:
         if data is not None and self.replica.receive_revision_reply(wire.decode_revision_reply(data)):
-            pull(self, a, NOW, self._install_fetched, self.replica.is_behind)
+            pull(self, address, NOW, self._install_fetched, self.replica.is_behind)
 
     def _install_fetched(self, got) -> None:
         if got is not None:
--- a/sim/worst_days.py
+++ b/sim/worst_days.py
@@ -190,7 +190,7 @@
             frozen_at = fleet.world.now
             fleet.run(1 + 5 * fleet.rng.random())
             for catch_up in fleet.orders.catch_ups:
-                if catch_up.machine == address and catch_up.ended is None:
+                if catch_up.node == address and catch_up.ended is None:
                     catch_up.frozen_s += fleet.world.now - frozen_at
             committed = max(map(fleet._index, fleet.core))
             fleet.world.thaw(address)
