--- a/sim/core_fleet.py
+++ b/sim/core_fleet.py
@@ -91,26 +91,26 @@
         voters = set(lead.core.raft.log.configuration.voters.values()) if lead is not None else set(self.core)
         return [a for a in self.core if a in voters and self.world.up(a)] or list(self.core)
 
-    def isolate(self, some: list[Address], ways: str, held: bool) -> NetworkCut:
-        """Isolates nodes from all others in direction `in`, `out` or `both`.
+    def isolate(self, isolated: list[Address], direction: str, held: bool) -> NetworkCut:
+        """Cuts nodes off from all others in direction `in`, `out` or `both`; records the nodes left without a majority.
 
         With `held`, messages are delivered late instead of lost.
         """
         block = self.world.hold_messages if held else lambda a, b: self.world.cut(a, b, one_way=True)
-        for inner in some:
+        for inner in isolated:
             for outer in self.nodes:
-                if outer in some:
+                if outer in isolated:
                     continue
-                if ways in ("in", "both"):
+                if direction in ("in", "both"):
                     block(outer, inner)
-                if ways in ("out", "both"):
+                if direction in ("out", "both"):
                     block(inner, outer)
         voters = self.voters()
-        inside = sum(a in some for a in voters)
-        without = some if 2 * inside <= len(voters) else [a for a in self.core if a not in some]
+        inside = sum(a in isolated for a in voters)
+        without_majority = isolated if 2 * inside <= len(voters) else [a for a in self.core if a not in isolated]
         if 2 * inside == len(voters):
-            without = list(self.core)
-        cut = NetworkCut(without, self.world.now, float("inf"))
+            without_majority = list(self.core)
+        cut = NetworkCut(without_majority, self.world.now, float("inf"))
         self.orders.cuts.append(cut)
         return cut
 
