--- a/sim/order_history.py
+++ b/sim/order_history.py
@@ -1,4 +1,4 @@
-"""What the users of a core were told, as the checker of histories takes it."""
+"""Converts the records of a core's API clients to operations for the linearizability checker."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from mallowvalve.coordination.plain import group_of
 from sim import pages
-from sim.orders import CellCall, Counted, Held, ItemsRead, Order, Orders, TakeCall
+from sim.orders import ClientRecords, ItemsRead, ItemUpdate, KeyRequest, LockHold, LockRequest, NumberRequest
 from verification import linearizability
 from verification.histories import (
     AmendItem,
@@ -23,80 +23,114 @@
 REFUSED = (pages.CONFLICT, pages.INVALID)
 
 
-def findings(o: Orders) -> list[str]:
-    """What cannot be ordered by the times of the calls alone, and what the search left undecided."""
-    return linearizability.check(operations(o)).findings()
+def findings(records: ClientRecords) -> list[str]:
+    """Returns histories that are not linearizable, and those the search left undecided."""
+    return linearizability.check(operations(records)).findings()
 
 
-def operations(o: Orders) -> list[Operation]:
-    """Items, locks, numbers and keys by name; each group's revisions besides, as numbers that rise over its keys."""
-    names = sorted({x.name for x in o.orders})
-    ends = {(h.name, h.token): h for h in o.held}
+def operations(records: ClientRecords) -> list[Operation]:
+    """Operations on items, locks, numbers and keys; a key group's revisions count as numbers drawn from one counter."""
+    names = sorted({record.name for record in records.orders})
+    ends = {(h.name, h.token): h for h in records.held}
     return [
-        *(_order(x) for x in o.orders),
-        *(_item_read(r, name) for r in o.reads for name in names),
-        *(_take(t, ends.get((t.name, t.token))) for t in o.takes),
-        *(_number(n) for n in o.numbers),
-        *(_cell(c) for c in o.cells),
-        *(_revision(c) for c in o.cells if c.kind == "put" and c.said == pages.OK),
+        *(_update_operation(record) for record in records.orders),
+        *(_read_operation(read, name) for read in records.reads for name in names),
+        *(_lock_operation(request, ends.get((request.name, request.token))) for request in records.takes),
+        *(_number_operation(request) for request in records.numbers),
+        *(_key_operation(request) for request in records.cells),
+        *(
+            _revision_operation(request)
+            for request in records.cells
+            if request.kind == "put" and request.status == pages.OK
+        ),
     ]
 
 
-def _outcome(said: int) -> OperationOutcome:
-    if said == pages.OK:
+def _outcome(status: int) -> OperationOutcome:
+    if status == pages.OK:
         return OperationOutcome.DONE
-    return OperationOutcome.REFUSED if said in REFUSED else OperationOutcome.UNKNOWN
+    return OperationOutcome.REFUSED if status in REFUSED else OperationOutcome.UNKNOWN
 
 
-def _told(kind: ObjectKind, name: str, call: OperationCall, x: Order | TakeCall | CellCall, number: int) -> Operation:
-    outcome = _outcome(x.said)
-    if outcome is not OperationOutcome.UNKNOWN and math.isfinite(x.ended):
-        return Operation(kind, name, _caller(x), call, x.begun, x.ended, outcome, number)
-    return Operation(kind, name, _caller(x), call, x.begun, None, OperationOutcome.UNKNOWN)
+def _operation(
+    kind: ObjectKind, name: str, call: OperationCall, record: ItemUpdate | LockRequest | KeyRequest, number: int
+) -> Operation:
+    outcome = _outcome(record.status)
+    if outcome is not OperationOutcome.UNKNOWN and math.isfinite(record.ended):
+        return Operation(kind, name, _client(record), call, record.begun, record.ended, outcome, number)
+    return Operation(kind, name, _client(record), call, record.begun, None, OperationOutcome.UNKNOWN)
 
 
-def _caller(x: Order | TakeCall | CellCall) -> str:
-    match x:
-        case Order():
-            return x.who
-        case TakeCall():
-            return x.holder
-    return x.value or ""
+def _client(record: ItemUpdate | LockRequest | KeyRequest) -> str:
+    match record:
+        case ItemUpdate():
+            return record.who
+        case LockRequest():
+            return record.holder
+    return record.value or ""
 
 
-def _order(x: Order) -> Operation:
-    return _told(ObjectKind.ITEM, x.name, AmendItem(x.version, x.content), x, x.version)
+def _update_operation(record: ItemUpdate) -> Operation:
+    return _operation(ObjectKind.ITEM, record.name, AmendItem(record.version, record.content), record, record.version)
 
 
-def _item_read(r: ItemsRead, name: str) -> Operation:
-    version, content = r.rows.get(name, (0, None))
+def _read_operation(read: ItemsRead, name: str) -> Operation:
+    version, content = read.rows.get(name, (0, None))
     return Operation(
-        ObjectKind.ITEM, name, r.by, ReadObject(), r.begun, r.ended, OperationOutcome.DONE, version, content
+        ObjectKind.ITEM, name, read.by, ReadObject(), read.begun, read.ended, OperationOutcome.DONE, version, content
     )
 
 
-def _take(t: TakeCall, held: Held | None) -> Operation:
-    """A holder relies on its lock to the end of its own hold, and not at all where it never began one."""
-    until = held.end if held is not None else t.begun
-    return _told(ObjectKind.LOCK, t.name, TakeLock(t.holder, until), t, t.token)
+def _lock_operation(request: LockRequest, hold: LockHold | None) -> Operation:
+    """A lock operation; it claims the lock until the end of the holder's own hold, or not at all without a hold."""
+    until = hold.end if hold is not None else request.begun
+    return _operation(ObjectKind.LOCK, request.name, TakeLock(request.holder, until), request, request.token)
 
 
-def _number(n: Counted) -> Operation:
-    if not n.value:
-        return Operation(ObjectKind.NUMBER, n.name, "", DrawNumber(), n.begun, None, OperationOutcome.UNKNOWN)
-    return Operation(ObjectKind.NUMBER, n.name, "", DrawNumber(), n.begun, n.ended, OperationOutcome.DONE, n.value)
+def _number_operation(request: NumberRequest) -> Operation:
+    if not request.value:
+        return Operation(
+            ObjectKind.NUMBER, request.name, "", DrawNumber(), request.begun, None, OperationOutcome.UNKNOWN
+        )
+    return Operation(
+        ObjectKind.NUMBER,
+        request.name,
+        "",
+        DrawNumber(),
+        request.begun,
+        request.ended,
+        OperationOutcome.DONE,
+        request.value,
+    )
 
 
-def _cell(c: CellCall) -> Operation:
-    if c.kind == "put":
-        return _told(ObjectKind.KEY, c.name, PutValue(c.value, c.base), c, c.revision)
+def _key_operation(request: KeyRequest) -> Operation:
+    if request.kind == "put":
+        return _operation(
+            ObjectKind.KEY, request.name, PutValue(request.value, request.base), request, request.revision
+        )
     return Operation(
-        ObjectKind.KEY, c.name, "", ReadObject(), c.begun, c.ended, OperationOutcome.DONE, c.revision, c.value
+        ObjectKind.KEY,
+        request.name,
+        "",
+        ReadObject(),
+        request.begun,
+        request.ended,
+        OperationOutcome.DONE,
+        request.revision,
+        request.value,
     )
 
 
-def _revision(c: CellCall) -> Operation:
-    name = f"revision of {group_of(c.name)}"
+def _revision_operation(request: KeyRequest) -> Operation:
+    name = f"revision of {group_of(request.name)}"
     return Operation(
-        ObjectKind.NUMBER, name, c.value or "", DrawNumber(), c.begun, c.ended, OperationOutcome.DONE, c.revision
+        ObjectKind.NUMBER,
+        name,
+        request.value or "",
+        DrawNumber(),
+        request.begun,
+        request.ended,
+        OperationOutcome.DONE,
+        request.revision,
     )
