--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -13,14 +13,14 @@
 from mallowvalve.control.wire import CommandResponse
 from mallowvalve.coordination.plain import Count, Take
 from mallowvalve.raft.raft import Raft
-from sim import door, pages
-from sim.door import DoorNode
+from sim import control_api, pages
+from sim.control_api import ControlApiNode
 from sim.worst_days import play_day
 
 REPEAT_DELAY_S = 4.0
 FaultInjection = Callable[[], AbstractContextManager]
-original_patch = DoorNode._patch
-original_page = DoorNode._page
+original_patch = ControlApiNode._patch
+original_page = ControlApiNode._page
 
 
 def conflicts_confirmed() -> AbstractContextManager:
@@ -29,7 +29,7 @@
     def lenient(self, c, say) -> None:
         original_patch(self, c, lambda a: say(pages.Answer(pages.OK) if a.status == pages.CONFLICT else a))
 
-    return patch.object(DoorNode, "_patch", lenient)
+    return patch.object(ControlApiNode, "_patch", lenient)
 
 
 def reads_unconfirmed() -> AbstractContextManager:
@@ -77,8 +77,8 @@
 @contextmanager
 def departed_callers_served() -> Iterator[None]:
     """A call runs although its caller has closed the connection or the last contact with a majority is too old."""
-    gone = patch.object(door, "_has_left", lambda say: False)
-    out_of_touch = patch.object(DoorNode, "_may_begin", lambda self, say: True)
+    gone = patch.object(control_api, "_has_left", lambda say: False)
+    out_of_touch = patch.object(ControlApiNode, "_may_begin", lambda self, say: True)
     with gone, out_of_touch:
         yield
 
@@ -96,7 +96,7 @@
         if chosen(page):
             self.wake(REPEAT_DELAY_S, lambda: original_page(self, page, lambda answer: None))
 
-    return patch.object(DoorNode, "_page", twice)
+    return patch.object(ControlApiNode, "_page", twice)
 
 
 def evacuations_repeated() -> AbstractContextManager:
@@ -116,7 +116,7 @@
 
 def contact_always_recent() -> AbstractContextManager:
     """A process considers its contact with the majority recent at all times."""
-    return patch.object(DoorNode, "_in_touch", lambda self: True)
+    return patch.object(ControlApiNode, "_in_touch", lambda self: True)
 
 
 def play_with_fault(fault: FaultInjection, day: str, seed: int) -> list[str]:
--- a/tests/test_leave.py
+++ b/tests/test_leave.py
@@ -12,7 +12,7 @@
 from mallowvalve.raft.raft import Raft
 from mallowvalve.types import Address, Locality
 from sim.disk import SimDisk
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 from sim.storms import check
 
 CATCH_UP_S = 4.0
@@ -97,7 +97,7 @@
 
 
 def fleet_under_load(seed, cores):
-    fleet = Fleet(seed, cores=cores, proxies=3, directory_server=1)
+    fleet = SimulatedFleet(seed, cores=cores, proxies=3, directory_server=1)
     fleet.load()
     assert fleet.run_until(lambda: has_quorum(fleet) and fleet.history.numbers, 30.0)
     fleet.run(6.0)
--- a/tests/test_linearizability.py
+++ b/tests/test_linearizability.py
@@ -335,7 +335,7 @@
 
 
 def test_the_simulator_checks_its_recorded_history():
-    recorded = sim.history.History()
+    recorded = sim.history.RunHistory()
     place = recorded.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 1.0)
     recorded.recorder.record_answer(place, 2.0, DONE, 7)
     recorded.recorder.record_call(ObjectKind.NUMBER, "n", "u", DrawNumber(), 2.5)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -11,7 +11,7 @@
 from mallowvalve.types import Address, Locality
 from sim.control import ControlNode
 from sim.disk import SimDisk
-from sim.fleet import Fleet
+from sim.fleet import SimulatedFleet
 
 CATCH_UP_S = 4.0
 ADDRESS_REUSE_S = 2.0
@@ -68,7 +68,7 @@
 
 
 def settled_fleet(seed, cores):
-    fleet = Fleet(seed, cores=cores, proxies=2, directory_server=1)
+    fleet = SimulatedFleet(seed, cores=cores, proxies=2, directory_server=1)
     assert fleet.run_until(lambda: has_quorum(fleet), 20.0)
     fleet.run(8.0)
     return fleet
--- a/tests/test_serving.py
+++ b/tests/test_serving.py
@@ -8,7 +8,7 @@
 from mallowvalve.localfleet.history import CoordinationCall
 from mallowvalve.localfleet.judge import OfferedConfiguration
 from sim.config import config
-from sim.history import Emptied, History, Left, Ran
+from sim.history import ExecutedRequest, RunHistory, UpstreamDeparture, ZoneEvacuation
 from sim.serving import check, cold_share
 
 NAME = "x"
@@ -25,15 +25,17 @@
     at, id="r1", key="", tenant="overlay", target="/rankings/1", service="boards", region="eu", zone="eu-a", **more
 ):
     base = {"n": 1, "instance": "boards-0", "incarnation": 1}
-    return Ran(at, id, key, **{**base, **more}, tenant=tenant, target=target, service=service, region=region, zone=zone)
+    return ExecutedRequest(
+        at, id, key, **{**base, **more}, tenant=tenant, target=target, service=service, region=region, zone=zone
+    )
 
 
 def order(at, **more):
     return ran(at, id="o1", key="o1", tenant="runner", target="/runs", service="runs", **more)
 
 
-def correct_history() -> History:
-    history = History()
+def correct_history() -> RunHistory:
+    history = RunHistory()
     history.offers = [
         OfferedConfiguration(0.0, 1.0, 1, doc()),
         OfferedConfiguration(20.0, 21.0, 2, doc("spare", ("us",))),
@@ -45,8 +47,8 @@
         ran(23.0, id="r3", service="spare"),
         order(30.0, region="us", zone="us-a"),
     ]
-    history.zones = [Emptied(40.0, 41.0, 3, "eu-a", True), Emptied(60.0, 61.0, 4, "eu-a", False)]
-    history.left = [Left(10.0, "boards-0", 1)]
+    history.zones = [ZoneEvacuation(40.0, 41.0, 3, "eu-a", True), ZoneEvacuation(60.0, 61.0, 4, "eu-a", False)]
+    history.left = [UpstreamDeparture(10.0, "boards-0", 1)]
     history.served = [
         msgspec.structs.replace(run, instance="boards-1") if run.at > 12 else run for run in history.served
     ]
@@ -90,7 +92,7 @@
 
 
 def test_the_share_of_a_cold_upstream_is_measured():
-    history = History()
+    history = RunHistory()
     history.served = [
         ran(1 + index * 0.02, id=f"q{index}", instance=f"boards-{index % 3}", incarnation=5 if index % 3 == 0 else 1)
         for index in range(60)
--- a/verification/disk.py
+++ b/verification/disk.py
@@ -34,11 +34,11 @@
         if self.kept_thousandths is None:
             super().sync(name)
             return
-        synced_bytes = self.safe.get(name, 0)
+        synced_bytes = self.synced.get(name, 0)
         kept_bytes = (
             synced_bytes + (len(self.files[name]) - synced_bytes) * self.kept_thousandths // WHOLE_WRITE_THOUSANDTHS
         )
         del self.files[name][kept_bytes:]
-        self.safe[name] = kept_bytes
+        self.synced[name] = kept_bytes
         self.kept_thousandths = None
         raise PowerLossError(name)
