--- a/sim/callers.py
+++ b/sim/callers.py
@@ -18,7 +18,7 @@
     ItemUpdate,
     KeyRequest,
     LateRequest,
-    LockHold,
+    LockInterval,
     LockRequest,
     Notice,
     NumberRequest,
@@ -221,7 +221,7 @@
             until = min(end, self.now + 3 * self.rng.random())
             if until <= self.now:
                 return self.wake(0.1, self._acquire)
-            self.orders.held.append(LockHold(request.name, request.holder, self.now, until, request.token))
+            self.orders.held.append(LockInterval(request.name, request.holder, self.now, until, request.token))
             self.wake(until - self.now, lambda: self._release(request))
 
         self.until(page, 1 + self.rng.randrange(3), finished, "order", lambda: self._record_attempt(request))
--- a/sim/control_api.py
+++ b/sim/control_api.py
@@ -88,7 +88,7 @@
                 self._end(page.upstream, reply)
 
     def _may_begin(self, reply: Callable[[Answer], None]) -> bool:
-        """Redirects the caller if this node has been out of contact for too long, as `http_submission.accept_or_redirect` does."""
+        """Redirects the caller if this node is out of contact, as `http_submission.accept_or_redirect` does."""
         if self.core.may_answer(Lease.CALL, self.now):
             return True
         others = [address for address in self.peers() if address in self.seeds and address != self.addr]
@@ -279,10 +279,7 @@
     # What the daemon's task does for all requests.
 
     def offer(self, command: bytes, limit: float, attempt: float, then: Then, effect: float | None = None) -> None:
-        """Proposes to the leader with retries for `limit` seconds, as `ControlTask.offer` does.
-
-        A command that may have been applied never ends as refused.
-        """
+        """Proposes with retries for `limit` seconds, as `ControlTask.offer`; what may be applied never ends as refused."""
         call = SessionCall(self.session, command, self.now + (effect or limit))
         self._offer_with_retries(call, self.now + limit, attempt, CommandResponse(Code.LEADER), then)
 
@@ -299,7 +296,8 @@
                 return then(call.final_response(response, RETRYABLE))
             self.wake(RETRY_DELAY_S, lambda: self._offer_with_retries(call, end, attempt, response, then))
 
-        self._offer_once(call.encoded_command(self.core.clock.estimate(self.now), self.now), min(left, attempt), answered)
+        command = call.encoded_command(self.core.clock.estimate(self.now), self.now)
+        self._offer_once(command, min(left, attempt), answered)
 
     def _offer_once(self, command: bytes, limit: float, answered: Then) -> None:
         body = wire.encode(wire.CommandRequest(command, limit))
--- a/sim/order_history.py
+++ b/sim/order_history.py
@@ -6,7 +6,7 @@
 
 from mallowvalve.coordination.plain import group_of
 from sim import pages
-from sim.orders import ClientRecords, ItemsRead, ItemUpdate, KeyRequest, LockHold, LockRequest, NumberRequest
+from sim.orders import ClientRecords, ItemsRead, ItemUpdate, KeyRequest, LockInterval, LockRequest, NumberRequest
 from verification import linearizability
 from verification.histories import (
     AmendItem,
@@ -81,7 +81,7 @@
     )
 
 
-def _lock_operation(request: LockRequest, hold: LockHold | None) -> Operation:
+def _lock_operation(request: LockRequest, hold: LockInterval | None) -> Operation:
     """A lock operation; it claims the lock until the end of the holder's own hold, or not at all without a hold."""
     until = hold.end if hold is not None else request.begun
     return _operation(ObjectKind.LOCK, request.name, TakeLock(request.holder, until), request, request.token)
--- a/sim/orders.py
+++ b/sim/orders.py
@@ -67,7 +67,7 @@
     unsure: float | None = None
 
 
-class LockHold(msgspec.Struct):
+class LockInterval(msgspec.Struct):
     """The span in which a holder considers itself to hold a lock, its lease counted from when the call was sent."""
 
     name: str
@@ -177,7 +177,7 @@
         self.zones: list[ZoneUpdate] = []
         self.notices: list[Notice] = []
         self.takes: list[LockRequest] = []
-        self.held: list[LockHold] = []
+        self.held: list[LockInterval] = []
         self.numbers: list[NumberRequest] = []
         self.cells: list[KeyRequest] = []
         self.events: list[WatchedEvent] = []
--- a/tests/test_order_checks.py
+++ b/tests/test_order_checks.py
@@ -11,7 +11,7 @@
     ItemsRead,
     ItemUpdate,
     KeyRequest,
-    LockHold,
+    LockInterval,
     LockRequest,
     MemberLoss,
     NetworkCut,
@@ -63,7 +63,7 @@
         LockRequest("l", "h4", 3.1, 4.6, 409, 2.0, unsure=4.4),
         LockRequest("l", "h5", 7, 7.1, 409, 2.0),
     ]
-    records.held = [LockHold("l", "h1", 1.2, 2.4, 1), LockHold("l", "h3", 3.2, 3.9, 2)]
+    records.held = [LockInterval("l", "h1", 1.2, 2.4, 1), LockInterval("l", "h3", 3.2, 3.9, 2)]
     records.numbers = [NumberRequest("n", 1, 1.1, 1), NumberRequest("n", 2, 3, 0), NumberRequest("n", 4, 4.1, 3)]
     records.cells = [
         put("v1", 1, 1),
@@ -103,8 +103,8 @@
     "z evacuated, acknowledged at 2.00": lambda records: records.reads.append(read(3.5, {"r": (1, "a")})),
     "shows ready": lambda records: records.reads.append(read(6, {"r": (2, "c")}, [], {"u": "ready"})),
     "shows leaving": lambda records: records.reads.append(read(8.3, {}, [], {"u": "leaving"})),
-    "while h1 holds it": lambda records: records.held.append(LockHold("l", "h9", 2.0, 2.2, 5)),
-    "token 2 of l after 2": lambda records: records.held.append(LockHold("l", "h9", 9, 9.5, 2)),
+    "while h1 holds it": lambda records: records.held.append(LockInterval("l", "h9", 2.0, 2.2, 5)),
+    "token 2 of l after 2": lambda records: records.held.append(LockInterval("l", "h9", 9, 9.5, 2)),
     "h9 is refused l at 7.60": lambda records: records.takes.append(LockRequest("l", "h9", 7.6, 7.7, 409, 2.0)),
     "h9 is refused l at 4.15": lambda records: (
         records.takes.__delitem__(slice(3, 5)),
