--- a/mallowvalve/upstreams/liveness.py
+++ b/mallowvalve/upstreams/liveness.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from mallowvalve.types import Address, Locality
-from mallowvalve.upstreams.registry import Registered, Registry, Upstream, UpstreamState
+from mallowvalve.upstreams.registry import Registered, Registry, Upstream, UpstreamStatus
 
 COLD_EXTENSION_MS = 200
 """A later end of the cold phase is replicated only if it moves by more than this."""
@@ -68,7 +68,7 @@
         self.heartbeat_interval_s = heartbeat_interval_s
         self.silence_timeout_s = MISSED_HEARTBEATS * heartbeat_interval_s
         self._last: dict[str, LastHeartbeat] = {}
-        self._acknowledged: set[tuple[str, UpstreamState]] = set()
+        self._acknowledged: set[tuple[str, UpstreamStatus]] = set()
         self._leading_since: float | None = None
         self._judged_at = 0.0
         self._fleet_time_ms = 0
@@ -203,6 +203,6 @@
             self._last[instance] = LastHeartbeat(at, sequence)
 
 
-def _replicated_fields(upstream: Upstream) -> tuple[UpstreamState, str, Address, Locality, int]:
+def _replicated_fields(upstream: Upstream) -> tuple[UpstreamStatus, str, Address, Locality, int]:
     """Returns the fields whose change is replicated."""
     return upstream.state, upstream.service, upstream.address, upstream.locality, upstream.slots
--- a/mallowvalve/upstreams/registry.py
+++ b/mallowvalve/upstreams/registry.py
@@ -16,7 +16,7 @@
 MAX_SERVICES = 4096
 MAX_GONE = 10_000
 
-UpstreamState = Literal["ready", "silent", "leaving", "gone"]
+UpstreamStatus = Literal["ready", "silent", "leaving", "gone"]
 
 
 class Upstream(msgspec.Struct, frozen=True, array_like=True):
@@ -31,7 +31,7 @@
     address: Address
     locality: Locality
     slots: int
-    state: UpstreamState
+    state: UpstreamStatus
     sequence: int = 0
     since: int = 0
     cold_until: int = 0
